--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -2,6 +2,7 @@
 //! that only moves when told.
 
 mod cancellation;
+mod decision_trace;
 mod fleet_size;
 mod invariants;
 mod lease;
--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 
 use super::sequences::{in_simulated_time, number};
-use super::simulation::{Fault, Shape, Simulation};
+use super::simulation::{Fault, Shape, Simulation, Trace};
 
 /// How many seeds are played; a longer search sets this variable.
 const SEEDS: &str = "SHEDTALLY_ANSWER_SEEDS";
@@ -58,6 +58,18 @@
     Shape { awaiting, ..shape }
 }
 
+/// What the controllers send in the random faults of a seed.
+pub fn traced(seed: u64) -> Trace {
+    let shape = shape(seed);
+    let faults = random_faults(seed, shape.controllers);
+    in_simulated_time(async {
+        let mut simulation = Simulation::shaped(seed, shape, faults, CALM);
+        simulation.trace.start();
+        simulation.run(END).await;
+        simulation.trace
+    })
+}
+
 /// A seed that breaks a rule is printed, with its faults, and breaks it again.
 #[test]
 fn no_answer_goes_back_in_random_sequences() {
--- a/src/coordination/tests/sequences.rs
+++ b/src/coordination/tests/sequences.rs
@@ -4,15 +4,15 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::simulation::{Fault, Origin, Question, Shape, Simulation};
+use super::simulation::{Fault, Origin, Question, Shape, Simulation, Trace};
 use super::*;
 use crate::protocol::cbor::{MapBuilder, encode};
 use crate::transport::codec::Response;
 
 /// How many seeds are played; a longer search sets this variable.
-const SEEDS: &str = "SHEDTALLY_SEEDS";
+pub const SEEDS: &str = "SHEDTALLY_SEEDS";
 /// The first of them.
-const FIRST: &str = "SHEDTALLY_FIRST_SEED";
+pub const FIRST: &str = "SHEDTALLY_FIRST_SEED";
 
 const CALM: f64 = 170.0;
 const END: f64 = 330.0;
@@ -95,18 +95,32 @@
 pub fn play(seed: u64, faults: Vec<(f64, Fault)>) -> Simulation {
     in_simulated_time(async {
         let mut simulation = Simulation::shaped(seed, shape(seed), faults, CALM);
-        simulation.run(END).await;
-        // A backlog is worked off at the pace that the teams' limits leave.
-        let mut until = END;
-        while simulation.unfinished() && until < 2.0 * END {
-            until += 20.0;
-            simulation.run(until).await;
-        }
+        run_to_the_end(&mut simulation).await;
         simulation.check_end();
         simulation
     })
 }
 
+async fn run_to_the_end(simulation: &mut Simulation) {
+    simulation.run(END).await;
+    // A backlog is worked off at the pace that the teams' limits leave.
+    let mut until = END;
+    while simulation.unfinished() && until < 2.0 * END {
+        until += 20.0;
+        simulation.run(until).await;
+    }
+}
+
+/// What the controllers send in the random faults of a seed.
+pub fn traced(seed: u64) -> Trace {
+    in_simulated_time(async {
+        let mut simulation = Simulation::shaped(seed, shape(seed), random_faults(seed), CALM);
+        simulation.trace.start();
+        run_to_the_end(&mut simulation).await;
+        simulation.trace
+    })
+}
+
 /// Whatever meets whatever, no rule breaks. A seed that breaks one is printed and
 /// breaks it again.
 #[test]
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -86,6 +86,7 @@
         if let Some(until) = self.sender(&ask).map(|at| self.stalled_until(at)).filter(|until| now < *until) {
             return self.held_asks.push((until, ask));
         }
+        self.trace_ask(self.sender(&ask), &ask);
         match ask {
             Ask::Peer { to, call, relay, reply } => {
                 let SocketAddr::V4(v4) = to else { return };
@@ -108,8 +109,8 @@
                     let answered = asked.run(handled).await;
                     tokio::time::sleep(slow).await;
                     asking.run(std::future::ready(())).await;
-                    let _ = reply.send(answered);
-                    Event::Nothing
+                    let _ = reply.send(answered.clone());
+                    Event::PeerReplied { sender: other, peer: from, reply: answered }
                 });
             }
             Ask::Http { to, call, reply } => {
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -10,6 +10,7 @@
 mod rules;
 mod stalls;
 mod state_service;
+mod trace;
 mod users;
 mod workers;
 
@@ -42,11 +43,12 @@
 use crate::storage::stand_in;
 use crate::transport::client::{Call, ClientError};
 use crate::transport::codec::{Request, Response};
-use crate::transport::peer::PeerHandler;
+use crate::transport::peer::{PeerHandler, PeerReply};
 use crate::transport::scripted::{self, Ask};
 use crate::transport::server::Handler;
 
 pub use faults::Fault;
+pub use trace::Trace;
 
 const STEP: Duration = Duration::from_millis(100);
 /// Later than any simulation lasts.
@@ -166,6 +168,7 @@
 enum Event {
     Reported {
         machine: String,
+        controller: usize,
         session: u64,
         sent: Instant,
         answer: Option<Response>,
@@ -177,6 +180,12 @@
         answer: Option<Response>,
         look: bool,
     },
+    /// Another controller's call was answered.
+    PeerReplied {
+        sender: usize,
+        peer: usize,
+        reply: PeerReply,
+    },
     /// A controller's own figures.
     Figures {
         controller: usize,
@@ -267,6 +276,7 @@
 pub struct Simulation {
     rng: SmallRng,
     begin: Instant,
+    pub trace: Trace,
     settings: Settings,
     asks: mpsc::UnboundedReceiver<Ask>,
     events: JoinSet<Event>,
@@ -384,6 +394,7 @@
         Simulation {
             rng: SmallRng::seed_from_u64(seed),
             begin,
+            trace: Trace::default(),
             settings,
             asks,
             events: JoinSet::new(),
@@ -461,13 +472,20 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Reported { machine, session, sent, answer } => {
+            Event::Reported { machine, controller, session, sent, answer } => {
+                if let Some(answer) = &answer {
+                    self.trace_answer(controller, &machine, answer);
+                }
                 self.reported(&machine, session, sent, answer);
             }
             Event::Answered { job, question, origin, answer, look } => {
+                if let Some(answer) = &answer {
+                    self.trace_answer(origin.process.0, &job, answer);
+                }
                 self.answered(&job, question, origin, answer, look);
             }
             Event::Figures { controller, answer } => self.check_figures(controller, &answer),
+            Event::PeerReplied { sender, peer, reply } => self.trace_peer_reply(sender, peer, &reply),
             Event::Nothing => {}
         }
     }
--- /dev/null
+++ b/src/coordination/tests/simulation/trace.rs
@@ -0,0 +1,107 @@
+//! The decision trace: every message that a simulated controller sends, in order, with
+//! its simulated time and its encoded bytes as a digest. Two builds that decide alike
+//! write the same trace for a seed, byte for byte.
+
+use std::fmt::Write;
+use std::hash::{DefaultHasher, Hasher};
+
+use super::*;
+use crate::transport::peer::{PeerCall, PeerReply};
+
+/// The messages of one simulation, a line each; empty unless recording was asked for.
+#[derive(Debug, Default)]
+pub struct Trace {
+    recording: bool,
+    lines: String,
+}
+
+impl Trace {
+    /// Records from now on.
+    pub fn start(&mut self) {
+        self.recording = true;
+    }
+
+    /// What was recorded.
+    pub fn into_lines(self) -> String {
+        self.lines
+    }
+
+    /// `elapsed`: since the simulation began. `peer`: whom the message goes to.
+    pub(super) fn record(
+        &mut self,
+        elapsed: Duration,
+        sender: &str,
+        peer: &str,
+        what: &str,
+        parts: &[&[u8]],
+    ) {
+        if !self.recording {
+            return;
+        }
+        let mut digest = DefaultHasher::new();
+        for part in parts {
+            digest.write_usize(part.len());
+            digest.write(part);
+        }
+        let bytes: usize = parts.iter().map(|part| part.len()).sum();
+        writeln!(
+            self.lines,
+            "{} {sender} {peer} {what} {bytes} {:016x}",
+            elapsed.as_millis(),
+            digest.finish()
+        )
+        .expect("a string takes everything");
+    }
+}
+
+/// The name of a call and its bytes, as the service definition has them.
+fn peer_call_parts(call: &PeerCall) -> (&'static str, &[u8]) {
+    match call {
+        PeerCall::Submit(body) => ("Submit", body),
+        PeerCall::Poll(job) => ("Poll", job.as_bytes()),
+        PeerCall::Withdraw(job) => ("Withdraw", job.as_bytes()),
+        PeerCall::Report(body) => ("Report", body),
+        PeerCall::Lead => ("Lead", &[]),
+    }
+}
+
+impl Simulation {
+    fn elapsed(&self) -> Duration {
+        Instant::now() - self.begin
+    }
+
+    /// A request that a controller sends: to the state service, the cloud, a worker or
+    /// another controller.
+    pub(super) fn trace_ask(&mut self, sender: Option<usize>, ask: &Ask) {
+        let elapsed = self.elapsed();
+        let sender = sender.map_or_else(|| "?".to_owned(), |at| format!("c-{at}"));
+        match ask {
+            Ask::Http { to, call, .. } => {
+                let what = format!("{} {}", call.method, call.target);
+                self.trace.record(elapsed, &sender, &to.ip().to_string(), &what, &[&call.body]);
+            }
+            Ask::Peer { to, call, relay, .. } => {
+                let (what, body) = peer_call_parts(call);
+                let flags = [u8::from(*relay)];
+                self.trace.record(elapsed, &sender, &to.ip().to_string(), what, &[body, &flags]);
+            }
+        }
+    }
+
+    /// An answer of a controller to a user or a worker.
+    pub(super) fn trace_answer(&mut self, sender: usize, peer: &str, answer: &Response) {
+        let elapsed = self.elapsed();
+        let sender = format!("c-{sender}");
+        let what = format!("{} retry {:?}", answer.status, answer.retry_after_s);
+        self.trace.record(elapsed, &sender, peer, &what, &[&answer.body]);
+    }
+
+    /// A reply of a controller to another.
+    pub(super) fn trace_peer_reply(&mut self, sender: usize, peer: usize, reply: &PeerReply) {
+        let elapsed = self.elapsed();
+        let (sender, peer) = (format!("c-{sender}"), format!("c-{peer}"));
+        let lease = reply.lease.map(|lease| (lease.epoch, lease.left.as_millis()));
+        let what = format!("{} retry {:?} lease {lease:?}", reply.status, reply.retry_after_s);
+        self.trace.record(elapsed, &sender, &peer, &what, &[&reply.body]);
+    }
+}
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -95,7 +95,7 @@
                 }
                 None => None,
             };
-            Event::Reported { machine, session, sent, answer }
+            Event::Reported { machine, controller: target, session, sent, answer }
         });
     }
 
--- a/src/storage/service.rs
+++ b/src/storage/service.rs
@@ -147,7 +147,7 @@
 
     /// Carries the changes out while the epoch lasts, however often it takes.
     pub async fn commit(&self, mut transaction: Transaction) -> Result<u64, StoreError> {
-        let mark = format!("{:x}", rand::random::<u64>());
+        let mark = format!("{:x}", fresh_mark());
         for change in &mut transaction.changes {
             if let Change::Put { value: Value::Map(entries), .. } = change {
                 entries.push((Value::from(MARK), Value::from(mark.as_str())));
@@ -163,6 +163,15 @@
     }
 }
 
+/// A number that no other write bears; the same for a seed where the network is simulated.
+fn fresh_mark() -> u64 {
+    #[cfg(test)]
+    if let Some(mark) = crate::transport::scripted::next_mark() {
+        return mark;
+    }
+    rand::random()
+}
+
 fn transaction_size(transaction: &Transaction) -> usize {
     let conditions: usize = transaction.conditions.iter().map(|c| c.key.len() + 48).sum();
     let changes: usize = transaction
--- a/src/transport/scripted.rs
+++ b/src/transport/scripted.rs
@@ -22,6 +22,8 @@
 struct Network {
     asks: mpsc::UnboundedSender<Ask>,
     since: tokio::time::Instant,
+    /// How many marks were given out.
+    marks: u64,
 }
 
 thread_local! {
@@ -36,11 +38,23 @@
     Some(u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX))
 }
 
+/// A mark for a write, if a network is installed: alike in each run, unlike in each write.
+pub fn next_mark() -> Option<u64> {
+    NETWORK.with(|network| {
+        let mut network = network.borrow_mut();
+        let network = network.as_mut().filter(|n| !n.asks.is_closed())?;
+        network.marks += 1;
+        // Spread over all bits, as random ones are.
+        Some(network.marks.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+    })
+}
+
 /// From now on, what this thread's tests send arrives here.
 pub fn install() -> mpsc::UnboundedReceiver<Ask> {
     let (asks, asked) = mpsc::unbounded_channel();
-    NETWORK
-        .with(|network| *network.borrow_mut() = Some(Network { asks, since: tokio::time::Instant::now() }));
+    NETWORK.with(|network| {
+        *network.borrow_mut() = Some(Network { asks, since: tokio::time::Instant::now(), marks: 0 })
+    });
     asked
 }
 
