--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant as Clock};
 
-use shedtally::coordination::agents::ReportReply;
+use shedtally::coordination::agents::HeartbeatReply;
 use shedtally::coordination::config::Config;
 use shedtally::coordination::leader::{Action, Leader};
 use shedtally::coordination::model::ReplyTo;
@@ -16,7 +16,7 @@
 use shedtally::policy::Tuning;
 use shedtally::protocol::cloud::{MachineType, RentalRequest};
 use shedtally::protocol::jobs::{Form, JobId, JobSpec, Priority};
-use shedtally::protocol::workers::{ExitCause, MachineId, Order, Report, TaskReport, TaskState};
+use shedtally::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
 use shedtally::settings::Settings;
 use shedtally::storage::records::RentalRecord;
 use tokio::time::Instant;
@@ -60,7 +60,7 @@
     leader: Leader,
     now: Instant,
     seq: u64,
-    running: Vec<Vec<(Order, TaskState)>>,
+    running: Vec<Vec<(Command, TaskState)>>,
     jobs: u32,
 }
 
@@ -153,29 +153,31 @@
     fn report(&mut self, machine: usize) {
         self.seq += 1;
         let tasks = self.running[machine].iter().filter_map(|(order, state)| match order {
-            Order::Start { task, attempt } => {
-                Some(TaskReport { task: task.clone(), attempt: *attempt, state: *state })
+            Command::Start { task, attempt } => {
+                Some(TaskStatus { task: task.clone(), attempt: *attempt, state: *state })
             }
             _ => None,
         });
-        let report = Report {
+        let report = Heartbeat {
             machine: name(machine),
             address: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
             zone: "z1".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
-            token: EPOCH,
-            notice_s: None,
+            incarnation: 1,
+            sequence: self.seq,
+            fencing_token: EPOCH,
+            preemption_notice_s: None,
             tasks: tasks.collect(),
         };
-        if let ReportReply::Orders { orders, .. } = self.leader.report(self.now, &report) {
+        if let HeartbeatReply::Commands { commands: orders, .. } =
+            self.leader.handle_heartbeat(self.now, &report)
+        {
             for order in orders {
                 match &order {
-                    Order::Start { .. } => self.running[machine].push((order, TaskState::Running)),
-                    Order::Stop { task, .. } | Order::Forget { task, .. } => self.running[machine]
-                        .retain(|(o, _)| !matches!(o, Order::Start { task: t, .. } if t == task)),
+                    Command::Start { .. } => self.running[machine].push((order, TaskState::Running)),
+                    Command::Stop { task, .. } | Command::Reap { task, .. } => self.running[machine]
+                        .retain(|(o, _)| !matches!(o, Command::Start { task: t, .. } if t == task)),
                 }
             }
         }
--- a/src/coordination/agents.rs
+++ b/src/coordination/agents.rs
@@ -13,44 +13,44 @@
 use super::model::{SlotKey, SlotState};
 use crate::maps::HashSet;
 use crate::protocol::jobs::{JobId, TaskId};
-use crate::protocol::workers::{ExitCause, MachineId, Order, Report, TaskReport, TaskState};
+use crate::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
 
 /// Most orders in one answer; more follow with the next report. Keeps the
 /// answer well below its size limit.
-pub(super) const MAX_ORDERS: usize = 200;
+pub(super) const MAX_COMMANDS: usize = 200;
 /// Failures on one machine, from several jobs, that condemn it.
-const SICK_FAILURES: usize = 3;
+const FAILURES_TO_CORDON: usize = 3;
 /// Machines on which one job must have failed to slow it down.
-const BAD_JOB_MACHINES: usize = 3;
+const FAILED_MACHINES_TO_BACK_OFF: usize = 3;
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReportReply {
-    Orders {
-        token: u64,
-        orders: Vec<Order>,
+pub enum HeartbeatReply {
+    Commands {
+        fencing_token: u64,
+        commands: Vec<Command>,
     },
     /// Not entitled to answer: the worker must turn elsewhere.
-    Elsewhere,
+    Redirect,
 }
 
 impl Leader {
-    pub fn report(&mut self, now: Instant, report: &Report) -> ReportReply {
+    pub fn handle_heartbeat(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
         // An answer with a lower token would be dropped and only hold the
         // worker here while its lease runs out.
-        if report.token > self.epoch || self.is_over() {
-            return ReportReply::Elsewhere;
+        if report.fencing_token > self.epoch || self.is_over() {
+            return HeartbeatReply::Redirect;
         }
         if !self.valid(now) {
-            return self.report_after_lease(now, report);
+            return self.handle_heartbeat_after_lease(now, report);
         }
         if self.gone.contains(&report.machine) {
             // A late copy from a machine whose deletion was confirmed.
-            return ReportReply::Elsewhere;
+            return HeartbeatReply::Redirect;
         }
         let epoch = self.epoch;
         if self.catalog.is_empty() {
             // Not counted yet, so it must not be told that it may go on.
-            return ReportReply::Elsewhere;
+            return HeartbeatReply::Redirect;
         }
         let Some(m) = self.machines.get_mut(&report.machine) else {
             // Under an earlier token it may be a late copy, of a machine long
@@ -59,79 +59,83 @@
             // ever given a start, so the answer keeps nothing alive; unless a
             // record cannot be read.
             if self.hidden_machines && !self.may_answer_hidden(now) {
-                return ReportReply::Elsewhere;
+                return HeartbeatReply::Redirect;
             }
-            if report.token == epoch {
+            if report.fencing_token == epoch {
                 self.note_unexpected(now, &report.machine, &report.machine_type, &report.zone, report.spot);
             }
-            return self.only_final_stops(report);
+            return self.reply_with_terminal_stops(report);
         };
-        let stamp = (report.session, report.seq);
+        let stamp = (report.incarnation, report.sequence);
         // A copy, or a machine that was back so quickly that its numbers are
         // behind those of its former life. Either proves nothing. A 200 would
         // hold the latter here without being counted; so it looks elsewhere,
         // until its lease has run out and its session has risen, or until it
         // has been silent for long enough to be replaced.
-        if m.seen.is_some_and(|seen| stamp <= seen) || report.session < m.least_session {
-            return ReportReply::Elsewhere;
-        }
-        let outlives = self.outlives_its_stops(now, report);
-        if report.token < epoch {
-            return if outlives { ReportReply::Elsewhere } else { self.take_hint(now, report) };
-        }
-        let renewed = self.note_heard(now, report, !outlives);
+        if m.last_heartbeat.is_some_and(|seen| stamp <= seen) || report.incarnation < m.min_incarnation {
+            return HeartbeatReply::Redirect;
+        }
+        let outlives = self.ignores_its_stops(now, report);
+        if report.fencing_token < epoch {
+            return if outlives {
+                HeartbeatReply::Redirect
+            } else {
+                self.handle_stale_heartbeat(now, report)
+            };
+        }
+        let renewed = self.record_heartbeat(now, report, !outlives);
         if renewed {
             // A new session begins without tasks.
             self.clear_slots(now, &report.machine);
         }
-        self.take_tasks(now, report);
+        self.reconcile_tasks(now, report);
         self.become_known(&report.machine);
         if outlives {
-            return ReportReply::Elsewhere;
+            return HeartbeatReply::Redirect;
         }
-        let mut orders = self.stops_and_reaps(report);
-        self.mark_used(&report.machine);
-        self.stop_for_notice(now, &report.machine);
-        let (doubted, probe) = self.judge_hearing(now, &report.machine);
-        if orders.len() < MAX_ORDERS && (!doubted || probe) {
+        let mut orders = self.stop_and_reap_commands(report);
+        self.record_machine_use(&report.machine);
+        self.stop_for_preemption_notice(now, &report.machine);
+        let (doubted, probe) = self.check_acknowledgements(now, &report.machine);
+        if orders.len() < MAX_COMMANDS && (!doubted || probe) {
             // A doubted machine is tried with a single start now and then.
-            let room = if doubted { 1 } else { MAX_ORDERS - orders.len() };
+            let room = if doubted { 1 } else { MAX_COMMANDS - orders.len() };
             self.fill(now, &report.machine, stamp.1, room, &mut orders);
         }
-        ReportReply::Orders { token: epoch, orders }
+        HeartbeatReply::Commands { fencing_token: epoch, commands: orders }
     }
 
     /// Notes that a machine was heard under this epoch's token, and whether it is answered.
     /// Returns whether its session is a new one.
-    fn note_heard(&mut self, now: Instant, report: &Report, answers: bool) -> bool {
-        let stamp = (report.session, report.seq);
+    fn record_heartbeat(&mut self, now: Instant, report: &Heartbeat, answers: bool) -> bool {
+        let stamp = (report.incarnation, report.sequence);
         let Some(m) = self.machines.get_mut(&report.machine) else { return false };
         let lease = self.config.settings.cluster.workers.lease();
         // The first effect of ours that can be seen is the token.
-        if m.seen.is_none() || m.hinted.take().is_some() {
-            m.answer_tracker.clear();
+        if m.last_heartbeat.is_none() || m.last_stale_heartbeat.take().is_some() {
+            m.ack_tracker.record_acknowledged();
         }
-        let earlier = m.seen.replace(stamp);
-        let renewed = earlier.is_some_and(|(session, _)| session < report.session);
-        if renewed && m.answered.is_some_and(|at| now < at + lease) {
+        let earlier = m.last_heartbeat.replace(stamp);
+        let renewed = earlier.is_some_and(|(session, _)| session < report.incarnation);
+        if renewed && m.replied_at.is_some_and(|at| now < at + lease) {
             // Its lease has run out although it was answered.
-            m.answer_tracker.miss(now);
+            m.ack_tracker.record_missed(now);
         }
         if answers {
-            m.answered = Some(now);
+            m.replied_at = Some(now);
         }
-        m.heard = Some(now);
+        m.heartbeat_at = Some(now);
         m.up_at.get_or_insert(now);
         m.address.clone_from(&report.address);
         if m.phase == Phase::Booting {
             m.phase = Phase::Up;
             m.idle_since = now;
         }
-        if let Some(seconds) = report.notice_s {
-            if m.taken_at.is_none() {
+        if let Some(seconds) = report.preemption_notice_s {
+            if m.preempted_at.is_none() {
                 tracing::info!(machine = %m.id, seconds, "the cloud takes a machine back");
             }
-            m.taken_at = Some(now + Duration::from_secs_f64(seconds.min(1e6)));
+            m.preempted_at = Some(now + Duration::from_secs_f64(seconds.min(1e6)));
         }
         renewed
     }
@@ -139,9 +143,9 @@
     /// Whether the empty answer to a report that was just taken is to be held, since a
     /// prompt start on the machine is likely. A machine with tasks that end by
     /// themselves is not held up: its next report may tell of room or results.
-    pub fn may_hold(&self, report: &Report) -> bool {
-        report.token == self.epoch
-            && report.notice_s.is_none()
+    pub fn may_defer_reply(&self, report: &Heartbeat) -> bool {
+        report.fencing_token == self.epoch
+            && report.preemption_notice_s.is_none()
             && report.tasks.iter().all(|task| {
                 task.state == TaskState::Running
                     && self.jobs.get(&task.task.job).is_some_and(|job| job.is_live() && job.is_service())
@@ -151,26 +155,31 @@
 
     /// Decides the answer to a report that was taken before and held since: what it
     /// listed is in the picture already, unless a newer one was taken.
-    pub fn answer_held(&mut self, now: Instant, report: &Report) -> ReportReply {
-        let stamp = (report.session, report.seq);
-        let current = self.machines.get(&report.machine).is_some_and(|m| m.seen == Some(stamp));
-        if self.is_over() || !current || self.outlives_its_stops(now, report) {
-            return ReportReply::Elsewhere;
+    pub fn decide_deferred_reply(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
+        let stamp = (report.incarnation, report.sequence);
+        let current = self.machines.get(&report.machine).is_some_and(|m| m.last_heartbeat == Some(stamp));
+        if self.is_over() || !current || self.ignores_its_stops(now, report) {
+            return HeartbeatReply::Redirect;
         }
         if !self.valid(now) {
-            return self.report_after_lease(now, report);
+            return self.handle_heartbeat_after_lease(now, report);
         }
-        let mut orders = self.stops_and_reaps(report);
-        if orders.len() < MAX_ORDERS && !self.machines.get(&report.machine).is_some_and(|m| m.doubted) {
-            let room = MAX_ORDERS - orders.len();
-            self.fill(now, &report.machine, report.seq, room, &mut orders);
+        let mut orders = self.stop_and_reap_commands(report);
+        if orders.len() < MAX_COMMANDS
+            && !self.machines.get(&report.machine).is_some_and(|m| m.one_way_partitioned)
+        {
+            let room = MAX_COMMANDS - orders.len();
+            self.fill(now, &report.machine, report.sequence, room, &mut orders);
         }
-        ReportReply::Orders { token: self.epoch, orders }
+        HeartbeatReply::Commands { fencing_token: self.epoch, commands: orders }
     }
 
     /// Machines with held answers that should be decided anew, those first whose room
     /// should be used first.
-    pub fn to_decide<'a>(&mut self, held: impl Iterator<Item = &'a MachineId>) -> Vec<MachineId> {
+    pub fn deferred_replies_to_decide<'a>(
+        &mut self,
+        held: impl Iterator<Item = &'a MachineId>,
+    ) -> Vec<MachineId> {
         let ordered = std::mem::take(&mut self.ordered);
         if !std::mem::take(&mut self.prompt_work) {
             return ordered;
@@ -186,22 +195,22 @@
             let m = self.machines.get(id);
             let lacks_image = !m.is_some_and(|m| waiting.iter().any(|image| m.has_image(image)));
             let free = m.map_or(0.0, |m| m.free.cpus).max(0.0).to_bits();
-            (lacks_image, m.is_none_or(|m| !m.wanted), free, id.clone())
+            (lacks_image, m.is_none_or(|m| !m.needed), free, id.clone())
         });
         machines
     }
 
     /// Whether the machine is doubted to hear us, and may be tried all the same.
-    fn judge_hearing(&mut self, now: Instant, machine: &MachineId) -> (bool, bool) {
+    fn check_acknowledgements(&mut self, now: Instant, machine: &MachineId) -> (bool, bool) {
         let workers = &self.config.settings.cluster.workers;
         let (report, pause) = (workers.report(), workers.lease() / 2);
         let Some(m) = self.machines.get_mut(machine) else { return (true, false) };
-        let doubted = m.answer_tracker.doubted(now, report);
-        if doubted && !m.doubted {
+        let doubted = m.ack_tracker.suspects_one_way_partition(now, report);
+        if doubted && !m.one_way_partitioned {
             tracing::info!(%machine, "reports arrive, but nothing shows that it hears the answers");
         }
-        m.doubted = doubted;
-        (doubted, m.answer_tracker.may_probe(now, pause))
+        m.one_way_partitioned = doubted;
+        (doubted, m.ack_tracker.may_probe(now, pause))
     }
 
     /// A report under an earlier token: of a worker that has not had our first
@@ -209,32 +218,32 @@
     /// than anything that an earlier leader could still order, since such
     /// orders carry a lower one and are refused from then on. So nothing is
     /// taken from it; it is answered, so that a live worker learns the token.
-    fn take_hint(&mut self, now: Instant, report: &Report) -> ReportReply {
-        let Some(m) = self.machines.get_mut(&report.machine) else { return ReportReply::Elsewhere };
-        let stamp = (report.session, report.seq);
+    fn handle_stale_heartbeat(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
+        let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
+        let stamp = (report.incarnation, report.sequence);
         // Tokens do not sink within a session: a copy from before.
-        let behind = m.seen.is_some_and(|(session, _)| report.session <= session);
+        let behind = m.last_heartbeat.is_some_and(|(session, _)| report.incarnation <= session);
         // Each copy may put off the proof that its machine is gone only once.
-        if behind || m.hinted.is_some_and(|hinted| stamp <= hinted) {
-            return ReportReply::Elsewhere;
+        if behind || m.last_stale_heartbeat.is_some_and(|hinted| stamp <= hinted) {
+            return HeartbeatReply::Redirect;
         }
-        let before = m.hinted.replace(stamp);
+        let before = m.last_stale_heartbeat.replace(stamp);
         if before.is_some() {
             // The former answer should have shown.
-            m.answer_tracker.miss(now);
+            m.ack_tracker.record_missed(now);
         }
         // A deaf machine is answered no more, so that its lease proof runs.
         // Once that is over nothing is on it, and an answer puts off nothing.
-        let may_hold = !m.known || !m.slots.is_empty();
-        let (doubted, _) = self.judge_hearing(now, &report.machine);
-        let Some(m) = self.machines.get_mut(&report.machine) else { return ReportReply::Elsewhere };
+        let may_hold = !m.reconciled || !m.slots.is_empty();
+        let (doubted, _) = self.check_acknowledgements(now, &report.machine);
+        let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
         if doubted && may_hold {
-            return ReportReply::Elsewhere;
+            return HeartbeatReply::Redirect;
         }
-        m.answered = Some(now);
+        m.replied_at = Some(now);
         // Its first start is near: the mark it needs takes a write.
-        self.mark_used(&report.machine);
-        self.only_final_stops(report)
+        self.record_machine_use(&report.machine);
+        self.reply_with_terminal_stops(report)
     }
 
     /// An answer that decides nothing, and stops what is decided already.
@@ -247,16 +256,16 @@
     /// at any time, and as an answer to any copy of a report: the order names
     /// task and attempt. A worker that gets the answer gets the stop with it, and
     /// one that does not is not kept alive.
-    fn only_final_stops(&self, report: &Report) -> ReportReply {
+    fn reply_with_terminal_stops(&self, report: &Heartbeat) -> HeartbeatReply {
         let over = |job: &JobId| self.jobs.get(job).is_none_or(|j| !j.is_live());
         let orders = report
             .tasks
             .iter()
             .filter(|t| !matches!(t.state, TaskState::Exited(_)) && over(&t.task.job))
-            .map(|t| Order::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
-            .take(MAX_ORDERS)
+            .map(|t| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
+            .take(MAX_COMMANDS)
             .collect();
-        ReportReply::Orders { token: self.epoch, orders }
+        HeartbeatReply::Commands { fencing_token: self.epoch, commands: orders }
     }
 
     /// An answer with nothing but stops while the lease has lapsed, for a bounded
@@ -266,41 +275,41 @@
     /// take the workers' along if it lasted. Kept alive, they finish what they
     /// have. Nothing is decided here; and whoever leads next waits for silent
     /// machines that much longer, see [`super::config::Config::takeover_proof`].
-    fn report_after_lease(&mut self, now: Instant, report: &Report) -> ReportReply {
+    fn handle_heartbeat_after_lease(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
         let until = self.until + self.config.lapse_window();
-        if self.outlives_its_stops(now, report) {
-            return ReportReply::Elsewhere;
+        if self.ignores_its_stops(now, report) {
+            return HeartbeatReply::Redirect;
         }
-        let Some(m) = self.machines.get_mut(&report.machine) else { return ReportReply::Elsewhere };
+        let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
         // Only machines that this epoch has heard are surely counted by it.
-        if now >= until || m.answered.is_none() || report.token < self.epoch {
-            return ReportReply::Elsewhere;
+        if now >= until || m.replied_at.is_none() || report.fencing_token < self.epoch {
+            return HeartbeatReply::Redirect;
         }
-        m.answered = Some(now);
-        m.heard = Some(now);
-        self.only_final_stops(report)
+        m.replied_at = Some(now);
+        m.heartbeat_at = Some(now);
+        self.reply_with_terminal_stops(report)
     }
 
-    fn take_tasks(&mut self, now: Instant, report: &Report) {
+    fn reconcile_tasks(&mut self, now: Instant, report: &Heartbeat) {
         let machine = &report.machine;
         let mut listed: HashSet<SlotKey> = HashSet::default();
         let mut foreign = false;
         for task in &report.tasks {
             let key = (task.task.job.clone(), task.task.index);
             match task.state {
-                TaskState::Exited(cause) => self.take_exit(now, machine, &key, task.attempt, cause),
+                TaskState::Exited(cause) => self.handle_task_exit(now, machine, &key, task.attempt, cause),
                 state => {
-                    foreign |= !self.take_present(now, machine, &key, task, state);
+                    foreign |= !self.reconcile_present_task(now, machine, &key, task, state);
                     listed.insert(key);
                 }
             }
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
-        if foreign && !m.foreign {
-            self.note_unknown_tasks(report);
+        if foreign && !m.has_orphan_tasks {
+            self.record_orphan_tasks(report);
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
-        m.foreign = foreign;
+        m.has_orphan_tasks = foreign;
         // A slot that is not listed is free: either its start went into the
         // answer to an earlier report, which the worker has dropped by now, or
         // it has ended. A start in answer to this very report is not there yet.
@@ -308,17 +317,17 @@
             .slots
             .iter()
             .filter(|(key, slot)| {
-                let sent_later = matches!(slot.state, SlotState::Sent { seq } if seq >= report.seq);
+                let sent_later = matches!(slot.state, SlotState::StartSent { seq } if seq >= report.sequence);
                 !listed.contains(*key) && !sent_later
             })
             .map(|(key, _)| key.clone())
             .collect();
-        let vanished = missing
-            .iter()
-            .any(|key| m.slots.get(key).is_some_and(|slot| matches!(slot.state, SlotState::Sent { .. })));
+        let vanished = missing.iter().any(|key| {
+            m.slots.get(key).is_some_and(|slot| matches!(slot.state, SlotState::StartSent { .. }))
+        });
         if vanished {
             // A start went into an answer that it did not get.
-            m.answer_tracker.miss(now);
+            m.ack_tracker.record_missed(now);
         }
         for key in missing {
             self.remove_slot(now, machine, &key);
@@ -327,8 +336,8 @@
 
     /// A machine shows tasks whose jobs are not in the picture: they are stopped, and its
     /// room counts as taken, against every limit, until they are gone.
-    fn note_unknown_tasks(&mut self, report: &Report) {
-        let is_there = |task: &&TaskReport| !matches!(task.state, TaskState::Exited(_));
+    fn record_orphan_tasks(&mut self, report: &Heartbeat) {
+        let is_there = |task: &&TaskStatus| !matches!(task.state, TaskState::Exited(_));
         let unknown = report.tasks.iter().filter(is_there).filter(|t| !self.jobs.contains_key(&t.task.job));
         let count = unknown.clone().count();
         if let Some(first) = unknown.clone().next() {
@@ -348,12 +357,12 @@
     }
 
     /// A task that is on the machine. False if its job is not known.
-    fn take_present(
+    fn reconcile_present_task(
         &mut self,
         now: Instant,
         machine: &MachineId,
         key: &SlotKey,
-        task: &TaskReport,
+        task: &TaskStatus,
         state: TaskState,
     ) -> bool {
         let state = match state {
@@ -364,8 +373,8 @@
         let Some(m) = self.machines.get_mut(machine) else { return true };
         if let Some(slot) = m.slots.get_mut(key) {
             if slot.attempt == task.attempt {
-                if matches!(slot.state, SlotState::Sent { .. }) {
-                    m.answer_tracker.clear();
+                if matches!(slot.state, SlotState::StartSent { .. }) {
+                    m.ack_tracker.record_acknowledged();
                 }
                 if slot.state != state {
                     let was = slot.state == SlotState::Running;
@@ -375,7 +384,7 @@
                     if let Some(job) = self.jobs.get_mut(&key.0) {
                         job.running = (job.running + u32::from(is)).saturating_sub(u32::from(was));
                         if is {
-                            m.note_image(&job.record.spec, self.catalog.get(m.kind));
+                            m.record_image(&job.record.spec, self.catalog.get(m.kind));
                         }
                     }
                 }
@@ -390,12 +399,12 @@
         let wanted = job.is_live() && !job.record.done.contains(key.1) && !job.active.contains_key(&key.1);
         self.add_slot(now, machine, key.clone(), task.attempt, state, wanted);
         if !wanted && let Some(slot) = self.machines.get_mut(machine).and_then(|m| m.slots.get_mut(key)) {
-            slot.stop = Some(0.0);
+            slot.stop_grace_s = Some(0.0);
         }
         true
     }
 
-    fn take_exit(
+    fn handle_task_exit(
         &mut self,
         now: Instant,
         machine: &MachineId,
@@ -405,7 +414,7 @@
     ) {
         let slot = self.machines.get(machine).and_then(|m| m.slots.get(key)).filter(|s| s.attempt == attempt);
         let held = slot.is_some();
-        let acknowledged = slot.is_some_and(|s| matches!(s.state, SlotState::Sent { .. }));
+        let acknowledged = slot.is_some_and(|s| matches!(s.state, SlotState::StartSent { .. }));
         if let Some(slot) = slot.filter(|s| cause == ExitCause::Done && s.state == SlotState::Running) {
             let seconds = now.saturating_duration_since(slot.since).as_secs_f64();
             self.learn_run(&key.0, seconds);
@@ -419,14 +428,14 @@
                 // Its result is kept; whoever runs it besides wastes work.
                 let elsewhere = self.jobs.get(&key.0).and_then(|j| j.active.get(&key.1)).cloned();
                 if let Some(other) = elsewhere.filter(|other| other != machine) {
-                    self.order_stop(now, &other, key, 0.0);
+                    self.stop_task(now, &other, key, 0.0);
                 }
             }
-            ExitCause::Error | ExitCause::Unknown if held => self.note_failure(now, machine, &key.0),
+            ExitCause::Error | ExitCause::Unknown if held => self.record_task_failure(now, machine, &key.0),
             _ => {}
         }
         if acknowledged && let Some(m) = self.machines.get_mut(machine) {
-            m.answer_tracker.clear();
+            m.ack_tracker.record_acknowledged();
         }
         if held {
             tracing::debug!(%machine, job = %key.0, task = key.1, ?cause, "exited");
@@ -434,27 +443,28 @@
         }
     }
 
-    fn note_failure(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
+    fn record_task_failure(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
         let report = self.config.settings.cluster.workers.report();
         if let Some(j) = self.jobs.get_mut(job) {
             j.failed_on.insert(machine.clone());
             // A job that fails everywhere is slowed down, never given up.
-            if j.failed_on.len() >= BAD_JOB_MACHINES {
+            if j.failed_on.len() >= FAILED_MACHINES_TO_BACK_OFF {
                 let factor = (j.failed_on.len() as u32).min(10);
                 j.hold_until = Some(now + report * factor);
             }
         }
-        let bad_job = |j: &JobId| self.jobs.get(j).is_some_and(|j| j.failed_on.len() >= BAD_JOB_MACHINES);
+        let bad_job =
+            |j: &JobId| self.jobs.get(j).is_some_and(|j| j.failed_on.len() >= FAILED_MACHINES_TO_BACK_OFF);
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.failures.push(job.clone());
         let counted = m.failures.iter().filter(|j| !bad_job(j)).count();
-        if counted >= SICK_FAILURES && !m.condemned {
+        if counted >= FAILURES_TO_CORDON && !m.cordoned {
             tracing::info!(machine = %m.id, "tasks keep failing on a machine; replacing it");
-            m.condemned = true;
+            m.cordoned = true;
         }
     }
 
-    fn stops_and_reaps(&mut self, report: &Report) -> Vec<Order> {
+    fn stop_and_reap_commands(&mut self, report: &Heartbeat) -> Vec<Command> {
         let Some(m) = self.machines.get(&report.machine) else { return Vec::new() };
         let mut orders = Vec::new();
         for task in &report.tasks {
@@ -462,34 +472,34 @@
             let name = task.task.clone();
             match task.state {
                 TaskState::Exited(cause) => {
-                    if !(cause == ExitCause::Done && self.may_be_unrecorded(&name)) {
-                        orders.push(Order::Forget { task: name, attempt });
+                    if !(cause == ExitCause::Done && self.may_be_uncommitted(&name)) {
+                        orders.push(Command::Reap { task: name, attempt });
                     }
                 }
                 state => match m.slots.get(&(job.clone(), name.index)) {
                     Some(slot) => {
-                        if let Some(grace_s) = slot.stop
+                        if let Some(grace_s) = slot.stop_grace_s
                             && (state != TaskState::Saving || grace_s <= 0.0)
                         {
-                            orders.push(Order::Stop { task: name, attempt, grace_s });
+                            orders.push(Command::Stop { task: name, attempt, grace_s });
                         }
                     }
                     // Of a job that is over or was never accepted.
-                    None => orders.push(Order::Stop { task: name, attempt, grace_s: 0.0 }),
+                    None => orders.push(Command::Stop { task: name, attempt, grace_s: 0.0 }),
                 },
             }
         }
         // No answer may leave a stop out for want of room: it renews the lease
         // under which the task runs.
-        orders.sort_by_key(|order| matches!(order, Order::Forget { .. }));
-        orders.truncate(MAX_ORDERS);
+        orders.sort_by_key(|order| matches!(order, Command::Reap { .. }));
+        orders.truncate(MAX_COMMANDS);
         orders
     }
 
     /// Whether the record of a job may not say yet that a task of it is done: the worker
     /// must not forget it before. A job that is not in the picture is over, or cannot be
     /// read.
-    fn may_be_unrecorded(&self, task: &TaskId) -> bool {
+    fn may_be_uncommitted(&self, task: &TaskId) -> bool {
         match self.jobs.get(&task.job) {
             Some(job) => {
                 job.record.final_standing().is_none()
@@ -501,12 +511,12 @@
     }
 
     /// Before the first start on a machine its record says so.
-    fn mark_used(&mut self, machine: &MachineId) {
+    fn record_machine_use(&mut self, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        if m.used || m.marking {
+        if m.use_recorded || m.use_record_in_flight {
             return;
         }
-        m.marking = true;
+        m.use_record_in_flight = true;
         let name = m.rental.clone();
         if let Some(rental) = self.rentals.get_mut(&name) {
             rental.record.used.insert(machine.clone());
--- a/src/coordination/authority.rs
+++ b/src/coordination/authority.rs
@@ -14,7 +14,7 @@
 
 use super::answers::Basis;
 use crate::protocol::jobs::TaskId;
-use crate::protocol::workers::Order;
+use crate::protocol::workers::Command;
 
 /// How a controller stands to its epoch.
 #[derive(Debug, Clone, Copy)]
@@ -118,8 +118,8 @@
     /// Until when an answer to a worker may leave. One that decides something holds as long
     /// as the lease; one that only stops what is over, and keeps the worker's lease, as long
     /// as a lapsed leader may give such answers.
-    pub fn worker_answer(&self, orders: &[Order]) -> Basis {
-        let decides = orders.iter().any(|order| !matches!(order, Order::Stop { .. }));
+    pub fn worker_answer(&self, orders: &[Command]) -> Basis {
+        let decides = orders.iter().any(|order| !matches!(order, Command::Stop { .. }));
         let until = if decides { self.lease_until } else { self.lapse_until };
         Basis { epoch: self.epoch, until }
     }
@@ -127,8 +127,8 @@
 
 impl StartPermit {
     /// The order, for the answer to the report of the machine that was asked about.
-    pub fn order(self) -> Order {
-        Order::Start { task: self.task, attempt: self.attempt }
+    pub fn order(self) -> Command {
+        Command::Start { task: self.task, attempt: self.attempt }
     }
 }
 
--- a/src/coordination/authority/tests.rs
+++ b/src/coordination/authority/tests.rs
@@ -38,7 +38,7 @@
 fn a_start_needs_all_of_its_evidence() {
     let now = Instant::now();
     let start = |evidence, at| tenure(now).start(at, task(), 5, evidence).map(StartPermit::order);
-    assert_eq!(start(sound(), now), Ok(Order::Start { task: task(), attempt: 5 }));
+    assert_eq!(start(sound(), now), Ok(Command::Start { task: task(), attempt: 5 }));
     assert_eq!(start(sound(), now + SECOND * 3), Err(Refusal::LeaseOver));
     for (evidence, refusal) in [
         (StartEvidence { job_is_live: false, ..sound() }, Refusal::JobNotLive),
@@ -57,10 +57,10 @@
 fn an_answer_that_decides_something_holds_as_long_as_the_lease() {
     let now = Instant::now();
     let tenure = tenure(now);
-    let stop = Order::Stop { task: task(), attempt: 1, grace_s: 0.0 };
-    let forget = Order::Forget { task: task(), attempt: 1 };
-    let start = Order::Start { task: task(), attempt: 1 };
-    let until = |orders: &[Order]| tenure.worker_answer(orders).until;
+    let stop = Command::Stop { task: task(), attempt: 1, grace_s: 0.0 };
+    let forget = Command::Reap { task: task(), attempt: 1 };
+    let start = Command::Start { task: task(), attempt: 1 };
+    let until = |orders: &[Command]| tenure.worker_answer(orders).until;
     assert_eq!([until(&[]), until(std::slice::from_ref(&stop))], [tenure.lapse_until; 2]);
     assert_eq!([until(&[stop.clone(), start]), until(&[stop, forget])], [tenure.lease_until; 2]);
 }
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::policy::Tuning;
-use crate::protocol::workers::ANSWER_WITHIN;
+use crate::protocol::workers::HEARTBEAT_REPLY_TIMEOUT;
 use crate::settings::Settings;
 
 /// The platform's settings, and the operators' policy.
@@ -29,7 +29,7 @@
     /// less what an answer may take to arrive.
     pub fn answers_after_cancelling(&self) -> Duration {
         let cancellation = self.settings.cluster.workers.cancellation();
-        cancellation.saturating_sub(self.lease_proof() + ANSWER_WITHIN)
+        cancellation.saturating_sub(self.lease_proof() + HEARTBEAT_REPLY_TIMEOUT)
     }
 
     /// How long after its lease has lapsed a leader still answers reports,
--- a/src/coordination/consolidation.rs
+++ b/src/coordination/consolidation.rs
@@ -22,7 +22,7 @@
     pub(super) fn consolidate(&mut self, now: Instant) {
         let steady = self.recovered && !self.cloud_is_down(now) && self.clear_since.is_some();
         for machine in self.machines.values_mut().filter(|m| m.draining) {
-            machine.draining = steady && !machine.wanted;
+            machine.draining = steady && !machine.needed;
         }
         let waiting = self.jobs.values().any(|job| job.is_service() && job.pending() > 0);
         if !steady || waiting {
@@ -34,7 +34,7 @@
         let replicas: Vec<SlotKey> = emptied.slots.keys().cloned().collect();
         tracing::info!(%machine, replicas = replicas.len(), "moving replicas elsewhere");
         for replica in replicas {
-            self.order_stop(now, &machine, &replica, 0.0);
+            self.stop_task(now, &machine, &replica, 0.0);
         }
     }
 
@@ -52,13 +52,13 @@
     fn may_be_emptied(&self, now: Instant, machine: &Machine) -> bool {
         let settled = self.config.settings.cluster.workers.report() * SETTLED_REPORTS;
         let boot = self.longest_boot();
-        machine.has_open_room()
-            && machine.unwanted_since.is_some_and(|since| now >= since + boot / 2)
+        machine.has_usable_capacity()
+            && machine.unneeded_since.is_some_and(|since| now >= since + boot / 2)
             && !machine.slots.is_empty()
             && machine.slots.iter().all(|(key, slot)| {
                 slot.state == SlotState::Running
-                    && slot.wanted
-                    && slot.stop.is_none()
+                    && slot.assigned
+                    && slot.stop_grace_s.is_none()
                     && now >= slot.since + settled
                     && self.jobs.get(&key.0).is_some_and(|job| job.is_live() && job.is_service())
             })
@@ -75,9 +75,9 @@
                 if let Some(taken) = taken.get(&other.id) {
                     room.sub(taken);
                 }
-                other.wanted
+                other.needed
                     && other.id != machine.id
-                    && other.has_open_room()
+                    && other.has_usable_capacity()
                     && need.fits(&room)
                     && other.has_image(&job.spec().image)
                     && self.eligible(job, other)
--- a/src/coordination/figures.rs
+++ b/src/coordination/figures.rs
@@ -33,7 +33,7 @@
             .set("tasksActive", active as u64)
             .set("machines", self.machines.len() as u64)
             .set("machinesBooting", booting as u64)
-            .set("machinesDoubted", self.machines.values().filter(|m| m.doubted).count() as u64)
+            .set("machinesDoubted", self.machines.values().filter(|m| m.one_way_partitioned).count() as u64)
             .set("accountedFor", self.recovered)
             .set("submissionsRefused", self.refused)
             .set("recordsUnreadable", self.unreadable.len() as u64)
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -45,7 +45,7 @@
                 // Perhaps carried out, perhaps not: asked again until it is.
                 for machine in machines {
                     if let Some(m) = self.machines.get_mut(&machine) {
-                        m.delete_asked = false;
+                        m.deletion_in_flight = false;
                     }
                 }
             }
@@ -133,33 +133,33 @@
                 address: String::new(),
                 rented: if was_used { worked } else { now },
                 up_at: None,
-                seen: None,
-                hinted: None,
-                answer_tracker: Default::default(),
-                doubted: false,
-                least_session: 0,
-                heard: None,
-                answered: None,
+                last_heartbeat: None,
+                last_stale_heartbeat: None,
+                ack_tracker: Default::default(),
+                one_way_partitioned: false,
+                min_incarnation: 0,
+                heartbeat_at: None,
+                replied_at: None,
                 // Nothing was ever started on a machine not marked as used.
-                known: !was_used,
-                used: was_used,
-                marking: false,
-                delete_asked: false,
-                stops_sent: None,
-                taken_at: None,
+                reconciled: !was_used,
+                use_recorded: was_used,
+                use_record_in_flight: false,
+                deletion_in_flight: false,
+                stops_pushed_at: None,
+                preempted_at: None,
                 slots: Default::default(),
                 free: self.catalog.get(kind).map(Resources::of_type).unwrap_or_default(),
-                foreign: false,
+                has_orphan_tasks: false,
                 images: Default::default(),
                 failures: Vec::new(),
-                condemned: false,
+                cordoned: false,
                 idle_since: now,
                 // One that had tasks was listed long ago: a takeover need not see
                 // it listed first to conclude from its absence.
-                unlisted: u32::from(was_used),
-                listed: was_used,
-                wanted: true,
-                unwanted_since: None,
+                missed_listings: u32::from(was_used),
+                was_listed: was_used,
+                needed: true,
+                unneeded_since: None,
                 draining: false,
             };
             self.machines.insert(id, machine);
@@ -230,7 +230,7 @@
                 self.enter_rented(now, &name);
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
-                        m.marking = true;
+                        m.use_record_in_flight = true;
                     }
                 }
                 if let Some(rental) = self.rentals.get_mut(&name) {
@@ -287,7 +287,7 @@
             for id in chunk {
                 if let Some(m) = self.machines.get_mut(id) {
                     m.phase = Phase::Deleting;
-                    m.delete_asked = true;
+                    m.deletion_in_flight = true;
                 }
             }
             self.change_cloud(permit, Ticket::Delete(chunk.to_vec()), CloudCall::Delete(chunk.to_vec()));
@@ -334,8 +334,8 @@
         self.note_silence(now);
         let wanted = self.rent(now);
         for m in self.machines.values_mut() {
-            m.wanted = wanted.contains(&m.id);
-            m.unwanted_since = if m.wanted { None } else { m.unwanted_since.or(Some(now)) };
+            m.needed = wanted.contains(&m.id);
+            m.unneeded_since = if m.needed { None } else { m.unneeded_since.or(Some(now)) };
         }
         self.consolidate(now);
         self.give_back(now, &wanted);
@@ -349,7 +349,7 @@
         let mut back = Vec::new();
         for m in self.machines.values() {
             let boot = Duration::from_secs_f64(self.catalog.get(m.kind).map_or(30.0, |k| k.boot_s).max(1.0));
-            let idle = m.slots.is_empty() && m.known;
+            let idle = m.slots.is_empty() && m.reconciled;
             let reason = match m.phase {
                 Phase::Deleting => None,
                 Phase::Booting => {
@@ -357,7 +357,7 @@
                     if now > m.rented + limit { Some("never started") } else { None }
                 }
                 Phase::Up if silence.is_gone(m) => Some("silent"),
-                Phase::Up if idle && (m.condemned || m.taken_at.is_some()) => Some("sick or taken"),
+                Phase::Up if idle && (m.cordoned || m.preempted_at.is_some()) => Some("sick or taken"),
                 Phase::Up => {
                     let long = now > m.idle_since + boot.mul_f64(tuning.idle_ratio);
                     let billed = now > m.rented + LEAST_BILLED;
@@ -367,11 +367,11 @@
             if m.phase == Phase::Deleting {
                 // Perhaps not carried out: asked again, but not all the time.
                 let pause = self.cloud_failed_at.is_some_and(|at| now < at + CLOUD_PAUSE);
-                if !m.delete_asked && !pause {
+                if !m.deletion_in_flight && !pause {
                     back.push(m.id.clone());
                 }
             } else if let Some(reason) = reason {
-                let lost = reason == "silent" || m.taken_at.is_some();
+                let lost = reason == "silent" || m.preempted_at.is_some();
                 self.spot_losses += f64::from(u8::from(m.spot && lost && m.phase == Phase::Up));
                 tracing::info!(epoch = self.epoch, machine = %m.id, reason, "returning");
                 back.push(m.id.clone());
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -102,7 +102,7 @@
         // With room for some of it, its first start should not wait for a
         // second write; nor where nothing has been started on any machine yet,
         // since then whatever comes up will be for the jobs that come now.
-        if may_begin && (self.has_room_for(&record.spec) || !self.machines.values().any(|m| m.used)) {
+        if may_begin && (self.has_room_for(&record.spec) || !self.machines.values().any(|m| m.use_recorded)) {
             record.begun = record.spec.tasks;
         }
         let conditions = vec![
@@ -227,7 +227,7 @@
                 self.write_record(now, job);
                 // What it runs is of no use from now on, whatever becomes of the
                 // write; and an image that arrives meanwhile starts nothing.
-                self.stop_leftovers(now, job);
+                self.stop_remaining_tasks(now, job);
             }
         }
         true
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -36,7 +36,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
 use crate::protocol::state::{Change, Condition};
-use crate::protocol::workers::{MachineId, Order};
+use crate::protocol::workers::{Command, MachineId};
 use crate::settings::StateLimits;
 use crate::storage::records::{CATALOG, EXPERIENCE, JobRecord, rental_key};
 use crate::storage::service::{Class, StoreError, Transaction};
@@ -68,7 +68,7 @@
         address: SocketAddr,
         token: u64,
         session: u64,
-        orders: Vec<Order>,
+        orders: Vec<Command>,
     },
     /// The job is over and leaves memory.
     Over(crate::protocol::jobs::JobStatus),
@@ -352,7 +352,7 @@
     }
 
     /// Until when an answer to a worker with these orders may leave.
-    pub fn worker_answer(&self, orders: &[Order]) -> Basis {
+    pub fn worker_answer(&self, orders: &[Command]) -> Basis {
         self.tenure().worker_answer(orders)
     }
 
@@ -451,7 +451,7 @@
         let slow = now >= self.slow_tick_at;
         if slow {
             self.slow_tick_at = now + Duration::from_secs(1);
-            self.repeat_stops(now);
+            self.resend_stops(now);
         }
         if !self.valid(now) {
             return;
--- a/src/coordination/machine_list.rs
+++ b/src/coordination/machine_list.rs
@@ -34,8 +34,8 @@
             round.seen.insert(listed.machine.clone());
             match self.machines.get_mut(&listed.machine) {
                 Some(m) => {
-                    m.listed = true;
-                    m.unlisted = 0;
+                    m.was_listed = true;
+                    m.missed_listings = 0;
                     if m.address.is_empty() {
                         m.address.clone_from(&listed.address);
                     }
@@ -84,11 +84,11 @@
             if round.seen.contains(&m.id) || m.phase == Phase::Deleting {
                 continue;
             }
-            let old_enough = m.listed || m.rented + lag * 4 < round.started;
-            let silent = m.heard.unwrap_or(loaded_at) + quiet < now;
+            let old_enough = m.was_listed || m.rented + lag * 4 < round.started;
+            let silent = m.heartbeat_at.unwrap_or(loaded_at) + quiet < now;
             if old_enough && silent {
-                m.unlisted += 1;
-                if m.unlisted >= 2 {
+                m.missed_listings += 1;
+                if m.missed_listings >= 2 {
                     lost.push(m.id.clone());
                 }
             }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -10,7 +10,7 @@
 use crate::maps::HashMap;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
-use crate::protocol::workers::{MachineId, Order};
+use crate::protocol::workers::{Command, MachineId};
 use crate::storage::records::RentalRecord;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,36 +26,37 @@
 /// commands do not: an answer sent is no proof that it was received, only what
 /// later reports show of it is.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct AnswerTracker {
+pub struct AckTracker {
     /// Answers in a row that should have shown an effect and did not.
-    missed: u32,
-    first: Option<Instant>,
-    last: Option<Instant>,
+    missed_in_a_row: u32,
+    first_missed_at: Option<Instant>,
+    last_missed_at: Option<Instant>,
 }
 
-impl AnswerTracker {
+impl AckTracker {
     /// So many, over at least two reports' time, and the machine is doubted:
     /// one lost answer, or a burst of late copies, costs nothing.
-    const PATIENCE: u32 = 3;
+    const MAX_MISSED: u32 = 3;
 
-    pub fn miss(&mut self, now: Instant) {
-        self.missed = self.missed.saturating_add(1);
-        self.first.get_or_insert(now);
-        self.last = Some(now);
+    pub fn record_missed(&mut self, now: Instant) {
+        self.missed_in_a_row = self.missed_in_a_row.saturating_add(1);
+        self.first_missed_at.get_or_insert(now);
+        self.last_missed_at = Some(now);
     }
 
     /// An effect was seen.
-    pub fn clear(&mut self) {
-        *self = AnswerTracker::default();
+    pub fn record_acknowledged(&mut self) {
+        *self = AckTracker::default();
     }
 
-    pub fn doubted(&self, now: Instant, report: Duration) -> bool {
-        self.missed >= Self::PATIENCE && self.first.is_some_and(|at| now >= at + report * 2)
+    pub fn suspects_one_way_partition(&self, now: Instant, report: Duration) -> bool {
+        self.missed_in_a_row >= Self::MAX_MISSED
+            && self.first_missed_at.is_some_and(|at| now >= at + report * 2)
     }
 
     /// Whether it is time to try a single start on a doubted machine.
     pub fn may_probe(&self, now: Instant, pause: Duration) -> bool {
-        self.last.is_none_or(|at| now >= at + pause)
+        self.last_missed_at.is_none_or(|at| now >= at + pause)
     }
 }
 
@@ -72,56 +73,56 @@
     pub rented: Instant,
     pub up_at: Option<Instant>,
     /// Newest report taken, under this epoch's token: (session, sequence).
-    pub seen: Option<(u64, u64)>,
+    pub last_heartbeat: Option<(u64, u64)>,
     /// Newest report under an earlier token, of which nothing was taken.
-    pub hinted: Option<(u64, u64)>,
-    pub answer_tracker: AnswerTracker,
+    pub last_stale_heartbeat: Option<(u64, u64)>,
+    pub ack_tracker: AckTracker,
     /// It seems not to hear us: its room counts for nothing.
-    pub doubted: bool,
+    pub one_way_partitioned: bool,
     /// Reports of earlier sessions are void.
-    pub least_session: u64,
-    pub heard: Option<Instant>,
+    pub min_incarnation: u64,
+    pub heartbeat_at: Option<Instant>,
     /// Arrival of the last report that got a 200.
-    pub answered: Option<Instant>,
+    pub replied_at: Option<Instant>,
     /// What is on it is known: from a report under this epoch's token, or by
     /// proof that nothing is.
-    pub known: bool,
+    pub reconciled: bool,
     /// The record says that starts may have been sent to it.
-    pub used: bool,
+    pub use_recorded: bool,
     /// That mark is on its way to the record.
-    pub marking: bool,
+    pub use_record_in_flight: bool,
     /// A deletion is under way.
-    pub delete_asked: bool,
+    pub deletion_in_flight: bool,
     /// When stops were last sent straight to it.
-    pub stops_sent: Option<Instant>,
-    pub taken_at: Option<Instant>,
+    pub stops_pushed_at: Option<Instant>,
+    pub preempted_at: Option<Instant>,
     pub slots: HashMap<SlotKey, Slot>,
     pub free: Resources,
     /// Tasks are on it whose job is unknown; nothing is placed beside them.
-    pub foreign: bool,
+    pub has_orphan_tasks: bool,
     /// Images believed to be cached, most recent first.
     pub images: VecDeque<(String, f64)>,
     /// Jobs whose tasks failed here since the last success, and how often.
     pub failures: Vec<JobId>,
-    pub condemned: bool,
+    pub cordoned: bool,
     pub idle_since: Instant,
     /// Times that a list young enough to show it did not.
-    pub unlisted: u32,
-    pub listed: bool,
+    pub missed_listings: u32,
+    pub was_listed: bool,
     /// Some demand counts on it; others are left to run empty.
-    pub wanted: bool,
+    pub needed: bool,
     /// Since when no demand has counted on it.
-    pub unwanted_since: Option<Instant>,
+    pub unneeded_since: Option<Instant>,
     /// Its replicas are being moved elsewhere: nothing is placed on it.
     pub draining: bool,
 }
 
 impl Machine {
     /// Stops to be sent straight to it, if it is known where it is.
-    pub fn direct(&mut self, now: Instant, token: u64, orders: Vec<Order>) -> Option<Action> {
-        let (session, _) = self.seen?;
+    pub fn push_commands(&mut self, now: Instant, token: u64, orders: Vec<Command>) -> Option<Action> {
+        let (session, _) = self.last_heartbeat?;
         let address = self.address.parse().ok()?;
-        self.stops_sent = Some(now);
+        self.stops_pushed_at = Some(now);
         Some(Action::Direct { address, token, session, orders })
     }
 
@@ -131,7 +132,7 @@
 
     /// A task of the job runs here, so its image is cached; the least recent images give
     /// way to it where the type's cache is full.
-    pub fn note_image(&mut self, spec: &JobSpec, kind: Option<&MachineType>) {
+    pub fn record_image(&mut self, spec: &JobSpec, kind: Option<&MachineType>) {
         let (image, size_gb) = (spec.image.as_str(), spec.image_gb);
         let cache_gb = kind.map_or(0.0, |kind| kind.cache_gb);
         if self.images.front().is_some_and(|(name, _)| name == image) {
@@ -146,19 +147,19 @@
     }
 
     /// Whether its room may be counted on.
-    pub fn has_open_room(&self) -> bool {
-        self.open() && !self.doubted
+    pub fn has_usable_capacity(&self) -> bool {
+        self.is_schedulable() && !self.one_way_partitioned
     }
 
     /// Whether tasks may be placed on it.
-    pub fn open(&self) -> bool {
+    pub fn is_schedulable(&self) -> bool {
         self.phase == Phase::Up
-            && self.known
-            && self.used
-            && !self.condemned
-            && !self.foreign
+            && self.reconciled
+            && self.use_recorded
+            && !self.cordoned
+            && !self.has_orphan_tasks
             && !self.draining
-            && self.taken_at.is_none()
+            && self.preempted_at.is_none()
     }
 }
 
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -338,7 +338,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SlotState {
     /// The start went out in the answer to the report with this number.
-    Sent {
+    StartSent {
         seq: u64,
     },
     Fetching,
@@ -351,14 +351,14 @@
 pub struct Slot {
     pub attempt: u64,
     pub state: SlotState,
-    pub room: Resources,
+    pub resources: Resources,
     pub team: Option<usize>,
     /// Since when it has been in this state.
     pub since: Instant,
     /// Seconds of grace with which it is to stop.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// The job counts on this slot; otherwise the task should not be here.
-    pub wanted: bool,
+    pub assigned: bool,
 }
 
 pub type SlotKey = (JobId, u32);
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -15,13 +15,13 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, MissedTickBehavior};
 
-use super::agents::ReportReply;
+use super::agents::HeartbeatReply;
 use super::answers::{self, Answer, Basis, ToldStates, UnusableReply};
 use super::authority::Violation;
 use super::cloud::{Cloud, CloudResult};
 use super::config::Config;
 use super::election::Role;
-use super::held_reports::{HeldReport, HeldReports};
+use super::held_reports::{DeferredReplies, DeferredReply};
 use super::leader::{Action, Leader, UnjudgedSubmission};
 use super::loading::{self, load, walk};
 use super::model::ReplyTo;
@@ -33,7 +33,9 @@
 use crate::maps::HashMap;
 use crate::protocol::cbor::{Fields, Malformed, MapBuilder, decode, encode};
 use crate::protocol::jobs::{JobId, JobSpec, JobStatus};
-use crate::protocol::workers::{ANSWER_WITHIN, Report, direct_orders, report_answer, report_elsewhere};
+use crate::protocol::workers::{
+    HEARTBEAT_REPLY_TIMEOUT, Heartbeat, encode_heartbeat_reply, encode_pushed_commands, encode_redirect,
+};
 use crate::protocol::{BODY_LIMIT, HEAD_LIMIT};
 use crate::storage::service::{Class, Store, StoreError};
 use crate::transport::client::{Call, Prepared};
@@ -69,7 +71,7 @@
 }
 
 struct ReportMessage {
-    report: Report,
+    report: Heartbeat,
     /// As it came, should it have to be handed on; not for one that was.
     body: Option<Vec<u8>>,
     reply: oneshot::Sender<Answer>,
@@ -159,7 +161,7 @@
     led_epoch: u64,
     /// Leaders that would have begun a second time in an epoch.
     violations: u64,
-    held: HeldReports<oneshot::Sender<Answer>>,
+    held: DeferredReplies<oneshot::Sender<Answer>>,
     waiting: HashMap<ReplyTo, Waiting>,
     next_reply: u64,
     lookups: usize,
@@ -211,7 +213,7 @@
         let now = Instant::now();
         let peers = Peers::new(links.keys().cloned(), config.tuning.lease);
         let detours = Detours::new(config.settings.cluster.workers.lease(), sizes.machines);
-        let held = HeldReports::new(&config);
+        let held = DeferredReplies::new(&config);
         let node = Node {
             config,
             store,
--- a/src/coordination/node/actions.rs
+++ b/src/coordination/node/actions.rs
@@ -37,7 +37,7 @@
                     }
                     self.directs += 1;
                     let inner = self.inner.clone();
-                    let body = encode(&direct_orders(token, session, &orders));
+                    let body = encode(&encode_pushed_commands(token, session, &orders));
                     let call = Call {
                         method: "POST",
                         target: "/commands".into(),
--- a/src/coordination/node/handle.rs
+++ b/src/coordination/node/handle.rs
@@ -8,7 +8,7 @@
 use crate::coordination::answers::Answer;
 use crate::protocol::cbor::decode;
 use crate::protocol::jobs::JobId;
-use crate::protocol::workers::Report;
+use crate::protocol::workers::Heartbeat;
 use crate::transport::codec::{Request, Response};
 use crate::transport::peer::{PeerCall, PeerHandler, PeerReply};
 use crate::transport::server::Handler;
@@ -36,7 +36,7 @@
     }
 
     async fn report(&self, body: Vec<u8>, relayed: bool) -> Answer {
-        let report = match decode(&body).and_then(|value| Report::decode(&value)) {
+        let report = match decode(&body).and_then(|value| Heartbeat::decode(&value)) {
             Ok(report) => report,
             Err(error) => return Answer::refused(400, &error.to_string()),
         };
--- a/src/coordination/node/reports.rs
+++ b/src/coordination/node/reports.rs
@@ -1,7 +1,7 @@
 //! Workers' reports: to the leader's state machine, held for a prompt start, sent to
 //! another controller or handed on to it.
 
-use crate::protocol::workers::Order;
+use crate::protocol::workers::Command;
 
 use super::*;
 
@@ -10,33 +10,33 @@
         let now = Instant::now();
         // Its worker has left: a start in the answer would be lost, and an answer
         // counted as one would only put off the proof that the machine is gone.
-        if now >= message.arrived + ANSWER_WITHIN {
+        if now >= message.arrived + HEARTBEAT_REPLY_TIMEOUT {
             return;
         }
         let reply = match &mut self.leader {
-            Some(leader) => leader.report(now, &message.report),
-            None => ReportReply::Elsewhere,
+            Some(leader) => leader.handle_heartbeat(now, &message.report),
+            None => HeartbeatReply::Redirect,
         };
         let answer = match reply {
-            ReportReply::Orders { token, orders } => {
+            HeartbeatReply::Commands { fencing_token: token, commands: orders } => {
                 // One that was handed on is waited for by the controller between.
                 let direct = message.body.is_some();
                 if direct
                     && orders.is_empty()
-                    && self.leader.as_ref().is_some_and(|l| l.may_hold(&message.report))
+                    && self.leader.as_ref().is_some_and(|l| l.may_defer_reply(&message.report))
                 {
                     return self.hold(now, message);
                 }
                 worker_answer(self.leader.as_ref(), token, &orders)
             }
-            ReportReply::Elsewhere => return self.send_elsewhere(now, message),
+            HeartbeatReply::Redirect => return self.send_elsewhere(now, message),
         };
         let _ = message.reply.send(answer);
         self.statistics.report(message.arrived);
     }
 
     fn hold(&mut self, now: Instant, message: ReportMessage) {
-        if let Some(earlier) = self.held.hold(now, message.report, message.reply) {
+        if let Some(earlier) = self.held.defer(now, message.report, message.reply) {
             let _ = earlier.reply.send(elsewhere(None));
         }
     }
@@ -45,8 +45,8 @@
     pub(super) fn end_holds(&mut self) {
         let now = Instant::now();
         let Some(leader) = &mut self.leader else { return };
-        for HeldReport { report, reply, .. } in self.held.expired(now) {
-            let decided = leader.answer_held(now, &report);
+        for DeferredReply { heartbeat: report, reply, .. } in self.held.expired(now) {
+            let decided = leader.decide_deferred_reply(now, &report);
             let _ = reply.send(held_answer(leader, decided));
         }
     }
@@ -55,10 +55,10 @@
     pub(super) fn answer_held(&mut self) {
         let now = Instant::now();
         let Some(leader) = &mut self.leader else { return };
-        for machine in leader.to_decide(self.held.machines()) {
+        for machine in leader.deferred_replies_to_decide(self.held.machines()) {
             let Some(held) = self.held.get(&machine) else { continue };
-            let decided = leader.answer_held(now, &held.report);
-            if matches!(&decided, ReportReply::Orders { orders, .. } if orders.is_empty()) {
+            let decided = leader.decide_deferred_reply(now, &held.heartbeat);
+            if matches!(&decided, HeartbeatReply::Commands { commands, .. } if commands.is_empty()) {
                 continue;
             }
             if let Some(held) = self.held.remove(&machine) {
@@ -84,7 +84,7 @@
             let _ = reply.send(elsewhere(None));
             return;
         };
-        let named = match self.detours.judge(now, &report.machine, report.token == epoch) {
+        let named = match self.detours.judge(now, &report.machine, report.fencing_token == epoch) {
             Detour::Redirect => Some(leader.as_str()),
             // More than can be handed on at once: it asks again, here or there,
             // rather than wait for one that does not answer it.
@@ -113,13 +113,13 @@
 
 /// Sends a worker to the leader, or, with nobody to name, to the next controller.
 pub(super) fn elsewhere(leader: Option<&str>) -> Answer {
-    Answer::new(421, &report_elsewhere(leader))
+    Answer::new(421, &encode_redirect(leader))
 }
 
 /// A leader's answer to a report, with the time until which it may leave.
-fn worker_answer(leader: Option<&Leader>, token: u64, orders: &[Order]) -> Answer {
+fn worker_answer(leader: Option<&Leader>, token: u64, orders: &[Command]) -> Answer {
     let basis = leader.map(|leader| leader.worker_answer(orders));
-    Answer { basis, ..Answer::new(200, &report_answer(token, orders)) }
+    Answer { basis, ..Answer::new(200, &encode_heartbeat_reply(token, orders)) }
 }
 
 /// The leader's answer to a report that was handed on. It may leave for as long as the
@@ -132,9 +132,11 @@
 
 /// The answer to a report that was held: a worker that is sent away tries the next
 /// controller by itself.
-fn held_answer(leader: &Leader, reply: ReportReply) -> Answer {
+fn held_answer(leader: &Leader, reply: HeartbeatReply) -> Answer {
     match reply {
-        ReportReply::Orders { token, orders } => worker_answer(Some(leader), token, &orders),
-        ReportReply::Elsewhere => elsewhere(None),
+        HeartbeatReply::Commands { fencing_token: token, commands: orders } => {
+            worker_answer(Some(leader), token, &orders)
+        }
+        HeartbeatReply::Redirect => elsewhere(None),
     }
 }
--- a/src/coordination/node/tests.rs
+++ b/src/coordination/node/tests.rs
@@ -11,17 +11,17 @@
     Request { method: method.into(), target: target.into(), body: body.to_vec(), close: false }
 }
 
-fn report(token: u64) -> Report {
-    Report {
+fn report(token: u64) -> Heartbeat {
+    Heartbeat {
         machine: crate::protocol::workers::MachineId::parse("vm-1").expect("valid"),
         address: String::new(),
         machine_type: "m8".into(),
         zone: "z1".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token,
-        notice_s: None,
+        incarnation: 1,
+        sequence: 1,
+        fencing_token: token,
+        preemption_notice_s: None,
         tasks: Vec::new(),
     }
 }
@@ -156,9 +156,9 @@
     let _again = send(&mut node, Some(Vec::new()));
     assert_eq!(node.relaying, 1, "it came back");
     // One that was with the leader until now is not sent back there first.
-    let stayed = Report {
+    let stayed = Heartbeat {
         machine: crate::protocol::workers::MachineId::parse("vm-2").expect("valid"),
-        token: 7,
+        fencing_token: 7,
         ..report.clone()
     };
     let (reply, _answer) = oneshot::channel();
@@ -185,7 +185,7 @@
     let mut leader = Leader::new(node.config.clone(), 40, now, 0, Loaded::default());
     leader.extend(now, now + Duration::from_secs(60));
     node.leader = Some(leader);
-    for (waited, answered) in [(Duration::ZERO, true), (ANSWER_WITHIN, false)] {
+    for (waited, answered) in [(Duration::ZERO, true), (HEARTBEAT_REPLY_TIMEOUT, false)] {
         let (reply, answer) = oneshot::channel();
         let arrived = now.checked_sub(waited).expect("a clock that has run for a while");
         node.take_report(ReportMessage { report: report(1), body: None, reply, arrived });
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -57,11 +57,15 @@
             let free: u32 = self
                 .machines
                 .values()
-                .filter(|m| !m.doubted && self.eligible(job, m))
+                .filter(|m| !m.one_way_partitioned && self.eligible(job, m))
                 .map(|m| need.times_in(&m.free))
                 .fold(0, u32::saturating_add);
-            let coming =
-                self.machines.values().flat_map(|m| m.slots.values()).filter(|s| s.stop.is_some()).count();
+            let coming = self
+                .machines
+                .values()
+                .flat_map(|m| m.slots.values())
+                .filter(|s| s.stop_grace_s.is_some())
+                .count();
             let mut missing = job.pending().saturating_sub(free).saturating_sub(coming as u32);
             if missing == 0 {
                 continue;
@@ -96,7 +100,7 @@
         }
         for (machine, key, grace_s) in stops {
             tracing::debug!(%machine, job = %key.0, task = key.1, "preempted");
-            self.order_stop(now, &machine, &key, grace_s);
+            self.stop_task(now, &machine, &key, grace_s);
         }
     }
 
@@ -115,9 +119,9 @@
     ) -> Vec<(MachineId, SlotKey, f64, bool)> {
         let need = Resources::of(job.spec());
         let mut found = Vec::new();
-        for machine in self.machines.values().filter(|m| m.open() && self.may_use(job.spec(), m)) {
+        for machine in self.machines.values().filter(|m| m.is_schedulable() && self.may_use(job.spec(), m)) {
             for (key, slot) in &machine.slots {
-                if slot.stop.is_some() || slot.room.cpus < need.cpus {
+                if slot.stop_grace_s.is_some() || slot.resources.cpus < need.cpus {
                     continue;
                 }
                 let Some(victim) = self.jobs.get(&key.0) else { continue };
--- a/src/coordination/record_writing.rs
+++ b/src/coordination/record_writing.rs
@@ -296,7 +296,7 @@
             Standing::Done => self.release_dependents(now, job),
             _ => self.cancel_dependents(now, job),
         }
-        self.stop_leftovers(now, job);
+        self.stop_remaining_tasks(now, job);
         self.try_move(job);
     }
 
--- a/src/coordination/renting.rs
+++ b/src/coordination/renting.rs
@@ -85,14 +85,14 @@
     /// most of them, when the fault is more likely on this side.
     fn present_supply(&self, now: Instant) -> Vec<(MachineId, Supply)> {
         let silence = self.silence(now);
-        let doubted = self.machines.values().filter(|m| m.doubted).count();
+        let doubted = self.machines.values().filter(|m| m.one_way_partitioned).count();
         let trust_doubt = few(doubted, self.machines.len());
         let mut present: Vec<(MachineId, Supply)> = self
             .machines
             .values()
-            .filter(|m| m.phase != Phase::Deleting && !m.condemned && m.taken_at.is_none())
+            .filter(|m| m.phase != Phase::Deleting && !m.cordoned && m.preempted_at.is_none())
             .filter(|m| !silence.is_silent(m))
-            .filter(|m| !(m.doubted && trust_doubt))
+            .filter(|m| !(m.one_way_partitioned && trust_doubt))
             .map(|m| {
                 let offer = Offer { kind: m.kind, zone: m.zone.clone(), spot: m.spot };
                 (m.id.clone(), Supply { offer, left: 1.0 })
@@ -332,8 +332,8 @@
         }
         for id in rental.record.used.clone() {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.used = true;
-                m.marking = false;
+                m.use_recorded = true;
+                m.use_record_in_flight = false;
             }
         }
         if self.rentals.get(&name).is_some_and(|h| h.record.machines.is_none()) {
--- a/src/coordination/scheduler.rs
+++ b/src/coordination/scheduler.rs
@@ -14,7 +14,7 @@
 use super::machines::Machine;
 use super::model::{Job, Resources, SlotKey, SlotState};
 use crate::protocol::jobs::{JobId, JobSpec, Priority, TaskId};
-use crate::protocol::workers::{MachineId, Order};
+use crate::protocol::workers::{Command, MachineId};
 
 /// A waiting job's place in the queue.
 #[derive(Debug, Clone)]
@@ -75,14 +75,16 @@
         // Machines are heard one after the other, and none becomes unheard: what
         // was counted last is never too little.
         self.unheard = if self.hidden_machines { Resources::UNBOUNDED } else { Resources::default() };
-        let unknown = |m: &&Machine| m.foreign || (!self.recovered && m.used && !m.known);
+        let unknown =
+            |m: &&Machine| m.has_orphan_tasks || (!self.recovered && m.use_recorded && !m.reconciled);
         for m in self.machines.values().filter(unknown) {
             self.unheard.add(&self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default());
         }
         // One that has missed its time to report may be dead.
         let patience = self.config.settings.cluster.workers.report().mul_f64(1.5);
-        let heard = |m: &Machine| m.heard.is_some_and(|h| now < h + patience);
-        let open = self.machines.values().filter(|m| m.free.cpus > 1e-3 && m.has_open_room() && heard(m));
+        let heard = |m: &Machine| m.heartbeat_at.is_some_and(|h| now < h + patience);
+        let open =
+            self.machines.values().filter(|m| m.free.cpus > 1e-3 && m.has_usable_capacity() && heard(m));
         self.roomy = open.map(|m| m.id.clone()).collect();
     }
 
@@ -91,7 +93,7 @@
     /// is to be this one.
     fn keep_clear_for(&mut self, job: &JobId, machine: &MachineId) -> bool {
         // One that has gone, or that nothing may be placed on, is given up.
-        let usable = |id: &&MachineId| self.machines.get(*id).is_some_and(Machine::has_open_room);
+        let usable = |id: &&MachineId| self.machines.get(*id).is_some_and(Machine::has_usable_capacity);
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         // While its own team is at its limit, or its tasks may still be somewhere,
         // room would not help it: others must not wait beside an empty machine.
@@ -104,7 +106,7 @@
             return reserved == machine;
         }
         let spec = j.spec();
-        let suits = m.has_open_room()
+        let suits = m.has_usable_capacity()
             && self.may_use(spec, m)
             && self.catalog.get(m.kind).is_some_and(|k| Resources::of(spec).fits(&Resources::of_type(k)));
         if suits {
@@ -130,9 +132,9 @@
         machine: &MachineId,
         seq: u64,
         most: usize,
-        orders: &mut Vec<Order>,
+        orders: &mut Vec<Command>,
     ) {
-        if !self.machines.get(machine).is_some_and(Machine::open) {
+        if !self.machines.get(machine).is_some_and(Machine::is_schedulable) {
             return;
         }
         self.rank(now);
@@ -172,7 +174,7 @@
     }
 
     /// Counts a task on the machine and returns its start order, if there is a right to it.
-    fn start(&mut self, now: Instant, machine: &MachineId, seq: u64, key: SlotKey) -> Option<Order> {
+    fn start(&mut self, now: Instant, machine: &MachineId, seq: u64, key: SlotKey) -> Option<Command> {
         let Some(counter) = self.next_attempt.checked_add(1) else {
             tracing::error!("attempt numbers of this epoch are used up");
             return None;
@@ -198,7 +200,7 @@
             attempt,
             "start"
         );
-        self.add_slot(now, machine, key, attempt, SlotState::Sent { seq }, true);
+        self.add_slot(now, machine, key, attempt, SlotState::StartSent { seq }, true);
         Some(permit.order())
     }
 
@@ -220,7 +222,7 @@
             begun_is_recorded: task < job.begun,
             task_is_done: job.record.done.contains(task),
             is_on_no_machine: !is_counted && !may_be_on_unheard,
-            machine_is_recorded: machine.used,
+            machine_is_recorded: machine.use_recorded,
             last_attempt: self.attempt(self.next_attempt),
         })
     }
@@ -235,7 +237,7 @@
         // Until every machine has reported, or is gone, and has stopped what it
         // had of a job that was believed over, none of it starts anew.
         if let Some(not_before) = j.not_before
-            && (now < not_before || self.machines.values().any(|m| m.foreign))
+            && (now < not_before || self.machines.values().any(|m| m.has_orphan_tasks))
         {
             return false;
         }
@@ -273,7 +275,7 @@
         let pending = j.pending();
         // A machine that no demand counts on is left to run empty while the
         // others have room for all that waits.
-        if !m.wanted && self.has_room_on_wanted(j) {
+        if !m.needed && self.has_room_on_wanted(j) {
             return false;
         }
         let report = self.config.settings.cluster.workers.report();
@@ -286,7 +288,7 @@
             .filter_map(|id| self.machines.get(id))
             .filter(|o| self.eligible(j, o))
             .filter(|o| {
-                let next_report = o.heard.map_or(now, |h| (h + report).max(now));
+                let next_report = o.heartbeat_at.map_or(now, |h| (h + report).max(now));
                 self.score(now, j, o, next_report) > here + 0.5
             })
             .map(|o| need.times_in(&o.free))
@@ -311,7 +313,8 @@
             }
             tried += 1;
             let id = &self.roomy[at];
-            if id != machine && self.machines.get(id).is_some_and(|m| m.has_open_room() && need.fits(&m.free))
+            if id != machine
+                && self.machines.get(id).is_some_and(|m| m.has_usable_capacity() && need.fits(&m.free))
             {
                 found.push(id.clone());
             }
@@ -322,7 +325,7 @@
 
     /// Whether all that waits of the job fits on machines that demand counts on.
     fn has_room_on_wanted(&self, job: &Job) -> bool {
-        self.has_room_where(job, |m| m.wanted)
+        self.has_room_where(job, |m| m.needed)
     }
 
     /// Whether all that waits of the job fits on machines that have its image.
@@ -336,7 +339,7 @@
         let need = Resources::of(job.spec());
         let mut left = job.pending();
         for m in self.roomy.iter().filter_map(|id| self.machines.get(id)) {
-            if suits(m) && need.fits(&m.free) && !m.doubted && self.eligible(job, m) {
+            if suits(m) && need.fits(&m.free) && !m.one_way_partitioned && self.eligible(job, m) {
                 left = left.saturating_sub(need.times_in(&m.free));
                 if left == 0 {
                     return true;
@@ -349,7 +352,7 @@
     /// Whether a task of a new job could start now.
     pub(super) fn has_room_for(&self, spec: &JobSpec) -> bool {
         let need = Resources::of(spec);
-        self.machines.values().any(|m| m.has_open_room() && need.fits(&m.free) && self.may_use(spec, m))
+        self.machines.values().any(|m| m.has_usable_capacity() && need.fits(&m.free) && self.may_use(spec, m))
     }
 
     /// Whether the job allows the machine: its type, its zone, spot or not.
@@ -369,7 +372,7 @@
         self.rank(now);
         // Room that is there, and what comes free until the next round.
         let kinds = |m: &Machine| self.catalog.get(m.kind).map_or(0.0, |k| k.cpus);
-        let open = self.machines.values().filter(|m| m.has_open_room());
+        let open = self.machines.values().filter(|m| m.has_usable_capacity());
         let mut room: f64 = open.map(|m| m.free.cpus + 0.1 * kinds(m)).sum();
         let mut due = Vec::new();
         for job in self.queue.iter().filter_map(|ranked| self.jobs.get(&ranked.job)) {
@@ -389,7 +392,7 @@
     /// What the rules demand of a machine for the job's next task.
     pub(super) fn eligible(&self, job: &Job, machine: &Machine) -> bool {
         let spec = job.spec();
-        if !machine.open()
+        if !machine.is_schedulable()
             || !Resources::of(spec).fits(&machine.free)
             || !self.may_use(spec, machine)
             || machine.slots.keys().any(|(j, t)| j == job.id() && !job.active.contains_key(t))
@@ -437,7 +440,7 @@
         // may not.
         let dear = if spec.spot && !machine.spot { 2.0 } else { 0.0 };
         // What nobody counts on is left to run empty and be returned.
-        let spare = if machine.wanted { 0.0 } else { 2.0 };
+        let spare = if machine.needed { 0.0 } else { 2.0 };
         // Without checkpoints all of a task's work is lost with the machine;
         // the longer it runs, the likelier and the more.
         let risk = if machine.spot && spec.checkpoint_s <= 0.0 {
--- a/src/coordination/silence.rs
+++ b/src/coordination/silence.rs
@@ -33,7 +33,7 @@
 
 impl Silence {
     fn lasts(&self, m: &Machine, time: Duration) -> bool {
-        m.phase == Phase::Up && self.now > m.heard.map_or(self.since, |h| h.max(self.since)) + time
+        m.phase == Phase::Up && self.now > m.heartbeat_at.map_or(self.since, |h| h.max(self.since)) + time
     }
 
     /// Nothing is to be expected of it for now.
--- a/src/coordination/slots.rs
+++ b/src/coordination/slots.rs
@@ -27,12 +27,20 @@
         job.slots += 1;
         if state == SlotState::Running {
             job.running += 1;
-            m.note_image(&job.record.spec, self.catalog.get(m.kind));
+            m.record_image(&job.record.spec, self.catalog.get(m.kind));
         }
         if wanted {
             job.active.insert(key.1, machine.clone());
         }
-        let slot = Slot { attempt, state, room, team: job.team, since: now, stop: None, wanted };
+        let slot = Slot {
+            attempt,
+            state,
+            resources: room,
+            team: job.team,
+            since: now,
+            stop_grace_s: None,
+            assigned: wanted,
+        };
         m.slots.insert(key, slot);
     }
 
@@ -40,18 +48,18 @@
     pub(super) fn remove_slot(&mut self, now: Instant, machine: &MachineId, key: &SlotKey) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let Some(slot) = m.slots.remove(key) else { return };
-        m.free.add(&slot.room);
+        m.free.add(&slot.resources);
         if m.slots.is_empty() {
             m.idle_since = now;
             m.free = self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default();
         }
         if let Some(team) = slot.team {
-            self.teams[team].used.sub(&slot.room);
+            self.teams[team].used.sub(&slot.resources);
         }
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         job.slots = job.slots.saturating_sub(1);
         job.running = job.running.saturating_sub(u32::from(slot.state == SlotState::Running));
-        if slot.wanted && job.active.get(&key.1) == Some(machine) {
+        if slot.assigned && job.active.get(&key.1) == Some(machine) {
             job.active.remove(&key.1);
             if !job.record.done.contains(key.1) {
                 job.returned.insert(key.1);
--- a/src/coordination/stopping.rs
+++ b/src/coordination/stopping.rs
@@ -3,30 +3,30 @@
 
 use tokio::time::Instant;
 
-use super::agents::MAX_ORDERS;
+use super::agents::MAX_COMMANDS;
 use super::leader::Leader;
 use super::machines::{Machine, Phase};
 use super::model::{SlotKey, SlotState};
 use crate::protocol::jobs::{JobId, TaskId};
-use crate::protocol::workers::{MachineId, Order, Report, TaskState};
+use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
 
 impl Leader {
     /// Has a task stopped: at once, and again with every report until it is gone.
-    pub(super) fn order_stop(&mut self, now: Instant, machine: &MachineId, key: &SlotKey, grace_s: f64) {
+    pub(super) fn stop_task(&mut self, now: Instant, machine: &MachineId, key: &SlotKey, grace_s: f64) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let Some(slot) = m.slots.get_mut(key) else { return };
-        if slot.stop.is_some_and(|before| before <= grace_s) {
+        if slot.stop_grace_s.is_some_and(|before| before <= grace_s) {
             return;
         }
-        slot.stop = Some(grace_s);
+        slot.stop_grace_s = Some(grace_s);
         let task = TaskId { job: key.0.clone(), index: key.1 };
-        let order = Order::Stop { task, attempt: slot.attempt, grace_s };
-        self.actions.extend(m.direct(now, self.epoch, vec![order]));
+        let order = Command::Stop { task, attempt: slot.attempt, grace_s };
+        self.actions.extend(m.push_commands(now, self.epoch, vec![order]));
         self.ordered.push(machine.clone());
     }
 
     /// The job is over: whatever runs of it is of no use.
-    pub(super) fn stop_leftovers(&mut self, now: Instant, job: &JobId) {
+    pub(super) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
         let Some(j) = self.jobs.get(job) else { return };
         let all_counted = j.active.len() as u32 == j.slots;
         let found: Vec<(MachineId, SlotKey)> = if all_counted {
@@ -40,7 +40,7 @@
             self.machines.values().flat_map(slots).collect()
         };
         for (machine, key) in found {
-            self.order_stop(now, &machine, &key, 0.0);
+            self.stop_task(now, &machine, &key, 0.0);
         }
     }
 
@@ -49,7 +49,7 @@
     /// no controller may still be reached. In a lapse as well, since nothing is
     /// decided by it. A machine that has not been heard since, late in the time that
     /// a cancellation has, is deleted: the answer is the proof.
-    pub(super) fn repeat_stops(&mut self, now: Instant) {
+    pub(super) fn resend_stops(&mut self, now: Instant) {
         if self.is_over() || !self.jobs.values().any(|j| j.cancelled_at.is_some() && j.slots > 0) {
             return;
         }
@@ -58,25 +58,25 @@
         let may_delete = self.valid(now) && !self.cloud_is_down(now);
         let mut lost = Vec::new();
         for m in self.machines.values_mut().filter(|m| !m.slots.is_empty()) {
-            let stops: Vec<(Instant, Order)> = m
+            let stops: Vec<(Instant, Command)> = m
                 .slots
                 .iter()
                 .filter_map(|((job, index), slot)| {
                     let at = self.jobs.get(job)?.cancelled_at?;
                     let task = TaskId { job: job.clone(), index: *index };
-                    Some((at, Order::Stop { task, attempt: slot.attempt, grace_s: 0.0 }))
+                    Some((at, Command::Stop { task, attempt: slot.attempt, grace_s: 0.0 }))
                 })
                 .collect();
             let Some(first) = stops.iter().map(|(at, _)| *at).min() else { continue };
-            let unheard = m.heard.is_none_or(|at| at < first);
+            let unheard = m.heartbeat_at.is_none_or(|at| at < first);
             if may_delete && unheard && now >= first + late && m.phase == Phase::Up {
                 lost.push(m.id.clone());
             }
-            if m.stops_sent.is_some_and(|at| now < at + pause) {
+            if m.stops_pushed_at.is_some_and(|at| now < at + pause) {
                 continue;
             }
-            let orders = stops.into_iter().map(|(_, order)| order).take(MAX_ORDERS).collect();
-            self.actions.extend(m.direct(now, self.epoch, orders));
+            let orders = stops.into_iter().map(|(_, order)| order).take(MAX_COMMANDS).collect();
+            self.actions.extend(m.push_commands(now, self.epoch, orders));
         }
         if !lost.is_empty() {
             tracing::info!(count = lost.len(), "silent machines may hold cancelled tasks; deleting them");
@@ -87,7 +87,7 @@
     /// Whether the report shows that stops of a cancelled job have no effect, so
     /// late that the worker must now lose its lease for it. Counted from the
     /// cancellation, not from stops that were missed.
-    pub(super) fn outlives_its_stops(&self, now: Instant, report: &Report) -> bool {
+    pub(super) fn ignores_its_stops(&self, now: Instant, report: &Heartbeat) -> bool {
         let patience = self.config.answers_after_cancelling();
         let since = |job: &JobId| self.jobs.get(job).and_then(|j| j.cancelled_at);
         report.tasks.iter().any(|t| {
@@ -100,27 +100,27 @@
     /// cannot be saved may still finish in time; what will not is stopped at once,
     /// since its work is lost anyway, and it starts elsewhere that much sooner
     /// than once the machine has been taken and is known to be gone.
-    pub(super) fn stop_for_notice(&mut self, now: Instant, machine: &MachineId) {
+    pub(super) fn stop_for_preemption_notice(&mut self, now: Instant, machine: &MachineId) {
         let Some(m) = self.machines.get(machine) else { return };
-        let Some(taken_at) = m.taken_at else { return };
+        let Some(taken_at) = m.preempted_at else { return };
         let left = taken_at.saturating_duration_since(now).as_secs_f64();
         let mut stops = Vec::new();
         for (key, slot) in &m.slots {
             let Some(job) = self.jobs.get(&key.0) else { continue };
             let spec = job.spec();
             let saves = spec.checkpoint_s > 0.0 && slot.state == SlotState::Running && spec.save_s < left;
-            let waits = matches!(slot.state, SlotState::Sent { .. } | SlotState::Fetching);
+            let waits = matches!(slot.state, SlotState::StartSent { .. } | SlotState::Fetching);
             let ran = now.saturating_duration_since(slot.since).as_secs_f64();
             let run = job.proven_run().unwrap_or_else(|| self.expected_run(spec));
             // Past the time that was named it may be taken at any moment, or later.
             let ends_late = left > 0.0 && run - ran > left;
             let in_vain = slot.state == SlotState::Running && !job.is_service() && ends_late;
-            if slot.stop.is_none() && (saves || waits || in_vain) {
+            if slot.stop_grace_s.is_none() && (saves || waits || in_vain) {
                 stops.push((key.clone(), if saves { left } else { 0.0 }));
             }
         }
         for (key, grace_s) in stops {
-            self.order_stop(now, machine, &key, grace_s);
+            self.stop_task(now, machine, &key, grace_s);
         }
     }
 }
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -63,8 +63,8 @@
 
     /// What is on the machine is known from now on.
     pub(super) fn become_known(&mut self, machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine).filter(|m| !m.known) else { return };
-        m.known = true;
+        let Some(m) = self.machines.get_mut(machine).filter(|m| !m.reconciled) else { return };
+        m.reconciled = true;
         tracing::debug!(epoch = self.epoch, %machine, tasks = m.slots.len(), "what is on the machine is known");
         let room = self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default();
         // Counted anew with each ordering of the queue, and not below nothing.
@@ -79,7 +79,7 @@
     /// Machines become known in about the order of the walk or in any other; it goes on
     /// where it stopped, so that a takeover's reports do not each walk the whole fleet.
     pub(super) fn has_recovered(&mut self) -> bool {
-        let is_unknown = |m: &&Machine| m.used && !m.known;
+        let is_unknown = |m: &&Machine| m.use_recorded && !m.reconciled;
         let from = self.unknown_machine.take();
         let rest = from.and_then(|from| self.machines.range(from..).map(|(_, m)| m).find(is_unknown));
         let found = rest.or_else(|| self.machines.values().find(is_unknown));
@@ -208,14 +208,14 @@
         let silent: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.phase != Phase::Booting || !m.known)
-            .filter(|m| !m.known || !m.slots.is_empty())
+            .filter(|m| m.phase != Phase::Booting || !m.reconciled)
+            .filter(|m| !m.reconciled || !m.slots.is_empty())
             // A machine that has shown our token drops the answers of an earlier
             // leader. One that has not may never have got ours, and an earlier
             // leader in its lapse window may have kept it alive since.
             .filter(|m| {
-                now >= match m.answered.map(|at| at + proof) {
-                    Some(own) if m.seen.is_some() => own,
+                now >= match m.replied_at.map(|at| at + proof) {
+                    Some(own) if m.last_heartbeat.is_some() => own,
                     Some(own) => own.max(unheard),
                     None => unheard,
                 }
@@ -227,7 +227,8 @@
             self.clear_slots(now, &machine);
             if let Some(m) = self.machines.get_mut(&machine) {
                 // A report that was held back may still list them.
-                m.least_session = m.seen.max(m.hinted).map_or(0, |(session, _)| session + 1);
+                m.min_incarnation =
+                    m.last_heartbeat.max(m.last_stale_heartbeat).map_or(0, |(session, _)| session + 1);
                 m.free = self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default();
             }
             self.become_known(&machine);
--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -14,10 +14,10 @@
     // A start may still be on its way: the row stays among the live.
     assert!(!written.iter().any(|t| t.changes.iter().any(|c| c.key() == over_key(&id("job-1")))));
     let orders = rig.beat("vm-1", 6, EPOCH, vec![listed(&start, TaskState::Fetching)]);
-    assert_eq!(orders, [Order::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }]);
+    assert_eq!(orders, [Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }]);
     let stopped = TaskState::Exited(ExitCause::Stopped { saved: false });
     let orders = rig.beat("vm-1", 7, EPOCH, vec![listed(&start, stopped)]);
-    assert_eq!(orders, [Order::Forget { task: start.0, attempt: start.1 }], "and nothing of it starts again");
+    assert_eq!(orders, [Command::Reap { task: start.0, attempt: start.1 }], "and nothing of it starts again");
     let moved = rig.commit_all();
     assert_eq!(moved[0].changes[0].key(), over_key(&id("job-1")));
 }
@@ -32,7 +32,7 @@
     rig.commit_all();
     assert_eq!(told(&rig.answer(to).expect("answered")), "cancelled");
     // The stop is ordered with every report, and nothing else ever is.
-    let stop = Order::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 };
+    let stop = Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 };
     for seq in 7..10 {
         rig.pass(3.0);
         assert_eq!(
@@ -49,8 +49,8 @@
     assert!(moves(rig.commit_all()));
 }
 
-fn stop(start: &(TaskId, u64)) -> Order {
-    Order::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }
+fn stop(start: &(TaskId, u64)) -> Command {
+    Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }
 }
 
 /// The state service refuses the leader, another confirms a cancellation, and then
@@ -65,7 +65,7 @@
         settings.cluster.workers.cancel_s = cancel_s;
         let config = Config { settings: settings.clone(), tuning: policy::tests::tuning() };
         let workers = &config.settings.cluster.workers;
-        let last = config.lapse_window() + config.lease_proof() + ANSWER_WITHIN;
+        let last = config.lapse_window() + config.lease_proof() + HEARTBEAT_REPLY_TIMEOUT;
         assert!(config.lapse_window().is_zero() || last <= workers.cancellation(), "{cancel_s}");
         assert!(config.lapse_window() <= workers.lease() / 2);
         assert_eq!(config.takeover_proof(), config.lease_proof() + config.lapse_window(), "the other half");
@@ -134,7 +134,7 @@
     while rig.now < cancelled_at + workers.cancellation() {
         rig.pass(workers.report_s);
         seq += 1;
-        if rig.report("vm-1", 1, seq, EPOCH, running.clone()) != ReportReply::Elsewhere {
+        if rig.report("vm-1", 1, seq, EPOCH, running.clone()) != HeartbeatReply::Redirect {
             last = rig.now;
         }
     }
@@ -176,7 +176,7 @@
 #[test]
 fn no_stop_waits_behind_what_is_to_be_forgotten() {
     let mut rig = Rig::with_machines(&["vm-1"]);
-    let ended = |index| TaskReport { task: TaskId { job: id("job-8"), index }, attempt: 1, state: DONE };
+    let ended = |index| TaskStatus { task: TaskId { job: id("job-8"), index }, attempt: 1, state: DONE };
     let mut tasks: Vec<_> = (0..400).map(ended).collect();
     let left = (TaskId { job: id("job-9"), index: 0 }, 1);
     tasks.push(listed(&left, TaskState::Running));
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -5,7 +5,7 @@
 use crate::protocol::BODY_LIMIT;
 use crate::protocol::cbor::{encode, json_size};
 use crate::protocol::cloud::{MAX_DELETE, MAX_RENTAL, PAGE};
-use crate::protocol::workers::report_answer;
+use crate::protocol::workers::encode_heartbeat_reply;
 
 const MACHINES: usize = 4_100;
 const IN_RENTAL: usize = 50;
@@ -37,10 +37,10 @@
 
 impl Rig {
     /// Every machine reports, and each answer is within its limits.
-    fn all_beat(&mut self, seq: u64, tasks: impl Fn(usize) -> Vec<TaskReport>) -> Vec<Vec<Order>> {
+    fn all_beat(&mut self, seq: u64, tasks: impl Fn(usize) -> Vec<TaskStatus>) -> Vec<Vec<Command>> {
         let answers = (0..MACHINES).map(|n| {
             let orders = self.beat(&name(n), seq, EPOCH, tasks(n));
-            assert!(encode(&report_answer(EPOCH, &orders)).len() < BODY_LIMIT);
+            assert!(encode(&encode_heartbeat_reply(EPOCH, &orders)).len() < BODY_LIMIT);
             orders
         });
         answers.collect()
@@ -100,12 +100,12 @@
             Some(CloudReply::List(ListPage { machines, more: rest.next().is_some() }))
         });
     }
-    let listed = |rig: &Rig| rig.leader.machines.values().all(|m| m.listed);
+    let listed = |rig: &Rig| rig.leader.machines.values().all(|m| m.was_listed);
     assert!(listed(&rig) && rig.leader.machines.len() == MACHINES);
 
     // All end at once; the records come out in parts that the new limits allow.
     let ended = rig.all_beat(4, |n| started[n].iter().map(|start| self::listed(start, DONE)).collect());
-    assert!(ended.iter().flatten().all(|order| !matches!(order, Order::Start { .. })));
+    assert!(ended.iter().flatten().all(|order| !matches!(order, Command::Start { .. })));
     rig.commit_within_limits();
     assert!(rig.leader.jobs.is_empty(), "{} jobs are left", rig.leader.jobs.len());
 
@@ -129,7 +129,7 @@
     }
     assert_eq!(deleted, MACHINES);
     let late = rig.report(&name(0), 1, 900, EPOCH, vec![]);
-    assert_eq!(late, ReportReply::Elsewhere, "a late copy of a machine that was deleted first");
+    assert_eq!(late, HeartbeatReply::Redirect, "a late copy of a machine that was deleted first");
     assert!(rig.leader.unexpected.is_empty());
 
     // A new backlog rents anew, in records that fit.
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::protocol::cbor::MapBuilder;
-use crate::protocol::workers::report_answer;
+use crate::protocol::workers::encode_heartbeat_reply;
 
 fn violations(rig: &Rig) -> u64 {
     let figures = rig.leader.figures(MapBuilder::new()).build();
@@ -33,7 +33,7 @@
     assert_eq!(violations(&rig), 1);
     assert!(rig.leader.jobs.contains_key(&id("job-1")));
     let orders = rig.beat("vm-1", 3, EPOCH, vec![listed(&stray, TaskState::Running)]);
-    assert_eq!(orders, [Order::Stop { task: stray.0, attempt: 9, grace_s: 0.0 }]);
+    assert_eq!(orders, [Command::Stop { task: stray.0, attempt: 9, grace_s: 0.0 }]);
     rig.beat("vm-1", 4, EPOCH, vec![]);
     assert!(!rig.leader.jobs.contains_key(&id("job-1")), "nothing holds it any more");
 }
@@ -93,12 +93,13 @@
         rig.pass(rig.config.settings.cluster.workers.report_s);
         let orders = rig.beat("vm-1", seq, EPOCH, shown(&running));
         assert!(
-            crate::protocol::cbor::json_size(&report_answer(EPOCH, &orders)) <= crate::protocol::BODY_LIMIT
+            crate::protocol::cbor::json_size(&encode_heartbeat_reply(EPOCH, &orders))
+                <= crate::protocol::BODY_LIMIT
         );
         let stopped: Vec<TaskId> = orders
             .into_iter()
             .filter_map(|order| match order {
-                Order::Stop { task, .. } => Some(task),
+                Command::Stop { task, .. } => Some(task),
                 _ => None,
             })
             .collect();
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -14,7 +14,7 @@
     assert_eq!(rig.answer(to).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
     assert!(rig.leader.is_over());
     // Nothing of the stale epoch gets out any more.
-    assert_eq!(rig.report("vm-1", 1, 9, EPOCH, vec![]), ReportReply::Elsewhere);
+    assert_eq!(rig.report("vm-1", 1, 9, EPOCH, vec![]), HeartbeatReply::Redirect);
     let late = rig.submit(sample("job-2", "red", 1, 1.0));
     assert_eq!(rig.answer(late).map(|a| a.status), Some(503));
     assert!(rig.commits.is_empty());
@@ -121,7 +121,7 @@
     rig.leader.extend(rig.now, end);
     rig.now = end + rig.config.lapse_window() + Duration::from_secs(20);
     for (seq, tasks) in [(6, running.clone()), (7, running), (8, vec![])] {
-        assert_eq!(rig.report("vm-1", 1, seq, EPOCH, tasks), ReportReply::Elsewhere);
+        assert_eq!(rig.report("vm-1", 1, seq, EPOCH, tasks), HeartbeatReply::Redirect);
     }
     let again = rig.submit(sample("job-2", "red", 1, 1.0));
     assert_eq!(rig.answer(again).map(|a| a.status), Some(503), "another may know more of it");
@@ -143,10 +143,10 @@
     assert_eq!(rig.beat("vm-1", 6, EPOCH, report.clone()), vec![], "no start, no reap");
     assert!(rig.commits.is_empty());
     // One that this epoch has not heard, or that another leads by now.
-    assert_eq!(rig.report("vm-9", 1, 1, EPOCH, vec![]), ReportReply::Elsewhere);
-    assert_eq!(rig.report("vm-1", 1, 7, EPOCH + 1, vec![]), ReportReply::Elsewhere);
+    assert_eq!(rig.report("vm-9", 1, 1, EPOCH, vec![]), HeartbeatReply::Redirect);
+    assert_eq!(rig.report("vm-1", 1, 7, EPOCH + 1, vec![]), HeartbeatReply::Redirect);
     rig.now = end + rig.config.lapse_window();
-    assert_eq!(rig.report("vm-1", 1, 7, EPOCH, report.clone()), ReportReply::Elsewhere);
+    assert_eq!(rig.report("vm-1", 1, 7, EPOCH, report.clone()), HeartbeatReply::Redirect);
     // Resumed, the same report is news.
     rig.leader.extend(rig.now, rig.now + Duration::from_secs(60));
     assert_eq!(starts(&rig.beat("vm-1", 8, EPOCH, report)).len(), 1);
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -23,7 +23,7 @@
 
 use tokio::time::Instant;
 
-use super::agents::ReportReply;
+use super::agents::HeartbeatReply;
 use super::answers::Answer;
 use super::cloud::{CloudCall, CloudError, CloudReply};
 use super::config::Config;
@@ -36,7 +36,9 @@
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::jobs::{Form, JobId, JobSpec, Priority, Standing, TaskId};
 use crate::protocol::state::Change;
-use crate::protocol::workers::{ANSWER_WITHIN, ExitCause, MachineId, Order, Report, TaskReport, TaskState};
+use crate::protocol::workers::{
+    Command, ExitCause, HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId, TaskState, TaskStatus,
+};
 use crate::settings;
 use crate::storage::records::{JobRecord, RENTALS, RentalRecord, live_key, over_key, record_key};
 use crate::storage::service::{Class, StoreError, Transaction};
@@ -53,7 +55,7 @@
     lookups: Vec<(JobId, Answer)>,
     unjudged: Vec<UnjudgedSubmission>,
     commits: Vec<(u64, Transaction)>,
-    direct: Vec<Order>,
+    direct: Vec<Command>,
     cloud: Vec<(u64, CloudCall)>,
     replies: u64,
 }
@@ -198,8 +200,8 @@
         session: u64,
         seq: u64,
         token: u64,
-        tasks: Vec<TaskReport>,
-    ) -> ReportReply {
+        tasks: Vec<TaskStatus>,
+    ) -> HeartbeatReply {
         self.report_with(name, session, seq, token, None, tasks)
     }
 
@@ -210,34 +212,39 @@
         seq: u64,
         token: u64,
         notice_s: Option<f64>,
-        tasks: Vec<TaskReport>,
-    ) -> ReportReply {
-        let report = Report { session, token, notice_s, ..self.reported(name, seq, tasks) };
-        let reply = self.leader.report(self.now, &report);
+        tasks: Vec<TaskStatus>,
+    ) -> HeartbeatReply {
+        let report = Heartbeat {
+            incarnation: session,
+            fencing_token: token,
+            preemption_notice_s: notice_s,
+            ..self.reported(name, seq, tasks)
+        };
+        let reply = self.leader.handle_heartbeat(self.now, &report);
         self.collect();
         reply
     }
 
     /// A report of the first session under this epoch's token, not sent yet.
-    fn reported(&self, name: &str, seq: u64, tasks: Vec<TaskReport>) -> Report {
-        Report {
+    fn reported(&self, name: &str, seq: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+        Heartbeat {
             machine: machine(name),
             address: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
             zone: if name.ends_with('b') { "z2".into() } else { "z1".into() },
             spot: false,
-            session: 1,
-            seq,
-            token: EPOCH,
-            notice_s: None,
+            incarnation: 1,
+            sequence: seq,
+            fencing_token: EPOCH,
+            preemption_notice_s: None,
             tasks,
         }
     }
 
     /// A report of the first session; returns the orders.
-    fn beat(&mut self, name: &str, seq: u64, token: u64, tasks: Vec<TaskReport>) -> Vec<Order> {
+    fn beat(&mut self, name: &str, seq: u64, token: u64, tasks: Vec<TaskStatus>) -> Vec<Command> {
         match self.report(name, 1, seq, token, tasks) {
-            ReportReply::Orders { token: EPOCH, orders } => orders,
+            HeartbeatReply::Commands { fencing_token: EPOCH, commands: orders } => orders,
             other => panic!("no answer: {other:?}"),
         }
     }
@@ -273,18 +280,18 @@
     }
 }
 
-fn starts(orders: &[Order]) -> Vec<(TaskId, u64)> {
+fn starts(orders: &[Command]) -> Vec<(TaskId, u64)> {
     orders
         .iter()
         .filter_map(|o| match o {
-            Order::Start { task, attempt } => Some((task.clone(), *attempt)),
+            Command::Start { task, attempt } => Some((task.clone(), *attempt)),
             _ => None,
         })
         .collect()
 }
 
-fn listed(start: &(TaskId, u64), state: TaskState) -> TaskReport {
-    TaskReport { task: start.0.clone(), attempt: start.1, state }
+fn listed(start: &(TaskId, u64), state: TaskState) -> TaskStatus {
+    TaskStatus { task: start.0.clone(), attempt: start.1, state }
 }
 
 const DONE: TaskState = TaskState::Exited(ExitCause::Done);
--- a/src/coordination/tests/pipelines.rs
+++ b/src/coordination/tests/pipelines.rs
@@ -27,7 +27,7 @@
 
 impl Rig {
     /// A report of the only machine with these tasks; the tasks that start with its answer.
-    fn starts_after(&mut self, seq: u64, tasks: Vec<TaskReport>) -> Vec<(TaskId, u64)> {
+    fn starts_after(&mut self, seq: u64, tasks: Vec<TaskStatus>) -> Vec<(TaskId, u64)> {
         self.pass(0.5);
         starts(&self.beat("vm-1", seq, EPOCH, tasks))
     }
@@ -62,7 +62,7 @@
     rig.accept(awaiting("job-3", &["job-1", "job-2"]));
     let first = rig.starts_after(2, vec![]);
     assert_eq!(first.len(), 2, "those that wait for nothing");
-    let ended: Vec<TaskReport> = first.iter().map(|start| listed(start, DONE)).collect();
+    let ended: Vec<TaskStatus> = first.iter().map(|start| listed(start, DONE)).collect();
     assert!(rig.starts_after(3, vec![ended[0].clone(), listed(&first[1], TaskState::Running)]).is_empty());
     rig.commit_all();
     assert!(rig.starts_after(4, ended.clone()).is_empty(), "both have ended, one settle is on its way");
@@ -76,7 +76,7 @@
     let last = rig.starts_after(8, vec![]);
     assert_eq!(last.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
     // A late copy of the reports before changes nothing.
-    assert_eq!(rig.report("vm-1", 1, 3, EPOCH, ended), ReportReply::Elsewhere);
+    assert_eq!(rig.report("vm-1", 1, 3, EPOCH, ended), HeartbeatReply::Redirect);
 }
 
 /// While it waits a job takes no part of its team's guarantee, is no demand, and does not
--- a/src/coordination/tests/placing.rs
+++ b/src/coordination/tests/placing.rs
@@ -61,7 +61,7 @@
         let mut urgent = sample(&format!("job-{n}"), "blue", 1, 4.0);
         urgent.priority = Priority::Critical;
         rig.accept(urgent);
-        let mut tasks: Vec<TaskReport> = running.iter().map(|s| listed(s, TaskState::Running)).collect();
+        let mut tasks: Vec<TaskStatus> = running.iter().map(|s| listed(s, TaskState::Running)).collect();
         if !running.is_empty() {
             tasks[0].state = DONE;
             running.remove(0);
@@ -99,7 +99,7 @@
         rig.pass(report);
         rig.beat("vm-1", seq, EPOCH, vec![listed(&low, TaskState::Running)]);
     }
-    assert_eq!(rig.direct, [Order::Stop { task: low.0.clone(), attempt: low.1, grace_s: 0.0 }]);
+    assert_eq!(rig.direct, [Command::Stop { task: low.0.clone(), attempt: low.1, grace_s: 0.0 }]);
 }
 
 #[test]
@@ -131,7 +131,7 @@
     running[1].extend(more);
     assert_eq!(running[1].len(), 2);
     // Nothing may be placed on the first any more; then it is the second.
-    rig.leader.machines.get_mut(&machine("vm-1")).expect("there").condemned = true;
+    rig.leader.machines.get_mut(&machine("vm-1")).expect("there").cordoned = true;
     running[1].pop();
     rig.pass(0.5);
     assert_eq!(report(&mut rig, 1, &running[1]), vec![]);
@@ -148,7 +148,7 @@
         let start = starts(&rig.beat(name, seq, EPOCH, vec![])).remove(0);
         listed(&start, TaskState::Running)
     };
-    let mut on: Vec<(&str, Vec<TaskReport>)> = vec![
+    let mut on: Vec<(&str, Vec<TaskStatus>)> = vec![
         ("vm-1", vec![run(&mut rig, "vm-1", 5, "job-1", "blue", 6.0)]),
         ("vm-3", vec![run(&mut rig, "vm-3", 5, "job-2", "blue", 6.0)]),
         ("vm-5", vec![run(&mut rig, "vm-5", 5, "job-3", "red", 7.0)]),
@@ -235,7 +235,7 @@
     let jobs = vec![loaded_job(fetching_for_seconds("job-1", 1))];
     let rentals = ["vm-1", "vm-3"].map(|name| rented(name, true)).into();
     let mut rig = Rig::configured(jobs, rentals, with_a_prompt_aim());
-    let running = TaskReport {
+    let running = TaskStatus {
         task: TaskId { job: id("job-1"), index: 0 },
         attempt: EPOCH << 31,
         state: TaskState::Running,
@@ -249,10 +249,10 @@
 }
 
 /// A leader with a prompt aim and one idle machine, whose last report is returned.
-fn with_a_held_report() -> (Rig, Report) {
+fn with_a_held_report() -> (Rig, Heartbeat) {
     let mut rig = Rig::configured(Vec::new(), vec![rented("vm-1", true)], with_a_prompt_aim());
     rig.beat("vm-1", 1, EPOCH, vec![]);
-    assert!(!rig.leader.may_hold(&rig.reported("vm-1", 1, vec![])), "no prompt class is known yet");
+    assert!(!rig.leader.may_defer_reply(&rig.reported("vm-1", 1, vec![])), "no prompt class is known yet");
     // One of the class has come, and ended: others are likely to.
     rig.accept(sample("job-1", "blue", 1, 1.0));
     let start = starts(&rig.beat("vm-1", 2, EPOCH, vec![])).remove(0);
@@ -260,7 +260,7 @@
     rig.commit_all();
     assert_eq!(rig.beat("vm-1", 4, EPOCH, vec![]), vec![]);
     let report = rig.reported("vm-1", 4, vec![]);
-    assert!(rig.leader.may_hold(&report));
+    assert!(rig.leader.may_defer_reply(&report));
     (rig, report)
 }
 
@@ -270,10 +270,12 @@
 fn a_held_answer_carries_the_start_of_a_job_that_came_meanwhile() {
     let (mut rig, report) = with_a_held_report();
     let held = [machine("vm-1")];
-    rig.leader.to_decide(held.iter());
+    rig.leader.deferred_replies_to_decide(held.iter());
     rig.accept(sample("job-2", "blue", 1, 1.0));
-    assert_eq!(rig.leader.to_decide(held.iter()), held, "it is looked at again at once");
-    let ReportReply::Orders { token: EPOCH, orders } = rig.leader.answer_held(rig.now, &report) else {
+    assert_eq!(rig.leader.deferred_replies_to_decide(held.iter()), held, "it is looked at again at once");
+    let HeartbeatReply::Commands { fencing_token: EPOCH, commands: orders } =
+        rig.leader.decide_deferred_reply(rig.now, &report)
+    else {
         panic!("no answer")
     };
     assert_eq!(starts(&orders)[0].0.job, id("job-2"));
@@ -289,11 +291,11 @@
     rig.accept(sample("job-2", "blue", 1, 1.0));
     rig.leader.until = rig.now;
     let past = rig.now + Duration::from_millis(100);
-    let nothing = ReportReply::Orders { token: EPOCH, orders: vec![] };
-    assert_eq!(rig.leader.answer_held(past, &report), nothing);
+    let nothing = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] };
+    assert_eq!(rig.leader.decide_deferred_reply(past, &report), nothing);
     rig.leader.extend(rig.now, rig.now + Duration::from_secs(60));
     rig.beat("vm-1", 5, EPOCH, vec![]);
-    assert_eq!(rig.leader.answer_held(rig.now, &report), ReportReply::Elsewhere);
+    assert_eq!(rig.leader.decide_deferred_reply(rig.now, &report), HeartbeatReply::Redirect);
 }
 
 /// A cancellation is not to wait until a hold ends, and the answer carries its stop.
@@ -306,15 +308,15 @@
     let running = vec![listed(&start, TaskState::Running)];
     assert_eq!(rig.beat("vm-1", 3, EPOCH, running.clone()), vec![]);
     let report = rig.reported("vm-1", 3, running);
-    assert!(rig.leader.may_hold(&report));
+    assert!(rig.leader.may_defer_reply(&report));
     let held = [machine("vm-1")];
-    rig.leader.to_decide(held.iter());
+    rig.leader.deferred_replies_to_decide(held.iter());
     rig.withdraw("job-1");
     rig.commit_all();
-    assert_eq!(rig.leader.to_decide(held.iter()), held);
-    let stop = Order::Stop { task: start.0, attempt: start.1, grace_s: 0.0 };
-    let stopping = ReportReply::Orders { token: EPOCH, orders: vec![stop] };
-    assert_eq!(rig.leader.answer_held(rig.now, &report), stopping);
+    assert_eq!(rig.leader.deferred_replies_to_decide(held.iter()), held);
+    let stop = Command::Stop { task: start.0, attempt: start.1, grace_s: 0.0 };
+    let stopping = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![stop] };
+    assert_eq!(rig.leader.decide_deferred_reply(rig.now, &report), stopping);
 }
 
 /// The next report of a machine whose tasks end by themselves may tell of room or of
@@ -322,12 +324,12 @@
 #[test]
 fn reports_of_machines_with_other_work_or_an_earlier_token_are_not_held() {
     let (mut rig, report) = with_a_held_report();
-    assert!(!rig.leader.may_hold(&Report { token: EPOCH - 1, ..report.clone() }));
-    assert!(!rig.leader.may_hold(&Report { notice_s: Some(10.0), ..report }));
+    assert!(!rig.leader.may_defer_reply(&Heartbeat { fencing_token: EPOCH - 1, ..report.clone() }));
+    assert!(!rig.leader.may_defer_reply(&Heartbeat { preemption_notice_s: Some(10.0), ..report }));
     rig.accept(sample("job-2", "blue", 1, 1.0));
     let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
     let running = vec![listed(&start, TaskState::Running)];
-    assert!(!rig.leader.may_hold(&rig.reported("vm-1", 6, running)));
+    assert!(!rig.leader.may_defer_reply(&rig.reported("vm-1", 6, running)));
 }
 
 /// Nothing can start within no time: such an aim holds no answer.
@@ -342,5 +344,5 @@
     rig.beat("vm-1", 3, EPOCH, vec![listed(&start, DONE)]);
     rig.commit_all();
     assert_eq!(rig.beat("vm-1", 4, EPOCH, vec![]), vec![]);
-    assert!(!rig.leader.may_hold(&rig.reported("vm-1", 4, vec![])));
+    assert!(!rig.leader.may_defer_reply(&rig.reported("vm-1", 4, vec![])));
 }
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -24,7 +24,7 @@
     assert_eq!(keys[1], [over_key(&id("job-1")), live_key(&id("job-1"))]);
     assert_eq!(told(&rig.answer(to).expect("answered")), "done");
     let orders = rig.beat("vm-1", 7, EPOCH, vec![listed(&start, DONE)]);
-    assert_eq!(orders, [Order::Forget { task: start.0, attempt: start.1 }]);
+    assert_eq!(orders, [Command::Reap { task: start.0, attempt: start.1 }]);
 }
 
 #[test]
--- a/src/coordination/tests/renting.rs
+++ b/src/coordination/tests/renting.rs
@@ -33,7 +33,7 @@
     assert_eq!(starts(&rig.beat("vm-2", seq + 2, EPOCH, vec![])).len(), 1);
     assert_eq!(
         rig.report("vm-1", 1, 6, EPOCH, vec![]),
-        ReportReply::Elsewhere,
+        HeartbeatReply::Redirect,
         "a late copy restores nothing"
     );
 }
@@ -190,7 +190,7 @@
             rig.beat(name, seq, EPOCH, vec![]);
         }
         assert!(!rig.cloud.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_))), "cut off, perhaps");
-        let wanted = ["vm-2b", "vm-3b"].map(|name| rig.leader.machines[&machine(name)].wanted);
+        let wanted = ["vm-2b", "vm-3b"].map(|name| rig.leader.machines[&machine(name)].needed);
         assert!(rig.now < begin + silence + Duration::from_secs(2) || wanted == [false, false]);
     }
     rig.pass(2.1);
@@ -367,8 +367,8 @@
     None
 }
 
-fn stop(replica: &(TaskId, u64)) -> Order {
-    Order::Stop { task: replica.0.clone(), attempt: replica.1, grace_s: 0.0 }
+fn stop(replica: &(TaskId, u64)) -> Command {
+    Command::Stop { task: replica.0.clone(), attempt: replica.1, grace_s: 0.0 }
 }
 
 /// Services do not end: machines that were rented for a peak stayed for as long as a
--- a/src/coordination/tests/reports.rs
+++ b/src/coordination/tests/reports.rs
@@ -9,12 +9,12 @@
     let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
     // Held back and older than the one that was answered with a start.
     for seq in [4, 5] {
-        assert_eq!(rig.report("vm-1", 1, seq, EPOCH, vec![]), ReportReply::Elsewhere);
+        assert_eq!(rig.report("vm-1", 1, seq, EPOCH, vec![]), HeartbeatReply::Redirect);
     }
     assert_eq!(rig.beat("vm-1", 6, EPOCH, vec![listed(&start, TaskState::Running)]), vec![]);
     assert_eq!(rig.standing("job-1"), Some(Standing::Running));
     // A higher token than ours: another leads, and a 200 would be dropped.
-    assert_eq!(rig.report("vm-1", 1, 7, EPOCH + 1, vec![]), ReportReply::Elsewhere);
+    assert_eq!(rig.report("vm-1", 1, 7, EPOCH + 1, vec![]), HeartbeatReply::Redirect);
 }
 
 #[test]
@@ -52,7 +52,7 @@
     assert_ne!(first.1, second.1);
     // A new session begins without tasks.
     let reply = rig.report("vm-1", 2, 1, EPOCH, vec![]);
-    assert!(matches!(reply, ReportReply::Orders { orders, .. } if starts(&orders).len() == 1));
+    assert!(matches!(reply, HeartbeatReply::Commands { commands, .. } if starts(&commands).len() == 1));
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let stopped: Vec<_> = rig
         .direct
         .iter()
-        .map(|o| matches!(o, Order::Stop { task, grace_s, .. } if task.job == id("job-1") && *grace_s == 0.0))
+        .map(|o| matches!(o, Command::Stop { task, grace_s, .. } if task.job == id("job-1") && *grace_s == 0.0))
         .collect();
     assert_eq!(stopped, [true], "{:?}", rig.direct);
 }
@@ -151,7 +151,9 @@
         seq += 1;
         rig.beat("vm-2b", seq, EPOCH, vec![listed(&other, TaskState::Running)]);
         let session = 1 + ((rig.now - begin).as_secs_f64() / lease) as u64;
-        if let ReportReply::Orders { orders, .. } = rig.report("vm-1", session, seq, EPOCH, vec![]) {
+        if let HeartbeatReply::Commands { commands: orders, .. } =
+            rig.report("vm-1", session, seq, EPOCH, vec![])
+        {
             sent += starts(&orders).len();
         }
     }
@@ -174,7 +176,7 @@
         rig.pass(3.0);
     }
     let vm = &rig.leader.machines[&machine("vm-1")];
-    assert!(vm.doubted && !vm.wanted, "its room counts for nothing");
+    assert!(vm.one_way_partitioned && !vm.needed, "its room counts for nothing");
     let (mut probe, mut tick) = (orders_of(&mut rig, 9, vec![]), 9);
     assert!(probe.is_empty(), "no start while it is doubted");
     while probe.is_empty() && tick < 20 {
@@ -204,7 +206,7 @@
     // Proven gone and started elsewhere. A report that was sent before, and
     // never came, comes now, well over a lease late.
     let late = rig.report("vm-1", 1, 9, EPOCH, vec![listed(&start, TaskState::Running)]);
-    assert_eq!(late, ReportReply::Elsewhere);
+    assert_eq!(late, HeartbeatReply::Redirect);
     assert!(rig.leader.machines.get(&machine("vm-1")).is_none_or(|m| m.slots.is_empty()));
 }
 
@@ -218,7 +220,7 @@
     // copy, so it frees nothing, and it is not kept here by a 200.
     for (session, seq) in [(1, 1), (1, 501)] {
         for token in [0, EPOCH] {
-            assert_eq!(rig.report("vm-1", session, seq, token, vec![]), ReportReply::Elsewhere);
+            assert_eq!(rig.report("vm-1", session, seq, token, vec![]), HeartbeatReply::Redirect);
         }
     }
     assert_eq!(rig.leader.machines[&machine("vm-1")].slots.len(), 1);
@@ -230,7 +232,7 @@
     for _ in 0..(silent / 2.0) as u64 + 2 {
         rig.pass(2.0);
         seq += 1;
-        assert_eq!(rig.report("vm-1", 1, seq, 0, vec![]), ReportReply::Elsewhere);
+        assert_eq!(rig.report("vm-1", 1, seq, 0, vec![]), HeartbeatReply::Redirect);
         assert_eq!(starts(&rig.beat("vm-2", seq, EPOCH, vec![])), vec![]);
     }
     let delete = CloudCall::Delete(vec![machine("vm-1")]);
--- a/src/coordination/tests/sequences.rs
+++ b/src/coordination/tests/sequences.rs
@@ -220,14 +220,18 @@
     });
     caught("started_cancelled", |simulation| {
         let (now, name) = cancelled(simulation);
-        let start = Order::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 9 };
-        let body = crate::protocol::workers::report_answer(1, &[start]);
+        let start = Command::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 9 };
+        let body = crate::protocol::workers::encode_heartbeat_reply(1, &[start]);
         simulation.carry_out(now + SOON, &name, &body);
         assert!(simulation.broken.is_empty(), "it may have been on its way");
         simulation.carry_out(now + SOON * 5, &name, &body);
         assert!(simulation.broken.is_empty(), "the same attempt has no effect");
-        let start = Order::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 10 };
-        simulation.carry_out(now + SOON * 5, &name, &crate::protocol::workers::report_answer(1, &[start]));
+        let start = Command::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 10 };
+        simulation.carry_out(
+            now + SOON * 5,
+            &name,
+            &crate::protocol::workers::encode_heartbeat_reply(1, &[start]),
+        );
     });
 }
 
--- a/src/coordination/tests/takeover.rs
+++ b/src/coordination/tests/takeover.rs
@@ -33,8 +33,8 @@
     let mut rig = Rig::new(vec![old], vec![rented("vm-1", true)]);
     let task = |index| TaskId { job: id("job-1"), index };
     let found = vec![
-        TaskReport { task: task(0), attempt: 7, state: TaskState::Running },
-        TaskReport { task: task(2), attempt: 9, state: DONE },
+        TaskStatus { task: task(0), attempt: 7, state: TaskState::Running },
+        TaskStatus { task: task(2), attempt: 9, state: DONE },
     ];
     assert_eq!(rig.beat("vm-1", 5, EPOCH - 1, found.clone()), vec![]);
     let orders = rig.beat("vm-1", 6, EPOCH, found);
@@ -42,7 +42,7 @@
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].0, task(1));
     assert!(started[0].1 > EPOCH, "attempts of an epoch are above all earlier ones");
-    assert!(!orders.iter().any(|o| matches!(o, Order::Forget { .. })), "done is not recorded yet");
+    assert!(!orders.iter().any(|o| matches!(o, Command::Reap { .. })), "done is not recorded yet");
 }
 
 #[test]
@@ -103,7 +103,7 @@
     }
     assert!(started_after.is_some_and(|after| after <= most), "{started_after:?} of {most}");
     // Its first sign of our token ends the doubt.
-    assert!(!matches!(rig.report("vm-1", 99, 1, EPOCH, vec![]), ReportReply::Elsewhere));
+    assert!(!matches!(rig.report("vm-1", 99, 1, EPOCH, vec![]), HeartbeatReply::Redirect));
 }
 
 #[test]
@@ -112,7 +112,7 @@
     let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2b", true)]);
     rig.beat("vm-2b", 1, EPOCH, vec![]);
     let task = TaskId { job: id("job-1"), index: 0 };
-    let copied = vec![TaskReport { task, attempt: 7, state: TaskState::Running }];
+    let copied = vec![TaskStatus { task, attempt: 7, state: TaskState::Running }];
     // Of a machine that an earlier leader deleted: it is not brought back, and
     // nobody waits for it.
     rig.report("vm-9", 4, 70, EPOCH - 1, copied.clone());
@@ -121,19 +121,19 @@
     // Of a machine that has died meanwhile: no sign of life, nothing taken,
     // and the same copy puts its proof off only once.
     let first = rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone());
-    assert_eq!(first, ReportReply::Orders { token: EPOCH, orders: vec![] });
-    let answered = rig.leader.machines[&machine("vm-1")].answered;
+    assert_eq!(first, HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] });
+    let answered = rig.leader.machines[&machine("vm-1")].replied_at;
     rig.pass(3.0);
-    assert_eq!(rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone()), ReportReply::Elsewhere);
-    assert_eq!(rig.report("vm-1", 1, 49, EPOCH - 1, copied.clone()), ReportReply::Elsewhere);
+    assert_eq!(rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
+    assert_eq!(rig.report("vm-1", 1, 49, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
     let m = &rig.leader.machines[&machine("vm-1")];
-    assert_eq!((m.answered, m.heard, m.slots.len()), (answered, None, 0));
+    assert_eq!((m.replied_at, m.heartbeat_at, m.slots.len()), (answered, None, 0));
     assert_eq!(rig.standing("job-1"), Some(Standing::Queued));
     // Once it has shown the token, copies from before it change nothing.
     rig.beat("vm-1", 51, EPOCH, copied.clone());
     rig.accept(sample("job-2", "blue", 1, 1.0));
     let held = rig.leader.machines[&machine("vm-1")].slots.len();
-    assert_eq!(rig.report("vm-1", 1, 60, EPOCH - 1, vec![]), ReportReply::Elsewhere);
+    assert_eq!(rig.report("vm-1", 1, 60, EPOCH - 1, vec![]), HeartbeatReply::Redirect);
     assert_eq!(rig.leader.machines[&machine("vm-1")].slots.len(), held);
 }
 
@@ -161,10 +161,16 @@
     rig.accept(sample("job-1", "red", 1, 1.0));
     let start = starts(&rig.beat("vm-1", 500, EPOCH, vec![])).remove(0);
     rig.beat("vm-1", 501, EPOCH, vec![listed(&start, TaskState::Running)]);
-    assert_eq!(rig.report("vm-1", 2, 1, 0, vec![]), ReportReply::Orders { token: EPOCH, orders: vec![] });
+    assert_eq!(
+        rig.report("vm-1", 2, 1, 0, vec![]),
+        HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] }
+    );
     assert_eq!(rig.leader.machines[&machine("vm-1")].slots.len(), 1, "still only a hint");
     let again = rig.report("vm-1", 2, 2, EPOCH, vec![]);
-    assert!(matches!(&again, ReportReply::Orders { orders, .. } if starts(orders).len() == 1), "{again:?}");
+    assert!(
+        matches!(&again, HeartbeatReply::Commands { commands, .. } if starts(commands).len() == 1),
+        "{again:?}"
+    );
 }
 
 #[test]
@@ -216,7 +222,7 @@
     rig.beat("vm-2", 5, EPOCH, vec![]);
     assert_eq!(
         rig.report("vm-1", 1, 5, EPOCH - 1, vec![]),
-        ReportReply::Orders { token: EPOCH, orders: vec![] }
+        HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] }
     );
     let mut seq = 5;
     while rig.now + Duration::from_secs(2) < rig.leader.loaded_at + rig.config.takeover_proof() {
@@ -235,12 +241,12 @@
     let mut old = loaded_job(sample("job-1", "red", 2, 1.0));
     old.record.done.insert(0);
     let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2b", true)]);
-    let running = |index| TaskReport {
+    let running = |index| TaskStatus {
         task: TaskId { job: id("job-1"), index },
         attempt: 7,
         state: TaskState::Running,
     };
-    let stop = |index| Order::Stop { task: TaskId { job: id("job-1"), index }, attempt: 7, grace_s: 0.0 };
+    let stop = |index| Command::Stop { task: TaskId { job: id("job-1"), index }, attempt: 7, grace_s: 0.0 };
     assert_eq!(rig.beat("vm-1", 5, EPOCH, vec![running(0), running(1)]), [stop(0)]);
     assert_eq!(rig.beat("vm-2b", 5, EPOCH, vec![running(1)]), [stop(1)]);
     assert_eq!(rig.leader.teams[0].used.cpus, 3.0);
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -137,19 +137,23 @@
     );
     rig.accept(sample("job-2", "red", 1, 1.0));
     let task = |index| TaskId { job: id("job-1"), index };
-    let shown = |state| TaskReport { task: task(0), attempt: 7, state };
-    let ended = TaskReport { task: task(1), attempt: 8, state: DONE };
+    let shown = |state| TaskStatus { task: task(0), attempt: 7, state };
+    let ended = TaskStatus { task: task(1), attempt: 8, state: DONE };
     let orders = rig.beat("vm-1", 1, EPOCH, vec![shown(TaskState::Running), ended.clone()]);
-    assert_eq!(orders, [Order::Stop { task: task(0), attempt: 7, grace_s: 0.0 }], "nothing starts beside it");
+    assert_eq!(
+        orders,
+        [Command::Stop { task: task(0), attempt: 7, grace_s: 0.0 }],
+        "nothing starts beside it"
+    );
     assert_eq!(rig.leader.unknown_tasks, 1);
     rig.pass(1.0);
     let orders = rig.beat("vm-1", 2, EPOCH, vec![ended.clone()]);
-    assert!(!orders.iter().any(|order| matches!(order, Order::Forget { .. })), "{orders:?}");
+    assert!(!orders.iter().any(|order| matches!(order, Command::Reap { .. })), "{orders:?}");
     rig.commit_all();
     rig.pass(1.0);
     let orders = rig.beat("vm-1", 3, EPOCH, vec![ended.clone()]);
     assert_eq!(starts(&orders).len(), 1, "it is gone");
-    assert!(!orders.iter().any(|order| matches!(order, Order::Forget { .. })), "{orders:?}");
+    assert!(!orders.iter().any(|order| matches!(order, Command::Reap { .. })), "{orders:?}");
     // Its user is told to come back; it is not accepted once more.
     rig.submit(sample("job-1", "red", 2, 1.0));
     rig.fail_commit(StoreError::Conflict);
--- a/src/coordination/urgency.rs
+++ b/src/coordination/urgency.rs
@@ -124,7 +124,7 @@
 
     /// Whether jobs that are to start promptly may use room on the machine.
     pub(super) fn expects_prompt_start(&self, machine: &Machine) -> bool {
-        machine.has_open_room()
+        machine.has_usable_capacity()
             && self
                 .prompt_classes
                 .values()
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -10,10 +10,10 @@
 use super::jobs::TaskId;
 
 /// A worker has turned to another controller when an answer takes this long.
-pub const ANSWER_WITHIN: Duration = Duration::from_secs(4);
+pub const HEARTBEAT_REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Most tasks read from one report; a body of 64 KiB cannot hold more.
-const MAX_REPORTED: usize = 4096;
+const MAX_TASKS_PER_HEARTBEAT: usize = 4096;
 
 /// A machine's name, as given by the cloud.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TaskReport {
+pub struct TaskStatus {
     pub task: TaskId,
     pub attempt: u64,
     pub state: TaskState,
@@ -64,42 +64,42 @@
 
 /// A worker's report of itself and its tasks.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Report {
+pub struct Heartbeat {
     pub machine: MachineId,
     pub address: String,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
-    pub notice_s: Option<f64>,
-    pub tasks: Vec<TaskReport>,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
+    pub preemption_notice_s: Option<f64>,
+    pub tasks: Vec<TaskStatus>,
 }
 
-impl Report {
+impl Heartbeat {
     pub fn decode(value: &Value) -> Result<Self, Malformed> {
         let f = Fields::of(value)?;
         let listed = f.opt_list("sheets")?.unwrap_or_default();
-        if listed.len() > MAX_REPORTED {
+        if listed.len() > MAX_TASKS_PER_HEARTBEAT {
             return Err(Malformed::Invalid("sheets"));
         }
-        Ok(Report {
+        Ok(Heartbeat {
             machine: MachineId::parse(f.text("bench")?).ok_or(Malformed::Invalid("bench"))?,
             address: f.text("address")?.to_owned(),
             machine_type: f.text("build")?.to_owned(),
             zone: f.text("hall")?.to_owned(),
             spot: f.opt_bool("loaners")?.unwrap_or(false),
-            session: f.count("shift")?,
-            seq: f.count("tick")?,
-            token: f.count("baton")?,
-            notice_s: f.opt_amount("recallS")?,
-            tasks: listed.iter().map(decode_task).collect::<Result<_, _>>()?,
+            incarnation: f.count("shift")?,
+            sequence: f.count("tick")?,
+            fencing_token: f.count("baton")?,
+            preemption_notice_s: f.opt_amount("recallS")?,
+            tasks: listed.iter().map(decode_task_status).collect::<Result<_, _>>()?,
         })
     }
 }
 
-fn decode_task(value: &Value) -> Result<TaskReport, Malformed> {
+fn decode_task_status(value: &Value) -> Result<TaskStatus, Malformed> {
     let f = Fields::of(value)?;
     let state = match f.text("standing")? {
         "fetching" => TaskState::Fetching,
@@ -116,7 +116,7 @@
         }),
         _ => return Err(Malformed::Invalid("standing")),
     };
-    Ok(TaskReport {
+    Ok(TaskStatus {
         task: TaskId::parse(f.text("sheet")?).ok_or(Malformed::Invalid("sheet"))?,
         attempt: f.count("try")?,
         state,
@@ -124,18 +124,18 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
+pub enum Command {
     Start { task: TaskId, attempt: u64 },
     Stop { task: TaskId, attempt: u64, grace_s: f64 },
-    Forget { task: TaskId, attempt: u64 },
+    Reap { task: TaskId, attempt: u64 },
 }
 
-impl Order {
+impl Command {
     fn encode(&self) -> Value {
         let (verb, task, attempt, grace) = match self {
-            Order::Start { task, attempt } => ("start", task, attempt, None),
-            Order::Stop { task, attempt, grace_s } => ("stop", task, attempt, Some(*grace_s)),
-            Order::Forget { task, attempt } => ("reap", task, attempt, None),
+            Command::Start { task, attempt } => ("start", task, attempt, None),
+            Command::Stop { task, attempt, grace_s } => ("stop", task, attempt, Some(*grace_s)),
+            Command::Reap { task, attempt } => ("reap", task, attempt, None),
         };
         MapBuilder::new()
             .set("verb", verb)
@@ -146,21 +146,21 @@
     }
 }
 
-fn encode_orders(orders: &[Order]) -> Value {
-    Value::Array(orders.iter().map(Order::encode).collect())
+fn encode_commands(orders: &[Command]) -> Value {
+    Value::Array(orders.iter().map(Command::encode).collect())
 }
 
 /// The answer to a report.
-pub fn report_answer(token: u64, orders: &[Order]) -> Value {
-    MapBuilder::new().set("baton", token).set("orders", encode_orders(orders)).build()
+pub fn encode_heartbeat_reply(token: u64, orders: &[Command]) -> Value {
+    MapBuilder::new().set("baton", token).set("orders", encode_commands(orders)).build()
 }
 
 /// The body of a redirection to the controller that acts for all.
-pub fn report_elsewhere(controller: Option<&str>) -> Value {
+pub fn encode_redirect(controller: Option<&str>) -> Value {
     MapBuilder::new().set_some("foreman", controller).build()
 }
 
 /// Orders sent straight to a worker.
-pub fn direct_orders(token: u64, session: u64, orders: &[Order]) -> Value {
-    MapBuilder::new().set("baton", token).set("shift", session).set("orders", encode_orders(orders)).build()
+pub fn encode_pushed_commands(token: u64, session: u64, orders: &[Command]) -> Value {
+    MapBuilder::new().set("baton", token).set("shift", session).set("orders", encode_commands(orders)).build()
 }
