--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -10,8 +10,8 @@
 
 use shedtally::coordination::agents::HeartbeatReply;
 use shedtally::coordination::config::Config;
-use shedtally::coordination::leader::{Action, Leader};
-use shedtally::coordination::model::ReplyTo;
+use shedtally::coordination::leader::{Effect, Leader};
+use shedtally::coordination::model::ReplyId;
 use shedtally::coordination::takeover::Loaded;
 use shedtally::policy::Tuning;
 use shedtally::protocol::cloud::{MachineType, RentalRequest};
@@ -124,20 +124,20 @@
         let rentals = vec![(RentalRecord { request, machines: Some(ids), used }, 3)];
         let loaded = Loaded { rentals, catalog: Some((vec![kind], 2)), ..Loaded::default() };
         let mut leader = Leader::new(Arc::new(Config { settings, tuning }), EPOCH, now, 0, loaded);
-        leader.extend(now, now + Duration::from_secs(1 << 20));
+        leader.extend_lease(now, now + Duration::from_secs(1 << 20));
         World { leader, now, seq: 0, running: vec![Vec::new(); machines], jobs: 0 }
     }
 
     /// Every write succeeds at once.
     fn settle(&mut self) {
         loop {
-            let actions = self.leader.take_actions();
+            let actions = self.leader.drain_effects();
             if actions.is_empty() {
                 return;
             }
             for action in actions {
-                if let Action::Commit { ticket, .. } = action {
-                    self.leader.committed(self.now, ticket, Ok(ticket + 100));
+                if let Effect::Commit { operation: ticket, .. } = action {
+                    self.leader.handle_commit_result(self.now, ticket, Ok(ticket + 100));
                 }
             }
         }
@@ -145,7 +145,7 @@
 
     fn submit(&mut self, tasks: u32) {
         self.jobs += 1;
-        self.leader.submit(self.now, 0, ReplyTo(u64::from(self.jobs)), spec(self.jobs, tasks));
+        self.leader.submit(self.now, 0, ReplyId(u64::from(self.jobs)), spec(self.jobs, tasks));
         self.settle();
     }
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -167,8 +167,8 @@
         let (_abandoned, never) = watch::channel(0);
         tokio::spawn(election::run(election, store.clone(), String::new(), roles_in, never));
         match tokio::time::timeout(ttl, roles.recv()).await {
-            Ok(Some(Role::Leads { epoch, .. })) => Some(epoch),
-            Ok(Some(Role::Follows { leader, .. })) => {
+            Ok(Some(Role::Leader { epoch, .. })) => Some(epoch),
+            Ok(Some(Role::Follower { leader, .. })) => {
                 return Err(format!("{leader} leads; stop the controllers before a repair"));
             }
             _ => return Err("the state service does not answer".to_owned()),
--- a/src/coordination/agents.rs
+++ b/src/coordination/agents.rs
@@ -37,10 +37,10 @@
     pub fn handle_heartbeat(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
         // An answer with a lower token would be dropped and only hold the
         // worker here while its lease runs out.
-        if report.fencing_token > self.epoch || self.is_over() {
+        if report.fencing_token > self.epoch || self.is_fenced() {
             return HeartbeatReply::Redirect;
         }
-        if !self.valid(now) {
+        if !self.holds_lease(now) {
             return self.handle_heartbeat_after_lease(now, report);
         }
         if self.gone.contains(&report.machine) {
@@ -158,10 +158,10 @@
     pub fn decide_deferred_reply(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
         let stamp = (report.incarnation, report.sequence);
         let current = self.machines.get(&report.machine).is_some_and(|m| m.last_heartbeat == Some(stamp));
-        if self.is_over() || !current || self.ignores_its_stops(now, report) {
+        if self.is_fenced() || !current || self.ignores_its_stops(now, report) {
             return HeartbeatReply::Redirect;
         }
-        if !self.valid(now) {
+        if !self.holds_lease(now) {
             return self.handle_heartbeat_after_lease(now, report);
         }
         let mut orders = self.stop_and_reap_commands(report);
@@ -180,7 +180,7 @@
         &mut self,
         held: impl Iterator<Item = &'a MachineId>,
     ) -> Vec<MachineId> {
-        let ordered = std::mem::take(&mut self.ordered);
+        let ordered = std::mem::take(&mut self.machines_with_commands);
         if !std::mem::take(&mut self.prompt_work) {
             return ordered;
         }
@@ -276,7 +276,7 @@
     /// have. Nothing is decided here; and whoever leads next waits for silent
     /// machines that much longer, see [`super::config::Config::takeover_proof`].
     fn handle_heartbeat_after_lease(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
-        let until = self.until + self.config.lapse_window();
+        let until = self.lease_expiry + self.config.post_lease_grace();
         if self.ignores_its_stops(now, report) {
             return HeartbeatReply::Redirect;
         }
@@ -351,7 +351,7 @@
                 "tasks of jobs that are not in the picture; stopping them"
             );
         }
-        self.unknown_tasks += count as u64;
+        self.orphan_tasks += count as u64;
         // What they take is counted with the queue's order.
         self.queue_at = None;
     }
--- a/src/coordination/answers.rs
+++ b/src/coordination/answers.rs
@@ -12,7 +12,7 @@
 use crate::maps::HashMap;
 use crate::protocol::cbor::{decode, encode};
 use crate::protocol::jobs::{JobId, JobStatus, refusal};
-use crate::transport::peer::{LeaseNote, PeerReply};
+use crate::transport::peer::{PeerReply, RemainingLease};
 
 /// An answer to a user.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,55 +21,55 @@
     pub body: Vec<u8>,
     pub retry_after_s: Option<u32>,
     /// The state of a job that it tells, if it tells one.
-    pub told: Option<JobStatus>,
+    pub job_status: Option<JobStatus>,
     /// Until when it may be told; `None`: for good.
-    pub basis: Option<Basis>,
+    pub validity: Option<Validity>,
 }
 
 /// What an answer that is not final rests on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Basis {
+pub struct Validity {
     /// The epoch under which it was decided; 0 where it was read from a record.
     pub epoch: u64,
     /// The end of that epoch's lease, as far as it was known then; or of the time that
     /// a read of a record counts as fresh.
-    pub until: Instant,
+    pub valid_until: Instant,
 }
 
 impl Answer {
     pub fn new(status: u16, body: &ciborium::value::Value) -> Self {
-        Answer { status, body: encode(body), retry_after_s: None, told: None, basis: None }
+        Answer { status, body: encode(body), retry_after_s: None, job_status: None, validity: None }
     }
 
-    pub fn refused(status: u16, reason: &str) -> Self {
+    pub fn error(status: u16, reason: &str) -> Self {
         Answer::new(status, &refusal(reason))
     }
 
     /// Can't be taken now: said at once, with a time to come back.
-    pub fn later(status: u16, reason: &str, after_s: u32) -> Self {
-        Answer { retry_after_s: Some(after_s.clamp(1, 30)), ..Answer::refused(status, reason) }
+    pub fn retry_later(status: u16, reason: &str, after_s: u32) -> Self {
+        Answer { retry_after_s: Some(after_s.clamp(1, 30)), ..Answer::error(status, reason) }
     }
 
     /// A job's state. One that is not final holds as long as its basis.
-    pub fn state(status: u16, job: JobStatus, basis: Basis) -> Self {
+    pub fn job_state(status: u16, job: JobStatus, basis: Validity) -> Self {
         let basis = (!job.standing.is_final()).then_some(basis);
-        Answer { told: Some(job.clone()), basis, ..Answer::new(status, &job.encode()) }
+        Answer { job_status: Some(job.clone()), validity: basis, ..Answer::new(status, &job.encode()) }
     }
 
     /// A job's final state: true whoever leads, and whenever it is sent.
-    pub fn final_state(job: JobStatus) -> Self {
-        Answer { told: Some(job.clone()), ..Answer::new(200, &job.encode()) }
+    pub fn terminal_state(job: JobStatus) -> Self {
+        Answer { job_status: Some(job.clone()), ..Answer::new(200, &job.encode()) }
     }
 
     /// The last step before it is sent: one that has outlived its basis is not told.
-    pub fn at_sending(self, now: Instant) -> Self {
-        match self.basis {
-            Some(basis) if now >= basis.until => {
+    pub fn checked_at_sending(self, now: Instant) -> Self {
+        match self.validity {
+            Some(basis) if now >= basis.valid_until => {
                 tracing::info!(
                     epoch = basis.epoch,
                     "an answer has outlived what it rested on; it is not sent"
                 );
-                Answer::later(503, "leadership may have changed", 1)
+                Answer::retry_later(503, "leadership may have changed", 1)
             }
             _ => self,
         }
@@ -77,8 +77,9 @@
 
     /// The answer as another controller gets it, which learns how long it holds.
     pub fn into_reply(self, now: Instant) -> PeerReply {
-        let Answer { status, body, retry_after_s, basis, .. } = self.at_sending(now);
-        let lease = basis.map(|basis| LeaseNote { epoch: basis.epoch, left: basis.until - now });
+        let Answer { status, body, retry_after_s, validity: basis, .. } = self.checked_at_sending(now);
+        let lease =
+            basis.map(|basis| RemainingLease { epoch: basis.epoch, remaining: basis.valid_until - now });
         PeerReply { status, body, retry_after_s, lease }
     }
 }
@@ -93,7 +94,7 @@
     #[error("it is about another job")]
     OtherJob,
     #[error("it answers a cancellation with a state that is not final")]
-    NotFinal,
+    NotTerminal,
     #[error("it was decided in an epoch that is over")]
     Stale,
 }
@@ -104,7 +105,7 @@
 /// time that the reply names left when it was sent, which was later, so counting from
 /// `asked` never makes it longer. A reply that names none is of a build before leases were
 /// named, or rests on a record; it counts until `fresh_until`.
-pub fn forwarded(
+pub fn from_peer_reply(
     reply: PeerReply,
     job: &JobId,
     asked: Instant,
@@ -115,7 +116,7 @@
     match status {
         200 | 201 => {}
         400 | 404 | 422 | 429 | 503 | 504 => {
-            return Ok(Answer { status, body, retry_after_s, told: None, basis: None });
+            return Ok(Answer { status, body, retry_after_s, job_status: None, validity: None });
         }
         _ => return Err(UnusableReply::Status),
     }
@@ -125,57 +126,57 @@
         return Err(UnusableReply::OtherJob);
     }
     if told.standing.is_final() {
-        return Ok(Answer { status, ..Answer::final_state(told) });
+        return Ok(Answer { status, ..Answer::terminal_state(told) });
     }
     let basis = match lease {
-        Some(lease) => Basis { epoch: lease.epoch, until: asked + lease.left },
-        None => Basis { epoch: 0, until: fresh_until },
+        Some(lease) => Validity { epoch: lease.epoch, valid_until: asked + lease.remaining },
+        None => Validity { epoch: 0, valid_until: fresh_until },
     };
     if basis.epoch > 0 && basis.epoch < newest_epoch {
         return Err(UnusableReply::Stale);
     }
-    Ok(Answer::state(status, told, basis))
+    Ok(Answer::job_state(status, told, basis))
 }
 
 /// Final states that were told, or learnt from records. Bounded: two generations, the
 /// older dropped when the younger is full. What is dropped is in the records.
 #[derive(Debug)]
-pub struct ToldStates {
-    young: HashMap<JobId, JobStatus>,
-    old: HashMap<JobId, JobStatus>,
-    most: usize,
+pub struct TerminalStates {
+    recent: HashMap<JobId, JobStatus>,
+    older: HashMap<JobId, JobStatus>,
+    capacity: usize,
 }
 
-impl ToldStates {
+impl TerminalStates {
     pub fn new(most: usize) -> Self {
-        ToldStates { young: HashMap::default(), old: HashMap::default(), most }
+        TerminalStates { recent: HashMap::default(), older: HashMap::default(), capacity: most }
     }
 
     pub fn insert(&mut self, status: JobStatus) {
         if self.get(&status.id).is_some() {
             return;
         }
-        if self.young.len() >= self.most / 2 {
-            self.old = std::mem::take(&mut self.young);
+        if self.recent.len() >= self.capacity / 2 {
+            self.older = std::mem::take(&mut self.recent);
         }
-        self.young.insert(status.id.clone(), status);
+        self.recent.insert(status.id.clone(), status);
     }
 
     pub fn get(&self, job: &JobId) -> Option<&JobStatus> {
-        self.young.get(job).or_else(|| self.old.get(job))
+        self.recent.get(job).or_else(|| self.older.get(job))
     }
 
     /// What is told of a job: the final state if one is known, else the answer, which
     /// is remembered if it tells one.
-    pub fn settle(&mut self, job: &JobId, answer: Answer) -> Answer {
+    pub fn resolve(&mut self, job: &JobId, answer: Answer) -> Answer {
         if let Some(known) = self.get(job) {
             let differs = |told: &JobStatus| told.standing != known.standing;
-            if answer.told.as_ref().is_some_and(|told| told.standing.is_final() && differs(told)) {
+            if answer.job_status.as_ref().is_some_and(|told| told.standing.is_final() && differs(told)) {
                 tracing::error!(%job, known = known.standing.word(), "two final states; the first is told");
             }
-            return Answer::final_state(known.clone());
+            return Answer::terminal_state(known.clone());
         }
-        if let Some(told) = answer.told.as_ref().filter(|told| told.standing.is_final()) {
+        if let Some(told) = answer.job_status.as_ref().filter(|told| told.standing.is_final()) {
             self.insert(told.clone());
         }
         answer
--- a/src/coordination/answers/tests.rs
+++ b/src/coordination/answers/tests.rs
@@ -8,7 +8,7 @@
     JobStatus { id: JobId::parse(job).expect("valid"), standing, done: 0, running: 0 }
 }
 
-fn reply(job: &str, standing: Standing, lease: Option<LeaseNote>) -> PeerReply {
+fn reply(job: &str, standing: Standing, lease: Option<RemainingLease>) -> PeerReply {
     PeerReply { status: 200, body: encode(&status(job, standing).encode()), retry_after_s: None, lease }
 }
 
@@ -16,17 +16,21 @@
 #[test]
 fn a_state_that_is_not_final_is_told_only_while_its_lease_holds() {
     let until = Instant::now() + Duration::from_secs(2);
-    let basis = Basis { epoch: 7, until };
+    let basis = Validity { epoch: 7, valid_until: until };
     let before = until - Duration::from_millis(1);
-    let running = Answer::state(200, status("job-1", Standing::Running), basis);
-    assert_eq!(running.clone().at_sending(before), running);
-    let refused = running.clone().at_sending(until);
+    let running = Answer::job_state(200, status("job-1", Standing::Running), basis);
+    assert_eq!(running.clone().checked_at_sending(before), running);
+    let refused = running.clone().checked_at_sending(until);
     assert_eq!((refused.status, refused.retry_after_s), (503, Some(1)));
-    let done = Answer::state(200, status("job-1", Standing::Done), basis);
-    assert_eq!(done.clone().at_sending(until + Duration::from_secs(600)), done, "final states hold for good");
+    let done = Answer::job_state(200, status("job-1", Standing::Done), basis);
+    assert_eq!(
+        done.clone().checked_at_sending(until + Duration::from_secs(600)),
+        done,
+        "final states hold for good"
+    );
     // The same on the way to another controller, which is told what is left.
     let lease = running.clone().into_reply(until - Duration::from_secs(1)).lease;
-    assert_eq!(lease, Some(LeaseNote { epoch: 7, left: Duration::from_secs(1) }));
+    assert_eq!(lease, Some(RemainingLease { epoch: 7, remaining: Duration::from_secs(1) }));
     assert_eq!(running.into_reply(until).status, 503);
     assert_eq!(done.into_reply(until).lease, None);
 }
@@ -35,19 +39,19 @@
 #[test]
 fn a_final_state_that_was_told_wins_over_every_other_answer() {
     let job = JobId::parse("job-1").expect("valid");
-    let basis = Basis { epoch: 7, until: Instant::now() + Duration::from_secs(2) };
-    let queued = Answer::state(200, status("job-1", Standing::Queued), basis);
-    let mut told = ToldStates::new(4);
-    assert_eq!(told.settle(&job, queued.clone()), queued);
-    let done = Answer::final_state(status("job-1", Standing::Done));
-    assert_eq!(told.settle(&job, done.clone()), done);
-    let cancelled = Answer::final_state(status("job-1", Standing::Cancelled));
-    for late in [queued, cancelled, Answer::refused(404, "no such job"), Answer::later(503, "busy", 1)] {
-        assert_eq!(told.settle(&job, late), done);
+    let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(2) };
+    let queued = Answer::job_state(200, status("job-1", Standing::Queued), basis);
+    let mut told = TerminalStates::new(4);
+    assert_eq!(told.resolve(&job, queued.clone()), queued);
+    let done = Answer::terminal_state(status("job-1", Standing::Done));
+    assert_eq!(told.resolve(&job, done.clone()), done);
+    let cancelled = Answer::terminal_state(status("job-1", Standing::Cancelled));
+    for late in [queued, cancelled, Answer::error(404, "no such job"), Answer::retry_later(503, "busy", 1)] {
+        assert_eq!(told.resolve(&job, late), done);
     }
     // Small memories turn over; what is told twice does not take two places.
     for n in 2..6 {
-        told.settle(&job, done.clone());
+        told.resolve(&job, done.clone());
         told.insert(status(&format!("job-{n}"), Standing::Done));
     }
     assert!(told.get(&job).is_none() && told.get(&JobId::parse("job-5").expect("valid")).is_some());
@@ -58,21 +62,21 @@
     let job = JobId::parse("job-1").expect("valid");
     let asked = Instant::now();
     let fresh_until = asked + Duration::from_secs(3);
-    let taken = |reply| forwarded(reply, &job, asked, fresh_until, 7);
+    let taken = |reply| from_peer_reply(reply, &job, asked, fresh_until, 7);
     let left = Duration::from_millis(1500);
-    let lease = |epoch| Some(LeaseNote { epoch, left });
+    let lease = |epoch| Some(RemainingLease { epoch, remaining: left });
     // However long the reply was on its way, the lease counts from the asking.
     let answer = taken(reply("job-1", Standing::Running, lease(7))).expect("sound");
-    assert_eq!(answer.basis, Some(Basis { epoch: 7, until: asked + left }));
+    assert_eq!(answer.validity, Some(Validity { epoch: 7, valid_until: asked + left }));
     assert!(taken(reply("job-1", Standing::Running, lease(8))).is_ok(), "newer than what is known here");
     assert_eq!(taken(reply("job-1", Standing::Running, lease(6))), Err(UnusableReply::Stale));
     assert_eq!(taken(reply("job-2", Standing::Running, lease(7))), Err(UnusableReply::OtherJob));
-    assert_eq!(taken(reply("job-1", Standing::Done, None)).expect("sound").basis, None);
+    assert_eq!(taken(reply("job-1", Standing::Done, None)).expect("sound").validity, None);
     // From a build before, or read from a record.
     let old = taken(reply("job-1", Standing::Queued, None)).expect("sound");
-    assert_eq!(old.basis, Some(Basis { epoch: 0, until: fresh_until }));
+    assert_eq!(old.validity, Some(Validity { epoch: 0, valid_until: fresh_until }));
     let read = taken(reply("job-1", Standing::Queued, lease(0))).expect("sound");
-    assert_eq!(read.basis, Some(Basis { epoch: 0, until: asked + left }));
+    assert_eq!(read.validity, Some(Validity { epoch: 0, valid_until: asked + left }));
     let body = |body: Vec<u8>, status| PeerReply { status, body, retry_after_s: None, lease: None };
     for junk in [b"junk".to_vec(), Vec::new(), encode(&MapBuilder::new().set("nameId", "job-1").build())] {
         assert_eq!(taken(body(junk, 200)), Err(UnusableReply::Malformed));
--- a/src/coordination/authority.rs
+++ b/src/coordination/authority.rs
@@ -12,20 +12,20 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-use super::answers::Basis;
+use super::answers::Validity;
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::Command;
 
 /// How a controller stands to its epoch.
 #[derive(Debug, Clone, Copy)]
-pub struct Tenure {
+pub struct LeadershipTerm {
     pub epoch: u64,
     /// The end of the lease, by the local clock and from the sending of the renewal.
-    pub lease_until: Instant,
+    pub lease_expiry: Instant,
     /// Until when workers may be answered with nothing but stops of what is over.
-    pub lapse_until: Instant,
+    pub grace_expiry: Instant,
     /// Another leads, or will.
-    pub is_over: bool,
+    pub is_fenced: bool,
 }
 
 /// What a start rests on.
@@ -34,15 +34,15 @@
     /// Neither cancelled nor settled, and no cancellation is under way.
     pub job_is_live: bool,
     /// It awaits nothing, or all that it awaits is known to be done by commits.
-    pub needs_are_done: bool,
+    pub dependencies_are_done: bool,
     /// The committed record says that this task may have begun.
-    pub begun_is_recorded: bool,
+    pub start_is_recorded: bool,
     /// The task is done by its record.
     pub task_is_done: bool,
     /// The task is counted on no machine, and on none that was not heard.
     pub is_on_no_machine: bool,
     /// The committed fleet record says that the machine may hold tasks.
-    pub machine_is_recorded: bool,
+    pub machine_use_is_recorded: bool,
     /// The last attempt number that was given out in this epoch.
     pub last_attempt: u64,
 }
@@ -51,21 +51,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
     #[error("the epoch is over")]
-    EpochOver,
+    Fenced,
     #[error("the lease has ended")]
-    LeaseOver,
+    LeaseExpired,
     #[error("the job is over, or being cancelled")]
     JobNotLive,
     #[error("a job that it awaits is not known to be done")]
-    NeedsNotDone,
+    DependenciesNotDone,
     #[error("the record does not say that it may have begun")]
-    BeginNotRecorded,
+    StartNotRecorded,
     #[error("the task is done")]
     TaskDone,
     #[error("the task may be on a machine")]
     MayBeRunning,
     #[error("the fleet record does not say that the machine may hold tasks")]
-    MachineNotRecorded,
+    MachineUseNotRecorded,
     #[error("the attempt number was used before")]
     AttemptReused,
 }
@@ -79,34 +79,34 @@
 
 /// The right to have something done that only a leader under a valid lease may decide.
 #[derive(Debug, Clone, Copy)]
-pub struct LeadPermit(());
+pub struct LeaderPermit(());
 
-impl Tenure {
+impl LeadershipTerm {
     /// Whether anything may be decided in the epoch's name now.
-    pub fn lead(&self, now: Instant) -> Result<LeadPermit, Refusal> {
+    pub fn leader_permit(&self, now: Instant) -> Result<LeaderPermit, Refusal> {
         match self {
-            Tenure { is_over: true, .. } => Err(Refusal::EpochOver),
-            _ if now >= self.lease_until => Err(Refusal::LeaseOver),
-            _ => Ok(LeadPermit(())),
+            LeadershipTerm { is_fenced: true, .. } => Err(Refusal::Fenced),
+            _ if now >= self.lease_expiry => Err(Refusal::LeaseExpired),
+            _ => Ok(LeaderPermit(())),
         }
     }
 
     /// Whether a task may start as this attempt.
-    pub fn start(
+    pub fn start_permit(
         &self,
         now: Instant,
         task: TaskId,
         attempt: u64,
         evidence: StartEvidence,
     ) -> Result<StartPermit, Refusal> {
-        self.lead(now)?;
+        self.leader_permit(now)?;
         let demands = [
             (evidence.job_is_live, Refusal::JobNotLive),
-            (evidence.needs_are_done, Refusal::NeedsNotDone),
-            (evidence.begun_is_recorded, Refusal::BeginNotRecorded),
+            (evidence.dependencies_are_done, Refusal::DependenciesNotDone),
+            (evidence.start_is_recorded, Refusal::StartNotRecorded),
             (!evidence.task_is_done, Refusal::TaskDone),
             (evidence.is_on_no_machine, Refusal::MayBeRunning),
-            (evidence.machine_is_recorded, Refusal::MachineNotRecorded),
+            (evidence.machine_use_is_recorded, Refusal::MachineUseNotRecorded),
             (attempt > evidence.last_attempt, Refusal::AttemptReused),
         ];
         match demands.into_iter().find(|(met, _)| !met) {
@@ -118,16 +118,16 @@
     /// Until when an answer to a worker may leave. One that decides something holds as long
     /// as the lease; one that only stops what is over, and keeps the worker's lease, as long
     /// as a lapsed leader may give such answers.
-    pub fn worker_answer(&self, orders: &[Command]) -> Basis {
+    pub fn heartbeat_reply_validity(&self, orders: &[Command]) -> Validity {
         let decides = orders.iter().any(|order| !matches!(order, Command::Stop { .. }));
-        let until = if decides { self.lease_until } else { self.lapse_until };
-        Basis { epoch: self.epoch, until }
+        let until = if decides { self.lease_expiry } else { self.grace_expiry };
+        Validity { epoch: self.epoch, valid_until: until }
     }
 }
 
 impl StartPermit {
     /// The order, for the answer to the report of the machine that was asked about.
-    pub fn order(self) -> Command {
+    pub fn into_command(self) -> Command {
         Command::Start { task: self.task, attempt: self.attempt }
     }
 }
@@ -138,9 +138,9 @@
     #[error("a start was refused that had been decided: {0}")]
     Start(Refusal),
     #[error("a job with tasks on machines would have left memory")]
-    JobLeavesWithTasks,
+    JobEvictedWithTasks,
     #[error("a record says that a job has begun whose needs are not done")]
-    BegunBeforeNeeds,
+    StartedBeforeDependencies,
     #[error("a leader would have begun anew in an epoch that it had before")]
     EpochReused,
 }
--- a/src/coordination/authority/tests.rs
+++ b/src/coordination/authority/tests.rs
@@ -5,8 +5,13 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn tenure(now: Instant) -> Tenure {
-    Tenure { epoch: 7, lease_until: now + SECOND * 3, lapse_until: now + SECOND * 10, is_over: false }
+fn tenure(now: Instant) -> LeadershipTerm {
+    LeadershipTerm {
+        epoch: 7,
+        lease_expiry: now + SECOND * 3,
+        grace_expiry: now + SECOND * 10,
+        is_fenced: false,
+    }
 }
 
 fn task() -> TaskId {
@@ -16,11 +21,11 @@
 fn sound() -> StartEvidence {
     StartEvidence {
         job_is_live: true,
-        needs_are_done: true,
-        begun_is_recorded: true,
+        dependencies_are_done: true,
+        start_is_recorded: true,
         task_is_done: false,
         is_on_no_machine: true,
-        machine_is_recorded: true,
+        machine_use_is_recorded: true,
         last_attempt: 4,
     }
 }
@@ -28,25 +33,29 @@
 #[test]
 fn a_right_ends_with_the_lease_and_with_the_epoch() {
     let now = Instant::now();
-    assert!(tenure(now).lead(now + SECOND * 2).is_ok());
-    assert_eq!(tenure(now).lead(now + SECOND * 3).err(), Some(Refusal::LeaseOver));
-    assert_eq!(Tenure { is_over: true, ..tenure(now) }.lead(now).err(), Some(Refusal::EpochOver));
+    assert!(tenure(now).leader_permit(now + SECOND * 2).is_ok());
+    assert_eq!(tenure(now).leader_permit(now + SECOND * 3).err(), Some(Refusal::LeaseExpired));
+    assert_eq!(
+        LeadershipTerm { is_fenced: true, ..tenure(now) }.leader_permit(now).err(),
+        Some(Refusal::Fenced)
+    );
 }
 
 /// Each piece of evidence by itself: without it there is no start.
 #[test]
 fn a_start_needs_all_of_its_evidence() {
     let now = Instant::now();
-    let start = |evidence, at| tenure(now).start(at, task(), 5, evidence).map(StartPermit::order);
+    let start =
+        |evidence, at| tenure(now).start_permit(at, task(), 5, evidence).map(StartPermit::into_command);
     assert_eq!(start(sound(), now), Ok(Command::Start { task: task(), attempt: 5 }));
-    assert_eq!(start(sound(), now + SECOND * 3), Err(Refusal::LeaseOver));
+    assert_eq!(start(sound(), now + SECOND * 3), Err(Refusal::LeaseExpired));
     for (evidence, refusal) in [
         (StartEvidence { job_is_live: false, ..sound() }, Refusal::JobNotLive),
-        (StartEvidence { needs_are_done: false, ..sound() }, Refusal::NeedsNotDone),
-        (StartEvidence { begun_is_recorded: false, ..sound() }, Refusal::BeginNotRecorded),
+        (StartEvidence { dependencies_are_done: false, ..sound() }, Refusal::DependenciesNotDone),
+        (StartEvidence { start_is_recorded: false, ..sound() }, Refusal::StartNotRecorded),
         (StartEvidence { task_is_done: true, ..sound() }, Refusal::TaskDone),
         (StartEvidence { is_on_no_machine: false, ..sound() }, Refusal::MayBeRunning),
-        (StartEvidence { machine_is_recorded: false, ..sound() }, Refusal::MachineNotRecorded),
+        (StartEvidence { machine_use_is_recorded: false, ..sound() }, Refusal::MachineUseNotRecorded),
         (StartEvidence { last_attempt: 5, ..sound() }, Refusal::AttemptReused),
     ] {
         assert_eq!(start(evidence, now), Err(refusal));
@@ -60,7 +69,7 @@
     let stop = Command::Stop { task: task(), attempt: 1, grace_s: 0.0 };
     let forget = Command::Reap { task: task(), attempt: 1 };
     let start = Command::Start { task: task(), attempt: 1 };
-    let until = |orders: &[Command]| tenure.worker_answer(orders).until;
-    assert_eq!([until(&[]), until(std::slice::from_ref(&stop))], [tenure.lapse_until; 2]);
-    assert_eq!([until(&[stop.clone(), start]), until(&[stop, forget])], [tenure.lease_until; 2]);
+    let until = |orders: &[Command]| tenure.heartbeat_reply_validity(orders).valid_until;
+    assert_eq!([until(&[]), until(std::slice::from_ref(&stop))], [tenure.grace_expiry; 2]);
+    assert_eq!([until(&[stop.clone(), start]), until(&[stop, forget])], [tenure.lease_expiry; 2]);
 }
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -18,7 +18,7 @@
     /// By then a worker whose last answered report arrived at the start of
     /// this time has given up its lease and killed its tasks: its lease, the
     /// drift of both clocks, and a margin for timer steps.
-    pub fn lease_proof(&self) -> Duration {
+    pub fn worker_lease_timeout(&self) -> Duration {
         let workers = &self.settings.cluster.workers;
         workers.lease().mul_f64(1.002) + workers.report() / 4
     }
@@ -27,21 +27,21 @@
     /// with its tasks: the last answer must leave it time to lose its lease, by the
     /// proof that leaders go by, before the cancellation must have ended everything;
     /// less what an answer may take to arrive.
-    pub fn answers_after_cancelling(&self) -> Duration {
+    pub fn cancelled_task_reply_window(&self) -> Duration {
         let cancellation = self.settings.cluster.workers.cancellation();
-        cancellation.saturating_sub(self.lease_proof() + HEARTBEAT_REPLY_TIMEOUT)
+        cancellation.saturating_sub(self.worker_lease_timeout() + HEARTBEAT_REPLY_TIMEOUT)
     }
 
     /// How long after its lease has lapsed a leader still answers reports,
     /// without anything but stops. It may not know of cancellations that another
     /// has confirmed since then.
-    pub fn lapse_window(&self) -> Duration {
-        self.answers_after_cancelling().min(self.settings.cluster.workers.lease() / 2)
+    pub fn post_lease_grace(&self) -> Duration {
+        self.cancelled_task_reply_window().min(self.settings.cluster.workers.lease() / 2)
     }
 
     /// The same proof for a machine that this leader has never answered: an
     /// earlier one may have answered it until the end of its lapse window.
-    pub fn takeover_proof(&self) -> Duration {
-        self.lease_proof() + self.lapse_window()
+    pub fn failover_lease_timeout(&self) -> Duration {
+        self.worker_lease_timeout() + self.post_lease_grace()
     }
 }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -19,34 +19,34 @@
 use crate::transport::client::{Call, ClientError};
 
 /// Part of the lease given up against drift, timer steps and late wake-ups.
-const MARGIN: f64 = 0.03;
+const CLOCK_DRIFT_MARGIN: f64 = 0.03;
 /// Renewals within one lease time.
-const RENEWALS: u32 = 4;
+const RENEWALS_PER_LEASE: u32 = 4;
 
 /// What others see of the election.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
     /// Nothing is known yet, or nobody leads.
     Leaderless,
-    Follows {
+    Follower {
         leader: String,
         epoch: u64,
     },
     /// Leads until then at least; afterwards nothing may be done in the
     /// epoch's name until it is extended.
-    Leads {
+    Leader {
         epoch: u64,
-        until: Instant,
+        lease_expiry: Instant,
     },
 }
 
 /// The next thing to do with the state service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    Read,
-    MakeLease,
+    ReadLeader,
+    GrantLease,
     Acquire { lease: u64 },
-    EndLease { lease: u64 },
+    RevokeLease { lease: u64 },
     Watch { from: u64 },
     Renew { lease: u64 },
     Wait { until: Instant },
@@ -56,20 +56,20 @@
 pub enum AcquireOutcome {
     Won { epoch: u64 },
     Lost,
-    LeaseGone,
+    LeaseExpired,
     Unknown,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RenewOutcome {
     Renewed,
-    Gone,
+    LeaseExpired,
     Failed,
 }
 
 /// The leader key as read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Holder {
+pub struct LeaderRecord {
     pub name: String,
     pub incarnation: String,
     pub version: u64,
@@ -80,16 +80,16 @@
 struct Lease {
     id: u64,
     /// When the last request that certainly set its time was sent.
-    sent: Instant,
+    requested_at: Instant,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
-    Look,
+    Unknown,
     Vacant,
-    Following { holder: Holder },
-    Leading { epoch: u64, renew_at: Instant, until: Instant, confirm: bool },
-    Ending { lease: u64 },
+    Following { holder: LeaderRecord },
+    Leading { epoch: u64, renew_at: Instant, lease_expiry: Instant, needs_confirmation: bool },
+    Revoking { lease: u64 },
 }
 
 #[derive(Debug)]
@@ -99,9 +99,9 @@
     ttl: Duration,
     state: State,
     lease: Option<Lease>,
-    pause: Option<Instant>,
+    paused_until: Option<Instant>,
     /// When the state service last said who leads.
-    heard: Option<Instant>,
+    last_contact: Option<Instant>,
 }
 
 impl Election {
@@ -110,69 +110,73 @@
             name: name.to_owned(),
             incarnation: incarnation.to_owned(),
             ttl,
-            state: State::Look,
+            state: State::Unknown,
             lease: None,
-            pause: None,
-            heard: None,
+            paused_until: None,
+            last_contact: None,
         }
     }
 
     pub fn role(&self) -> Role {
         match &self.state {
-            State::Leading { epoch, until, .. } => Role::Leads { epoch: *epoch, until: *until },
+            State::Leading { epoch, lease_expiry: until, .. } => {
+                Role::Leader { epoch: *epoch, lease_expiry: *until }
+            }
             State::Following { holder } => {
-                Role::Follows { leader: holder.name.clone(), epoch: holder.version }
+                Role::Follower { leader: holder.name.clone(), epoch: holder.version }
             }
             _ => Role::Leaderless,
         }
     }
 
-    pub fn next(&mut self, now: Instant) -> Step {
-        if let Some(until) = self.pause {
+    pub fn next_step(&mut self, now: Instant) -> Step {
+        if let Some(until) = self.paused_until {
             if now < until {
                 return Step::Wait { until };
             }
-            self.pause = None;
+            self.paused_until = None;
         }
         match &self.state {
-            State::Look => Step::Read,
+            State::Unknown => Step::ReadLeader,
             State::Vacant => match self.lease {
-                None => Step::MakeLease,
+                None => Step::GrantLease,
                 // With little time left it would be lost soon after winning.
-                Some(lease) if now > lease.sent + self.ttl / 3 => Step::EndLease { lease: lease.id },
+                Some(lease) if now > lease.requested_at + self.ttl / 3 => {
+                    Step::RevokeLease { lease: lease.id }
+                }
                 Some(lease) => Step::Acquire { lease: lease.id },
             },
             State::Following { holder } => match self.lease {
-                Some(lease) => Step::EndLease { lease: lease.id },
+                Some(lease) => Step::RevokeLease { lease: lease.id },
                 None => Step::Watch { from: holder.version },
             },
-            State::Leading { renew_at, confirm, .. } => match self.lease {
-                _ if *confirm => Step::Read,
+            State::Leading { renew_at, needs_confirmation: confirm, .. } => match self.lease {
+                _ if *confirm => Step::ReadLeader,
                 Some(lease) if now >= *renew_at => Step::Renew { lease: lease.id },
                 _ => Step::Wait { until: *renew_at },
             },
-            State::Ending { lease } => Step::EndLease { lease: *lease },
+            State::Revoking { lease } => Step::RevokeLease { lease: *lease },
         }
     }
 
-    fn pause(&mut self, now: Instant) {
-        self.pause = Some(now + self.ttl / 20);
+    fn pause_before_retry(&mut self, now: Instant) {
+        self.paused_until = Some(now + self.ttl / 20);
     }
 
     /// When the lease ends by our own clock, counted from the sending.
-    fn end(&self, sent: Instant) -> Instant {
-        sent + self.ttl.mul_f64(1.0 - MARGIN)
+    fn lease_expiry(&self, sent: Instant) -> Instant {
+        sent + self.ttl.mul_f64(1.0 - CLOCK_DRIFT_MARGIN)
     }
 
-    pub fn on_read(&mut self, now: Instant, found: Result<Option<Holder>, ()>) {
-        let Ok(found) = found else { return self.unheard(now) };
-        self.heard = Some(now);
-        if let State::Leading { epoch, confirm, .. } = &mut self.state {
+    pub fn on_read(&mut self, now: Instant, found: Result<Option<LeaderRecord>, ()>) {
+        let Ok(found) = found else { return self.on_no_answer(now) };
+        self.last_contact = Some(now);
+        if let State::Leading { epoch, needs_confirmation: confirm, .. } = &mut self.state {
             if found.as_ref().is_some_and(|h| h.version == *epoch && h.incarnation == self.incarnation) {
                 *confirm = false;
                 return;
             }
-            self.state = State::Look;
+            self.state = State::Unknown;
             self.lease = None;
         }
         self.state = match found {
@@ -181,12 +185,12 @@
                 // The answer to our acquire was lost, but it was carried out.
                 Some(lease) if holder.lease == Some(lease.id) => State::Leading {
                     epoch: holder.version,
-                    renew_at: lease.sent + self.ttl / RENEWALS,
-                    until: self.end(lease.sent),
-                    confirm: false,
+                    renew_at: lease.requested_at + self.ttl / RENEWALS_PER_LEASE,
+                    lease_expiry: self.lease_expiry(lease.requested_at),
+                    needs_confirmation: false,
                 },
                 // Ours, but by a lease whose time we no longer know.
-                _ => holder.lease.map_or(State::Look, |lease| State::Ending { lease }),
+                _ => holder.lease.map_or(State::Unknown, |lease| State::Revoking { lease }),
             },
             // A controller's name is used by one process at a time: a later
             // one is started only once the former has ended. Whoever holds the
@@ -194,19 +198,19 @@
             // sends nothing any more, and its lease may be ended at once. What
             // it sent before is fenced by the epoch like that of any other.
             Some(holder) if holder.name == self.name => {
-                holder.lease.map_or(State::Look, |lease| State::Ending { lease })
+                holder.lease.map_or(State::Unknown, |lease| State::Revoking { lease })
             }
             Some(holder) => State::Following { holder },
         };
-        if self.state == State::Look {
-            self.pause(now);
+        if self.state == State::Unknown {
+            self.pause_before_retry(now);
         }
     }
 
-    pub fn on_lease(&mut self, now: Instant, sent: Instant, made: Option<u64>) {
+    pub fn on_lease_granted(&mut self, now: Instant, sent: Instant, made: Option<u64>) {
         match made {
-            Some(id) => self.lease = Some(Lease { id, sent }),
-            None => self.pause(now),
+            Some(id) => self.lease = Some(Lease { id, requested_at: sent }),
+            None => self.pause_before_retry(now),
         }
     }
 
@@ -215,54 +219,58 @@
             (AcquireOutcome::Won { epoch }, Some(lease)) => {
                 self.state = State::Leading {
                     epoch,
-                    renew_at: lease.sent + self.ttl / RENEWALS,
-                    until: self.end(lease.sent),
-                    confirm: false,
+                    renew_at: lease.requested_at + self.ttl / RENEWALS_PER_LEASE,
+                    lease_expiry: self.lease_expiry(lease.requested_at),
+                    needs_confirmation: false,
                 };
             }
-            (AcquireOutcome::LeaseGone, _) => {
+            (AcquireOutcome::LeaseExpired, _) => {
                 self.lease = None;
-                self.state = State::Look;
+                self.state = State::Unknown;
             }
             // Whether won or lost, the key itself tells.
             (AcquireOutcome::Unknown, _) => {
-                self.state = State::Look;
-                self.pause(now);
+                self.state = State::Unknown;
+                self.pause_before_retry(now);
             }
-            _ => self.state = State::Look,
+            _ => self.state = State::Unknown,
         }
     }
 
-    pub fn on_end_lease(&mut self, now: Instant, lease: u64, ended: bool) {
+    pub fn on_lease_revoked(&mut self, now: Instant, lease: u64, ended: bool) {
         if self.lease.is_some_and(|l| l.id == lease) {
             // Not ended for certain is no harm: it runs out by itself, and a
             // key attached to it goes with it.
             self.lease = None;
         }
-        if let State::Ending { .. } = self.state {
-            self.state = State::Look;
+        if let State::Revoking { .. } = self.state {
+            self.state = State::Unknown;
             if !ended {
-                self.pause(now);
+                self.pause_before_retry(now);
             }
         }
     }
 
     pub fn on_renew(&mut self, now: Instant, sent: Instant, outcome: RenewOutcome) {
-        let (ttl, end) = (self.ttl, self.end(sent));
-        let State::Leading { renew_at, until, confirm, .. } = &mut self.state else { return };
+        let (ttl, end) = (self.ttl, self.lease_expiry(sent));
+        let State::Leading { renew_at, lease_expiry: until, needs_confirmation: confirm, .. } =
+            &mut self.state
+        else {
+            return;
+        };
         match outcome {
             RenewOutcome::Renewed => {
                 // After a lapse, only with the key still ours does the epoch
                 // go on; that is read before anything is done in its name.
                 *confirm = now >= *until;
                 *until = end;
-                *renew_at = sent + ttl / RENEWALS;
+                *renew_at = sent + ttl / RENEWALS_PER_LEASE;
                 if let Some(lease) = &mut self.lease {
-                    lease.sent = sent;
+                    lease.requested_at = sent;
                 }
             }
-            RenewOutcome::Gone => {
-                self.state = State::Look;
+            RenewOutcome::LeaseExpired => {
+                self.state = State::Unknown;
                 self.lease = None;
             }
             RenewOutcome::Failed => *renew_at = now + ttl / 20,
@@ -271,40 +279,40 @@
 
     pub fn on_watch(&mut self, now: Instant, outcome: Result<(), ()>) {
         if outcome.is_err() {
-            self.unheard(now);
+            self.on_no_answer(now);
         }
     }
 
     /// The state service did not answer. Whoever was said to lead when it last
     /// did may be long gone: after two leases nobody is named any more.
-    fn unheard(&mut self, now: Instant) {
-        self.pause(now);
-        let stale = self.heard.is_none_or(|at| now >= at + self.ttl * 2);
+    fn on_no_answer(&mut self, now: Instant) {
+        self.pause_before_retry(now);
+        let stale = self.last_contact.is_none_or(|at| now >= at + self.ttl * 2);
         if stale && matches!(self.state, State::Following { .. }) {
-            self.state = State::Look;
+            self.state = State::Unknown;
         }
     }
 
     /// Gives an epoch up: whoever leads next, perhaps this controller, begins
     /// from the records. Without this a leader that has dropped its picture
     /// would keep its lease, and nobody would lead.
-    pub fn abandon(&mut self, epoch: u64) {
+    pub fn resign(&mut self, epoch: u64) {
         if let (State::Leading { epoch: current, .. }, Some(lease)) = (&self.state, self.lease)
             && *current == epoch
         {
-            self.state = State::Ending { lease: lease.id };
+            self.state = State::Revoking { lease: lease.id };
         }
     }
 
-    fn confirmed(&self) -> bool {
-        !matches!(self.state, State::Leading { confirm: true, .. })
+    fn is_confirmed(&self) -> bool {
+        !matches!(self.state, State::Leading { needs_confirmation: true, .. })
     }
 }
 
 /// Reads the leader key's value.
-pub fn holder(entry: &Entry) -> Option<Holder> {
+pub fn decode_leader_record(entry: &Entry) -> Option<LeaderRecord> {
     let f = Fields::of(&entry.value).ok()?;
-    Some(Holder {
+    Some(LeaderRecord {
         name: f.text("name").ok()?.to_owned(),
         incarnation: f.text("by").ok()?.to_owned(),
         version: entry.version,
@@ -322,12 +330,12 @@
 ) {
     let mut told = Role::Leaderless;
     loop {
-        election.abandon(*abandoned.borrow());
-        let step = election.next(Instant::now());
-        perform(&mut election, &store, &address, step).await;
+        election.resign(*abandoned.borrow());
+        let step = election.next_step(Instant::now());
+        run_step(&mut election, &store, &address, step).await;
         let role = election.role();
-        if role != told && election.confirmed() {
-            log(&told, &role);
+        if role != told && election.is_confirmed() {
+            log_role_change(&told, &role);
             told = role.clone();
             if roles.send(role).await.is_err() {
                 return;
@@ -336,30 +344,30 @@
     }
 }
 
-fn log(before: &Role, after: &Role) {
+fn log_role_change(before: &Role, after: &Role) {
     match (before, after) {
-        (Role::Leads { epoch: a, .. }, Role::Leads { epoch: b, .. }) if a == b => {}
-        (_, Role::Leads { epoch, .. }) => tracing::info!(epoch, "leads"),
-        (_, Role::Follows { leader, .. }) => tracing::info!(%leader, "follows"),
+        (Role::Leader { epoch: a, .. }, Role::Leader { epoch: b, .. }) if a == b => {}
+        (_, Role::Leader { epoch, .. }) => tracing::info!(epoch, "leads"),
+        (_, Role::Follower { leader, .. }) => tracing::info!(%leader, "follows"),
         (_, Role::Leaderless) => tracing::info!("nobody known to lead"),
     }
 }
 
-async fn perform(election: &mut Election, store: &Store, address: &str, step: Step) {
+async fn run_step(election: &mut Election, store: &Store, address: &str, step: Step) {
     let deadline = store.deadline();
     let call = |method, target: String, body| Call { method, target, body, deadline };
     match step {
         Step::Wait { until } => tokio::time::sleep_until(until).await,
-        Step::Read => {
+        Step::ReadLeader => {
             let found = match store.get(Class::Renewal, LEADER).await {
-                Ok(Some(entry)) => holder(&entry).map(Some).ok_or(()),
+                Ok(Some(entry)) => decode_leader_record(&entry).map(Some).ok_or(()),
                 Ok(None) => Ok(None),
                 Err(_) => Err(()),
             };
             election.on_read(Instant::now(), found);
             // A watch that ended leads back here through the same state.
         }
-        Step::MakeLease => {
+        Step::GrantLease => {
             let sent = Instant::now();
             let ttl_ms = u64::try_from(election.ttl.as_millis()).unwrap_or(u64::MAX);
             let body = encode(&encode_lease(ttl_ms));
@@ -367,7 +375,7 @@
                 Ok(r) if r.status == 200 => decode(&r.body).ok().and_then(|v| decode_lease(&v).ok()),
                 _ => None,
             };
-            election.on_lease(Instant::now(), sent, made);
+            election.on_lease_granted(Instant::now(), sent, made);
         }
         Step::Acquire { lease } => {
             let value = marked(
@@ -384,24 +392,24 @@
                         None => AcquireOutcome::Unknown,
                     },
                     409 => AcquireOutcome::Lost,
-                    400 => AcquireOutcome::LeaseGone,
+                    400 => AcquireOutcome::LeaseExpired,
                     _ => AcquireOutcome::Unknown,
                 },
                 Err(_) => AcquireOutcome::Unknown,
             };
             election.on_acquire(Instant::now(), outcome);
         }
-        Step::EndLease { lease } => {
+        Step::RevokeLease { lease } => {
             let answer = store.raw(Class::Renewal, call("DELETE", format!("/leases/{lease}"), vec![])).await;
             let ended = answer.is_ok_and(|r| r.status == 200 || r.status == 404);
-            election.on_end_lease(Instant::now(), lease, ended);
+            election.on_lease_revoked(Instant::now(), lease, ended);
         }
         Step::Renew { lease } => {
             let sent = Instant::now();
             let call = call("POST", format!("/leases/{lease}/extend"), vec![]);
             let outcome = match store.raw(Class::Renewal, call).await {
                 Ok(r) if r.status == 200 => RenewOutcome::Renewed,
-                Ok(r) if r.status == 404 => RenewOutcome::Gone,
+                Ok(r) if r.status == 404 => RenewOutcome::LeaseExpired,
                 _ => RenewOutcome::Failed,
             };
             election.on_renew(Instant::now(), sent, outcome);
@@ -425,7 +433,7 @@
             };
             election.on_watch(Instant::now(), outcome);
             let found = match store.get(Class::Renewal, LEADER).await {
-                Ok(Some(entry)) => holder(&entry).map(Some).ok_or(()),
+                Ok(Some(entry)) => decode_leader_record(&entry).map(Some).ok_or(()),
                 Ok(None) => Ok(None),
                 Err(_) => Err(()),
             };
--- a/src/coordination/figures.rs
+++ b/src/coordination/figures.rs
@@ -35,10 +35,10 @@
             .set("machinesBooting", booting as u64)
             .set("machinesDoubted", self.machines.values().filter(|m| m.one_way_partitioned).count() as u64)
             .set("accountedFor", self.recovered)
-            .set("submissionsRefused", self.refused)
+            .set("submissionsRefused", self.submissions_refused)
             .set("recordsUnreadable", self.unreadable.len() as u64)
-            .set("tasksOfUnknownJobs", self.unknown_tasks)
-            .set("invariantsViolated", self.violations)
+            .set("tasksOfUnknownJobs", self.orphan_tasks)
+            .set("invariantsViolated", self.invariant_violations)
     }
 
     /// For the log.
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
-use super::leader::{CloudQuery, Leader, Ticket};
+use super::leader::{CloudQuery, Leader, PendingOperation};
 use super::machine_list::ListRound;
 use super::machines::{Machine, Phase, Rental};
 use super::model::Resources;
@@ -30,18 +30,18 @@
         self.read_cloud(CloudQuery::Catalog);
     }
 
-    pub(super) fn cloud_answered(&mut self, now: Instant, ticket: Ticket, result: CloudResult) {
+    pub(super) fn cloud_answered(&mut self, now: Instant, ticket: PendingOperation, result: CloudResult) {
         if result == Err(CloudError::Failed) {
             self.cloud_failed_at = Some(now);
         }
         match (ticket, result) {
-            (Ticket::Catalog, Ok(CloudReply::Catalog(types))) => self.take_catalog(now, types),
-            (Ticket::Catalog, _) => self.catalog_at = Some(now),
-            (Ticket::List, Ok(CloudReply::List(page))) => self.take_list(now, page),
-            (Ticket::List, _) => self.listing = None,
-            (Ticket::AskRental(name), result) => self.rental_answered(now, &name, result),
-            (Ticket::Delete(machines), Ok(_)) => self.deleted(now, &machines),
-            (Ticket::Delete(machines), Err(_)) => {
+            (PendingOperation::ReadCatalog, Ok(CloudReply::Catalog(types))) => self.take_catalog(now, types),
+            (PendingOperation::ReadCatalog, _) => self.catalog_at = Some(now),
+            (PendingOperation::ListMachines, Ok(CloudReply::List(page))) => self.take_list(now, page),
+            (PendingOperation::ListMachines, _) => self.listing = None,
+            (PendingOperation::ProvisionNodePool(name), result) => self.rental_answered(now, &name, result),
+            (PendingOperation::DeleteMachines(machines), Ok(_)) => self.deleted(now, &machines),
+            (PendingOperation::DeleteMachines(machines), Err(_)) => {
                 // Perhaps carried out, perhaps not: asked again until it is.
                 for machine in machines {
                     if let Some(m) = self.machines.get_mut(&machine) {
@@ -92,14 +92,14 @@
     /// write is still under way or it does not fit.
     pub(super) fn write_note(&mut self, key: &'static str, value: Value) {
         let limit = self.config.settings.cluster.state.within_both().value_bytes();
-        let note = self.notes.entry(key).or_default();
-        if note.writing || json_size(&value) + 64 > limit {
+        let note = self.singleton_keys.entry(key).or_default();
+        if note.write_in_flight || json_size(&value) + 64 > limit {
             return;
         }
-        note.writing = true;
+        note.write_in_flight = true;
         let condition = Condition { key: key.to_owned(), version: note.version };
         let change = Change::Put { key: key.to_owned(), value, lease: None };
-        self.commit(Ticket::Note(key), Class::Rest, vec![condition], vec![change]);
+        self.commit(PendingOperation::WriteSingleton(key), Class::Rest, vec![condition], vec![change]);
     }
 
     /// A machine type's number; one that no machine has, if it is not known.
@@ -282,7 +282,7 @@
 
     /// Has machines deleted, unless this leader may not decide that any more.
     pub(super) fn delete(&mut self, now: Instant, machines: Vec<MachineId>) {
-        let Ok(permit) = self.tenure().lead(now) else { return };
+        let Ok(permit) = self.term().leader_permit(now) else { return };
         for chunk in machines.chunks(MAX_DELETE) {
             for id in chunk {
                 if let Some(m) = self.machines.get_mut(id) {
@@ -290,7 +290,11 @@
                     m.deletion_in_flight = true;
                 }
             }
-            self.change_cloud(permit, Ticket::Delete(chunk.to_vec()), CloudCall::Delete(chunk.to_vec()));
+            self.change_cloud(
+                permit,
+                PendingOperation::DeleteMachines(chunk.to_vec()),
+                CloudCall::Delete(chunk.to_vec()),
+            );
         }
     }
 
@@ -303,7 +307,7 @@
     pub(super) fn fleet_tick(&mut self, now: Instant) {
         let lag = self.list_lag();
         let catalog_age = if self.catalog.is_empty() { Duration::from_secs(1) } else { lag * 10 };
-        let asked = self.tickets.values().any(|t| matches!(t, Ticket::Catalog));
+        let asked = self.pending_operations.values().any(|t| matches!(t, PendingOperation::ReadCatalog));
         if !asked && self.catalog_at.is_none_or(|at| now > at + catalog_age) {
             self.request_catalog();
         }
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -6,8 +6,8 @@
 
 use super::answers::Answer;
 use super::dependencies::Fate;
-use super::leader::{Action, Creating, Leader, Ticket, UnjudgedSubmission};
-use super::model::{Job, ReplyTo, Resources};
+use super::leader::{Effect, Leader, PendingAdmission, PendingOperation, UncheckedSubmission};
+use super::model::{Job, ReplyId, Resources};
 use super::pipelines::{NeedStates, Needs};
 use crate::protocol::cbor::json_size;
 use crate::protocol::jobs::{Form, JobId, JobSpec, Standing};
@@ -29,7 +29,7 @@
 
 impl Leader {
     /// A user submits a job.
-    pub fn submit(&mut self, now: Instant, now_ms: u64, to: ReplyTo, spec: JobSpec) {
+    pub fn submit(&mut self, now: Instant, now_ms: u64, to: ReplyId, spec: JobSpec) {
         self.submit_knowing(now, now_ms, to, spec, NeedStates::default());
     }
 
@@ -38,33 +38,33 @@
         &mut self,
         now: Instant,
         now_ms: u64,
-        to: ReplyTo,
+        to: ReplyId,
         spec: JobSpec,
         read: NeedStates,
     ) {
-        if !self.valid(now) {
-            return self.answer(to, Answer::later(503, "not leading now", 1));
+        if !self.holds_lease(now) {
+            return self.reply(to, Answer::retry_later(503, "not leading now", 1));
         }
         if self.jobs.contains_key(&spec.id) {
             let Some(answer) = self.poll(now, &spec.id) else {
-                let otherwise = Answer::later(503, "try again", 1);
-                return self.actions.push(Action::LookUp { to, job: spec.id, otherwise });
+                let otherwise = Answer::retry_later(503, "try again", 1);
+                return self.effects.push(Effect::LookUpJob { to, job: spec.id, if_absent: otherwise });
             };
-            return self.answer(to, answer);
+            return self.reply(to, answer);
         }
-        if let Some(creating) = self.creating.get_mut(&spec.id) {
-            return creating.waiting.push(to);
+        if let Some(creating) = self.pending_admissions.get_mut(&spec.id) {
+            return creating.waiters.push(to);
         }
         if self.catalog.is_empty() {
-            return self.answer(to, Answer::later(503, "machine types not known yet", 1));
+            return self.reply(to, Answer::retry_later(503, "machine types not known yet", 1));
         }
         let (awaited, fate) = match self.judge_needs(&spec, &read) {
             Needs::Known { awaited, fate } => (awaited, fate),
             Needs::Unread(unread) => {
-                let submission = UnjudgedSubmission { to, spec, unread, read };
-                return self.actions.push(Action::ReadNeeds(Box::new(submission)));
+                let submission = UncheckedSubmission { reply: to, spec, unread, known: read };
+                return self.effects.push(Effect::ReadDependencies(Box::new(submission)));
             }
-            Needs::Unclear(reason) => return self.answer(to, Answer::later(503, reason, 1)),
+            Needs::Unclear(reason) => return self.reply(to, Answer::retry_later(503, reason, 1)),
             Needs::Impossible(reason) => return self.refuse_unless_accepted(to, spec.id, reason),
         };
         if let Some(reason) = self.can_never_run(&spec) {
@@ -74,9 +74,9 @@
         // a second or two is refused now rather than kept waiting.
         let room = (self.state_limits.write_rps / 2.0).max(4.0) as usize;
         let most_jobs = (self.config.settings.cluster.limits.memory_mb * 32.0) as usize;
-        if self.creating.len() >= room || self.jobs.len() >= most_jobs {
-            self.refused += 1;
-            return self.answer(to, Answer::later(429, "too many submissions at once", 2));
+        if self.pending_admissions.len() >= room || self.jobs.len() >= most_jobs {
+            self.submissions_refused += 1;
+            return self.reply(to, Answer::retry_later(429, "too many submissions at once", 2));
         }
         self.write_acceptance(now, now_ms, to, spec, awaited, fate);
     }
@@ -86,7 +86,7 @@
         &mut self,
         now: Instant,
         now_ms: u64,
-        to: ReplyTo,
+        to: ReplyId,
         spec: JobSpec,
         awaited: BTreeSet<JobId>,
         fate: Fate,
@@ -114,15 +114,15 @@
             Change::Put { key: live_key(&job), value: row(Standing::Queued), lease: None },
         ];
         self.join_needs(&record.spec, now, awaited, fate);
-        self.creating.insert(job.clone(), Creating { record, waiting: vec![to] });
-        self.commit(Ticket::Create(job), Class::Accept, conditions, changes);
+        self.pending_admissions.insert(job.clone(), PendingAdmission { record, waiters: vec![to] });
+        self.commit(PendingOperation::AdmitJob(job), Class::Accept, conditions, changes);
     }
 
     /// Refuses a job that can never run, unless it was accepted earlier: a retry is never
     /// judged anew.
-    fn refuse_unless_accepted(&mut self, to: ReplyTo, job: JobId, reason: &str) {
-        let otherwise = Answer::refused(422, reason);
-        self.actions.push(Action::LookUp { to, job, otherwise });
+    fn refuse_unless_accepted(&mut self, to: ReplyId, job: JobId, reason: &str) {
+        let otherwise = Answer::error(422, reason);
+        self.effects.push(Effect::LookUpJob { to, job, if_absent: otherwise });
     }
 
     /// Why no machine will ever take the job.
@@ -138,7 +138,9 @@
     }
 
     pub(super) fn created(&mut self, now: Instant, job: JobId, result: Result<u64, StoreError>) {
-        let Some(Creating { record, waiting }) = self.creating.remove(&job) else { return };
+        let Some(PendingAdmission { record, waiters: waiting }) = self.pending_admissions.remove(&job) else {
+            return;
+        };
         match result {
             Ok(version) => {
                 let waited_ms = self.wall_ms(now).saturating_sub(record.submitted_ms);
@@ -150,15 +152,15 @@
                 }
                 let Some(status) = self.jobs.get(&job).map(Job::status) else { return };
                 for to in waiting {
-                    self.answer(to, Answer::state(201, status.clone(), self.basis()));
+                    self.reply(to, Answer::job_state(201, status.clone(), self.validity()));
                 }
             }
             // It was accepted earlier and is over: the record tells.
             Err(StoreError::Conflict) => {
                 self.forget_refused(&job);
                 for to in waiting {
-                    let otherwise = Answer::later(503, "try again", 1);
-                    self.actions.push(Action::LookUp { to, job: job.clone(), otherwise });
+                    let otherwise = Answer::retry_later(503, "try again", 1);
+                    self.effects.push(Effect::LookUpJob { to, job: job.clone(), if_absent: otherwise });
                 }
             }
             Err(StoreError::Rejected) => {
@@ -170,7 +172,7 @@
             Err(_) => {
                 self.forget_refused(&job);
                 for to in waiting {
-                    self.answer(to, Answer::later(503, "could not be recorded", 1));
+                    self.reply(to, Answer::retry_later(503, "could not be recorded", 1));
                 }
             }
         }
@@ -198,25 +200,25 @@
         let job = self.jobs.get(job)?;
         // Without the lease another leader may know more; what is final is final in
         // any case.
-        let usable = self.valid(now) || job.status().standing.is_final();
-        usable.then(|| Answer::state(200, job.status(), self.basis()))
+        let usable = self.holds_lease(now) || job.status().standing.is_final();
+        usable.then(|| Answer::job_state(200, job.status(), self.validity()))
     }
 
     /// False if the job is not in the picture and the store must be asked.
-    pub fn withdraw(&mut self, now: Instant, to: ReplyTo, job: &JobId) -> bool {
-        let valid = self.valid(now);
+    pub fn withdraw(&mut self, now: Instant, to: ReplyId, job: &JobId) -> bool {
+        let valid = self.holds_lease(now);
         let Some(j) = self.jobs.get_mut(job) else {
-            if self.creating.contains_key(job) {
-                self.answer(to, Answer::later(503, "being accepted", 1));
+            if self.pending_admissions.contains_key(job) {
+                self.reply(to, Answer::retry_later(503, "being accepted", 1));
                 return true;
             }
             return false;
         };
         if j.status().standing.is_final() {
             let status = j.status();
-            self.answer(to, Answer::final_state(status));
+            self.reply(to, Answer::terminal_state(status));
         } else if !valid {
-            self.answer(to, Answer::later(503, "not leading now", 1));
+            self.reply(to, Answer::retry_later(503, "not leading now", 1));
         } else {
             j.withdrawals.push(to);
             // A settle on its way to the store comes first, and stays.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -16,15 +16,15 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
-use super::answers::{Answer, Basis};
-use super::authority::{LeadPermit, Tenure, Violation};
+use super::answers::{Answer, Validity};
+use super::authority::{LeaderPermit, LeadershipTerm, Violation};
 use super::cloud::{CloudCall, CloudResult};
 use super::config::Config;
 use super::demand::{Demand, GroupKey};
 use super::dependencies::Dependencies;
 use super::machine_list::ListRound;
 use super::machines::{Machine, Rental};
-use super::model::{Job, ReplyTo, Resources, Team};
+use super::model::{Job, ReplyId, Resources, Team};
 use super::pipelines::NeedStates;
 use super::renting::{Backoff, Offer};
 use super::scheduler::Ranked;
@@ -43,60 +43,60 @@
 
 /// What is to be done outside.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Action {
-    Answer {
-        to: ReplyTo,
+pub enum Effect {
+    Reply {
+        reply: ReplyId,
         answer: Answer,
     },
     /// Read the records of jobs that a submission names, and judge it again.
-    ReadNeeds(Box<UnjudgedSubmission>),
+    ReadDependencies(Box<UncheckedSubmission>),
     /// Read the job's record: if it exists its standing is the answer.
-    LookUp {
-        to: ReplyTo,
+    LookUpJob {
+        to: ReplyId,
         job: JobId,
-        otherwise: Answer,
+        if_absent: Answer,
     },
     Commit {
-        ticket: u64,
+        operation: u64,
         transaction: Transaction,
     },
-    Cloud {
+    CallCloud {
         ticket: u64,
         call: CloudCall,
     },
-    Direct {
+    PushCommands {
         address: SocketAddr,
-        token: u64,
-        session: u64,
-        orders: Vec<Command>,
+        fencing_token: u64,
+        incarnation: u64,
+        commands: Vec<Command>,
     },
     /// The job is over and leaves memory.
-    Over(crate::protocol::jobs::JobStatus),
+    JobEvicted(crate::protocol::jobs::JobStatus),
 }
 
 /// A submission that cannot be judged before the records of jobs that it names are read.
 #[derive(Debug, Clone, PartialEq)]
-pub struct UnjudgedSubmission {
-    pub to: ReplyTo,
+pub struct UncheckedSubmission {
+    pub reply: ReplyId,
     pub spec: JobSpec,
     /// Those to be read.
     pub unread: Vec<JobId>,
     /// What was read before.
-    pub read: NeedStates,
+    pub known: NeedStates,
 }
 
 /// What a commit or a call was for.
 #[derive(Debug)]
-pub(super) enum Ticket {
-    Create(JobId),
-    Record(JobId),
-    Move(JobId),
-    Rental(String),
-    AskRental(String),
-    Delete(Vec<MachineId>),
-    List,
-    Catalog,
-    Note(&'static str),
+pub(super) enum PendingOperation {
+    AdmitJob(JobId),
+    WriteJobRecord(JobId),
+    ArchiveRow(JobId),
+    WriteNodePool(String),
+    ProvisionNodePool(String),
+    DeleteMachines(Vec<MachineId>),
+    ListMachines,
+    ReadCatalog,
+    WriteSingleton(&'static str),
 }
 
 /// What is asked of the cloud without changing anything.
@@ -111,33 +111,33 @@
 
 /// A key that leaders keep for the next, and the state of its writing.
 #[derive(Debug, Default)]
-pub(super) struct Note {
+pub(super) struct SingletonKey {
     pub version: u64,
-    pub writing: bool,
+    pub write_in_flight: bool,
 }
 
 #[derive(Debug)]
-pub(super) struct Creating {
+pub(super) struct PendingAdmission {
     pub record: JobRecord,
-    pub waiting: Vec<ReplyTo>,
+    pub waiters: Vec<ReplyId>,
 }
 
 pub struct Leader {
     pub(super) config: Arc<Config>,
     pub(super) epoch: u64,
-    pub(super) until: Instant,
+    pub(super) lease_expiry: Instant,
     /// Since when this leader has answered reports without a break.
-    pub(super) since: Instant,
-    pub(super) loaded_at: Instant,
+    pub(super) replying_since: Instant,
+    pub(super) snapshot_at: Instant,
     /// Since when no earlier leader can have answered a worker.
-    pub(super) lapse_windows_over: Option<Instant>,
+    pub(super) post_lease_graces_over_at: Option<Instant>,
     pub(super) jobs: HashMap<JobId, Job>,
     pub(super) dependencies: Dependencies,
     /// The state service's limits as far as is known.
     pub(super) state_limits: StateLimits,
     /// The time of day at a moment of the steady clock.
     wall_clock: (Instant, u64),
-    pub(super) creating: HashMap<JobId, Creating>,
+    pub(super) pending_admissions: HashMap<JobId, PendingAdmission>,
     pub(super) teams: Vec<Team>,
     pub(super) team_index: HashMap<String, usize>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
@@ -151,7 +151,7 @@
     pub(super) most_gone: usize,
     pub(super) catalog: Vec<MachineType>,
     pub(super) catalog_at: Option<Instant>,
-    pub(super) notes: HashMap<&'static str, Note>,
+    pub(super) singleton_keys: HashMap<&'static str, SingletonKey>,
     pub(super) experience_at: Instant,
     pub(super) demand: HashMap<GroupKey, Demand>,
     /// Measured run time against the owners' estimates, by class.
@@ -175,8 +175,8 @@
     pub(super) unheard: Resources,
     /// Machines kept clear for jobs that must begin.
     pub(super) reserved: HashMap<JobId, MachineId>,
-    pub(super) tickets: HashMap<u64, Ticket>,
-    pub(super) next_ticket: u64,
+    pub(super) pending_operations: HashMap<u64, PendingOperation>,
+    pub(super) last_operation: u64,
     /// Jobs with done tasks to be written, the longest waiting first.
     pub(super) dirty: VecDeque<(Instant, JobId)>,
     /// Records that the service refuses in every size, and when to try them again.
@@ -188,7 +188,7 @@
     pub(super) moving: usize,
     pub(super) next_attempt: u32,
     pub(super) next_rental: u32,
-    pub(super) slow_tick_at: Instant,
+    pub(super) next_slow_tick: Instant,
     pub(super) recovered: bool,
     pub(super) unreadable: Unreadable,
     /// Machines that no readable record names may hold tasks.
@@ -196,22 +196,22 @@
     /// When a machine that is not in the picture was last answered while that was so.
     pub(super) hidden_answered: Option<Instant>,
     /// Tasks reported under this epoch's token whose job is not in the picture.
-    pub(super) unknown_tasks: u64,
+    pub(super) orphan_tasks: u64,
     /// Acts that were refused since they would have broken what must always hold.
-    pub(super) violations: u64,
+    pub(super) invariant_violations: u64,
     /// A machine that was not known when that was last looked at: while it is not, there
     /// is nothing to look for.
     pub(super) unknown_machine: Option<MachineId>,
-    pub(super) refused: u64,
+    pub(super) submissions_refused: u64,
     /// Classes of jobs that are to start within less than a report interval.
     pub(super) prompt_classes: HashMap<String, PromptNeed>,
     /// Work that is to start promptly has come to wait.
     pub(super) prompt_work: bool,
     /// Machines for which there is an order that should not wait.
-    pub(super) ordered: Vec<MachineId>,
-    pub(super) actions: Vec<Action>,
+    pub(super) machines_with_commands: Vec<MachineId>,
+    pub(super) effects: Vec<Effect>,
     pub(super) rng: SmallRng,
-    pub(super) fenced: bool,
+    pub(super) is_fenced: bool,
 }
 
 impl Leader {
@@ -234,15 +234,15 @@
         let team_index = cluster.teams.iter().enumerate().map(|(at, t)| (t.name.clone(), at)).collect();
         let mut leader = Leader {
             epoch,
-            until: now,
-            since: now,
-            loaded_at: now,
-            lapse_windows_over: None,
+            lease_expiry: now,
+            replying_since: now,
+            snapshot_at: now,
+            post_lease_graces_over_at: None,
             jobs: HashMap::default(),
             dependencies: Dependencies::default(),
             state_limits: config.settings.cluster.state.present(),
             wall_clock: (now, now_ms),
-            creating: HashMap::default(),
+            pending_admissions: HashMap::default(),
             teams,
             team_index,
             machines: BTreeMap::new(),
@@ -254,7 +254,7 @@
             most_gone: Sizes::new(&config.settings.cluster.limits).machines,
             catalog: Vec::new(),
             catalog_at: None,
-            notes: HashMap::default(),
+            singleton_keys: HashMap::default(),
             experience_at: now,
             demand: HashMap::default(),
             class_ratio: HashMap::default(),
@@ -271,8 +271,8 @@
             roomy: Vec::new(),
             unheard: Resources::default(),
             reserved: HashMap::default(),
-            tickets: HashMap::default(),
-            next_ticket: 0,
+            pending_operations: HashMap::default(),
+            last_operation: 0,
             dirty: VecDeque::new(),
             refused_records: Vec::new(),
             flushed_at: now,
@@ -280,21 +280,21 @@
             moving: 0,
             next_attempt: 0,
             next_rental: 0,
-            slow_tick_at: now,
+            next_slow_tick: now,
             recovered: false,
             hidden_machines: loaded.unreadable.hides_machines(),
             hidden_answered: None,
             unreadable: Unreadable::default(),
-            unknown_tasks: 0,
-            violations: 0,
+            orphan_tasks: 0,
+            invariant_violations: 0,
             unknown_machine: None,
-            refused: 0,
+            submissions_refused: 0,
             prompt_classes: HashMap::default(),
             prompt_work: false,
-            ordered: Vec::new(),
-            actions: Vec::new(),
+            machines_with_commands: Vec::new(),
+            effects: Vec::new(),
             rng: SmallRng::seed_from_u64(epoch ^ now_ms),
-            fenced: false,
+            is_fenced: false,
             config,
         };
         leader.unreadable.extend(loaded.unreadable);
@@ -304,11 +304,11 @@
         }
         if let Some((types, version)) = loaded.catalog {
             leader.catalog = types;
-            leader.notes.insert(CATALOG, Note { version, writing: false });
+            leader.singleton_keys.insert(CATALOG, SingletonKey { version, write_in_flight: false });
             leader.enter_all_rented(now);
         }
         if let Some((experience, version)) = loaded.experience {
-            leader.notes.insert(EXPERIENCE, Note { version, writing: false });
+            leader.singleton_keys.insert(EXPERIENCE, SingletonKey { version, write_in_flight: false });
             leader.take_experience(now, experience);
         }
         leader.insert_all_loaded(now, now_ms, loaded.jobs, &loaded.needs);
@@ -329,131 +329,133 @@
     }
 
     /// The lease holds until then.
-    pub fn extend(&mut self, now: Instant, until: Instant) {
-        if now >= self.until {
-            self.since = now;
+    pub fn extend_lease(&mut self, now: Instant, until: Instant) {
+        if now >= self.lease_expiry {
+            self.replying_since = now;
         }
-        self.until = until;
+        self.lease_expiry = until;
     }
 
     /// How this leader stands to its epoch.
-    pub(super) fn tenure(&self) -> Tenure {
-        Tenure {
+    pub(super) fn term(&self) -> LeadershipTerm {
+        LeadershipTerm {
             epoch: self.epoch,
-            lease_until: self.until,
-            lapse_until: self.until + self.config.lapse_window(),
-            is_over: self.fenced,
+            lease_expiry: self.lease_expiry,
+            grace_expiry: self.lease_expiry + self.config.post_lease_grace(),
+            is_fenced: self.is_fenced,
         }
     }
 
     /// Whether anything may be done in the epoch's name now.
-    pub fn valid(&self, now: Instant) -> bool {
-        self.tenure().lead(now).is_ok()
+    pub fn holds_lease(&self, now: Instant) -> bool {
+        self.term().leader_permit(now).is_ok()
     }
 
     /// Until when an answer to a worker with these orders may leave.
-    pub fn worker_answer(&self, orders: &[Command]) -> Basis {
-        self.tenure().worker_answer(orders)
+    pub fn heartbeat_reply_validity(&self, orders: &[Command]) -> Validity {
+        self.term().heartbeat_reply_validity(orders)
     }
 
     /// Notes that an act was refused which would have broken what must always hold.
-    pub(super) fn violated(&mut self, violation: Violation, job: &JobId) {
-        self.violations += 1;
+    pub(super) fn record_violation(&mut self, violation: Violation, job: &JobId) {
+        self.invariant_violations += 1;
         tracing::error!(epoch = self.epoch, %job, %violation, "an invariant would have been violated");
     }
 
     /// What answers decided now rest on.
-    pub(super) fn basis(&self) -> Basis {
-        Basis { epoch: self.epoch, until: self.until }
+    pub(super) fn validity(&self) -> Validity {
+        Validity { epoch: self.epoch, valid_until: self.lease_expiry }
     }
 
     /// The epoch is over for certain: the leader is to be dropped.
-    pub fn is_over(&self) -> bool {
-        self.fenced
+    pub fn is_fenced(&self) -> bool {
+        self.is_fenced
     }
 
-    pub fn take_actions(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.actions)
+    pub fn drain_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
     }
 
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    pub(super) fn answer(&mut self, to: ReplyTo, answer: Answer) {
-        self.actions.push(Action::Answer { to, answer });
+    pub(super) fn reply(&mut self, to: ReplyId, answer: Answer) {
+        self.effects.push(Effect::Reply { reply: to, answer });
     }
 
-    pub(super) fn ticket(&mut self, ticket: Ticket) -> u64 {
-        self.next_ticket += 1;
-        self.tickets.insert(self.next_ticket, ticket);
-        self.next_ticket
+    pub(super) fn begin_operation(&mut self, ticket: PendingOperation) -> u64 {
+        self.last_operation += 1;
+        self.pending_operations.insert(self.last_operation, ticket);
+        self.last_operation
     }
 
     pub(super) fn commit(
         &mut self,
-        ticket: Ticket,
+        ticket: PendingOperation,
         class: Class,
         conditions: Vec<Condition>,
         changes: Vec<Change>,
     ) {
-        let ticket = self.ticket(ticket);
+        let ticket = self.begin_operation(ticket);
         let transaction = Transaction { class, epoch: self.epoch, conditions, changes };
-        self.actions.push(Action::Commit { ticket, transaction });
+        self.effects.push(Effect::Commit { operation: ticket, transaction });
     }
 
     /// Asks the cloud to rent or to delete machines.
-    pub(super) fn change_cloud(&mut self, _permit: LeadPermit, ticket: Ticket, call: CloudCall) {
+    pub(super) fn change_cloud(&mut self, _permit: LeaderPermit, ticket: PendingOperation, call: CloudCall) {
         self.call_cloud(ticket, call);
     }
 
     /// Asks the cloud for its machine types or its list, which changes nothing.
     pub(super) fn read_cloud(&mut self, query: CloudQuery) {
         match query {
-            CloudQuery::Catalog => self.call_cloud(Ticket::Catalog, CloudCall::Catalog),
-            CloudQuery::List { from } => self.call_cloud(Ticket::List, CloudCall::List { from }),
+            CloudQuery::Catalog => self.call_cloud(PendingOperation::ReadCatalog, CloudCall::Catalog),
+            CloudQuery::List { from } => {
+                self.call_cloud(PendingOperation::ListMachines, CloudCall::List { from })
+            }
         }
     }
 
-    fn call_cloud(&mut self, ticket: Ticket, call: CloudCall) {
-        let ticket = self.ticket(ticket);
-        self.actions.push(Action::Cloud { ticket, call });
+    fn call_cloud(&mut self, ticket: PendingOperation, call: CloudCall) {
+        let ticket = self.begin_operation(ticket);
+        self.effects.push(Effect::CallCloud { ticket, call });
     }
 
     /// A transaction has ended.
-    pub fn committed(&mut self, now: Instant, ticket: u64, result: Result<u64, StoreError>) {
+    pub fn handle_commit_result(&mut self, now: Instant, ticket: u64, result: Result<u64, StoreError>) {
         if result == Err(StoreError::Fenced) {
             // Another leads, or will: nothing of this picture may be used.
-            self.fenced = true;
+            self.is_fenced = true;
         }
-        match self.tickets.remove(&ticket) {
-            Some(Ticket::Create(job)) => self.created(now, job, result),
-            Some(Ticket::Record(job)) => self.recorded(now, job, result),
-            Some(Ticket::Move(job)) => self.moved(job, result),
-            Some(Ticket::Note(key)) => {
-                let note = self.notes.entry(key).or_default();
-                note.writing = false;
+        match self.pending_operations.remove(&ticket) {
+            Some(PendingOperation::AdmitJob(job)) => self.created(now, job, result),
+            Some(PendingOperation::WriteJobRecord(job)) => self.recorded(now, job, result),
+            Some(PendingOperation::ArchiveRow(job)) => self.moved(job, result),
+            Some(PendingOperation::WriteSingleton(key)) => {
+                let note = self.singleton_keys.entry(key).or_default();
+                note.write_in_flight = false;
                 note.version = result.unwrap_or(note.version);
             }
-            Some(Ticket::Rental(name)) => self.rental_written(now, name, result),
+            Some(PendingOperation::WriteNodePool(name)) => self.rental_written(now, name, result),
             _ => {}
         }
     }
 
     /// A call to the cloud has ended.
-    pub fn cloud_done(&mut self, now: Instant, ticket: u64, result: CloudResult) {
-        let Some(ticket) = self.tickets.remove(&ticket) else { return };
+    pub fn handle_cloud_result(&mut self, now: Instant, ticket: u64, result: CloudResult) {
+        let Some(ticket) = self.pending_operations.remove(&ticket) else { return };
         self.cloud_answered(now, ticket, result);
     }
 
     /// To be called a few times a second.
     pub fn tick(&mut self, now: Instant) {
-        let slow = now >= self.slow_tick_at;
+        let slow = now >= self.next_slow_tick;
         if slow {
-            self.slow_tick_at = now + Duration::from_secs(1);
+            self.next_slow_tick = now + Duration::from_secs(1);
             self.resend_stops(now);
         }
-        if !self.valid(now) {
+        if !self.holds_lease(now) {
             return;
         }
         self.flush_records(now);
@@ -489,7 +491,7 @@
         // their records do not queue behind a crowd of acceptances.
         let found = rental.version == 0 && rental.record.machines.is_some();
         let class = if found { Class::Accept } else { Class::Settle };
-        self.commit(Ticket::Rental(name.to_owned()), class, conditions, vec![change]);
+        self.commit(PendingOperation::WriteNodePool(name.to_owned()), class, conditions, vec![change]);
     }
 
     /// A new job as the store now has it.
--- a/src/coordination/machine_list.rs
+++ b/src/coordination/machine_list.rs
@@ -29,7 +29,7 @@
         let mut failed = Vec::new();
         // A list as old as the takeover may still show what an earlier leader
         // has deleted.
-        let young = round.started >= self.loaded_at + self.list_lag() * 2;
+        let young = round.started >= self.snapshot_at + self.list_lag() * 2;
         for listed in &page.machines {
             round.seen.insert(listed.machine.clone());
             match self.machines.get_mut(&listed.machine) {
@@ -78,7 +78,7 @@
         let cluster = &self.config.settings.cluster;
         let lag = Duration::from_secs_f64(cluster.cloud.list_lag_s);
         let quiet = cluster.workers.report().mul_f64(1.5);
-        let loaded_at = self.loaded_at;
+        let loaded_at = self.snapshot_at;
         let mut lost = Vec::new();
         for m in self.machines.values_mut() {
             if round.seen.contains(&m.id) || m.phase == Phase::Deleting {
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::leader::Action;
+use super::leader::Effect;
 use super::model::{Resources, Slot, SlotKey};
 use crate::maps::HashMap;
 use crate::protocol::cloud::MachineType;
@@ -119,11 +119,11 @@
 
 impl Machine {
     /// Stops to be sent straight to it, if it is known where it is.
-    pub fn push_commands(&mut self, now: Instant, token: u64, orders: Vec<Command>) -> Option<Action> {
+    pub fn push_commands(&mut self, now: Instant, token: u64, orders: Vec<Command>) -> Option<Effect> {
         let (session, _) = self.last_heartbeat?;
         let address = self.address.parse().ok()?;
         self.stops_pushed_at = Some(now);
-        Some(Action::Direct { address, token, session, orders })
+        Some(Effect::PushCommands { address, fencing_token: token, incarnation: session, commands: orders })
     }
 
     pub fn has_image(&self, image: &str) -> bool {
--- a/src/coordination/model.rs
+++ b/src/coordination/model.rs
@@ -13,7 +13,7 @@
 
 /// Where an answer goes; given out by the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct ReplyTo(pub u64);
+pub struct ReplyId(pub u64);
 
 /// Amounts that a task takes, or that a machine or team has.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -154,7 +154,7 @@
     /// Its row is among those of finished jobs; it stays in memory for tasks shown since.
     pub row_moved: bool,
     /// Users who wait for a cancellation.
-    pub withdrawals: Vec<ReplyTo>,
+    pub withdrawals: Vec<ReplyId>,
     pub cancel_wanted: bool,
     /// A job that it needs is cancelled, which is committed: so is this one, whatever its
     /// own record says yet.
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -16,15 +16,15 @@
 use tokio::time::{Instant, MissedTickBehavior};
 
 use super::agents::HeartbeatReply;
-use super::answers::{self, Answer, Basis, ToldStates, UnusableReply};
+use super::answers::{self, Answer, TerminalStates, UnusableReply, Validity};
 use super::authority::Violation;
 use super::cloud::{Cloud, CloudResult};
 use super::config::Config;
 use super::election::Role;
 use super::held_reports::{DeferredReplies, DeferredReply};
-use super::leader::{Action, Leader, UnjudgedSubmission};
+use super::leader::{Effect, Leader, UncheckedSubmission};
 use super::loading::{self, load, walk};
-use super::model::ReplyTo;
+use super::model::ReplyId;
 use super::peers::{Detour, Detours, PeerState, Peers};
 use super::pipelines::NeedStates;
 use super::sizes::Sizes;
@@ -102,7 +102,7 @@
     /// The records of jobs that a submission names were read; `None`: they cannot be.
     NeedsRead {
         epoch: u64,
-        submission: Box<UnjudgedSubmission>,
+        submission: Box<UncheckedSubmission>,
         states: Option<NeedStates>,
     },
     /// Another controller replied to a request that was handed on.
@@ -162,12 +162,12 @@
     /// Leaders that would have begun a second time in an epoch.
     violations: u64,
     held: DeferredReplies<oneshot::Sender<Answer>>,
-    waiting: HashMap<ReplyTo, Waiting>,
+    waiting: HashMap<ReplyId, Waiting>,
     next_reply: u64,
     lookups: usize,
     directs: usize,
     /// Final states that were told from here, or learnt.
-    told: ToldStates,
+    told: TerminalStates,
     sizes: Sizes,
     inner: mpsc::Sender<Inner>,
     last_led: Instant,
@@ -236,7 +236,7 @@
             next_reply: 0,
             lookups: 0,
             directs: 0,
-            told: ToldStates::new(sizes.finals),
+            told: TerminalStates::new(sizes.finals),
             sizes,
             inner: inner_in,
             last_led: now,
@@ -282,8 +282,8 @@
     fn take_role(&mut self, role: Role) {
         let now = Instant::now();
         match &role {
-            Role::Leads { epoch, until } => {
-                let same = matches!(&self.role, Role::Leads { epoch: before, .. } if before == epoch);
+            Role::Leader { epoch, lease_expiry: until } => {
+                let same = matches!(&self.role, Role::Leader { epoch: before, .. } if before == epoch);
                 if !same {
                     self.drop_leader();
                     let _ = self.leads.send(true);
@@ -291,7 +291,7 @@
                 }
                 let _ = self.term.send(*until);
                 if let Some(leader) = &mut self.leader {
-                    leader.extend(now, *until);
+                    leader.extend_lease(now, *until);
                 }
             }
             _ => {
@@ -313,7 +313,7 @@
             tracing::info!("the epoch is over; its picture is dropped");
         }
         for (_, waiting) in std::mem::take(&mut self.waiting) {
-            let answer = Answer::later(503, "leadership has changed", 1);
+            let answer = Answer::retry_later(503, "leadership has changed", 1);
             self.tell(waiting.reply, &waiting.job, answer);
         }
         for held in self.held.drain() {
@@ -325,7 +325,7 @@
         let now = Instant::now();
         match inner {
             Inner::Loaded { epoch, loaded } => {
-                let Role::Leads { epoch: current, until } = self.role else { return };
+                let Role::Leader { epoch: current, lease_expiry: until } = self.role else { return };
                 if current != epoch || self.leader.is_some() {
                     return;
                 }
@@ -347,7 +347,7 @@
                             "records read"
                         );
                         let mut leader = Leader::new(self.config.clone(), epoch, now, wall_ms(), loaded);
-                        leader.extend(now, until);
+                        leader.extend_lease(now, until);
                         self.leader = Some(leader);
                     }
                     None => self.load(epoch),
@@ -355,8 +355,8 @@
             }
             Inner::Committed { epoch, ticket, result } => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.committed(now, ticket, result);
-                    if leader.is_over() {
+                    leader.handle_commit_result(now, ticket, result);
+                    if leader.is_fenced() {
                         let _ = self.abandoned.send(epoch);
                         self.drop_leader();
                     }
@@ -364,7 +364,7 @@
             }
             Inner::CloudDone { epoch, ticket, result } => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.cloud_done(now, ticket, result);
+                    leader.handle_cloud_result(now, ticket, result);
                 }
             }
             Inner::LookedUp { look_up, started, read } => self.looked_up(look_up, started, read),
@@ -398,17 +398,17 @@
             leader.tick(now);
         }
         self.end_holds();
-        let late: Vec<ReplyTo> = self
+        let late: Vec<ReplyId> = self
             .waiting
             .iter()
             .filter(|(_, waiting)| now > waiting.since + PATIENCE)
             .map(|(to, _)| *to)
             .collect();
         for to in late {
-            self.answer_waiting(to, Answer::later(503, "not recorded in time", 1));
+            self.answer_waiting(to, Answer::retry_later(503, "not recorded in time", 1));
         }
-        let leads = self.leader.as_ref().is_some_and(|l| l.valid(now));
-        let follows = matches!(self.role, Role::Follows { .. });
+        let leads = self.leader.as_ref().is_some_and(|l| l.holds_lease(now));
+        let follows = matches!(self.role, Role::Follower { .. });
         let unreached = follows && self.unreached.is_some();
         if (leads || follows) && !unreached {
             self.peers.rest();
@@ -446,8 +446,8 @@
                 Some((leader, _)) => format!("leaderless, {leader} says that it leads"),
                 None => "leaderless".to_owned(),
             },
-            Role::Follows { leader, .. } => format!("follows {leader}"),
-            Role::Leads { .. } => "leads".to_owned(),
+            Role::Follower { leader, .. } => format!("follows {leader}"),
+            Role::Leader { .. } => "leads".to_owned(),
         };
         let figures = MapBuilder::new()
             .set("name", self.config.settings.name.as_str())
--- a/src/coordination/node/actions.rs
+++ b/src/coordination/node/actions.rs
@@ -7,30 +7,35 @@
         self.answer_held();
         let Some(leader) = &mut self.leader else { return };
         let epoch = leader.epoch();
-        for action in leader.take_actions() {
+        for action in leader.drain_effects() {
             match action {
-                Action::Answer { to, answer } => self.answer_waiting(to, answer),
-                Action::LookUp { to, job, otherwise } => {
+                Effect::Reply { reply: to, answer } => self.answer_waiting(to, answer),
+                Effect::LookUpJob { to, job, if_absent: otherwise } => {
                     if let Some(Waiting { reply, .. }) = self.waiting.remove(&to) {
                         self.look_up(LookUp { reply, job, absent: otherwise, only_final: false });
                     }
                 }
-                Action::ReadNeeds(submission) => self.read_needs(epoch, submission),
-                Action::Commit { ticket, transaction } => {
+                Effect::ReadDependencies(submission) => self.read_needs(epoch, submission),
+                Effect::Commit { operation: ticket, transaction } => {
                     let (store, inner) = (self.store.clone(), self.inner.clone());
                     tokio::spawn(async move {
                         let result = store.commit(transaction).await;
                         let _ = inner.send(Inner::Committed { epoch, ticket, result }).await;
                     });
                 }
-                Action::Cloud { ticket, call } => {
+                Effect::CallCloud { ticket, call } => {
                     let (cloud, inner) = (self.cloud.clone(), self.inner.clone());
                     tokio::spawn(async move {
                         let result = cloud.call(call).await;
                         let _ = inner.send(Inner::CloudDone { epoch, ticket, result }).await;
                     });
                 }
-                Action::Direct { address, token, session, orders } => {
+                Effect::PushCommands {
+                    address,
+                    fencing_token: token,
+                    incarnation: session,
+                    commands: orders,
+                } => {
                     // Only a short cut: the same goes out with the next report.
                     if self.directs >= self.sizes.directs {
                         continue;
@@ -50,7 +55,7 @@
                         let _ = inner.send(Inner::DirectDone).await;
                     });
                 }
-                Action::Over(status) => self.told.insert(status),
+                Effect::JobEvicted(status) => self.told.insert(status),
             }
         }
     }
--- a/src/coordination/node/handle.rs
+++ b/src/coordination/node/handle.rs
@@ -30,23 +30,23 @@
         let (reply, answer) = oneshot::channel();
         // A full buffer holds nobody: the edge refuses at once.
         if self.users.try_send(message(reply)).is_err() {
-            return Answer::later(429, "too many requests at once", 1);
+            return Answer::retry_later(429, "too many requests at once", 1);
         }
-        answer.await.unwrap_or_else(|_| Answer::later(503, "try again", 1))
+        answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", 1))
     }
 
     async fn report(&self, body: Vec<u8>, relayed: bool) -> Answer {
         let report = match decode(&body).and_then(|value| Heartbeat::decode(&value)) {
             Ok(report) => report,
-            Err(error) => return Answer::refused(400, &error.to_string()),
+            Err(error) => return Answer::error(400, &error.to_string()),
         };
         let (reply, answer) = oneshot::channel();
         let body = (!relayed).then_some(body);
         let message = ReportMessage { report, body, reply, arrived: Instant::now() };
         if self.reports.try_send(message).is_err() {
-            return Answer::later(503, "too many reports at once", 1);
+            return Answer::retry_later(503, "too many reports at once", 1);
         }
-        answer.await.unwrap_or_else(|_| Answer::later(503, "try again", 1))
+        answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", 1))
     }
 
     pub(super) async fn route(&self, request: Request) -> Answer {
@@ -56,31 +56,31 @@
         let get = request.method == "GET";
         match path {
             "/agent/beat" if post => self.report(request.body, false).await,
-            "/agent/beat" | "/api/jobs" if !post => Answer::refused(405, "POST only"),
+            "/agent/beat" | "/api/jobs" if !post => Answer::error(405, "POST only"),
             "/api/jobs" => self.user(PeerCall::Submit(request.body), Origin::User).await,
             "/status" if get => self.ask(|reply| UserMessage::Status { reply }).await,
             "/ready" if get => {
                 if *self.ready.borrow() {
                     Answer { body: Vec::new(), ..Answer::new(200, &ciborium::value::Value::Null) }
                 } else {
-                    Answer::later(503, "not ready", 1)
+                    Answer::retry_later(503, "not ready", 1)
                 }
             }
             _ => {
                 let Some(rest) = path.strip_prefix("/api/jobs/") else {
-                    return Answer::refused(404, "no such path");
+                    return Answer::error(404, "no such path");
                 };
                 let (id, withdraw) = match rest.strip_suffix("/withdraw") {
                     Some(id) => (id, true),
                     None => (rest, false),
                 };
                 if JobId::parse(id).is_none() {
-                    return Answer::refused(404, "no such job");
+                    return Answer::error(404, "no such job");
                 }
                 match (withdraw, post, get) {
-                    (true, true, _) => self.user(PeerCall::Withdraw(id.to_owned()), Origin::User).await,
+                    (true, true, _) => self.user(PeerCall::Cancel(id.to_owned()), Origin::User).await,
                     (false, _, true) => self.user(PeerCall::Poll(id.to_owned()), Origin::User).await,
-                    _ => Answer::refused(405, "method not allowed here"),
+                    _ => Answer::error(405, "method not allowed here"),
                 }
             }
         }
@@ -89,7 +89,7 @@
 
 impl Handler for NodeHandle {
     async fn handle(&self, request: Request) -> Response {
-        let answer = self.route(request).await.at_sending(Instant::now());
+        let answer = self.route(request).await.checked_at_sending(Instant::now());
         let Answer { status, body, retry_after_s, .. } = answer;
         Response { status, body, retry_after_s, close: false }
     }
@@ -99,7 +99,7 @@
     async fn handle(&self, call: PeerCall, relay: bool) -> PeerReply {
         let origin = if relay { Origin::Relay } else { Origin::Peer };
         let answer = match call {
-            PeerCall::Report(body) => self.report(body, true).await,
+            PeerCall::Heartbeat(body) => self.report(body, true).await,
             call => self.user(call, origin).await,
         };
         answer.into_reply(Instant::now())
--- a/src/coordination/node/peer_questions.rs
+++ b/src/coordination/node/peer_questions.rs
@@ -10,7 +10,7 @@
             let Some(link) = self.links.get(&peer).cloned() else { continue };
             let inner = self.inner.clone();
             tokio::spawn(async move {
-                let reply = link.call(PeerCall::Lead, false, patience).await;
+                let reply = link.call(PeerCall::LeaderQuery, false, patience).await;
                 let peer_state = reply.and_then(|r| {
                     let body = decode(&r.body).ok()?;
                     let f = Fields::of(&body).ok()?;
@@ -34,7 +34,7 @@
         // need not cover a grace.
         let listed = self.links.len() + 1 >= self.config.settings.cluster.size as usize;
         if let Some(leader) = self.leader.as_mut().filter(|_| listed)
-            && let Some(at) = self.peers.all_free_since(leader.loaded_at)
+            && let Some(at) = self.peers.all_free_since(leader.snapshot_at)
         {
             leader.lapse_windows_are_over(at);
         }
@@ -51,7 +51,7 @@
     /// as the others say.
     pub(super) fn other_leader(&self, now: Instant) -> Option<(&str, u64)> {
         match &self.role {
-            Role::Follows { leader, epoch } => Some((leader, *epoch)),
+            Role::Follower { leader, epoch } => Some((leader, *epoch)),
             _ => self.peers.leading(now),
         }
     }
--- a/src/coordination/node/reading.rs
+++ b/src/coordination/node/reading.rs
@@ -23,7 +23,7 @@
     /// calls live work over would otherwise strand it: a takeover reads only
     /// the rows of the living.
     pub(super) fn reconcile(&mut self, now: Instant) {
-        let Some(leader) = self.leader.as_ref().filter(|l| l.valid(now)) else { return };
+        let Some(leader) = self.leader.as_ref().filter(|l| l.holds_lease(now)) else { return };
         if self.walking || now < self.walk_at + self.config.tuning.reconcile {
             return;
         }
--- a/src/coordination/node/reports.rs
+++ b/src/coordination/node/reports.rs
@@ -102,7 +102,7 @@
         let inner = self.inner.clone();
         tokio::spawn(async move {
             let asked = Instant::now();
-            let relayed = link.call(PeerCall::Report(body), false, POLL_PATIENCE).await;
+            let relayed = link.call(PeerCall::Heartbeat(body), false, POLL_PATIENCE).await;
             let silent = relayed.is_none().then_some(leader);
             let answer = relayed.map_or_else(|| elsewhere(None), |reply| relayed_answer(reply, asked));
             let _ = reply.send(answer);
@@ -118,16 +118,16 @@
 
 /// A leader's answer to a report, with the time until which it may leave.
 fn worker_answer(leader: Option<&Leader>, token: u64, orders: &[Command]) -> Answer {
-    let basis = leader.map(|leader| leader.worker_answer(orders));
-    Answer { basis, ..Answer::new(200, &encode_heartbeat_reply(token, orders)) }
+    let basis = leader.map(|leader| leader.heartbeat_reply_validity(orders));
+    Answer { validity: basis, ..Answer::new(200, &encode_heartbeat_reply(token, orders)) }
 }
 
 /// The leader's answer to a report that was handed on. It may leave for as long as the
 /// leader said, counted from when it was asked; a leader of a build before that did not say.
 fn relayed_answer(reply: PeerReply, asked: Instant) -> Answer {
     let PeerReply { status, body, lease, .. } = reply;
-    let basis = lease.map(|lease| Basis { epoch: lease.epoch, until: asked + lease.left });
-    Answer { status, body, retry_after_s: None, told: None, basis }
+    let basis = lease.map(|lease| Validity { epoch: lease.epoch, valid_until: asked + lease.remaining });
+    Answer { status, body, retry_after_s: None, job_status: None, validity: basis }
 }
 
 /// The answer to a report that was held: a worker that is sent away tries the next
--- a/src/coordination/node/tests.rs
+++ b/src/coordination/node/tests.rs
@@ -5,7 +5,7 @@
 use crate::storage::records::{JobRecord, record_key};
 use crate::storage::stand_in::{StandIn, store};
 use crate::transport::codec::Request;
-use crate::transport::peer::{LeaseNote, PeerHandler};
+use crate::transport::peer::{PeerHandler, RemainingLease};
 
 fn request(method: &str, target: &str, body: &[u8]) -> Request {
     Request { method: method.into(), target: target.into(), body: body.to_vec(), close: false }
@@ -59,7 +59,7 @@
     let submit = PeerCall::Submit(encode(&spec.encode().build()));
     let answer = ask(&mut node, &mut inputs, submit).await;
     assert_eq!((answer.status, answer.retry_after_s), (503, Some(1)));
-    let answer = ask(&mut node, &mut inputs, PeerCall::Withdraw("job-1".into())).await;
+    let answer = ask(&mut node, &mut inputs, PeerCall::Cancel("job-1".into())).await;
     assert_eq!(answer.status, 503);
     let answer = ask(&mut node, &mut inputs, PeerCall::Poll("job-1".into())).await;
     assert_eq!(answer.status, 404, "the record is what decides it");
@@ -77,7 +77,7 @@
         node.ways(now, origin).into_iter().map(|(name, _, relay)| (name, relay)).collect()
     };
     assert_eq!(ways(&node, Origin::User), [], "no leader is known");
-    node.role = Role::Follows { leader: "c-1".into(), epoch: 7 };
+    node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let (direct, relayed) = (("c-1".to_owned(), false), ("c-2".to_owned(), true));
     assert_eq!(ways(&node, Origin::User), [direct.clone(), relayed.clone()]);
     node.peers.silent(now, "c-1");
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn a_follower_that_cannot_reach_the_leader_is_not_ready() {
     let (mut node, _inputs, _handle) = rig().await;
-    node.take_role(Role::Follows { leader: "c-1".into(), epoch: 7 });
+    node.take_role(Role::Follower { leader: "c-1".into(), epoch: 7 });
     node.tick();
     assert!(*node.ready.borrow());
     node.take_inner(Inner::LeaderReached(false));
@@ -119,7 +119,7 @@
     let now = Instant::now();
     let loaded = Loaded::default();
     node.leader = Some(Leader::new(node.config.clone(), 40, now, 0, loaded));
-    node.role = Role::Leads { epoch: 40, until: now };
+    node.role = Role::Leader { epoch: 40, lease_expiry: now };
     node.tick();
     assert!(!*node.ready.borrow(), "it never was ready, and leads no more");
     node.peer_answered(now, "c-1", Some(PeerState::Leads(39)));
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn reports_of_workers_that_come_back_are_handed_on_once() {
     let (mut node, _inputs, _handle) = rig().await;
-    node.role = Role::Follows { leader: "c-1".into(), epoch: 7 };
+    node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let report = report(1);
     let send = |node: &mut Node, body: Option<Vec<u8>>| {
         let (reply, answer) = oneshot::channel();
@@ -171,7 +171,7 @@
     assert_eq!(named(lost), (421, None));
     // A new leader: the way to it may be open.
     node.peers.answered(Instant::now(), "c-1", Some(PeerState::Free));
-    node.take_role(Role::Follows { leader: "c-2".into(), epoch: 7 });
+    node.take_role(Role::Follower { leader: "c-2".into(), epoch: 7 });
     let next = send(&mut node, Some(Vec::new())).await.expect("answered");
     assert_eq!(named(next), (421, Some("c-2".into())));
 }
@@ -183,7 +183,7 @@
     let (mut node, _inputs, _handle) = rig().await;
     let now = Instant::now();
     let mut leader = Leader::new(node.config.clone(), 40, now, 0, Loaded::default());
-    leader.extend(now, now + Duration::from_secs(60));
+    leader.extend_lease(now, now + Duration::from_secs(60));
     node.leader = Some(leader);
     for (waited, answered) in [(Duration::ZERO, true), (HEARTBEAT_REPLY_TIMEOUT, false)] {
         let (reply, answer) = oneshot::channel();
@@ -224,7 +224,7 @@
     let record = JobRecord::new(spec.clone(), 0).encode(8.0);
     put_record(&node, record_key(&spec.id), record).await;
     // Nothing listens where the other two controllers are said to be.
-    node.role = Role::Follows { leader: "c-1".into(), epoch: 7 };
+    node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let answer = ask(&mut node, &mut inputs, PeerCall::Poll("job-1".into())).await;
     assert_eq!(answer.status, 200);
 }
@@ -235,7 +235,7 @@
 #[tokio::test]
 async fn a_job_is_told_from_the_records_of_its_needs_as_well() {
     let (mut node, mut inputs, _handle) = rig().await;
-    node.role = Role::Follows { leader: "c-1".into(), epoch: 7 };
+    node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let mut put = Vec::new();
     let chain = |job: u32, need: u32| {
         let awaits = vec![JobId::parse(&format!("job-{need}")).expect("valid")];
@@ -275,7 +275,7 @@
         let (handle, body) = (handle.clone(), beat(1));
         tokio::spawn(async move {
             match handed_on {
-                true => drop(PeerHandler::handle(&handle, PeerCall::Report(body), false).await),
+                true => drop(PeerHandler::handle(&handle, PeerCall::Heartbeat(body), false).await),
                 false => drop(handle.route(request("POST", "/agent/beat", &body)).await),
             }
         });
@@ -312,9 +312,9 @@
         put_record(&node, record_key(&spec.id), record).await;
         let now = Instant::now();
         let mut leader = Leader::new(node.config.clone(), 40, now, 0, Loaded::default());
-        leader.extend(now, now + Duration::from_secs(60));
+        leader.extend_lease(now, now + Duration::from_secs(60));
         node.leader = Some(leader);
-        let answer = ask(&mut node, &mut inputs, PeerCall::Withdraw("job-1".into())).await;
+        let answer = ask(&mut node, &mut inputs, PeerCall::Cancel("job-1".into())).await;
         assert_eq!(answer.status, status);
     }
 }
@@ -327,13 +327,13 @@
     let job = LoadedJob { record, version: 5, live_version: 5, block_versions: Vec::new() };
     let loaded = Loaded { jobs: vec![job], ..Loaded::default() };
     let mut leader = Leader::new(node.config.clone(), 40, now, 0, loaded);
-    leader.extend(now, now + Duration::from_secs(60));
+    leader.extend_lease(now, now + Duration::from_secs(60));
     if settles {
         leader.mark_done(now, &spec.id, 0);
     } else {
-        assert!(leader.withdraw(now, ReplyTo(0), &spec.id));
+        assert!(leader.withdraw(now, ReplyId(0), &spec.id));
     }
-    assert!(leader.take_actions().iter().any(|a| matches!(a, Action::Commit { .. })), "it is sent");
+    assert!(leader.drain_effects().iter().any(|a| matches!(a, Effect::Commit { .. })), "it is sent");
     node.leader = Some(leader);
 }
 
@@ -370,10 +370,10 @@
 #[tokio::test]
 async fn a_forwarded_answer_that_was_overtaken_here_is_not_told() {
     let (mut node, _inputs, _handle) = rig().await;
-    node.role = Role::Follows { leader: "c-1".into(), epoch: 7 };
+    node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let job = JobId::parse("job-1").expect("valid");
     let status = |standing| JobStatus { id: job.clone(), standing, done: 0, running: 0 };
-    let lease = LeaseNote { epoch: 7, left: Duration::from_secs(3) };
+    let lease = RemainingLease { epoch: 7, remaining: Duration::from_secs(3) };
     let forwarded = |node: &mut Node, standing, lease| {
         let (reply, answer) = oneshot::channel();
         let call = PeerCall::Poll("job-1".into());
@@ -386,7 +386,7 @@
     };
     let first = forwarded(&mut node, Standing::Running, Some(lease)).await.expect("answered");
     assert_eq!(standing_of(&first), "running");
-    let stale = LeaseNote { epoch: 6, ..lease };
+    let stale = RemainingLease { epoch: 6, ..lease };
     let refused = forwarded(&mut node, Standing::Running, Some(stale)).await.expect("answered");
     assert_eq!(refused.status, 503, "of an epoch that is over");
     let last = forwarded(&mut node, Standing::Cancelled, None).await.expect("answered");
@@ -395,7 +395,7 @@
     assert_eq!(standing_of(&overtaken), "cancelled");
     // So with a record that was read before.
     let (reply, answer) = oneshot::channel();
-    let absent = Answer::refused(404, "no such job");
+    let absent = Answer::error(404, "no such job");
     let look_up = LookUp { reply, job: job.clone(), absent, only_final: false };
     node.lookups += 1;
     node.looked_up(look_up, Instant::now(), RecordRead::Found(status(Standing::Queued)));
@@ -403,7 +403,7 @@
     // And with a cancellation that another controller answers with something else.
     let (reply, answer) = oneshot::channel();
     let other = JobId::parse("job-2").expect("valid");
-    let call = PeerCall::Withdraw("job-2".into());
+    let call = PeerCall::Cancel("job-2".into());
     let request = UserRequest { call, job: other.clone(), reply, origin: Origin::User };
     let queued = JobStatus { id: other, standing: Standing::Queued, done: 0, running: 0 };
     let answered =
@@ -421,7 +421,7 @@
     for (standing, held_up, status) in
         [(Standing::Running, false, 200), (Standing::Running, true, 503), (Standing::Done, true, 200)]
     {
-        let basis = Basis { epoch: 7, until: Instant::now() + Duration::from_secs(1) };
+        let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(1) };
         let told = JobStatus { id: job.clone(), standing, done: 0, running: 0 };
         let to_user = handle.clone();
         let user = tokio::spawn(async move {
@@ -435,7 +435,7 @@
             let Some(UserMessage::Call { reply, .. }) = inputs.users.recv().await else {
                 panic!("no request")
             };
-            assert!(reply.send(Answer::state(200, told.clone(), basis)).is_ok());
+            assert!(reply.send(Answer::job_state(200, told.clone(), basis)).is_ok());
         }
         if held_up {
             tokio::time::advance(Duration::from_secs(2)).await;
@@ -466,7 +466,7 @@
     let loaded = Loaded { jobs, rentals, catalog: Some((catalog(), 2)), ..Loaded::default() };
     let now = Instant::now();
     let mut leader = Leader::new(node.config.clone(), 40, now, 0, loaded);
-    leader.extend(now, now + Duration::from_secs(1));
+    leader.extend_lease(now, now + Duration::from_secs(1));
     node.leader = Some(leader);
 }
 
@@ -476,7 +476,7 @@
 /// leader may give one. To a worker itself, and to a controller that handed the report on.
 #[tokio::test(start_paused = true)]
 async fn an_answer_to_a_report_does_not_leave_past_its_lease() {
-    let lapse_window = rig().await.0.config.lapse_window();
+    let lapse_window = rig().await.0.config.post_lease_grace();
     let second = Duration::from_secs(1);
     for (starts, held_up, status) in [
         (true, Duration::ZERO, 200),
@@ -489,7 +489,7 @@
             leading_for_a_second(&mut node, starts);
             let answered = tokio::spawn(async move {
                 match handed_on {
-                    true => PeerHandler::handle(&handle, PeerCall::Report(beat(40)), false).await.status,
+                    true => PeerHandler::handle(&handle, PeerCall::Heartbeat(beat(40)), false).await.status,
                     false => {
                         let beat = request("POST", "/agent/beat", &beat(40));
                         crate::transport::server::Handler::handle(&handle, beat).await.status
@@ -510,7 +510,7 @@
 async fn no_leader_begins_twice_in_an_epoch() {
     let (mut node, _inputs, _handle) = rig().await;
     let mut given_up = node.abandoned.subscribe();
-    node.role = Role::Leads { epoch: 40, until: Instant::now() + Duration::from_secs(9) };
+    node.role = Role::Leader { epoch: 40, lease_expiry: Instant::now() + Duration::from_secs(9) };
     for begun in [true, false] {
         node.leader = None;
         node.take_inner(Inner::Loaded { epoch: 40, loaded: Some(Loaded::default()) });
--- a/src/coordination/node/user_requests.rs
+++ b/src/coordination/node/user_requests.rs
@@ -52,27 +52,27 @@
     pub(super) fn take_user(&mut self, call: PeerCall, reply: Reply, origin: Origin) {
         let now = Instant::now();
         let (job, spec) = match &call {
-            PeerCall::Poll(id) | PeerCall::Withdraw(id) => match JobId::parse(id) {
+            PeerCall::Poll(id) | PeerCall::Cancel(id) => match JobId::parse(id) {
                 Some(job) => (job, None),
-                None => return drop(reply.send(Answer::refused(404, "no such job"))),
+                None => return drop(reply.send(Answer::error(404, "no such job"))),
             },
             PeerCall::Submit(body) => match decode(body).and_then(|value| JobSpec::decode(&value)) {
                 Ok(spec) => (spec.id.clone(), Some(spec)),
                 Err(error) => return drop(reply.send(refuse_malformed(&error))),
             },
-            PeerCall::Lead => return drop(reply.send(self.leading(now))),
+            PeerCall::LeaderQuery => return drop(reply.send(self.leading(now))),
             // Reports have a buffer of their own.
-            PeerCall::Report(_) => return drop(reply.send(Answer::refused(400, "a report"))),
+            PeerCall::Heartbeat(_) => return drop(reply.send(Answer::error(400, "a report"))),
         };
         // What is final stays so, whoever leads.
         if let Some(status) = self.told.get(&job) {
-            return drop(reply.send(Answer::final_state(status.clone())));
+            return drop(reply.send(Answer::terminal_state(status.clone())));
         }
         let request = UserRequest { call, job, reply, origin };
         match (&request.call, spec) {
             _ if !self.leads(now) => self.pass_on(request),
             (_, Some(spec)) => self.submit(now, spec, request),
-            (PeerCall::Withdraw(_), _) => self.withdraw(now, request),
+            (PeerCall::Cancel(_), _) => self.withdraw(now, request),
             _ => self.poll(now, request),
         }
     }
@@ -87,13 +87,13 @@
     /// Whether users' requests go to the state machine here. A leader past its lease
     /// answers little; one that leads now, all.
     fn leads(&self, now: Instant) -> bool {
-        let lapsed = self.leader.as_ref().is_some_and(|l| !l.valid(now));
+        let lapsed = self.leader.as_ref().is_some_and(|l| !l.holds_lease(now));
         self.leader.is_some() && !(lapsed && self.peers.leading(now).is_some())
     }
 
     /// Says to another controller whether this one leads.
     fn leading(&self, now: Instant) -> Answer {
-        match self.leader.as_ref().filter(|l| l.valid(now)).map(Leader::epoch) {
+        match self.leader.as_ref().filter(|l| l.holds_lease(now)).map(Leader::epoch) {
             Some(epoch) => Answer::new(200, &MapBuilder::new().set("epoch", epoch).build()),
             // Without a picture no worker gets a 200 from here, and a picture comes
             // only with a new epoch.
@@ -114,20 +114,20 @@
         let to = self.keep(reply, job.clone(), now);
         let known = self.leader.as_mut().is_some_and(|l| l.withdraw(now, to, &job));
         if !known && let Some(Waiting { reply, job, .. }) = self.waiting.remove(&to) {
-            let absent = Answer::refused(404, "no such job");
+            let absent = Answer::error(404, "no such job");
             self.look_up(LookUp { reply, job, absent, only_final: true });
         }
     }
 
-    fn keep(&mut self, reply: Reply, job: JobId, now: Instant) -> ReplyTo {
+    fn keep(&mut self, reply: Reply, job: JobId, now: Instant) -> ReplyId {
         self.next_reply += 1;
-        let to = ReplyTo(self.next_reply);
+        let to = ReplyId(self.next_reply);
         self.waiting.insert(to, Waiting { reply, job, since: now });
         to
     }
 
     /// Answers a request that waits for the state machine, unless it was answered before.
-    pub(super) fn answer_waiting(&mut self, to: ReplyTo, answer: Answer) {
+    pub(super) fn answer_waiting(&mut self, to: ReplyId, answer: Answer) {
         if let Some(Waiting { reply, job, .. }) = self.waiting.remove(&to) {
             self.tell(reply, &job, answer);
         }
@@ -137,7 +137,7 @@
     /// was told before, or learnt from a record, wins over whatever was decided since
     /// the request came.
     pub(super) fn tell(&mut self, reply: Reply, job: &JobId, answer: Answer) {
-        let _ = reply.send(self.told.settle(job, answer));
+        let _ = reply.send(self.told.resolve(job, answer));
     }
 
     /// Hands a user's request to the leader, past a cut through another controller if
@@ -172,7 +172,7 @@
         let UserRequest { call, job, reply, origin } = request;
         match call {
             PeerCall::Poll(_) if origin == Origin::User => self.look_up_or_refuse(reply, job),
-            _ => self.tell(reply, &job, Answer::later(503, reason, 1)),
+            _ => self.tell(reply, &job, Answer::retry_later(503, reason, 1)),
         }
     }
 
@@ -180,15 +180,15 @@
     pub(super) fn forwarded(&mut self, forwarded: ForwardedReply) {
         let ForwardedReply { request, peer, asked, answer } = forwarded;
         let UserRequest { call, job, reply, .. } = request;
-        let usable = answers::forwarded(answer, &job, asked, asked + PATIENCE, self.newest_epoch());
-        let withdraws = matches!(call, PeerCall::Withdraw(_));
-        let usable = usable.and_then(|answer| match withdraws && answer.basis.is_some() {
-            true => Err(UnusableReply::NotFinal),
+        let usable = answers::from_peer_reply(answer, &job, asked, asked + PATIENCE, self.newest_epoch());
+        let withdraws = matches!(call, PeerCall::Cancel(_));
+        let usable = usable.and_then(|answer| match withdraws && answer.validity.is_some() {
+            true => Err(UnusableReply::NotTerminal),
             false => Ok(answer),
         });
         let answer = usable.unwrap_or_else(|error| {
             tracing::error!(%job, %peer, %error, "another controller's reply is not passed on");
-            Answer::later(503, "try again", 1)
+            Answer::retry_later(503, "try again", 1)
         });
         self.tell(reply, &job, answer);
     }
@@ -196,7 +196,7 @@
     /// The highest epoch that this controller has heard of.
     fn newest_epoch(&self) -> u64 {
         let by_role = match &self.role {
-            Role::Follows { epoch, .. } | Role::Leads { epoch, .. } => *epoch,
+            Role::Follower { epoch, .. } | Role::Leader { epoch, .. } => *epoch,
             Role::Leaderless => 0,
         };
         by_role.max(self.peers.leading(Instant::now()).map_or(0, |(_, epoch)| epoch))
@@ -225,13 +225,13 @@
 
     /// Answers from the record, which alone decides what was ever accepted.
     fn look_up_or_refuse(&mut self, reply: Reply, job: JobId) {
-        let absent = Answer::refused(404, "no such job");
+        let absent = Answer::error(404, "no such job");
         self.look_up(LookUp { reply, job, absent, only_final: false });
     }
 
     pub(super) fn look_up(&mut self, look_up: LookUp) {
         if self.lookups >= self.sizes.lookups {
-            let busy = Answer::later(503, "too many requests at once", 1);
+            let busy = Answer::retry_later(503, "too many requests at once", 1);
             return self.tell(look_up.reply, &look_up.job, busy);
         }
         self.lookups += 1;
@@ -244,10 +244,10 @@
     }
 
     /// Reads the records of jobs that a submission names.
-    pub(super) fn read_needs(&mut self, epoch: u64, submission: Box<UnjudgedSubmission>) {
+    pub(super) fn read_needs(&mut self, epoch: u64, submission: Box<UncheckedSubmission>) {
         if self.lookups >= self.sizes.lookups {
-            let busy = Answer::later(503, "too many requests at once", 1);
-            return self.answer_waiting(submission.to, busy);
+            let busy = Answer::retry_later(503, "too many requests at once", 1);
+            return self.answer_waiting(submission.reply, busy);
         }
         self.lookups += 1;
         let (store, inner) = (self.store.clone(), self.inner.clone());
@@ -263,18 +263,18 @@
     pub(super) fn needs_read(
         &mut self,
         epoch: u64,
-        submission: UnjudgedSubmission,
+        submission: UncheckedSubmission,
         states: Option<NeedStates>,
     ) {
         self.lookups -= 1;
         let now = Instant::now();
-        let UnjudgedSubmission { to, spec, mut read, .. } = submission;
+        let UncheckedSubmission { reply: to, spec, known: mut read, .. } = submission;
         match (states, self.leader.as_mut().filter(|leader| leader.epoch() == epoch)) {
             (Some(states), Some(leader)) => {
                 read.extend(states);
                 leader.submit_knowing(now, wall_ms(), to, spec, read);
             }
-            _ => self.answer_waiting(to, Answer::later(503, "awaited jobs cannot be looked up now", 1)),
+            _ => self.answer_waiting(to, Answer::retry_later(503, "awaited jobs cannot be looked up now", 1)),
         }
     }
 
@@ -285,15 +285,15 @@
         let LookUp { reply, job, absent, only_final } = look_up;
         let answer = match read {
             RecordRead::Absent => absent,
-            RecordRead::Unreadable => Answer::later(503, "unreadable record", 5),
-            RecordRead::Unavailable => Answer::later(503, "records cannot be read now", 1),
-            RecordRead::Found(status) if status.standing.is_final() => Answer::final_state(status),
-            RecordRead::Found(_) if only_final => Answer::later(503, "try again", 1),
+            RecordRead::Unreadable => Answer::retry_later(503, "unreadable record", 5),
+            RecordRead::Unavailable => Answer::retry_later(503, "records cannot be read now", 1),
+            RecordRead::Found(status) if status.standing.is_final() => Answer::terminal_state(status),
+            RecordRead::Found(_) if only_final => Answer::retry_later(503, "try again", 1),
             RecordRead::Found(status) => {
                 let leader = self.leader.as_ref();
                 let picture = leader.and_then(|l| l.from_memory(Instant::now(), &job));
-                let basis = Basis { epoch: 0, until: started + POLL_PATIENCE };
-                picture.unwrap_or_else(|| Answer::state(200, status, basis))
+                let basis = Validity { epoch: 0, valid_until: started + POLL_PATIENCE };
+                picture.unwrap_or_else(|| Answer::job_state(200, status, basis))
             }
         };
         self.tell(reply, &job, answer);
@@ -331,5 +331,5 @@
 }
 
 fn refuse_malformed(error: &Malformed) -> Answer {
-    Answer::refused(400, &error.to_string())
+    Answer::error(400, &error.to_string())
 }
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/pipelines.rs
@@ -77,7 +77,7 @@
             let state = match self.jobs.get(need) {
                 Some(job) if job.cancelled_by_need => Some(NeedState::Cancelled),
                 Some(job) => Some(NeedState::of(Some(&job.record))),
-                None if self.creating.contains_key(need) => {
+                None if self.pending_admissions.contains_key(need) => {
                     return Needs::Unclear("an awaited job is being accepted");
                 }
                 None => read.get(need).copied(),
@@ -178,7 +178,7 @@
         let is_unmet = |need: &JobId| self.jobs.get(need).is_some_and(|need| !need.record.settled);
         let has_begun = begun > 0 && !spec.awaits.iter().any(is_unmet);
         if begun > 0 && !has_begun {
-            self.violated(Violation::BegunBeforeNeeds, job);
+            self.record_violation(Violation::StartedBeforeDependencies, job);
         }
         let (mut awaited, mut fate, mut released_ms) = (BTreeSet::new(), Fate::Open, released_ms);
         for need in spec.awaits.iter().filter(|_| !has_begun) {
--- a/src/coordination/record_writing.rs
+++ b/src/coordination/record_writing.rs
@@ -12,7 +12,7 @@
 
 use super::answers::Answer;
 use super::authority::Violation;
-use super::leader::{Action, Leader, Ticket};
+use super::leader::{Effect, Leader, PendingOperation};
 use super::model::{Conversion, Job, WritePart, Written};
 use crate::protocol::jobs::{JobId, Standing};
 use crate::protocol::state::{Change, Condition};
@@ -222,7 +222,12 @@
         j.conversion = conversion.filter(|_| !is_final);
         j.dirty_since = None;
         j.writing = Some(write.written);
-        self.commit(Ticket::Record(job.clone()), write.class, write.conditions, write.changes);
+        self.commit(
+            PendingOperation::WriteJobRecord(job.clone()),
+            write.class,
+            write.conditions,
+            write.changes,
+        );
     }
 
     /// A write of a job's record has ended.
@@ -236,7 +241,7 @@
             Err(error) => {
                 // Somebody else wrote under our epoch: it cannot be mended by going on.
                 tracing::error!(%job, ?error, "a job's record cannot be written; giving up the epoch");
-                self.fenced = true;
+                self.is_fenced = true;
             }
         }
     }
@@ -306,7 +311,7 @@
         let waiting = std::mem::take(&mut j.withdrawals);
         let status = j.status();
         for to in waiting {
-            self.answer(to, Answer::final_state(status.clone()));
+            self.reply(to, Answer::terminal_state(status.clone()));
         }
     }
 
@@ -386,7 +391,7 @@
             Condition { key: over_key(job), version: 0 },
         ];
         let changes = vec![put(over_key(job), row(standing)), Change::Delete { key: live_key(job) }];
-        self.commit(Ticket::Move(job.clone()), Class::Rest, conditions, changes);
+        self.commit(PendingOperation::ArchiveRow(job.clone()), Class::Rest, conditions, changes);
     }
 
     /// A row has followed its record: the job leaves memory.
@@ -403,7 +408,7 @@
             // A machine has shown a task of it since. Out of memory, nobody would stop it.
             Some(j) => {
                 j.row_moved = true;
-                self.violated(Violation::JobLeavesWithTasks, &job);
+                self.record_violation(Violation::JobEvictedWithTasks, &job);
             }
             None => self.leave(&job),
         }
@@ -415,7 +420,7 @@
         self.reserved.remove(job);
         self.dependencies.remove(job);
         if let Some(j) = self.jobs.remove(job) {
-            self.actions.push(Action::Over(j.status()));
+            self.effects.push(Effect::JobEvicted(j.status()));
         }
     }
 }
--- a/src/coordination/renting.rs
+++ b/src/coordination/renting.rs
@@ -8,7 +8,7 @@
 
 use super::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
 use super::demand::{Demand, GroupKey};
-use super::leader::{Leader, Ticket};
+use super::leader::{Leader, PendingOperation};
 use super::machines::{Phase, Rental};
 use crate::maps::HashSet;
 use crate::protocol::cloud::{MachineType, RentalRequest};
@@ -342,7 +342,7 @@
     }
 
     pub(super) fn ask_rental(&mut self, now: Instant, name: &str) {
-        let Ok(permit) = self.tenure().lead(now) else { return };
+        let Ok(permit) = self.term().leader_permit(now) else { return };
         let Some(rental) = self.rentals.get_mut(name) else { return };
         if rental.asking || rental.version == 0 {
             return;
@@ -350,7 +350,11 @@
         rental.asking = true;
         rental.asked_at = now;
         let request = rental.record.request.clone();
-        self.change_cloud(permit, Ticket::AskRental(name.to_owned()), CloudCall::Rent(request));
+        self.change_cloud(
+            permit,
+            PendingOperation::ProvisionNodePool(name.to_owned()),
+            CloudCall::Rent(request),
+        );
     }
 
     pub(super) fn rental_answered(&mut self, now: Instant, name: &str, result: CloudResult) {
--- a/src/coordination/scheduler.rs
+++ b/src/coordination/scheduler.rs
@@ -183,17 +183,17 @@
         let attempt = self.attempt(counter);
         let evidence = self.start_evidence(machine, &key)?;
         let task = TaskId { job: key.0.clone(), index: key.1 };
-        let permit = match self.tenure().start(now, task, attempt, evidence) {
+        let permit = match self.term().start_permit(now, task, attempt, evidence) {
             Ok(permit) => permit,
             Err(refusal) => {
-                self.violated(Violation::Start(refusal), &key.0);
+                self.record_violation(Violation::Start(refusal), &key.0);
                 return None;
             }
         };
         self.next_attempt = counter;
         tracing::debug!(
             epoch = self.epoch,
-            lease_left_ms = self.until.saturating_duration_since(now).as_millis() as u64,
+            lease_left_ms = self.lease_expiry.saturating_duration_since(now).as_millis() as u64,
             %machine,
             job = %key.0,
             task = key.1,
@@ -201,7 +201,7 @@
             "start"
         );
         self.add_slot(now, machine, key, attempt, SlotState::StartSent { seq }, true);
-        Some(permit.order())
+        Some(permit.into_command())
     }
 
     fn attempt(&self, counter: u32) -> u64 {
@@ -218,11 +218,12 @@
         let is_counted = job.active.contains_key(&task) || machine.slots.contains_key(key);
         Some(StartEvidence {
             job_is_live: job.is_live(),
-            needs_are_done: !job.is_waiting() && (!awaits_others || self.dependencies.is_released(job_id)),
-            begun_is_recorded: task < job.begun,
+            dependencies_are_done: !job.is_waiting()
+                && (!awaits_others || self.dependencies.is_released(job_id)),
+            start_is_recorded: task < job.begun,
             task_is_done: job.record.done.contains(task),
             is_on_no_machine: !is_counted && !may_be_on_unheard,
-            machine_is_recorded: machine.use_recorded,
+            machine_use_is_recorded: machine.use_recorded,
             last_attempt: self.attempt(self.next_attempt),
         })
     }
--- a/src/coordination/silence.rs
+++ b/src/coordination/silence.rs
@@ -66,7 +66,7 @@
         let (overdue, lease) = (self.overdue(), self.config.settings.cluster.workers.lease());
         let mut found = Silence {
             now,
-            since: self.since,
+            since: self.replying_since,
             patience: self.config.tuning.silence,
             anybody_heard: false,
             lease,
--- a/src/coordination/stopping.rs
+++ b/src/coordination/stopping.rs
@@ -21,8 +21,8 @@
         slot.stop_grace_s = Some(grace_s);
         let task = TaskId { job: key.0.clone(), index: key.1 };
         let order = Command::Stop { task, attempt: slot.attempt, grace_s };
-        self.actions.extend(m.push_commands(now, self.epoch, vec![order]));
-        self.ordered.push(machine.clone());
+        self.effects.extend(m.push_commands(now, self.epoch, vec![order]));
+        self.machines_with_commands.push(machine.clone());
     }
 
     /// The job is over: whatever runs of it is of no use.
@@ -50,12 +50,12 @@
     /// decided by it. A machine that has not been heard since, late in the time that
     /// a cancellation has, is deleted: the answer is the proof.
     pub(super) fn resend_stops(&mut self, now: Instant) {
-        if self.is_over() || !self.jobs.values().any(|j| j.cancelled_at.is_some() && j.slots > 0) {
+        if self.is_fenced() || !self.jobs.values().any(|j| j.cancelled_at.is_some() && j.slots > 0) {
             return;
         }
         let workers = &self.config.settings.cluster.workers;
         let (pause, late) = (workers.report(), workers.cancellation() / 2);
-        let may_delete = self.valid(now) && !self.cloud_is_down(now);
+        let may_delete = self.holds_lease(now) && !self.cloud_is_down(now);
         let mut lost = Vec::new();
         for m in self.machines.values_mut().filter(|m| !m.slots.is_empty()) {
             let stops: Vec<(Instant, Command)> = m
@@ -76,7 +76,7 @@
                 continue;
             }
             let orders = stops.into_iter().map(|(_, order)| order).take(MAX_COMMANDS).collect();
-            self.actions.extend(m.push_commands(now, self.epoch, orders));
+            self.effects.extend(m.push_commands(now, self.epoch, orders));
         }
         if !lost.is_empty() {
             tracing::info!(count = lost.len(), "silent machines may hold cancelled tasks; deleting them");
@@ -88,7 +88,7 @@
     /// late that the worker must now lose its lease for it. Counted from the
     /// cancellation, not from stops that were missed.
     pub(super) fn ignores_its_stops(&self, now: Instant, report: &Heartbeat) -> bool {
-        let patience = self.config.answers_after_cancelling();
+        let patience = self.config.cancelled_task_reply_window();
         let since = |job: &JobId| self.jobs.get(job).and_then(|j| j.cancelled_at);
         report.tasks.iter().any(|t| {
             !matches!(t.state, TaskState::Exited(_))
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -44,7 +44,7 @@
 impl Leader {
     /// Whether it would help to know that no earlier leader is in its lapse window.
     pub fn awaits_lapse_windows(&self) -> bool {
-        !self.recovered && self.lapse_windows_over.is_none()
+        !self.recovered && self.post_lease_graces_over_at.is_none()
     }
 
     /// Every other controller has said, by then and after this epoch began,
@@ -52,13 +52,14 @@
     /// held before, a dead process' included, is over: a name is used by one
     /// process at a time, and a picture is only had with a new epoch.
     pub fn lapse_windows_are_over(&mut self, at: Instant) {
-        self.lapse_windows_over.get_or_insert(at);
+        self.post_lease_graces_over_at.get_or_insert(at);
     }
 
     /// When a machine that this epoch has never answered has lost its lease.
     pub(super) fn unheard_proof(&self) -> Instant {
-        let lapse_window = self.loaded_at + self.config.takeover_proof();
-        self.lapse_windows_over.map_or(lapse_window, |at| lapse_window.min(at + self.config.lease_proof()))
+        let lapse_window = self.snapshot_at + self.config.failover_lease_timeout();
+        self.post_lease_graces_over_at
+            .map_or(lapse_window, |at| lapse_window.min(at + self.config.worker_lease_timeout()))
     }
 
     /// What is on the machine is known from now on.
@@ -122,7 +123,7 @@
         self.insert_all_loaded(now, now_ms, jobs, &restored.needs);
         for id in ids {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.not_before = Some(now + self.config.takeover_proof());
+                job.not_before = Some(now + self.config.failover_lease_timeout());
             }
         }
     }
@@ -180,7 +181,7 @@
     /// after a lease: by then a live machine has been entered.
     pub(super) fn may_answer_hidden(&mut self, now: Instant) -> bool {
         let lease = self.config.settings.cluster.workers.lease();
-        let may = now < self.loaded_at + lease;
+        let may = now < self.snapshot_at + lease;
         if may {
             self.hidden_answered = Some(now);
         }
@@ -190,7 +191,7 @@
     /// Machines whose fleet record cannot be read, and that have not been heard, have lost
     /// their leases by now.
     pub(super) fn prove_hidden_machines(&mut self, now: Instant) {
-        let answered = self.hidden_answered.map(|at| at + self.config.lease_proof());
+        let answered = self.hidden_answered.map(|at| at + self.config.worker_lease_timeout());
         if !self.hidden_machines || now < self.unheard_proof() || answered.is_some_and(|proof| now < proof) {
             return;
         }
@@ -203,7 +204,7 @@
     /// A machine that has not been answered for its whole lease, and a margin,
     /// has killed all its tasks.
     pub(super) fn prove_silent_machines(&mut self, now: Instant) {
-        let proof = self.config.lease_proof();
+        let proof = self.config.worker_lease_timeout();
         let unheard = self.unheard_proof();
         let silent: Vec<MachineId> = self
             .machines
--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -65,11 +65,15 @@
         settings.cluster.workers.cancel_s = cancel_s;
         let config = Config { settings: settings.clone(), tuning: policy::tests::tuning() };
         let workers = &config.settings.cluster.workers;
-        let last = config.lapse_window() + config.lease_proof() + HEARTBEAT_REPLY_TIMEOUT;
-        assert!(config.lapse_window().is_zero() || last <= workers.cancellation(), "{cancel_s}");
-        assert!(config.lapse_window() <= workers.lease() / 2);
-        assert_eq!(config.takeover_proof(), config.lease_proof() + config.lapse_window(), "the other half");
-        windows.push(config.lapse_window());
+        let last = config.post_lease_grace() + config.worker_lease_timeout() + HEARTBEAT_REPLY_TIMEOUT;
+        assert!(config.post_lease_grace().is_zero() || last <= workers.cancellation(), "{cancel_s}");
+        assert!(config.post_lease_grace() <= workers.lease() / 2);
+        assert_eq!(
+            config.failover_lease_timeout(),
+            config.worker_lease_timeout() + config.post_lease_grace(),
+            "the other half"
+        );
+        windows.push(config.post_lease_grace());
     }
     assert!(
         windows.is_sorted() && windows[0].is_zero() && windows[7] == settings.cluster.workers.lease() / 2
@@ -90,10 +94,10 @@
     rig.commit_all();
     assert_eq!(told(&rig.answer(to).expect("answered")), "cancelled");
     let called_off = held.iter().find(|s| s.0.job == id("job-1")).expect("started");
-    rig.leader.extend(rig.now, rig.now + Duration::from_millis(10));
+    rig.leader.extend_lease(rig.now, rig.now + Duration::from_millis(10));
     for seq in 7..9 {
         rig.pass(1.0);
-        assert!(!rig.leader.valid(rig.now));
+        assert!(!rig.leader.holds_lease(rig.now));
         assert_eq!(rig.beat("vm-1", seq, EPOCH, running.clone()), [stop(called_off)]);
     }
     assert!(rig.commits.is_empty());
@@ -139,7 +143,7 @@
         }
     }
     assert!(last > cancelled_at, "a stop or two is tried first");
-    assert!(last + rig.config.lease_proof() <= cancelled_at + workers.cancellation());
+    assert!(last + rig.config.worker_lease_timeout() <= cancelled_at + workers.cancellation());
     assert!(rig.leader.machines[&machine("vm-1")].slots.is_empty(), "proven gone");
 }
 
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -64,7 +64,7 @@
             match answer(&call) {
                 Some(reply) => {
                     answered += 1;
-                    self.leader.cloud_done(self.now, ticket, Ok(reply));
+                    self.leader.handle_cloud_result(self.now, ticket, Ok(reply));
                 }
                 None => self.cloud.push((ticket, call)),
             }
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -24,7 +24,7 @@
     while !rig.commits[0].1.changes.iter().any(|change| change.key() == "over/job-1") {
         let (ticket, _) = rig.commits.remove(0);
         rig.version += 1;
-        rig.leader.committed(rig.now, ticket, Ok(rig.version));
+        rig.leader.handle_commit_result(rig.now, ticket, Ok(rig.version));
         rig.collect();
     }
     let stray = (TaskId { job: id("job-1"), index: 0 }, 9);
@@ -107,5 +107,5 @@
         running.retain(|(task, _)| !stopped.contains(task));
         seq += 1;
     }
-    assert!(rig.now < confirmed + rig.config.answers_after_cancelling());
+    assert!(rig.now < confirmed + rig.config.cancelled_task_reply_window());
 }
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -12,7 +12,7 @@
     assert_eq!(rig.commits[0].1.epoch, EPOCH);
     rig.fail_commit(StoreError::Fenced);
     assert_eq!(rig.answer(to).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
-    assert!(rig.leader.is_over());
+    assert!(rig.leader.is_fenced());
     // Nothing of the stale epoch gets out any more.
     assert_eq!(rig.report("vm-1", 1, 9, EPOCH, vec![]), HeartbeatReply::Redirect);
     let late = rig.submit(sample("job-2", "red", 1, 1.0));
@@ -21,7 +21,7 @@
 }
 
 /// A job's final write has been sent: its user has withdrawn it, or its only task is done.
-fn with_a_final_write_under_way(withdrawn: bool) -> (Rig, Option<ReplyTo>) {
+fn with_a_final_write_under_way(withdrawn: bool) -> (Rig, Option<ReplyId>) {
     let mut rig = Rig::new(vec![loaded_job(sample("job-1", "red", 1, 1.0))], Vec::new());
     rig.commit_all();
     let to = withdrawn.then(|| rig.withdraw("job-1"));
@@ -43,7 +43,7 @@
             let others = rig.commits.len() - 1;
             assert_eq!(others, 0, "{:?}", rig.commits);
             rig.fail_commit(error);
-            assert!(rig.leader.is_over(), "{error:?}");
+            assert!(rig.leader.is_fenced(), "{error:?}");
             assert_eq!(to.and_then(|to| rig.answer(to)), None);
             assert_eq!(rig.standing("job-1"), None);
         }
@@ -66,12 +66,12 @@
         rig.fail_commit(StoreError::Rejected);
         assert!(rig.commits.is_empty(), "not repeated without end");
         assert_eq!((rig.standing("job-1"), to.and_then(|to| rig.answer(to))), (None, None));
-        assert!(!rig.leader.is_over());
+        assert!(!rig.leader.is_fenced());
         rig.pass(31.0);
         assert_eq!(only_put(&rig), verdict);
         // The first try was carried out after all.
         rig.fail_commit(StoreError::Conflict);
-        assert!(rig.leader.is_over());
+        assert!(rig.leader.is_fenced());
         assert_eq!((rig.standing("job-1"), to.and_then(|to| rig.answer(to))), (None, None));
     }
 }
@@ -94,12 +94,12 @@
     let orders = rig.beat("vm-1", 2, EPOCH, vec![]);
     assert_eq!(starts(&orders).len(), 1);
     let end = rig.now + Duration::from_secs(1);
-    rig.leader.extend(rig.now, end);
+    rig.leader.extend_lease(rig.now, end);
     rig.now = end;
-    assert!(!rig.leader.valid(rig.now));
+    assert!(!rig.leader.holds_lease(rig.now));
     assert_eq!(rig.standing("job-1"), None);
     // Renewed after all, with the key unchanged: the epoch goes on.
-    rig.leader.extend(rig.now, rig.now + Duration::from_secs(9));
+    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(9));
     assert_eq!(rig.standing("job-1"), Some(Standing::Queued));
 }
 
@@ -118,8 +118,8 @@
     assert_eq!(rig.answer(to).map(|a| a.status), Some(201));
     rig.cloud.clear();
     let end = rig.now + Duration::from_secs(3);
-    rig.leader.extend(rig.now, end);
-    rig.now = end + rig.config.lapse_window() + Duration::from_secs(20);
+    rig.leader.extend_lease(rig.now, end);
+    rig.now = end + rig.config.post_lease_grace() + Duration::from_secs(20);
     for (seq, tasks) in [(6, running.clone()), (7, running), (8, vec![])] {
         assert_eq!(rig.report("vm-1", 1, seq, EPOCH, tasks), HeartbeatReply::Redirect);
     }
@@ -137,17 +137,17 @@
     let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
     rig.accept(sample("job-2", "red", 1, 1.0));
     let end = rig.now + Duration::from_secs(1);
-    rig.leader.extend(rig.now, end);
-    rig.now = end + rig.config.lapse_window() / 2;
+    rig.leader.extend_lease(rig.now, end);
+    rig.now = end + rig.config.post_lease_grace() / 2;
     let report = vec![listed(&start, DONE)];
     assert_eq!(rig.beat("vm-1", 6, EPOCH, report.clone()), vec![], "no start, no reap");
     assert!(rig.commits.is_empty());
     // One that this epoch has not heard, or that another leads by now.
     assert_eq!(rig.report("vm-9", 1, 1, EPOCH, vec![]), HeartbeatReply::Redirect);
     assert_eq!(rig.report("vm-1", 1, 7, EPOCH + 1, vec![]), HeartbeatReply::Redirect);
-    rig.now = end + rig.config.lapse_window();
+    rig.now = end + rig.config.post_lease_grace();
     assert_eq!(rig.report("vm-1", 1, 7, EPOCH, report.clone()), HeartbeatReply::Redirect);
     // Resumed, the same report is news.
-    rig.leader.extend(rig.now, rig.now + Duration::from_secs(60));
+    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(60));
     assert_eq!(starts(&rig.beat("vm-1", 8, EPOCH, report)).len(), 1);
 }
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -27,8 +27,8 @@
 use super::answers::Answer;
 use super::cloud::{CloudCall, CloudError, CloudReply};
 use super::config::Config;
-use super::leader::{Action, Leader, UnjudgedSubmission};
-use super::model::ReplyTo;
+use super::leader::{Effect, Leader, UncheckedSubmission};
+use super::model::ReplyId;
 use super::takeover::{Loaded, LoadedJob};
 use crate::policy;
 use crate::protocol::cbor::{Fields, decode};
@@ -51,9 +51,9 @@
     now: Instant,
     config: Arc<Config>,
     version: u64,
-    answers: Vec<(ReplyTo, Answer)>,
+    answers: Vec<(ReplyId, Answer)>,
     lookups: Vec<(JobId, Answer)>,
-    unjudged: Vec<UnjudgedSubmission>,
+    unjudged: Vec<UncheckedSubmission>,
     commits: Vec<(u64, Transaction)>,
     direct: Vec<Command>,
     cloud: Vec<(u64, CloudCall)>,
@@ -127,7 +127,7 @@
         let now = Instant::now();
         let loaded = Loaded { jobs, rentals, catalog: Some((catalog(), 2)), ..Loaded::default() };
         let mut leader = Leader::new(config.clone(), EPOCH, now, MS, loaded);
-        leader.extend(now, now + Duration::from_secs(3600));
+        leader.extend_lease(now, now + Duration::from_secs(3600));
         let mut rig = Rig {
             leader,
             now,
@@ -155,15 +155,15 @@
     }
 
     fn collect(&mut self) {
-        for action in self.leader.take_actions() {
+        for action in self.leader.drain_effects() {
             match action {
-                Action::Answer { to, answer } => self.answers.push((to, answer)),
-                Action::LookUp { job, otherwise, .. } => self.lookups.push((job, otherwise)),
-                Action::ReadNeeds(submission) => self.unjudged.push(*submission),
-                Action::Commit { ticket, transaction } => self.commits.push((ticket, transaction)),
-                Action::Cloud { ticket, call } => self.cloud.push((ticket, call)),
-                Action::Direct { orders, .. } => self.direct.extend(orders),
-                Action::Over(_) => {}
+                Effect::Reply { reply: to, answer } => self.answers.push((to, answer)),
+                Effect::LookUpJob { job, if_absent: otherwise, .. } => self.lookups.push((job, otherwise)),
+                Effect::ReadDependencies(submission) => self.unjudged.push(*submission),
+                Effect::Commit { operation: ticket, transaction } => self.commits.push((ticket, transaction)),
+                Effect::CallCloud { ticket, call } => self.cloud.push((ticket, call)),
+                Effect::PushCommands { commands: orders, .. } => self.direct.extend(orders),
+                Effect::JobEvicted(_) => {}
             }
         }
     }
@@ -174,7 +174,7 @@
         while !self.commits.is_empty() {
             for (ticket, transaction) in std::mem::take(&mut self.commits) {
                 self.version += 1;
-                self.leader.committed(self.now, ticket, Ok(self.version));
+                self.leader.handle_commit_result(self.now, ticket, Ok(self.version));
                 all.push(transaction);
             }
             self.collect();
@@ -184,7 +184,7 @@
 
     fn fail_commit(&mut self, error: StoreError) {
         let (ticket, _) = self.commits.remove(0);
-        self.leader.committed(self.now, ticket, Err(error));
+        self.leader.handle_commit_result(self.now, ticket, Err(error));
         self.collect();
     }
 
@@ -249,9 +249,9 @@
         }
     }
 
-    fn submit(&mut self, spec: JobSpec) -> ReplyTo {
+    fn submit(&mut self, spec: JobSpec) -> ReplyId {
         self.replies += 1;
-        let to = ReplyTo(self.replies);
+        let to = ReplyId(self.replies);
         self.leader.submit(self.now, MS, to, spec);
         self.collect();
         to
@@ -263,20 +263,20 @@
         assert_eq!(self.answer(to).map(|a| a.status), Some(201));
     }
 
-    fn withdraw(&mut self, job: &str) -> ReplyTo {
+    fn withdraw(&mut self, job: &str) -> ReplyId {
         self.replies += 1;
-        let to = ReplyTo(self.replies);
+        let to = ReplyId(self.replies);
         assert!(self.leader.withdraw(self.now, to, &id(job)));
         self.collect();
         to
     }
 
-    fn answer(&self, to: ReplyTo) -> Option<Answer> {
+    fn answer(&self, to: ReplyId) -> Option<Answer> {
         self.answers.iter().find(|(t, _)| *t == to).map(|(_, a)| a.clone())
     }
 
     fn standing(&self, job: &str) -> Option<Standing> {
-        self.leader.poll(self.now, &id(job)).and_then(|answer| answer.told).map(|told| told.standing)
+        self.leader.poll(self.now, &id(job)).and_then(|answer| answer.job_status).map(|told| told.standing)
     }
 }
 
--- a/src/coordination/tests/pipelines.rs
+++ b/src/coordination/tests/pipelines.rs
@@ -20,7 +20,7 @@
     let needs = needs.iter().map(|(need, state)| (id(need), *state)).collect();
     let loaded = Loaded { jobs, rentals, needs, catalog: Some((catalog(), 2)), ..Loaded::default() };
     rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
-    rig.leader.extend(rig.now, rig.now + Duration::from_secs(3600));
+    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
     rig.collect();
     rig
 }
@@ -174,11 +174,11 @@
         let unjudged = rig.unjudged.pop().expect("its record is asked");
         assert_eq!((unjudged.unread, rig.commits.len()), (vec![id("job-9")], 0));
         let states = NeedStates::from_iter([(id("job-9"), state)]);
-        rig.leader.submit_knowing(rig.now, MS, unjudged.to, spec, states);
+        rig.leader.submit_knowing(rig.now, MS, unjudged.reply, spec, states);
         rig.collect();
         rig.commit_all();
         assert_eq!(rig.lookups.pop().map(|(_, otherwise)| otherwise.status), looked_up, "{state:?}");
-        assert_eq!(rig.answer(unjudged.to).map(|answer| answer.status), answered, "{state:?}");
+        assert_eq!(rig.answer(unjudged.reply).map(|answer| answer.status), answered, "{state:?}");
     }
     assert_eq!(rig.standings(&["job-13", "job-14"]), [Some(Standing::Queued), None], "one has left already");
     // Being accepted is not accepted yet.
@@ -209,7 +209,7 @@
     let late = rig.submit(awaiting("job-7", &["job-4", "job-5"]));
     let at = rig.commits.iter().position(|(_, t)| t.class == Class::Cancel).expect("it is written");
     let (ticket, _) = rig.commits.remove(at);
-    rig.leader.committed(rig.now, ticket, Ok(999));
+    rig.leader.handle_commit_result(rig.now, ticket, Ok(999));
     rig.collect();
     assert_eq!(rig.answer(to).map(|answer| told(&answer)), Some("cancelled".into()));
     // Nothing but the one record is written yet.
@@ -342,7 +342,7 @@
             rig.fail_commit(StoreError::Conflict);
             let restored = Loaded { jobs: vec![unbegun(awaiting("job-2", &["job-1"]))], ..Loaded::default() };
             rig.leader.restore(rig.now, MS, restored);
-            rig.pass(rig.config.takeover_proof().as_secs_f64() + 1.0);
+            rig.pass(rig.config.failover_lease_timeout().as_secs_f64() + 1.0);
         }),
     ];
     for (path, bring_in) in paths {
--- a/src/coordination/tests/placing.rs
+++ b/src/coordination/tests/placing.rs
@@ -289,11 +289,11 @@
 fn a_held_answer_is_decided_when_it_is_sent() {
     let (mut rig, report) = with_a_held_report();
     rig.accept(sample("job-2", "blue", 1, 1.0));
-    rig.leader.until = rig.now;
+    rig.leader.lease_expiry = rig.now;
     let past = rig.now + Duration::from_millis(100);
     let nothing = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] };
     assert_eq!(rig.leader.decide_deferred_reply(past, &report), nothing);
-    rig.leader.extend(rig.now, rig.now + Duration::from_secs(60));
+    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(60));
     rig.beat("vm-1", 5, EPOCH, vec![]);
     assert_eq!(rig.leader.decide_deferred_reply(rig.now, &report), HeartbeatReply::Redirect);
 }
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -46,7 +46,7 @@
     rig.leader.restore(rig.now, MS, Loaded { jobs, ..Loaded::default() });
     assert_eq!(starts(&rig.beat("vm-1", 5, EPOCH, vec![])), vec![]);
     let mut seq = 5;
-    while rig.now < rig.leader.loaded_at + rig.config.takeover_proof() {
+    while rig.now < rig.leader.snapshot_at + rig.config.failover_lease_timeout() {
         seq += 1;
         assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])), vec![]);
         rig.pass(3.0);
@@ -225,7 +225,7 @@
             let result = carry_out(&mut state, &transaction);
             refused += usize::from(result.is_err());
             committed += usize::from(result.is_ok());
-            rig.leader.committed(rig.now, ticket, result);
+            rig.leader.handle_commit_result(rig.now, ticket, result);
             if committed == 2 {
                 // One more ends while the others are being moved.
                 rig.leader.mark_done(rig.now, &id("job-1"), 3);
@@ -243,6 +243,6 @@
         expected.sort_unstable();
         assert_eq!(done_by_records(&mut state, "job-1"), expected);
         assert_eq!(refused, 1, "{tasks} tasks: once is notice enough");
-        assert!(!rig.leader.is_over() && committed > 3);
+        assert!(!rig.leader.is_fenced() && committed > 3);
     }
 }
--- a/src/coordination/tests/renting.rs
+++ b/src/coordination/tests/renting.rs
@@ -22,14 +22,14 @@
         .cloned()
         .expect("the silent machine is returned");
     // Unanswered, it proves nothing.
-    rig.leader.cloud_done(rig.now, ticket, Err(CloudError::Failed));
+    rig.leader.handle_cloud_result(rig.now, ticket, Err(CloudError::Failed));
     assert_eq!(starts(&rig.beat("vm-2", seq + 1, EPOCH, vec![])), vec![]);
     // Asked again after a pause.
     rig.cloud.clear();
     rig.pass(2.1);
     let (ticket, _) =
         rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::Delete(_))).cloned().expect("again");
-    rig.leader.cloud_done(rig.now, ticket, Ok(CloudReply::Deleted));
+    rig.leader.handle_cloud_result(rig.now, ticket, Ok(CloudReply::Deleted));
     assert_eq!(starts(&rig.beat("vm-2", seq + 2, EPOCH, vec![])).len(), 1);
     assert_eq!(
         rig.report("vm-1", 1, 6, EPOCH, vec![]),
@@ -90,7 +90,7 @@
     let (ticket, call) =
         rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::Rent(_))).cloned().expect("asked again");
     assert!(matches!(call, CloudCall::Rent(r) if r.name == name));
-    rig.leader.cloud_done(rig.now, ticket, Ok(CloudReply::Rented(vec![machine("vm-1")])));
+    rig.leader.handle_cloud_result(rig.now, ticket, Ok(CloudReply::Rented(vec![machine("vm-1")])));
     rig.collect();
     rig.commit_all();
     rig.accept(sample("job-1", "red", 1, 1.0));
@@ -111,7 +111,11 @@
         let found = rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
         let (ticket, _) = found.expect("lists are read again and again");
         rig.cloud.clear();
-        rig.leader.cloud_done(rig.now, ticket, Ok(CloudReply::List(ListPage { machines, more: false })));
+        rig.leader.handle_cloud_result(
+            rig.now,
+            ticket,
+            Ok(CloudReply::List(ListPage { machines, more: false })),
+        );
         rig.collect();
         rig.cloud.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_)))
     };
--- a/src/coordination/tests/reports.rs
+++ b/src/coordination/tests/reports.rs
@@ -24,7 +24,7 @@
     let first = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
     // vm-1 falls silent: the start may have arrived, so vm-2b gets nothing
     // before vm-1's whole lease is over.
-    let proof = rig.config.lease_proof().as_secs_f64();
+    let proof = rig.config.worker_lease_timeout().as_secs_f64();
     let mut seq = 5;
     let begin = rig.now;
     while (rig.now - begin).as_secs_f64() + 2.0 < proof {
@@ -237,6 +237,6 @@
     }
     let delete = CloudCall::Delete(vec![machine("vm-1")]);
     let (ticket, _) = rig.cloud.iter().find(|(_, c)| *c == delete).cloned().expect("replaced");
-    rig.leader.cloud_done(rig.now, ticket, Ok(CloudReply::Deleted));
+    rig.leader.handle_cloud_result(rig.now, ticket, Ok(CloudReply::Deleted));
     assert_eq!(starts(&rig.beat("vm-2", seq + 1, EPOCH, vec![])).len(), 1);
 }
--- a/src/coordination/tests/simulation/trace.rs
+++ b/src/coordination/tests/simulation/trace.rs
@@ -59,9 +59,9 @@
     match call {
         PeerCall::Submit(body) => ("Submit", body),
         PeerCall::Poll(job) => ("Poll", job.as_bytes()),
-        PeerCall::Withdraw(job) => ("Withdraw", job.as_bytes()),
-        PeerCall::Report(body) => ("Report", body),
-        PeerCall::Lead => ("Lead", &[]),
+        PeerCall::Cancel(job) => ("Withdraw", job.as_bytes()),
+        PeerCall::Heartbeat(body) => ("Report", body),
+        PeerCall::LeaderQuery => ("Lead", &[]),
     }
 }
 
@@ -100,7 +100,7 @@
     pub(super) fn trace_peer_reply(&mut self, sender: usize, peer: usize, reply: &PeerReply) {
         let elapsed = self.elapsed();
         let (sender, peer) = (format!("c-{sender}"), format!("c-{peer}"));
-        let lease = reply.lease.map(|lease| (lease.epoch, lease.left.as_millis()));
+        let lease = reply.lease.map(|lease| (lease.epoch, lease.remaining.as_millis()));
         let what = format!("{} retry {:?} lease {lease:?}", reply.status, reply.retry_after_s);
         self.trace.record(elapsed, &sender, &peer, &what, &[&reply.body]);
     }
--- a/src/coordination/tests/takeover.rs
+++ b/src/coordination/tests/takeover.rs
@@ -15,10 +15,10 @@
     assert_eq!(starts(&orders).iter().map(|s| s.0.job.clone()).collect::<Vec<_>>(), [id("job-2")]);
     // vm-3 never had a start, so only vm-2 is waited for: its whole lease.
     // An earlier leader may have answered it in its lapse window, too.
-    let proof = rig.config.takeover_proof().as_secs_f64();
+    let proof = rig.config.failover_lease_timeout().as_secs_f64();
     let running = listed(&starts(&orders)[0], TaskState::Running);
     let mut seq = 8;
-    while rig.now + Duration::from_secs(3) < rig.leader.loaded_at + Duration::from_secs_f64(proof) {
+    while rig.now + Duration::from_secs(3) < rig.leader.snapshot_at + Duration::from_secs_f64(proof) {
         rig.pass(2.0);
         assert_eq!(rig.beat("vm-1", seq, EPOCH, vec![running.clone()]), vec![]);
         seq += 1;
@@ -70,11 +70,11 @@
     }];
     let loaded = Loaded { jobs, rentals, ..Loaded::default() };
     rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
-    rig.leader.extend(rig.now, rig.now + Duration::from_secs(3600));
+    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
     rig.cloud.clear();
     rig.pass(0.1);
     let (ticket, _) = rig.cloud.iter().find(|(_, c)| *c == CloudCall::Catalog).cloned().expect("asked for");
-    rig.leader.cloud_done(rig.now, ticket, Ok(CloudReply::Catalog(catalog())));
+    rig.leader.handle_cloud_result(rig.now, ticket, Ok(CloudReply::Catalog(catalog())));
     rig.collect();
     for seq in 1..4 {
         assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])), vec![]);
@@ -90,7 +90,7 @@
     rig.beat("vm-2b", 1, EPOCH, vec![]);
     // vm-1 reports on and on, never showing the token of any answer.
     let report = rig.config.settings.cluster.workers.report_s;
-    let most = rig.config.takeover_proof().as_secs_f64() + 4.0 * report;
+    let most = rig.config.failover_lease_timeout().as_secs_f64() + 4.0 * report;
     let begin = rig.now;
     let (mut seq, mut started_after) = (1, None);
     while started_after.is_none() && (rig.now - begin).as_secs_f64() < 2.0 * most {
@@ -147,7 +147,7 @@
         let list = rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
         let machines = vec![in_list("vm-9", ListedState::Running)];
         let answer = Ok(CloudReply::List(ListPage { machines, more: false }));
-        rig.leader.cloud_done(rig.now, list.expect("read again and again").0, answer);
+        rig.leader.handle_cloud_result(rig.now, list.expect("read again and again").0, answer);
         rig.collect();
         rig.pass(1.0);
         // Still listed when every list must be younger, it is there.
@@ -203,13 +203,13 @@
     rig.leader.lapse_windows_are_over(over);
     rig.leader.lapse_windows_are_over(over + Duration::from_secs(9));
     assert!(!rig.leader.awaits_lapse_windows(), "the first proof is enough");
-    while rig.now + Duration::from_secs(2) < over + rig.config.lease_proof() {
+    while rig.now + Duration::from_secs(2) < over + rig.config.worker_lease_timeout() {
         rig.pass(2.0);
         seq += 1;
         assert_eq!(rig.beat("vm-1", seq, EPOCH, vec![]), vec![], "vm-2 may be in its lease");
     }
     rig.pass(2.1);
-    assert!(rig.now < rig.leader.loaded_at + rig.config.takeover_proof());
+    assert!(rig.now < rig.leader.snapshot_at + rig.config.failover_lease_timeout());
     assert_eq!(starts(&rig.beat("vm-1", seq + 1, EPOCH, vec![])).len(), 1);
 }
 
@@ -225,7 +225,7 @@
         HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] }
     );
     let mut seq = 5;
-    while rig.now + Duration::from_secs(2) < rig.leader.loaded_at + rig.config.takeover_proof() {
+    while rig.now + Duration::from_secs(2) < rig.leader.snapshot_at + rig.config.failover_lease_timeout() {
         rig.pass(2.0);
         seq += 1;
         assert_eq!(starts(&rig.beat("vm-2", seq, EPOCH, vec![])), vec![]);
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -29,7 +29,7 @@
 fn leading(loaded: Loaded) -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
-    rig.leader.extend(rig.now, rig.now + Duration::from_secs(3600));
+    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
     rig.collect();
     rig
 }
@@ -53,7 +53,7 @@
     entries.extend([fleet_record("vm-1"), (rental_key("1-vm-2"), damaged())]);
     let mut rig = leading(left_behind(entries).await);
     let mut seq = 1;
-    let waits_until = rig.leader.loaded_at + rig.config.takeover_proof();
+    let waits_until = rig.leader.snapshot_at + rig.config.failover_lease_timeout();
     while rig.now + Duration::from_secs(1) < waits_until {
         assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])), vec![], "vm-2 may run it");
         seq += 1;
@@ -61,7 +61,7 @@
         rig.commit_all();
     }
     // That ends by itself: by then the machines have lost their leases.
-    rig.pass(rig.config.lease_proof().as_secs_f64() * 2.0);
+    rig.pass(rig.config.worker_lease_timeout().as_secs_f64() * 2.0);
     assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])).len(), 1);
 }
 
@@ -145,7 +145,7 @@
         [Command::Stop { task: task(0), attempt: 7, grace_s: 0.0 }],
         "nothing starts beside it"
     );
-    assert_eq!(rig.leader.unknown_tasks, 1);
+    assert_eq!(rig.leader.orphan_tasks, 1);
     rig.pass(1.0);
     let orders = rig.beat("vm-1", 2, EPOCH, vec![ended.clone()]);
     assert!(!orders.iter().any(|order| matches!(order, Command::Reap { .. })), "{orders:?}");
--- a/src/storage/records/production_tests.rs
+++ b/src/storage/records/production_tests.rs
@@ -94,6 +94,6 @@
         version: 7,
         lease: Some(1),
     };
-    let holder = crate::coordination::election::holder(&leader).expect("readable");
+    let holder = crate::coordination::election::decode_leader_record(&leader).expect("readable");
     assert_eq!((holder.name.as_str(), holder.incarnation.as_str()), ("shed-0", "00c0ffee00c0ffee"));
 }
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -21,20 +21,20 @@
 pub enum PeerCall {
     Submit(Vec<u8>),
     Poll(String),
-    Withdraw(String),
+    Cancel(String),
     /// A worker's report.
-    Report(Vec<u8>),
+    Heartbeat(Vec<u8>),
     /// Whether it leads.
-    Lead,
+    LeaderQuery,
 }
 
 /// What stood behind an answer that is not final when it was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeaseNote {
+pub struct RemainingLease {
     /// The epoch under which it was decided; 0 where it was read from a record.
     pub epoch: u64,
     /// How much of the lease was left, or of the time that it counts as fresh.
-    pub left: Duration,
+    pub remaining: Duration,
 }
 
 /// The leading controller's answer, to be handed on while it holds.
@@ -43,7 +43,7 @@
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after_s: Option<u32>,
-    pub lease: Option<LeaseNote>,
+    pub lease: Option<RemainingLease>,
 }
 
 /// Answers other controllers' calls.
@@ -74,15 +74,15 @@
 
     async fn withdraw(&self, request: Request<JobRequest>) -> Result<Response<Reply>, Status> {
         let JobRequest { job, relay } = request.into_inner();
-        self.answer(PeerCall::Withdraw(job), relay).await
+        self.answer(PeerCall::Cancel(job), relay).await
     }
 
     async fn report(&self, request: Request<ReportRequest>) -> Result<Response<Reply>, Status> {
-        self.answer(PeerCall::Report(request.into_inner().body), false).await
+        self.answer(PeerCall::Heartbeat(request.into_inner().body), false).await
     }
 
     async fn lead(&self, _: Request<LeadRequest>) -> Result<Response<Reply>, Status> {
-        self.answer(PeerCall::Lead, false).await
+        self.answer(PeerCall::LeaderQuery, false).await
     }
 }
 
@@ -93,17 +93,17 @@
             body: reply.body,
             retry_after_s: reply.retry_after_s.unwrap_or(0),
             epoch: reply.lease.map_or(0, |lease| lease.epoch),
-            lease_left_ms: reply.lease.map_or(0, |lease| milliseconds(lease.left)),
+            lease_left_ms: reply.lease.map_or(0, |lease| milliseconds(lease.remaining)),
         }
     }
 }
 
 /// The reply as it came; `None` if its status is none of HTTP.
-fn received(reply: Reply) -> Option<PeerReply> {
+fn decode_reply(reply: Reply) -> Option<PeerReply> {
     let status = u16::try_from(reply.status).ok().filter(|s| (200..600).contains(s))?;
     let retry_after_s = Some(reply.retry_after_s).filter(|&s| s > 0);
     let left = Duration::from_millis(u64::from(reply.lease_left_ms));
-    let lease = (!left.is_zero()).then_some(LeaseNote { epoch: reply.epoch, left });
+    let lease = (!left.is_zero()).then_some(RemainingLease { epoch: reply.epoch, remaining: left });
     Some(PeerReply { status, body: reply.body, retry_after_s, lease })
 }
 
@@ -160,13 +160,13 @@
             match call {
                 PeerCall::Submit(body) => client.submit(SubmitRequest { body, relay }).await,
                 PeerCall::Poll(job) => client.poll(JobRequest { job, relay }).await,
-                PeerCall::Withdraw(job) => client.withdraw(JobRequest { job, relay }).await,
-                PeerCall::Report(body) => client.report(ReportRequest { body }).await,
-                PeerCall::Lead => client.lead(LeadRequest {}).await,
+                PeerCall::Cancel(job) => client.withdraw(JobRequest { job, relay }).await,
+                PeerCall::Heartbeat(body) => client.report(ReportRequest { body }).await,
+                PeerCall::LeaderQuery => client.lead(LeadRequest {}).await,
             }
         };
         let reply = tokio::time::timeout(patience, exchange).await.ok()?.ok()?.into_inner();
-        received(reply)
+        decode_reply(reply)
     }
 }
 
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -6,14 +6,14 @@
 #[test]
 fn what_is_left_of_a_lease_comes_through_and_is_never_longer() {
     let left = Duration::from_micros(1_234_900);
-    let lease = Some(LeaseNote { epoch: 7, left });
+    let lease = Some(RemainingLease { epoch: 7, remaining: left });
     let sent = PeerReply { status: 200, body: vec![1], retry_after_s: Some(3), lease };
     let bytes = Reply::from(sent.clone()).encode_to_vec();
-    let reply = received(Reply::decode(bytes.as_slice()).expect("a message")).expect("a reply");
-    assert_eq!(reply.lease, Some(LeaseNote { epoch: 7, left: Duration::from_millis(1234) }));
+    let reply = decode_reply(Reply::decode(bytes.as_slice()).expect("a message")).expect("a reply");
+    assert_eq!(reply.lease, Some(RemainingLease { epoch: 7, remaining: Duration::from_millis(1234) }));
     assert_eq!(PeerReply { lease, ..reply }, sent);
     // Less than the least that can be said is still a lease, not none.
-    let lease = Some(LeaseNote { epoch: 7, left: Duration::from_micros(1) });
+    let lease = Some(RemainingLease { epoch: 7, remaining: Duration::from_micros(1) });
     assert_eq!(Reply::from(PeerReply { lease, ..sent }).lease_left_ms, 1);
 }
 
@@ -21,7 +21,7 @@
 #[test]
 fn a_reply_of_an_earlier_build_is_read_and_says_nothing_of_a_lease() {
     let earlier: &[u8] = &[0x08, 0xc8, 0x01, 0x12, 0x01, 0x2a, 0x18, 0x03];
-    let reply = received(Reply::decode(earlier).expect("a message")).expect("a reply");
+    let reply = decode_reply(Reply::decode(earlier).expect("a message")).expect("a reply");
     assert_eq!(reply, PeerReply { status: 200, body: vec![0x2a], retry_after_s: Some(3), lease: None });
 }
 
@@ -29,7 +29,7 @@
 fn a_reply_with_no_status_of_http_is_none() {
     for status in [0, 199, 600, 70_000] {
         let reply = Reply { status, body: Vec::new(), retry_after_s: 0, epoch: 0, lease_left_ms: 0 };
-        assert_eq!(received(reply), None, "{status}");
+        assert_eq!(decode_reply(reply), None, "{status}");
     }
 }
 
@@ -49,7 +49,7 @@
     check(&sent!("peer-submit"), &SubmitRequest { body: vec![0xa0], relay: true });
     check(&sent!("peer-job"), &JobRequest { job: "job-000412".into(), relay: true });
     check(&sent!("peer-report"), &ReportRequest { body: vec![0xa0] });
-    let lease = Some(LeaseNote { epoch: 7, left: Duration::from_millis(1234) });
+    let lease = Some(RemainingLease { epoch: 7, remaining: Duration::from_millis(1234) });
     let reply = PeerReply { status: 200, body: vec![0x2a], retry_after_s: None, lease };
     check(&sent!("peer-reply"), &Reply::from(reply));
     let later = PeerReply { status: 503, body: vec![0xa0], retry_after_s: Some(3), lease: None };
