--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -15,10 +15,10 @@
 use shedtally::coordination::takeover::Loaded;
 use shedtally::policy::Tuning;
 use shedtally::protocol::cloud::{MachineType, RentalRequest};
-use shedtally::protocol::jobs::{Form, JobId, JobSpec, Priority};
+use shedtally::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
 use shedtally::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
 use shedtally::settings::Settings;
-use shedtally::storage::records::RentalRecord;
+use shedtally::storage::records::NodePoolRecord;
 use tokio::time::Instant;
 
 const SETTINGS: &str = r#"
@@ -73,7 +73,7 @@
         id: JobId::parse(&format!("job-{job}")).expect("valid"),
         class: "build".into(),
         team: "red".into(),
-        form: Form::Array,
+        kind: JobKind::Array,
         priority: Priority::High,
         tasks,
         cpus: 2.5,
@@ -81,16 +81,16 @@
         memory_gb: 1.0,
         image: "img-1".into(),
         image_gb: 0.5,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -121,7 +121,7 @@
             count: machines as u32,
         };
         let used = ids.iter().cloned().collect();
-        let rentals = vec![(RentalRecord { request, machines: Some(ids), used }, 3)];
+        let rentals = vec![(NodePoolRecord { request, machines: Some(ids), machines_used: used }, 3)];
         let loaded = Loaded { rentals, catalog: Some((vec![kind], 2)), ..Loaded::default() };
         let mut leader = Leader::new(Arc::new(Config { settings, tuning }), EPOCH, now, 0, loaded);
         leader.extend_lease(now, now + Duration::from_secs(1 << 20));
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -180,12 +180,12 @@
     for job in reconciler::all_jobs(&store).await.map_err(unavailable)? {
         jobs += 1;
         let examined = reconciler::examine(&store, &job).await.map_err(unavailable)?;
-        waiting += u32::from(examined.waits);
+        waiting += u32::from(examined.waits_for_dependencies);
         named += u32::from(examined.names_blocks);
         let what = match examined.finding {
             Finding::Consistent => continue,
             Finding::RowBehind(standing) => {
-                format!("the row lags behind the record, which says {}", standing.word())
+                format!("the row lags behind the record, which says {}", standing.as_str())
             }
             Finding::Stranded => "a row says over, the record says live".to_owned(),
             Finding::Suspect(reason) => format!("{reason}; left alone"),
@@ -197,7 +197,7 @@
         open += u32::from(!repaired);
         writeln!(out, "{job}: {what}{}", if repaired { "; repaired" } else { "" }).map_err(unwritable)?;
     }
-    for key in reconciler::unreadable_rentals(&store).await.map_err(unavailable)? {
+    for key in reconciler::unreadable_node_pools(&store).await.map_err(unavailable)? {
         open += 1;
         writeln!(out, "{key}: an unreadable fleet record; left alone").map_err(unwritable)?;
     }
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::protocol::jobs::tests::sample;
-use crate::protocol::jobs::{JobId, Standing};
+use crate::protocol::jobs::{JobId, JobState};
 use crate::settings::NextState;
-use crate::storage::records::{JobRecord, live_key, over_key, record_key, row};
+use crate::storage::records::{JobRecord, archived_row_key, encode_row, job_record_key, live_row_key};
 use crate::storage::stand_in::{StandIn, store};
 
 fn config(world: &StandIn) -> Config {
@@ -29,21 +29,21 @@
     let id = |text: &str| JobId::parse(text).expect("valid");
     for (n, (name, settled, live, over)) in [
         ("job-1", true, true, None),
-        ("job-2", false, false, Some(Standing::Done)),
+        ("job-2", false, false, Some(JobState::Done)),
         ("job-3", false, true, None),
     ]
     .into_iter()
     .enumerate()
     {
         let mut record = JobRecord::new(sample(name, "red", 1, 1.0), 0);
-        record.settled = settled;
+        record.completed = settled;
         let version = 10 + 10 * n as u64;
-        world.seed(&record_key(&id(name)), record.encode(8.0), version).await;
+        world.seed(&job_record_key(&id(name)), record.encode(8.0), version).await;
         if live {
-            world.seed(&live_key(&id(name)), row(Standing::Queued), version + 1).await;
+            world.seed(&live_row_key(&id(name)), encode_row(JobState::Queued), version + 1).await;
         }
         if let Some(standing) = over {
-            world.seed(&over_key(&id(name)), row(standing), version + 2).await;
+            world.seed(&archived_row_key(&id(name)), encode_row(standing), version + 2).await;
         }
     }
     world
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn audit_leaves_ambiguous_cases_and_refuses_beside_a_leader() {
     let world = damaged().await;
-    world.seed("over/job-9", row(Standing::Done), 90).await;
+    world.seed("over/job-9", encode_row(JobState::Done), 90).await;
     let (out, result) = audited(&world, true).await;
     assert!(!succeeded(&result));
     assert!(out.contains("job-9: a row without a record; left alone\n"), "{out}");
@@ -93,11 +93,11 @@
             .enumerate()
     {
         let mut spec = sample(name, "red", 1, 1.0);
-        spec.awaits = need.map(id).into_iter().collect();
+        spec.dependencies = need.map(id).into_iter().collect();
         let record = JobRecord { block_tasks, ..JobRecord::new(spec, 0) };
         let version = 10 + 10 * n as u64;
-        world.seed(&record_key(&id(name)), record.encode(8.0), version).await;
-        world.seed(&live_key(&id(name)), row(Standing::Queued), version + 1).await;
+        world.seed(&job_record_key(&id(name)), record.encode(8.0), version).await;
+        world.seed(&live_row_key(&id(name)), encode_row(JobState::Queued), version + 1).await;
     }
     let (out, _) = audited(&world, false).await;
     assert_eq!(
@@ -142,7 +142,7 @@
 #[tokio::test]
 async fn audit_shows_unreadable_fleet_records() {
     let world = damaged().await;
-    let key = crate::storage::records::rental_key("4-1");
+    let key = crate::storage::records::node_pool_key("4-1");
     world.seed(&key, ciborium::value::Value::Null, 50).await;
     let (out, result) = audited(&world, true).await;
     assert!(!succeeded(&result));
--- a/src/coordination/agents.rs
+++ b/src/coordination/agents.rs
@@ -148,7 +148,7 @@
             && report.preemption_notice_s.is_none()
             && report.tasks.iter().all(|task| {
                 task.state == TaskState::Running
-                    && self.jobs.get(&task.task.job).is_some_and(|job| job.is_live() && job.is_service())
+                    && self.jobs.get(&task.task.job).is_some_and(|job| job.is_startable() && job.is_service())
             })
             && self.machines.get(&report.machine).is_some_and(|m| self.expects_prompt_start(m))
     }
@@ -257,7 +257,7 @@
     /// task and attempt. A worker that gets the answer gets the stop with it, and
     /// one that does not is not kept alive.
     fn reply_with_terminal_stops(&self, report: &Heartbeat) -> HeartbeatReply {
-        let over = |job: &JobId| self.jobs.get(job).is_none_or(|j| !j.is_live());
+        let over = |job: &JobId| self.jobs.get(job).is_none_or(|j| !j.is_startable());
         let orders = report
             .tasks
             .iter()
@@ -382,7 +382,8 @@
                     slot.since = now;
                     let is = state == SlotState::Running;
                     if let Some(job) = self.jobs.get_mut(&key.0) {
-                        job.running = (job.running + u32::from(is)).saturating_sub(u32::from(was));
+                        job.running_count =
+                            (job.running_count + u32::from(is)).saturating_sub(u32::from(was));
                         if is {
                             m.record_image(&job.record.spec, self.catalog.get(m.kind));
                         }
@@ -396,7 +397,8 @@
         }
         let Some(job) = self.jobs.get(&key.0) else { return false };
         // Adopted from an earlier leader, unless it should not be here.
-        let wanted = job.is_live() && !job.record.done.contains(key.1) && !job.active.contains_key(&key.1);
+        let wanted =
+            job.is_startable() && !job.record.done.contains(key.1) && !job.placements.contains_key(&key.1);
         self.add_slot(now, machine, key.clone(), task.attempt, state, wanted);
         if !wanted && let Some(slot) = self.machines.get_mut(machine).and_then(|m| m.slots.get_mut(key)) {
             slot.stop_grace_s = Some(0.0);
@@ -417,16 +419,16 @@
         let acknowledged = slot.is_some_and(|s| matches!(s.state, SlotState::StartSent { .. }));
         if let Some(slot) = slot.filter(|s| cause == ExitCause::Done && s.state == SlotState::Running) {
             let seconds = now.saturating_duration_since(slot.since).as_secs_f64();
-            self.learn_run(&key.0, seconds);
+            self.record_run(&key.0, seconds);
         }
         match cause {
             ExitCause::Done => {
-                self.mark_done(now, &key.0, key.1);
+                self.mark_task_done(now, &key.0, key.1);
                 if let Some(m) = self.machines.get_mut(machine) {
                     m.failures.clear();
                 }
                 // Its result is kept; whoever runs it besides wastes work.
-                let elsewhere = self.jobs.get(&key.0).and_then(|j| j.active.get(&key.1)).cloned();
+                let elsewhere = self.jobs.get(&key.0).and_then(|j| j.placements.get(&key.1)).cloned();
                 if let Some(other) = elsewhere.filter(|other| other != machine) {
                     self.stop_task(now, &other, key, 0.0);
                 }
@@ -450,7 +452,7 @@
             // A job that fails everywhere is slowed down, never given up.
             if j.failed_on.len() >= FAILED_MACHINES_TO_BACK_OFF {
                 let factor = (j.failed_on.len() as u32).min(10);
-                j.hold_until = Some(now + report * factor);
+                j.backoff_until = Some(now + report * factor);
             }
         }
         let bad_job =
@@ -502,9 +504,9 @@
     fn may_be_uncommitted(&self, task: &TaskId) -> bool {
         match self.jobs.get(&task.job) {
             Some(job) => {
-                job.record.final_standing().is_none()
+                job.record.terminal_state().is_none()
                     && !job.is_service()
-                    && !job.recorded.contains(task.index)
+                    && !job.committed_done.contains(task.index)
             }
             None => self.unreadable.contains_job(&task.job),
         }
@@ -519,7 +521,7 @@
         m.use_record_in_flight = true;
         let name = m.rental.clone();
         if let Some(rental) = self.rentals.get_mut(&name) {
-            rental.record.used.insert(machine.clone());
+            rental.record.machines_used.insert(machine.clone());
         }
         self.write_rental(&name);
     }
--- a/src/coordination/answers.rs
+++ b/src/coordination/answers.rs
@@ -11,7 +11,7 @@
 
 use crate::maps::HashMap;
 use crate::protocol::cbor::{decode, encode};
-use crate::protocol::jobs::{JobId, JobStatus, refusal};
+use crate::protocol::jobs::{JobId, JobStatus, encode_error};
 use crate::transport::peer::{PeerReply, RemainingLease};
 
 /// An answer to a user.
@@ -42,7 +42,7 @@
     }
 
     pub fn error(status: u16, reason: &str) -> Self {
-        Answer::new(status, &refusal(reason))
+        Answer::new(status, &encode_error(reason))
     }
 
     /// Can't be taken now: said at once, with a time to come back.
@@ -52,7 +52,7 @@
 
     /// A job's state. One that is not final holds as long as its basis.
     pub fn job_state(status: u16, job: JobStatus, basis: Validity) -> Self {
-        let basis = (!job.standing.is_final()).then_some(basis);
+        let basis = (!job.state.is_terminal()).then_some(basis);
         Answer { job_status: Some(job.clone()), validity: basis, ..Answer::new(status, &job.encode()) }
     }
 
@@ -125,7 +125,7 @@
     if told.id != *job {
         return Err(UnusableReply::OtherJob);
     }
-    if told.standing.is_final() {
+    if told.state.is_terminal() {
         return Ok(Answer { status, ..Answer::terminal_state(told) });
     }
     let basis = match lease {
@@ -170,13 +170,13 @@
     /// is remembered if it tells one.
     pub fn resolve(&mut self, job: &JobId, answer: Answer) -> Answer {
         if let Some(known) = self.get(job) {
-            let differs = |told: &JobStatus| told.standing != known.standing;
-            if answer.job_status.as_ref().is_some_and(|told| told.standing.is_final() && differs(told)) {
-                tracing::error!(%job, known = known.standing.word(), "two final states; the first is told");
+            let differs = |told: &JobStatus| told.state != known.state;
+            if answer.job_status.as_ref().is_some_and(|told| told.state.is_terminal() && differs(told)) {
+                tracing::error!(%job, known = known.state.as_str(), "two final states; the first is told");
             }
             return Answer::terminal_state(known.clone());
         }
-        if let Some(told) = answer.job_status.as_ref().filter(|told| told.standing.is_final()) {
+        if let Some(told) = answer.job_status.as_ref().filter(|told| told.state.is_terminal()) {
             self.insert(told.clone());
         }
         answer
--- a/src/coordination/answers/tests.rs
+++ b/src/coordination/answers/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 use crate::protocol::cbor::MapBuilder;
-use crate::protocol::jobs::Standing;
+use crate::protocol::jobs::JobState;
 
-fn status(job: &str, standing: Standing) -> JobStatus {
-    JobStatus { id: JobId::parse(job).expect("valid"), standing, done: 0, running: 0 }
+fn status(job: &str, standing: JobState) -> JobStatus {
+    JobStatus { id: JobId::parse(job).expect("valid"), state: standing, done: 0, running: 0 }
 }
 
-fn reply(job: &str, standing: Standing, lease: Option<RemainingLease>) -> PeerReply {
+fn reply(job: &str, standing: JobState, lease: Option<RemainingLease>) -> PeerReply {
     PeerReply { status: 200, body: encode(&status(job, standing).encode()), retry_after_s: None, lease }
 }
 
@@ -18,11 +18,11 @@
     let until = Instant::now() + Duration::from_secs(2);
     let basis = Validity { epoch: 7, valid_until: until };
     let before = until - Duration::from_millis(1);
-    let running = Answer::job_state(200, status("job-1", Standing::Running), basis);
+    let running = Answer::job_state(200, status("job-1", JobState::Running), basis);
     assert_eq!(running.clone().checked_at_sending(before), running);
     let refused = running.clone().checked_at_sending(until);
     assert_eq!((refused.status, refused.retry_after_s), (503, Some(1)));
-    let done = Answer::job_state(200, status("job-1", Standing::Done), basis);
+    let done = Answer::job_state(200, status("job-1", JobState::Done), basis);
     assert_eq!(
         done.clone().checked_at_sending(until + Duration::from_secs(600)),
         done,
@@ -40,19 +40,19 @@
 fn a_final_state_that_was_told_wins_over_every_other_answer() {
     let job = JobId::parse("job-1").expect("valid");
     let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(2) };
-    let queued = Answer::job_state(200, status("job-1", Standing::Queued), basis);
+    let queued = Answer::job_state(200, status("job-1", JobState::Queued), basis);
     let mut told = TerminalStates::new(4);
     assert_eq!(told.resolve(&job, queued.clone()), queued);
-    let done = Answer::terminal_state(status("job-1", Standing::Done));
+    let done = Answer::terminal_state(status("job-1", JobState::Done));
     assert_eq!(told.resolve(&job, done.clone()), done);
-    let cancelled = Answer::terminal_state(status("job-1", Standing::Cancelled));
+    let cancelled = Answer::terminal_state(status("job-1", JobState::Cancelled));
     for late in [queued, cancelled, Answer::error(404, "no such job"), Answer::retry_later(503, "busy", 1)] {
         assert_eq!(told.resolve(&job, late), done);
     }
     // Small memories turn over; what is told twice does not take two places.
     for n in 2..6 {
         told.resolve(&job, done.clone());
-        told.insert(status(&format!("job-{n}"), Standing::Done));
+        told.insert(status(&format!("job-{n}"), JobState::Done));
     }
     assert!(told.get(&job).is_none() && told.get(&JobId::parse("job-5").expect("valid")).is_some());
 }
@@ -66,16 +66,16 @@
     let left = Duration::from_millis(1500);
     let lease = |epoch| Some(RemainingLease { epoch, remaining: left });
     // However long the reply was on its way, the lease counts from the asking.
-    let answer = taken(reply("job-1", Standing::Running, lease(7))).expect("sound");
+    let answer = taken(reply("job-1", JobState::Running, lease(7))).expect("sound");
     assert_eq!(answer.validity, Some(Validity { epoch: 7, valid_until: asked + left }));
-    assert!(taken(reply("job-1", Standing::Running, lease(8))).is_ok(), "newer than what is known here");
-    assert_eq!(taken(reply("job-1", Standing::Running, lease(6))), Err(UnusableReply::Stale));
-    assert_eq!(taken(reply("job-2", Standing::Running, lease(7))), Err(UnusableReply::OtherJob));
-    assert_eq!(taken(reply("job-1", Standing::Done, None)).expect("sound").validity, None);
+    assert!(taken(reply("job-1", JobState::Running, lease(8))).is_ok(), "newer than what is known here");
+    assert_eq!(taken(reply("job-1", JobState::Running, lease(6))), Err(UnusableReply::Stale));
+    assert_eq!(taken(reply("job-2", JobState::Running, lease(7))), Err(UnusableReply::OtherJob));
+    assert_eq!(taken(reply("job-1", JobState::Done, None)).expect("sound").validity, None);
     // From a build before, or read from a record.
-    let old = taken(reply("job-1", Standing::Queued, None)).expect("sound");
+    let old = taken(reply("job-1", JobState::Queued, None)).expect("sound");
     assert_eq!(old.validity, Some(Validity { epoch: 0, valid_until: fresh_until }));
-    let read = taken(reply("job-1", Standing::Queued, lease(0))).expect("sound");
+    let read = taken(reply("job-1", JobState::Queued, lease(0))).expect("sound");
     assert_eq!(read.validity, Some(Validity { epoch: 0, valid_until: asked + left }));
     let body = |body: Vec<u8>, status| PeerReply { status, body, retry_after_s: None, lease: None };
     for junk in [b"junk".to_vec(), Vec::new(), encode(&MapBuilder::new().set("nameId", "job-1").build())] {
--- a/src/coordination/consolidation.rs
+++ b/src/coordination/consolidation.rs
@@ -60,7 +60,7 @@
                     && slot.assigned
                     && slot.stop_grace_s.is_none()
                     && now >= slot.since + settled
-                    && self.jobs.get(&key.0).is_some_and(|job| job.is_live() && job.is_service())
+                    && self.jobs.get(&key.0).is_some_and(|job| job.is_startable() && job.is_service())
             })
     }
 
--- a/src/coordination/demand.rs
+++ b/src/coordination/demand.rs
@@ -9,7 +9,7 @@
 use super::model::Resources;
 use super::renting::Offer;
 use crate::protocol::jobs::{JobId, JobSpec};
-use crate::storage::records::{EXPERIENCE, Experience, GroupExperience};
+use crate::storage::records::{DemandStatistics, LEARNED_STATISTICS, LearnedStatistics};
 
 /// Jobs that may use the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -117,8 +117,12 @@
             (demand.ideal, demand.active, demand.pending, demand.drain) = (0.0, 0.0, 0.0, 0.0);
         }
         let start_delay = self.config.settings.cluster.workers.report().mul_f64(0.5);
-        let ids: Vec<JobId> =
-            self.jobs.values().filter(|j| j.is_live() && !j.is_waiting()).map(|j| j.id().clone()).collect();
+        let ids: Vec<JobId> = self
+            .jobs
+            .values()
+            .filter(|j| j.is_startable() && !j.waits_for_dependencies())
+            .map(|j| j.id().clone())
+            .collect();
         for id in ids {
             let Some(job) = self.jobs.get(&id) else { continue };
             let spec = job.spec();
@@ -128,11 +132,11 @@
             let limit = if gpus { team.limit.gpus } else { team.limit.cpus };
             let patience = self.patience(spec);
             let patient = patience > self.longest_boot().mul_f64(1.5);
-            let types = self.fitting_types(spec);
+            let types = self.feasible_types(spec);
             let key = GroupKey { types, zone: spec.zone.clone(), spot: spec.spot, gpus, patient };
             let shape = Resources::of(spec);
-            let run = self.expected_run(spec);
-            let active = unit * job.active.len() as f64;
+            let run = self.expected_run_s(spec);
+            let active = unit * job.placements.len() as f64;
             let pending = unit * f64::from(job.pending());
             // What waits is to be worked off while, or soon after, what is rented
             // for it boots, since more would come up to find nothing to do; and
@@ -141,9 +145,9 @@
             let due = self.latest_start(job, now) + Duration::from_secs_f64(run);
             let time = due.saturating_duration_since(now).clamp(boot * 2, boot * 4);
             // What a team asks beyond its limit cannot run at once.
-            let offered = job.offered.unwrap_or_else(|| (unit * f64::from(job.unfinished())).min(limit));
-            let arriving = job.offered.is_none();
-            let ideal_end = job.counted_from(now) + Duration::from_secs_f64(run) + start_delay;
+            let offered = job.offered_load.unwrap_or_else(|| (unit * f64::from(job.unfinished())).min(limit));
+            let arriving = job.offered_load.is_none();
+            let ideal_end = job.waiting_since(now) + Duration::from_secs_f64(run) + start_delay;
             let runs_ideally = job.is_service() || now < ideal_end;
             let demand = self.demand.entry(key).or_insert_with(|| Demand::new(now));
             demand.patience = if patient { patience } else { Duration::ZERO };
@@ -161,7 +165,7 @@
                     memory_gb: blend(demand.shape.memory_gb, shape.memory_gb),
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
-                    job.offered = Some(offered);
+                    job.offered_load = Some(offered);
                 }
             }
         }
@@ -179,7 +183,7 @@
     /// says little of that: most of it may be over when the job is released.
     fn patience(&self, spec: &JobSpec) -> Duration {
         let after_release = self.starts_after_release(spec).min();
-        let by_deadline = self.starts_by_deadline(spec).filter(|_| spec.awaits.is_empty()).min();
+        let by_deadline = self.starts_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
         after_release.into_iter().chain(by_deadline).min().unwrap_or_default()
     }
 
@@ -188,29 +192,29 @@
     pub(super) fn write_experience(&mut self, now: Instant) {
         let groups = self.demand.iter().map(|(key, demand)| {
             let types = key.types.iter().filter_map(|&t| self.catalog.get(t)).map(|k| k.name.as_str());
-            GroupExperience {
+            DemandStatistics {
                 types: types.map(str::to_owned).collect(),
                 zone: key.zone.clone(),
                 spot: key.spot,
                 gpus: key.gpus,
-                patient: key.patient,
+                delay_tolerant: key.patient,
                 mean: demand.mean,
-                size: demand.size,
-                size_square: demand.size_square,
-                jobs: demand.jobs,
+                mean_size: demand.size,
+                mean_square_size: demand.size_square,
+                job_count: demand.jobs,
                 age_s: now.saturating_duration_since(demand.born).as_secs_f64(),
             }
         });
-        let experience = Experience {
+        let experience = LearnedStatistics {
             groups: groups.take(32).collect(),
-            ratios: self.class_ratio.iter().take(64).map(|(c, r)| (c.clone(), *r)).collect(),
+            runtime_ratios: self.runtime_ratios.iter().take(64).map(|(c, r)| (c.clone(), *r)).collect(),
         };
-        self.write_note(EXPERIENCE, experience.encode());
+        self.write_note(LEARNED_STATISTICS, experience.encode());
     }
 
     /// Takes over what an earlier leader had learnt.
-    pub(super) fn take_experience(&mut self, now: Instant, experience: Experience) {
-        self.class_ratio = experience.ratios.into_iter().collect();
+    pub(super) fn take_experience(&mut self, now: Instant, experience: LearnedStatistics) {
+        self.runtime_ratios = experience.runtime_ratios.into_iter().collect();
         for group in experience.groups {
             let types = group.types.iter().map(|name| self.catalog.iter().position(|k| k.name == *name));
             let Some(types) = types.collect::<Option<Vec<_>>>() else { continue };
@@ -219,13 +223,13 @@
                 zone: group.zone,
                 spot: group.spot,
                 gpus: group.gpus,
-                patient: group.patient,
+                patient: group.delay_tolerant,
             };
             let mut demand = Demand::new(now);
             demand.mean = group.mean;
-            demand.size = group.size;
-            demand.size_square = group.size_square;
-            demand.jobs = group.jobs;
+            demand.size = group.mean_size;
+            demand.size_square = group.mean_square_size;
+            demand.jobs = group.job_count;
             demand.born = now.checked_sub(Duration::from_secs_f64(group.age_s.min(1e6))).unwrap_or(now);
             self.demand.insert(key, demand);
         }
--- a/src/coordination/dependencies.rs
+++ b/src/coordination/dependencies.rs
@@ -27,7 +27,7 @@
 
 impl Urgency {
     /// The higher priority and the earlier end of the two.
-    pub fn most(self, other: Urgency) -> Urgency {
+    pub fn most_urgent(self, other: Urgency) -> Urgency {
         let finish_by = match (self.finish_by, other.finish_by) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
@@ -38,53 +38,53 @@
 
 /// What the cancellation of jobs that it needs means for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fate {
+pub enum Cancellation {
     /// None of them is cancelled, or about to be.
-    Open,
+    NotCancelled,
     /// The cancellation of one is being written, with an outcome that is not known yet.
-    Undecided,
+    Pending,
     /// One is cancelled, and that is committed: so is this job.
     Cancelled,
 }
 
 /// A job as it enters the graph.
 #[derive(Debug)]
-pub struct Entry {
+pub struct NewDependent {
     /// Its needs that are not over yet.
-    pub awaited: BTreeSet<JobId>,
+    pub unmet: BTreeSet<JobId>,
     /// Whether one of its needs is known to be cancelled.
-    pub fate: Fate,
+    pub cancellation: Cancellation,
     pub urgency: Urgency,
     /// How long it is expected to take from its release to its end.
     pub duration: Duration,
 }
 
 #[derive(Debug)]
-struct Node {
+struct GraphNode {
     /// Needs that are not over yet.
-    awaited: BTreeSet<JobId>,
+    unmet: BTreeSet<JobId>,
     dependents: BTreeSet<JobId>,
-    fate: Fate,
+    cancellation: Cancellation,
     /// Its own; `None` for a job that awaits nothing, whose own the graph never needs.
-    own: Option<(Urgency, Duration)>,
+    own_urgency: Option<(Urgency, Duration)>,
     inherited: Option<Urgency>,
 }
 
-impl Node {
-    fn without_needs() -> Self {
-        Node {
-            awaited: BTreeSet::new(),
+impl GraphNode {
+    fn without_dependencies() -> Self {
+        GraphNode {
+            unmet: BTreeSet::new(),
             dependents: BTreeSet::new(),
-            fate: Fate::Open,
-            own: None,
+            cancellation: Cancellation::NotCancelled,
+            own_urgency: None,
             inherited: None,
         }
     }
 
     /// What a job that this one awaits inherits from it.
-    fn bequest(&self) -> Option<Urgency> {
-        let (own, duration) = self.own?;
-        let all = self.inherited.map_or(own, |inherited| own.most(inherited));
+    fn urgency_for_dependencies(&self) -> Option<Urgency> {
+        let (own, duration) = self.own_urgency?;
+        let all = self.inherited.map_or(own, |inherited| own.most_urgent(inherited));
         let finish_by = all.finish_by.map(|at| at.checked_sub(duration).unwrap_or(at));
         Some(Urgency { finish_by, ..all })
     }
@@ -92,39 +92,41 @@
 
 /// The graph of all unfinished jobs that wait, or are waited for.
 #[derive(Debug, Default)]
-pub struct Dependencies {
-    nodes: HashMap<JobId, Node>,
+pub struct DependencyGraph {
+    nodes: HashMap<JobId, GraphNode>,
 }
 
-impl Dependencies {
+impl DependencyGraph {
     /// A job that names others joins, before its acceptance is written or as it was read.
-    pub fn insert(&mut self, job: &JobId, entry: Entry) {
-        let Entry { awaited, mut fate, urgency, duration } = entry;
+    pub fn insert(&mut self, job: &JobId, entry: NewDependent) {
+        let NewDependent { unmet: awaited, cancellation: mut fate, urgency, duration } = entry;
         for need in &awaited {
-            let node = self.nodes.entry(need.clone()).or_insert_with(Node::without_needs);
+            let node = self.nodes.entry(need.clone()).or_insert_with(GraphNode::without_dependencies);
             node.dependents.insert(job.clone());
-            fate = fate.max(node.fate);
+            fate = fate.max(node.cancellation);
         }
-        let node = self.nodes.entry(job.clone()).or_insert_with(Node::without_needs);
-        node.awaited = awaited;
-        node.fate = node.fate.max(fate);
-        node.own = Some((urgency, duration));
-        if node.fate > Fate::Open {
-            let fate = node.fate;
-            self.spread(job, fate);
+        let node = self.nodes.entry(job.clone()).or_insert_with(GraphNode::without_dependencies);
+        node.unmet = awaited;
+        node.cancellation = node.cancellation.max(fate);
+        node.own_urgency = Some((urgency, duration));
+        if node.cancellation > Cancellation::NotCancelled {
+            let fate = node.cancellation;
+            self.propagate_cancellation(job, fate);
         }
-        self.bequeath(job);
+        self.propagate_urgency(job);
     }
 
     /// Whether a job that awaits others is known to wait for none of them any more. One
     /// that the graph does not hold is not: absence proves nothing.
-    pub fn is_released(&self, job: &JobId) -> bool {
-        self.nodes.get(job).is_some_and(|node| node.awaited.is_empty() && node.fate != Fate::Cancelled)
+    pub fn is_ready(&self, job: &JobId) -> bool {
+        self.nodes
+            .get(job)
+            .is_some_and(|node| node.unmet.is_empty() && node.cancellation != Cancellation::Cancelled)
     }
 
     /// What the cancellation of jobs that it needs means for a job.
-    pub fn fate(&self, job: &JobId) -> Fate {
-        self.nodes.get(job).map_or(Fate::Open, |node| node.fate)
+    pub fn cancellation(&self, job: &JobId) -> Cancellation {
+        self.nodes.get(job).map_or(Cancellation::NotCancelled, |node| node.cancellation)
     }
 
     /// The urgency of the jobs that need this one, directly or not.
@@ -133,12 +135,12 @@
     }
 
     /// A job is done, and that is committed. Returns those that wait for nothing more.
-    pub fn settled(&mut self, job: &JobId) -> Vec<JobId> {
+    pub fn complete(&mut self, job: &JobId) -> Vec<JobId> {
         let mut released = Vec::new();
         for dependent in self.take_dependents(job) {
             let Some(node) = self.nodes.get_mut(&dependent) else { continue };
-            node.awaited.remove(job);
-            if node.awaited.is_empty() && node.fate != Fate::Cancelled {
+            node.unmet.remove(job);
+            if node.unmet.is_empty() && node.cancellation != Cancellation::Cancelled {
                 released.push(dependent);
             }
         }
@@ -147,49 +149,49 @@
 
     /// The cancellation of a job is being written: whether those that need it are
     /// cancelled with it is not known until the outcome is.
-    pub fn being_cancelled(&mut self, job: &JobId) {
-        self.spread(job, Fate::Undecided);
+    pub fn mark_cancellation_pending(&mut self, job: &JobId) {
+        self.propagate_cancellation(job, Cancellation::Pending);
     }
 
     /// A job is cancelled, and that is committed. Returns all that need it, directly or
     /// not: they are cancelled with it.
-    pub fn cancelled(&mut self, job: &JobId) -> Vec<JobId> {
-        let all = self.spread(job, Fate::Cancelled);
+    pub fn cancel(&mut self, job: &JobId) -> Vec<JobId> {
+        let all = self.propagate_cancellation(job, Cancellation::Cancelled);
         let gone: HashSet<&JobId> = all.iter().chain(std::iter::once(job)).collect();
         // What those leave behind may have inherited from them.
         let mut heirs: BTreeSet<JobId> = BTreeSet::new();
         for member in &gone {
             let Some(node) = self.nodes.get(*member) else { continue };
-            heirs.extend(node.awaited.iter().filter(|need| !gone.contains(need)).cloned());
+            heirs.extend(node.unmet.iter().filter(|need| !gone.contains(need)).cloned());
         }
         for heir in heirs {
             if let Some(node) = self.nodes.get_mut(&heir) {
                 node.dependents.retain(|dependent| !gone.contains(dependent));
             }
-            self.inherit_anew(&heir);
+            self.recompute_inherited_urgency(&heir);
         }
         all
     }
 
     /// A job was not accepted now: what it names counts for nothing. Those that await it
     /// know of an earlier acceptance, and still do.
-    pub fn withdraw(&mut self, job: &JobId) {
+    pub fn retract(&mut self, job: &JobId) {
         let Some(node) = self.nodes.get_mut(job) else { return };
         let dependents = std::mem::take(&mut node.dependents);
         self.remove(job);
         if !dependents.is_empty() {
-            self.nodes.insert(job.clone(), Node { dependents, ..Node::without_needs() });
-            self.inherit_anew(job);
+            self.nodes.insert(job.clone(), GraphNode { dependents, ..GraphNode::without_dependencies() });
+            self.recompute_inherited_urgency(job);
         }
     }
 
     /// A job has left: its record is final.
     pub fn remove(&mut self, job: &JobId) {
         let Some(node) = self.nodes.remove(job) else { return };
-        for need in &node.awaited {
+        for need in &node.unmet {
             if let Some(needed) = self.nodes.get_mut(need) {
                 needed.dependents.remove(job);
-                self.inherit_anew(need);
+                self.recompute_inherited_urgency(need);
             }
         }
     }
@@ -199,7 +201,7 @@
     }
 
     /// Gives a fate to all that need the job; returns those that had a lesser one.
-    fn spread(&mut self, job: &JobId, fate: Fate) -> Vec<JobId> {
+    fn propagate_cancellation(&mut self, job: &JobId, fate: Cancellation) -> Vec<JobId> {
         let mut reached = Vec::new();
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
@@ -210,8 +212,8 @@
                 .unwrap_or_default();
             for dependent in dependents {
                 let Some(node) = self.nodes.get_mut(&dependent) else { continue };
-                if node.fate < fate {
-                    node.fate = fate;
+                if node.cancellation < fate {
+                    node.cancellation = fate;
                     reached.push(dependent.clone());
                     work.push(dependent);
                 }
@@ -221,16 +223,18 @@
     }
 
     /// What a job that has joined means for those that it needs.
-    fn bequeath(&mut self, job: &JobId) {
+    fn propagate_urgency(&mut self, job: &JobId) {
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
-            let Some(node) = self.nodes.get(&next).filter(|node| node.fate != Fate::Cancelled) else {
+            let Some(node) =
+                self.nodes.get(&next).filter(|node| node.cancellation != Cancellation::Cancelled)
+            else {
                 continue;
             };
-            let Some(bequest) = node.bequest() else { continue };
-            for need in node.awaited.clone() {
+            let Some(bequest) = node.urgency_for_dependencies() else { continue };
+            for need in node.unmet.clone() {
                 let Some(needed) = self.nodes.get_mut(&need) else { continue };
-                let inherited = needed.inherited.map_or(bequest, |before| before.most(bequest));
+                let inherited = needed.inherited.map_or(bequest, |before| before.most_urgent(bequest));
                 if needed.inherited != Some(inherited) {
                     needed.inherited = Some(inherited);
                     work.push(need);
@@ -241,17 +245,17 @@
 
     /// Counts again what a job inherits, and those that it needs, since one that needs it
     /// has left.
-    fn inherit_anew(&mut self, job: &JobId) {
+    fn recompute_inherited_urgency(&mut self, job: &JobId) {
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
             let Some(node) = self.nodes.get(&next) else { continue };
             let bequests = node.dependents.iter().filter_map(|dependent| self.nodes.get(dependent));
-            let open = bequests.filter(|dependent| dependent.fate != Fate::Cancelled);
-            let inherited = open.filter_map(Node::bequest).reduce(Urgency::most);
+            let open = bequests.filter(|dependent| dependent.cancellation != Cancellation::Cancelled);
+            let inherited = open.filter_map(GraphNode::urgency_for_dependencies).reduce(Urgency::most_urgent);
             let Some(node) = self.nodes.get_mut(&next) else { continue };
             if node.inherited != inherited {
                 node.inherited = inherited;
-                work.extend(node.awaited.iter().cloned());
+                work.extend(node.unmet.iter().cloned());
             }
         }
     }
--- a/src/coordination/dependencies/tests.rs
+++ b/src/coordination/dependencies/tests.rs
@@ -10,17 +10,17 @@
     names
 }
 
-fn plain(needs: &[&str]) -> Entry {
-    Entry {
-        awaited: needs.iter().map(|need| id(need)).collect(),
-        fate: Fate::Open,
+fn plain(needs: &[&str]) -> NewDependent {
+    NewDependent {
+        unmet: needs.iter().map(|need| id(need)).collect(),
+        cancellation: Cancellation::NotCancelled,
         urgency: Urgency { priority: Priority::BestEffort, finish_by: None },
         duration: Duration::from_secs(10),
     }
 }
 
-fn graph(edges: &[(&str, &[&str])]) -> Dependencies {
-    let mut graph = Dependencies::default();
+fn graph(edges: &[(&str, &[&str])]) -> DependencyGraph {
+    let mut graph = DependencyGraph::default();
     for (job, needs) in edges {
         graph.insert(&id(job), plain(needs));
     }
@@ -30,11 +30,11 @@
 #[test]
 fn a_job_is_released_by_the_last_of_its_needs() {
     let mut graph = graph(&[("b", &["a"]), ("c", &["a"]), ("d", &["b", "c"])]);
-    assert_eq!(names(graph.settled(&id("a"))), ["b", "c"]);
-    assert!(graph.settled(&id("b")).is_empty());
-    assert!(!graph.is_released(&id("d")) && graph.is_released(&id("c")));
-    assert_eq!(names(graph.settled(&id("c"))), ["d"]);
-    assert!(graph.settled(&id("c")).is_empty(), "a second time says nothing new");
+    assert_eq!(names(graph.complete(&id("a"))), ["b", "c"]);
+    assert!(graph.complete(&id("b")).is_empty());
+    assert!(!graph.is_ready(&id("d")) && graph.is_ready(&id("c")));
+    assert_eq!(names(graph.complete(&id("c"))), ["d"]);
+    assert!(graph.complete(&id("c")).is_empty(), "a second time says nothing new");
 }
 
 /// A chain, a diamond, fan-in and fan-out: all that need a cancelled job go with it, and
@@ -49,28 +49,28 @@
         ("y", &["x"]),
         ("z", &["y"]),
     ]);
-    graph.being_cancelled(&id("b"));
-    assert_eq!([id("d"), id("e")].map(|job| graph.fate(&job)), [Fate::Undecided; 2]);
+    graph.mark_cancellation_pending(&id("b"));
+    assert_eq!([id("d"), id("e")].map(|job| graph.cancellation(&job)), [Cancellation::Pending; 2]);
     // One that comes while the outcome is not known.
     graph.insert(&id("f"), plain(&["e"]));
-    assert_eq!(graph.fate(&id("f")), Fate::Undecided);
-    assert_eq!(names(graph.cancelled(&id("b"))), ["d", "e", "f"]);
+    assert_eq!(graph.cancellation(&id("f")), Cancellation::Pending);
+    assert_eq!(names(graph.cancel(&id("b"))), ["d", "e", "f"]);
     for job in ["a", "c", "x", "y", "z"] {
-        assert_eq!(graph.fate(&id(job)), Fate::Open, "{job}");
+        assert_eq!(graph.cancellation(&id(job)), Cancellation::NotCancelled, "{job}");
     }
     graph.insert(&id("g"), plain(&["f", "y"]));
-    assert_eq!(graph.fate(&id("g")), Fate::Cancelled);
-    assert!(graph.settled(&id("c")).is_empty(), "a cancelled job is never released");
-    assert!(!graph.is_released(&id("d")));
-    assert_eq!(names(graph.settled(&id("x"))), ["y"]);
+    assert_eq!(graph.cancellation(&id("g")), Cancellation::Cancelled);
+    assert!(graph.complete(&id("c")).is_empty(), "a cancelled job is never released");
+    assert!(!graph.is_ready(&id("d")));
+    assert_eq!(names(graph.complete(&id("x"))), ["y"]);
 }
 
 /// Read by a new leader, a job may come before those that it needs.
 #[test]
 fn the_order_in_which_jobs_join_does_not_matter() {
     let mut graph = graph(&[("c", &["b"])]);
-    graph.insert(&id("b"), Entry { fate: Fate::Cancelled, ..plain(&[]) });
-    assert_eq!(graph.fate(&id("c")), Fate::Cancelled);
+    graph.insert(&id("b"), NewDependent { cancellation: Cancellation::Cancelled, ..plain(&[]) });
+    assert_eq!(graph.cancellation(&id("c")), Cancellation::Cancelled);
 }
 
 #[test]
@@ -79,17 +79,18 @@
     let due = |s| Some(now + Duration::from_secs(s));
     let last = |needs: &[&str], priority, s| {
         let urgency = Urgency { priority, finish_by: due(s) };
-        Entry { urgency, ..plain(needs) }
+        NewDependent { urgency, ..plain(needs) }
     };
     let mut graph = graph(&[("b", &["a"]), ("c", &["a"])]);
     assert_eq!(graph.inherited(&id("a")).map(|u| u.priority), Some(Priority::BestEffort));
     graph.insert(&id("d"), last(&["b", "c"], Priority::High, 100));
     graph.insert(&id("e"), last(&["c"], Priority::Standard, 60));
-    let inherited = |graph: &Dependencies, job| graph.inherited(&id(job)).map(|u| (u.priority, u.finish_by));
+    let inherited =
+        |graph: &DependencyGraph, job| graph.inherited(&id(job)).map(|u| (u.priority, u.finish_by));
     assert_eq!(inherited(&graph, "b"), Some((Priority::High, due(90))));
     assert_eq!(inherited(&graph, "c"), Some((Priority::High, due(50))));
     assert_eq!(inherited(&graph, "a"), Some((Priority::High, due(40))));
-    assert_eq!(names(graph.cancelled(&id("d"))), Vec::<String>::new());
+    assert_eq!(names(graph.cancel(&id("d"))), Vec::<String>::new());
     assert_eq!(inherited(&graph, "b"), None);
     assert_eq!(inherited(&graph, "c"), Some((Priority::Standard, due(50))));
     assert_eq!(inherited(&graph, "a"), Some((Priority::Standard, due(40))));
@@ -100,15 +101,15 @@
 /// No step recurses: a chain may be longer than any stack.
 #[test]
 fn a_long_chain_costs_a_step_for_each_edge() {
-    let mut graph = Dependencies::default();
+    let mut graph = DependencyGraph::default();
     let name = |n: u32| format!("{n}");
     for n in 1..100_000 {
         graph.insert(&id(&name(n)), plain(&[&name(n - 1)]));
     }
     let urgent = Urgency { priority: Priority::Critical, finish_by: None };
-    graph.insert(&id("last"), Entry { urgency: urgent, ..plain(&[&name(99_999)]) });
+    graph.insert(&id("last"), NewDependent { urgency: urgent, ..plain(&[&name(99_999)]) });
     assert_eq!(graph.inherited(&id("0")).map(|u| u.priority), Some(Priority::Critical));
-    assert_eq!(graph.cancelled(&id("0")).len(), 100_000);
+    assert_eq!(graph.cancel(&id("0")).len(), 100_000);
     for n in 0..100_000 {
         graph.remove(&id(&name(n)));
     }
@@ -119,27 +120,27 @@
 /// A job that the graph does not hold may wait for anything.
 #[test]
 fn absence_is_no_release() {
-    let mut graph = Dependencies::default();
-    assert!(!graph.is_released(&id("a")));
+    let mut graph = DependencyGraph::default();
+    assert!(!graph.is_ready(&id("a")));
     graph.insert(&id("b"), plain(&["a"]));
-    assert!(!graph.is_released(&id("b")));
-    graph.settled(&id("a"));
-    assert!(graph.is_released(&id("b")));
+    assert!(!graph.is_ready(&id("b")));
+    graph.complete(&id("a"));
+    assert!(graph.is_ready(&id("b")));
     graph.remove(&id("b"));
-    assert!(!graph.is_released(&id("b")));
+    assert!(!graph.is_ready(&id("b")));
 }
 
 /// An acceptance that is refused takes nothing from the jobs that await the same job.
 #[test]
 fn a_job_that_is_not_accepted_keeps_its_dependents() {
-    let mut graph = Dependencies::default();
+    let mut graph = DependencyGraph::default();
     graph.insert(&id("c"), plain(&["b"]));
     graph.insert(&id("b"), plain(&["a"]));
-    graph.withdraw(&id("b"));
-    assert!(graph.cancelled(&id("a")).is_empty(), "what it named counts for nothing");
-    assert_eq!(graph.cancelled(&id("b")), [id("c")]);
-    graph.withdraw(&id("d"));
+    graph.retract(&id("b"));
+    assert!(graph.cancel(&id("a")).is_empty(), "what it named counts for nothing");
+    assert_eq!(graph.cancel(&id("b")), [id("c")]);
+    graph.retract(&id("d"));
     graph.insert(&id("e"), plain(&[]));
-    graph.withdraw(&id("e"));
-    assert!(!graph.is_released(&id("e")));
+    graph.retract(&id("e"));
+    assert!(!graph.is_ready(&id("e")));
 }
--- a/src/coordination/election/tests.rs
+++ b/src/coordination/election/tests.rs
@@ -64,7 +64,9 @@
     let mut carried_out = begin();
     assert_eq!(carried_out.next_step(later), Step::ReadLeader);
     carried_out.on_read(later, Ok(Some(holder_of("c-0", "mine", 41, 5))));
-    assert!(matches!(carried_out.role(), Role::Leader { epoch: 41, lease_expiry } if lease_expiry < now + TTL));
+    assert!(
+        matches!(carried_out.role(), Role::Leader { epoch: 41, lease_expiry } if lease_expiry < now + TTL)
+    );
     let mut not_yet = begin();
     not_yet.on_read(later, Ok(None));
     assert_eq!(not_yet.next_step(later), Step::Acquire { lease: 5 });
--- a/src/coordination/figures.rs
+++ b/src/coordination/figures.rs
@@ -10,7 +10,7 @@
     fn counts(&self) -> (u32, usize, usize) {
         (
             self.jobs.values().map(Job::pending).sum(),
-            self.jobs.values().map(|j| j.active.len()).sum(),
+            self.jobs.values().map(|j| j.placements.len()).sum(),
             self.machines.values().filter(|m| m.phase == Phase::Booting).count(),
         )
     }
@@ -23,7 +23,7 @@
             .set("jobs", self.jobs.len() as u64)
             .set(
                 "jobsWaitingForOthers",
-                self.jobs.values().filter(|j| j.is_live() && j.is_waiting()).count() as u64,
+                self.jobs.values().filter(|j| j.is_startable() && j.waits_for_dependencies()).count() as u64,
             )
             .set(
                 "recordsWithNamedBlocks",
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -17,7 +17,7 @@
 use crate::protocol::cloud::{MAX_DELETE, MAX_RENTAL, MachineType, RentalRequest, encode_catalog};
 use crate::protocol::state::{Change, Condition};
 use crate::protocol::workers::MachineId;
-use crate::storage::records::{CATALOG, RentalRecord};
+use crate::storage::records::{CATALOG, NodePoolRecord};
 use crate::storage::service::Class;
 
 /// The cloud bills at least this much of a machine.
@@ -111,7 +111,7 @@
     pub(super) fn enter_rented(&mut self, now: Instant, name: &str) {
         let Some(rental) = self.rentals.get(name) else { return };
         let request = rental.record.request.clone();
-        let used = rental.record.used.clone();
+        let used = rental.record.machines_used.clone();
         let ids = rental.record.machines.clone().unwrap_or_default();
         let kind = self.kind_of(&request.machine_type);
         // One that had tasks has booted and worked before this epoch: what is
@@ -225,7 +225,11 @@
                     spot,
                     count: ids.len() as u32,
                 };
-                let record = RentalRecord { request, machines: Some(ids.to_vec()), used: Default::default() };
+                let record = NodePoolRecord {
+                    request,
+                    machines: Some(ids.to_vec()),
+                    machines_used: Default::default(),
+                };
                 self.rentals.insert(name.clone(), Rental::new(record, 0, now));
                 self.enter_rented(now, &name);
                 for id in ids {
@@ -234,7 +238,7 @@
                     }
                 }
                 if let Some(rental) = self.rentals.get_mut(&name) {
-                    rental.record.used = ids.iter().cloned().collect();
+                    rental.record.machines_used = ids.iter().cloned().collect();
                 }
                 self.write_rental(&name);
             }
@@ -273,7 +277,7 @@
                 if let Some(list) = &mut rental.record.machines {
                     list.retain(|other| other != id);
                 }
-                rental.record.used.remove(id);
+                rental.record.machines_used.remove(id);
             }
             self.write_rental(&m.rental);
         }
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -5,42 +5,42 @@
 use tokio::time::Instant;
 
 use super::answers::Answer;
-use super::dependencies::Fate;
+use super::dependencies::Cancellation;
 use super::leader::{Effect, Leader, PendingAdmission, PendingOperation, UncheckedSubmission};
 use super::model::{Job, ReplyId, Resources};
-use super::pipelines::{NeedStates, Needs};
+use super::pipelines::{DependencyCheck, DependencyStates};
 use crate::protocol::cbor::json_size;
-use crate::protocol::jobs::{Form, JobId, JobSpec, Standing};
+use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
 use crate::protocol::state::{Change, Condition};
 use crate::settings::State;
-use crate::storage::records::{JobRecord, block_size, live_key, record_key, row};
+use crate::storage::records::{JobRecord, block_size, encode_row, job_record_key, live_row_key};
 use crate::storage::service::{Class, StoreError};
 
 /// Bytes that a value has beside what is encoded here.
-const VALUE_MARGIN: usize = 128;
+const VALUE_OVERHEAD_BYTES: usize = 128;
 
 /// Whether the record fits into one value, before and after the limits change, with its
 /// done tasks in the way that leaves the most room for the description.
 fn fits_a_value(record: &JobRecord, state: &State) -> bool {
     let limits = state.within_both();
     let bitmap = (record.spec.tasks.min(block_size(limits.value_kb)) / 6) as usize;
-    json_size(&record.encode_verdict()) + bitmap + VALUE_MARGIN <= limits.value_bytes()
+    json_size(&record.encode_without_done_tasks()) + bitmap + VALUE_OVERHEAD_BYTES <= limits.value_bytes()
 }
 
 impl Leader {
     /// A user submits a job.
     pub fn submit(&mut self, now: Instant, now_ms: u64, to: ReplyId, spec: JobSpec) {
-        self.submit_knowing(now, now_ms, to, spec, NeedStates::default());
+        self.submit_with_dependency_states(now, now_ms, to, spec, DependencyStates::default());
     }
 
     /// The same, with what was read of the jobs that it names.
-    pub fn submit_knowing(
+    pub fn submit_with_dependency_states(
         &mut self,
         now: Instant,
         now_ms: u64,
         to: ReplyId,
         spec: JobSpec,
-        read: NeedStates,
+        read: DependencyStates,
     ) {
         if !self.holds_lease(now) {
             return self.reply(to, Answer::retry_later(503, "not leading now", 1));
@@ -58,17 +58,19 @@
         if self.catalog.is_empty() {
             return self.reply(to, Answer::retry_later(503, "machine types not known yet", 1));
         }
-        let (awaited, fate) = match self.judge_needs(&spec, &read) {
-            Needs::Known { awaited, fate } => (awaited, fate),
-            Needs::Unread(unread) => {
+        let (awaited, fate) = match self.check_dependencies(&spec, &read) {
+            DependencyCheck::Known { unmet: awaited, cancellation: fate } => (awaited, fate),
+            DependencyCheck::Unread(unread) => {
                 let submission = UncheckedSubmission { reply: to, spec, unread, known: read };
                 return self.effects.push(Effect::ReadDependencies(Box::new(submission)));
             }
-            Needs::Unclear(reason) => return self.reply(to, Answer::retry_later(503, reason, 1)),
-            Needs::Impossible(reason) => return self.refuse_unless_accepted(to, spec.id, reason),
+            DependencyCheck::Undetermined(reason) => {
+                return self.reply(to, Answer::retry_later(503, reason, 1));
+            }
+            DependencyCheck::Infeasible(reason) => return self.reject_unless_admitted(to, spec.id, reason),
         };
-        if let Some(reason) = self.can_never_run(&spec) {
-            return self.refuse_unless_accepted(to, spec.id, reason);
+        if let Some(reason) = self.infeasibility(&spec) {
+            return self.reject_unless_admitted(to, spec.id, reason);
         }
         // Acceptances take two changes each. What could not be written within
         // a second or two is refused now rather than kept waiting.
@@ -78,66 +80,71 @@
             self.submissions_refused += 1;
             return self.reply(to, Answer::retry_later(429, "too many submissions at once", 2));
         }
-        self.write_acceptance(now, now_ms, to, spec, awaited, fate);
+        self.write_admission(now, now_ms, to, spec, awaited, fate);
     }
 
     /// Writes the record and the row of a new job; its user is answered once they are there.
-    fn write_acceptance(
+    fn write_admission(
         &mut self,
         now: Instant,
         now_ms: u64,
         to: ReplyId,
         spec: JobSpec,
         awaited: BTreeSet<JobId>,
-        fate: Fate,
+        fate: Cancellation,
     ) {
         let state = &self.config.settings.cluster.state;
         let job = spec.id.clone();
         let mut record = JobRecord::new(spec, now_ms);
-        record.cancelled = fate == Fate::Cancelled;
+        record.cancelled = fate == Cancellation::Cancelled;
         let may_begin = awaited.is_empty() && !record.cancelled;
-        if !record.spec.awaits.is_empty() && !fits_a_value(&record, state) {
-            return self.refuse_unless_accepted(to, job, "awaits more jobs than a record holds");
+        if !record.spec.dependencies.is_empty() && !fits_a_value(&record, state) {
+            return self.reject_unless_admitted(to, job, "awaits more jobs than a record holds");
         }
         // With room for some of it, its first start should not wait for a
         // second write; nor where nothing has been started on any machine yet,
         // since then whatever comes up will be for the jobs that come now.
         if may_begin && (self.has_room_for(&record.spec) || !self.machines.values().any(|m| m.use_recorded)) {
-            record.begun = record.spec.tasks;
+            record.started_high_water = record.spec.tasks;
         }
         let conditions = vec![
-            Condition { key: record_key(&job), version: 0 },
-            Condition { key: live_key(&job), version: 0 },
+            Condition { key: job_record_key(&job), version: 0 },
+            Condition { key: live_row_key(&job), version: 0 },
         ];
         let changes = vec![
-            Change::Put { key: record_key(&job), value: record.encode(state.value_kb), lease: None },
-            Change::Put { key: live_key(&job), value: row(Standing::Queued), lease: None },
+            Change::Put { key: job_record_key(&job), value: record.encode(state.value_kb), lease: None },
+            Change::Put { key: live_row_key(&job), value: encode_row(JobState::Queued), lease: None },
         ];
-        self.join_needs(&record.spec, now, awaited, fate);
+        self.add_to_dependency_graph(&record.spec, now, awaited, fate);
         self.pending_admissions.insert(job.clone(), PendingAdmission { record, waiters: vec![to] });
         self.commit(PendingOperation::AdmitJob(job), Class::Accept, conditions, changes);
     }
 
     /// Refuses a job that can never run, unless it was accepted earlier: a retry is never
     /// judged anew.
-    fn refuse_unless_accepted(&mut self, to: ReplyId, job: JobId, reason: &str) {
+    fn reject_unless_admitted(&mut self, to: ReplyId, job: JobId, reason: &str) {
         let otherwise = Answer::error(422, reason);
         self.effects.push(Effect::LookUpJob { to, job, if_absent: otherwise });
     }
 
     /// Why no machine will ever take the job.
-    fn can_never_run(&self, spec: &JobSpec) -> Option<&'static str> {
+    fn infeasibility(&self, spec: &JobSpec) -> Option<&'static str> {
         let Some(&team) = self.team_index.get(&spec.team) else { return Some("unknown team") };
-        if self.fitting_types(spec).is_empty() {
+        if self.feasible_types(spec).is_empty() {
             return Some("a task fits no allowed machine type");
         }
-        let tasks = if spec.form == Form::Service { f64::from(spec.tasks) } else { 1.0 };
+        let tasks = if spec.kind == JobKind::Service { f64::from(spec.tasks) } else { 1.0 };
         let limit = self.teams[team].limit;
         let total = Resources { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memory_gb: 0.0 };
         if total.fits(&limit) { None } else { Some("needs more than the team's limit") }
     }
 
-    pub(super) fn created(&mut self, now: Instant, job: JobId, result: Result<u64, StoreError>) {
+    pub(super) fn handle_admission_written(
+        &mut self,
+        now: Instant,
+        job: JobId,
+        result: Result<u64, StoreError>,
+    ) {
         let Some(PendingAdmission { record, waiters: waiting }) = self.pending_admissions.remove(&job) else {
             return;
         };
@@ -146,9 +153,9 @@
                 let waited_ms = self.wall_ms(now).saturating_sub(record.submitted_ms);
                 tracing::debug!(%job, waited_ms, "accepted");
                 self.insert_job(now, record, version);
-                if self.dependencies.fate(&job) == Fate::Cancelled {
-                    self.cancel_with_needs(now, &job);
-                    self.try_move(&job);
+                if self.dependencies.cancellation(&job) == Cancellation::Cancelled {
+                    self.cancel_by_dependency(now, &job);
+                    self.try_archive(&job);
                 }
                 let Some(status) = self.jobs.get(&job).map(Job::status) else { return };
                 for to in waiting {
@@ -157,20 +164,20 @@
             }
             // It was accepted earlier and is over: the record tells.
             Err(StoreError::Conflict) => {
-                self.forget_refused(&job);
+                self.retract_admission(&job);
                 for to in waiting {
                     let otherwise = Answer::retry_later(503, "try again", 1);
                     self.effects.push(Effect::LookUpJob { to, job: job.clone(), if_absent: otherwise });
                 }
             }
             Err(StoreError::Rejected) => {
-                self.forget_refused(&job);
+                self.retract_admission(&job);
                 for to in waiting {
-                    self.refuse_unless_accepted(to, job.clone(), "its description is too large for a record");
+                    self.reject_unless_admitted(to, job.clone(), "its description is too large for a record");
                 }
             }
             Err(_) => {
-                self.forget_refused(&job);
+                self.retract_admission(&job);
                 for to in waiting {
                     self.reply(to, Answer::retry_later(503, "could not be recorded", 1));
                 }
@@ -180,32 +187,33 @@
 
     /// An acceptance was not carried out now. A job that the reconciler has brought back
     /// meanwhile keeps its place in the graph.
-    fn forget_refused(&mut self, job: &JobId) {
+    fn retract_admission(&mut self, job: &JobId) {
         if !self.jobs.contains_key(job) {
-            self.dependencies.withdraw(job);
+            self.dependencies.retract(job);
         }
     }
 
     /// What the picture says of a job; `None` if the store must be asked.
     pub fn poll(&self, now: Instant, job: &JobId) -> Option<Answer> {
         // Whoever reads the record may know more while a final write is under way.
-        let decided = !self.jobs.get(job)?.is_undecided() && self.dependencies.fate(job) != Fate::Undecided;
-        if decided { self.from_memory(now, job) } else { None }
+        let decided = !self.jobs.get(job)?.has_terminal_write_in_flight()
+            && self.dependencies.cancellation(job) != Cancellation::Pending;
+        if decided { self.status_from_memory(now, job) } else { None }
     }
 
     /// What the picture says of a job that is decided, or whose record was just read and
     /// is not final: the picture may have become so meanwhile, and knows what runs.
     /// `None` if it may not be told.
-    pub fn from_memory(&self, now: Instant, job: &JobId) -> Option<Answer> {
+    pub fn status_from_memory(&self, now: Instant, job: &JobId) -> Option<Answer> {
         let job = self.jobs.get(job)?;
         // Without the lease another leader may know more; what is final is final in
         // any case.
-        let usable = self.holds_lease(now) || job.status().standing.is_final();
+        let usable = self.holds_lease(now) || job.status().state.is_terminal();
         usable.then(|| Answer::job_state(200, job.status(), self.validity()))
     }
 
     /// False if the job is not in the picture and the store must be asked.
-    pub fn withdraw(&mut self, now: Instant, to: ReplyId, job: &JobId) -> bool {
+    pub fn cancel(&mut self, now: Instant, to: ReplyId, job: &JobId) -> bool {
         let valid = self.holds_lease(now);
         let Some(j) = self.jobs.get_mut(job) else {
             if self.pending_admissions.contains_key(job) {
@@ -214,18 +222,18 @@
             }
             return false;
         };
-        if j.status().standing.is_final() {
+        if j.status().state.is_terminal() {
             let status = j.status();
             self.reply(to, Answer::terminal_state(status));
         } else if !valid {
             self.reply(to, Answer::retry_later(503, "not leading now", 1));
         } else {
-            j.withdrawals.push(to);
+            j.cancel_waiters.push(to);
             // A settle on its way to the store comes first, and stays.
-            let settling = j.writing.as_ref().is_some_and(|w| w.settled);
+            let settling = j.write_in_flight.as_ref().is_some_and(|w| w.completed);
             if !settling {
-                j.cancel_wanted = true;
-                self.dependencies.being_cancelled(job);
+                j.cancel_requested = true;
+                self.dependencies.mark_cancellation_pending(job);
                 self.write_record(now, job);
                 // What it runs is of no use from now on, whatever becomes of the
                 // write; and an image that arrives meanwhile starts nothing.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -21,11 +21,11 @@
 use super::cloud::{CloudCall, CloudResult};
 use super::config::Config;
 use super::demand::{Demand, GroupKey};
-use super::dependencies::Dependencies;
+use super::dependencies::DependencyGraph;
 use super::machine_list::ListRound;
 use super::machines::{Machine, Rental};
-use super::model::{Job, ReplyId, Resources, Team};
-use super::pipelines::NeedStates;
+use super::model::{Job, ReplyId, Resources, TeamQuota};
+use super::pipelines::DependencyStates;
 use super::renting::{Backoff, Offer};
 use super::scheduler::Ranked;
 use super::sizes::Sizes;
@@ -38,7 +38,7 @@
 use crate::protocol::state::{Change, Condition};
 use crate::protocol::workers::{Command, MachineId};
 use crate::settings::StateLimits;
-use crate::storage::records::{CATALOG, EXPERIENCE, JobRecord, rental_key};
+use crate::storage::records::{CATALOG, JobRecord, LEARNED_STATISTICS, node_pool_key};
 use crate::storage::service::{Class, StoreError, Transaction};
 
 /// What is to be done outside.
@@ -82,7 +82,7 @@
     /// Those to be read.
     pub unread: Vec<JobId>,
     /// What was read before.
-    pub known: NeedStates,
+    pub known: DependencyStates,
 }
 
 /// What a commit or a call was for.
@@ -132,13 +132,13 @@
     /// Since when no earlier leader can have answered a worker.
     pub(super) post_lease_graces_over_at: Option<Instant>,
     pub(super) jobs: HashMap<JobId, Job>,
-    pub(super) dependencies: Dependencies,
+    pub(super) dependencies: DependencyGraph,
     /// The state service's limits as far as is known.
     pub(super) state_limits: StateLimits,
     /// The time of day at a moment of the steady clock.
     wall_clock: (Instant, u64),
     pub(super) pending_admissions: HashMap<JobId, PendingAdmission>,
-    pub(super) teams: Vec<Team>,
+    pub(super) teams: Vec<TeamQuota>,
     pub(super) team_index: HashMap<String, usize>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
     pub(super) rentals: BTreeMap<String, Rental>,
@@ -155,7 +155,7 @@
     pub(super) experience_at: Instant,
     pub(super) demand: HashMap<GroupKey, Demand>,
     /// Measured run time against the owners' estimates, by class.
-    pub(super) class_ratio: HashMap<String, f64>,
+    pub(super) runtime_ratios: HashMap<String, f64>,
     pub(super) spot_losses: f64,
     pub(super) spot_seconds: f64,
     pub(super) backoff: HashMap<Offer, Backoff>,
@@ -178,14 +178,14 @@
     pub(super) pending_operations: HashMap<u64, PendingOperation>,
     pub(super) last_operation: u64,
     /// Jobs with done tasks to be written, the longest waiting first.
-    pub(super) dirty: VecDeque<(Instant, JobId)>,
+    pub(super) dirty_jobs: VecDeque<(Instant, JobId)>,
     /// Records that the service refuses in every size, and when to try them again.
-    pub(super) refused_records: Vec<(Instant, JobId)>,
+    pub(super) rejected_records: Vec<(Instant, JobId)>,
     /// When the writing of done tasks was last gone about.
     pub(super) flushed_at: Instant,
     /// Jobs whose rows are to follow their records, and moves under way.
-    pub(super) leaving: VecDeque<JobId>,
-    pub(super) moving: usize,
+    pub(super) archive_queue: VecDeque<JobId>,
+    pub(super) archives_in_flight: usize,
     pub(super) next_attempt: u32,
     pub(super) next_rental: u32,
     pub(super) next_slow_tick: Instant,
@@ -221,7 +221,7 @@
         let teams = cluster
             .teams
             .iter()
-            .map(|t| Team {
+            .map(|t| TeamQuota {
                 guaranteed: Resources { cpus: t.cpus, gpus: t.gpus, memory_gb: 0.0 },
                 limit: Resources {
                     cpus: unlimited(t.cpus_max),
@@ -239,7 +239,7 @@
             snapshot_at: now,
             post_lease_graces_over_at: None,
             jobs: HashMap::default(),
-            dependencies: Dependencies::default(),
+            dependencies: DependencyGraph::default(),
             state_limits: config.settings.cluster.state.present(),
             wall_clock: (now, now_ms),
             pending_admissions: HashMap::default(),
@@ -257,7 +257,7 @@
             singleton_keys: HashMap::default(),
             experience_at: now,
             demand: HashMap::default(),
-            class_ratio: HashMap::default(),
+            runtime_ratios: HashMap::default(),
             spot_losses: 0.0,
             spot_seconds: 0.0,
             backoff: HashMap::default(),
@@ -273,11 +273,11 @@
             reserved: HashMap::default(),
             pending_operations: HashMap::default(),
             last_operation: 0,
-            dirty: VecDeque::new(),
-            refused_records: Vec::new(),
+            dirty_jobs: VecDeque::new(),
+            rejected_records: Vec::new(),
             flushed_at: now,
-            leaving: VecDeque::new(),
-            moving: 0,
+            archive_queue: VecDeque::new(),
+            archives_in_flight: 0,
             next_attempt: 0,
             next_rental: 0,
             next_slow_tick: now,
@@ -308,7 +308,9 @@
             leader.enter_all_rented(now);
         }
         if let Some((experience, version)) = loaded.experience {
-            leader.singleton_keys.insert(EXPERIENCE, SingletonKey { version, write_in_flight: false });
+            leader
+                .singleton_keys
+                .insert(LEARNED_STATISTICS, SingletonKey { version, write_in_flight: false });
             leader.take_experience(now, experience);
         }
         leader.insert_all_loaded(now, now_ms, loaded.jobs, &loaded.needs);
@@ -429,9 +431,9 @@
             self.is_fenced = true;
         }
         match self.pending_operations.remove(&ticket) {
-            Some(PendingOperation::AdmitJob(job)) => self.created(now, job, result),
-            Some(PendingOperation::WriteJobRecord(job)) => self.recorded(now, job, result),
-            Some(PendingOperation::ArchiveRow(job)) => self.moved(job, result),
+            Some(PendingOperation::AdmitJob(job)) => self.handle_admission_written(now, job, result),
+            Some(PendingOperation::WriteJobRecord(job)) => self.handle_record_written(now, job, result),
+            Some(PendingOperation::ArchiveRow(job)) => self.handle_row_archived(job, result),
             Some(PendingOperation::WriteSingleton(key)) => {
                 let note = self.singleton_keys.entry(key).or_default();
                 note.write_in_flight = false;
@@ -458,7 +460,7 @@
         if !self.holds_lease(now) {
             return;
         }
-        self.flush_records(now);
+        self.flush_dirty_records(now);
         self.enter_unexpected(now);
         self.prove_silent_machines(now);
         self.prove_hidden_machines(now);
@@ -478,7 +480,7 @@
         }
         rental.writing = true;
         rental.dirty = false;
-        let key = rental_key(name);
+        let key = node_pool_key(name);
         let conditions = vec![Condition { key: key.clone(), version: rental.version }];
         let empty = rental.record.machines.as_ref().is_some_and(Vec::is_empty);
         let change = if empty {
@@ -496,12 +498,12 @@
 
     /// A new job as the store now has it.
     pub(super) fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
-        let waits = !record.spec.awaits.is_empty() && !self.dependencies.is_released(&record.spec.id);
+        let waits = !record.spec.dependencies.is_empty() && !self.dependencies.is_ready(&record.spec.id);
         let layout = record.layout(self.config.settings.cluster.state.value_kb);
         let count = layout.blocks(record.spec.tasks);
         let mut job = Job::new(record, version, version, now, count);
         job.team = self.team_index.get(&job.spec().team).copied();
-        job.released = (!waits).then_some(now);
+        job.ready_at = (!waits).then_some(now);
         job.cancelled_at = job.record.cancelled.then_some(now);
         self.note_prompt_class(job.spec());
         self.prompt_work |= !waits && self.has_prompt_aim(job.spec());
@@ -510,13 +512,13 @@
     }
 
     /// Machine types on which a task can run.
-    pub(super) fn fitting_types(&self, spec: &JobSpec) -> Vec<usize> {
+    pub(super) fn feasible_types(&self, spec: &JobSpec) -> Vec<usize> {
         let need = Resources::of(spec);
         (0..self.catalog.len())
             .filter(|&at| {
                 let kind = &self.catalog[at];
                 need.fits(&Resources::of_type(kind))
-                    && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
+                    && spec.machine_types.as_ref().is_none_or(|types| types.contains(&kind.name))
                     && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
             })
             .collect()
@@ -524,23 +526,23 @@
 
     /// How long a task is expected to run: the owner's estimate, corrected by
     /// how the estimates of its class have turned out.
-    pub(super) fn expected_run(&self, spec: &JobSpec) -> f64 {
-        let ratio = self.class_ratio.get(&spec.class).copied().unwrap_or(1.0);
-        (spec.estimate_s * ratio).min(1e6)
+    pub(super) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
+        let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
+        (spec.estimated_run_s * ratio).min(1e6)
     }
 
-    pub(super) fn learn_run(&mut self, job: &JobId, seconds: f64) {
+    pub(super) fn record_run(&mut self, job: &JobId, seconds: f64) {
         const CLASSES: usize = 256;
         let Some(job) = self.jobs.get_mut(job) else { return };
-        job.note_run(seconds);
+        job.record_run(seconds);
         let spec = job.spec();
-        if spec.estimate_s <= 0.0
-            || (self.class_ratio.len() >= CLASSES && !self.class_ratio.contains_key(&spec.class))
+        if spec.estimated_run_s <= 0.0
+            || (self.runtime_ratios.len() >= CLASSES && !self.runtime_ratios.contains_key(&spec.class))
         {
             return;
         }
-        let seen = (seconds / spec.estimate_s).clamp(0.05, 20.0);
-        let ratio = self.class_ratio.entry(spec.class.clone()).or_insert(1.0);
+        let seen = (seconds / spec.estimated_run_s).clamp(0.05, 20.0);
+        let ratio = self.runtime_ratios.entry(spec.class.clone()).or_insert(1.0);
         *ratio += (seen - *ratio) * 0.02;
     }
 }
--- a/src/coordination/loading.rs
+++ b/src/coordination/loading.rs
@@ -4,15 +4,16 @@
 use ciborium::value::Value;
 use tokio::task::JoinSet;
 
-use super::pipelines::{NeedState, NeedStates};
+use super::pipelines::{DependencyState, DependencyStates};
 use super::reconciler::{self, Finding};
 use super::takeover::{Loaded, LoadedJob};
 use super::unreadable::Unreadable;
 use crate::maps::HashSet;
 use crate::protocol::cloud::decode_catalog;
-use crate::protocol::jobs::{JobId, Standing};
+use crate::protocol::jobs::{JobId, JobState};
 use crate::storage::records::{
-    CATALOG, EXPERIENCE, Experience, JobRecord, LIVE, OVER, RENTALS, RentalRecord, live_key, record_key,
+    ARCHIVED_ROWS, CATALOG, JobRecord, LEARNED_STATISTICS, LIVE_ROWS, LearnedStatistics, NODE_POOLS,
+    NodePoolRecord, job_record_key, live_row_key,
 };
 use crate::storage::service::{Class, Store, StoreError};
 
@@ -27,7 +28,7 @@
     from: &str,
     value_kb: f64,
 ) -> Result<(String, Loaded), StoreError> {
-    let (jobs, next) = reconciler::page_of_jobs(store, OVER, from, ROWS_A_ROUND).await?;
+    let (jobs, next) = reconciler::page_of_jobs(store, ARCHIVED_ROWS, from, ROWS_A_ROUND).await?;
     let mut restored = Loaded::default();
     for job in &jobs {
         let examined = reconciler::examine(store, job).await?;
@@ -55,13 +56,13 @@
 pub async fn read_again(store: &Store, keys: Vec<String>, value_kb: f64) -> Result<Loaded, StoreError> {
     let mut found = Loaded::default();
     for key in keys {
-        if key.starts_with(RENTALS) {
+        if key.starts_with(NODE_POOLS) {
             match store.get(Class::Rest, &key).await? {
                 Some(entry) => take_rental(&mut found, &key, &entry.value, entry.version),
                 None => found.gone.push(key),
             }
         } else if let Some(job) = Unreadable::job_of(&key) {
-            match store.get(Class::Rest, &live_key(&job)).await? {
+            match store.get(Class::Rest, &live_row_key(&job)).await? {
                 Some(row) => match load_job(store, &job, row.version, value_kb).await? {
                     JobRead::Loaded(loaded) => found.jobs.push(*loaded),
                     JobRead::Unreadable(reason) => found.unreadable.note_job(&job, reason),
@@ -76,7 +77,7 @@
 
 /// Takes a fleet record in; one that does not decode is noted as unreadable.
 fn take_rental(loaded: &mut Loaded, key: &str, value: &Value, version: u64) {
-    match RentalRecord::decode(value) {
+    match NodePoolRecord::decode(value) {
         Ok(record) => loaded.rentals.push((record, version)),
         Err(error) => loaded.unreadable.note_rental(key, error.to_string()),
     }
@@ -85,7 +86,7 @@
 /// Reads all unfinished work and the fleet.
 pub async fn load(store: &Store, value_kb: f64) -> Result<Loaded, StoreError> {
     let mut loaded = Loaded::default();
-    for entry in store.scan(RENTALS).await? {
+    for entry in store.scan(NODE_POOLS).await? {
         take_rental(&mut loaded, &entry.key, &entry.value, entry.version);
     }
     if let Some(entry) = store.get(Class::Rest, CATALOG).await?
@@ -93,14 +94,14 @@
     {
         loaded.catalog = Some((types, entry.version));
     }
-    if let Some(entry) = store.get(Class::Rest, EXPERIENCE).await? {
+    if let Some(entry) = store.get(Class::Rest, LEARNED_STATISTICS).await? {
         // Unreadable, it is written anew; its version is still needed for that.
-        let experience = Experience::decode(&entry.value).unwrap_or_default();
+        let experience = LearnedStatistics::decode(&entry.value).unwrap_or_default();
         loaded.experience = Some((experience, entry.version));
     }
     let mut reads = JoinSet::new();
-    for row in store.scan(LIVE).await? {
-        let Some(job) = row.key.strip_prefix(LIVE).and_then(JobId::parse) else {
+    for row in store.scan(LIVE_ROWS).await? {
+        let Some(job) = row.key.strip_prefix(LIVE_ROWS).and_then(JobId::parse) else {
             tracing::error!(key = %row.key, "a row of no job; left alone");
             continue;
         };
@@ -121,11 +122,11 @@
 }
 
 /// What the records say of the jobs that these await and that are not among them.
-async fn needs_of(store: &Store, jobs: &[LoadedJob]) -> Result<NeedStates, StoreError> {
+async fn needs_of(store: &Store, jobs: &[LoadedJob]) -> Result<DependencyStates, StoreError> {
     let among: HashSet<&JobId> = jobs.iter().map(|job| &job.record.spec.id).collect();
-    let waiting = jobs.iter().map(|job| &job.record).filter(|record| record.may_wait());
+    let waiting = jobs.iter().map(|job| &job.record).filter(|record| record.may_wait_for_dependencies());
     let needs: HashSet<JobId> = waiting
-        .flat_map(|record| &record.spec.awaits)
+        .flat_map(|record| &record.spec.dependencies)
         .filter(|need| !among.contains(need))
         .cloned()
         .collect();
@@ -134,20 +135,20 @@
 
 /// Reads what the records say of jobs that others await. One that cannot be used is no
 /// reason to know nothing of the others.
-pub async fn read_needs(store: &Store, jobs: Vec<JobId>) -> Result<NeedStates, StoreError> {
+pub async fn read_needs(store: &Store, jobs: Vec<JobId>) -> Result<DependencyStates, StoreError> {
     let mut reads = JoinSet::new();
     for job in jobs {
         let store = store.clone();
         reads.spawn(async move {
             let state = match read_record(&store, Class::Accept, &job).await {
-                Ok(record) => NeedState::of(record.as_ref()),
-                Err(StoreError::Rejected) => NeedState::Unreadable,
+                Ok(record) => DependencyState::of(record.as_ref()),
+                Err(StoreError::Rejected) => DependencyState::Unreadable,
                 Err(error) => return Err(error),
             };
             Ok((state, job))
         });
     }
-    let mut states = NeedStates::default();
+    let mut states = DependencyStates::default();
     while let Some(read) = reads.join_next().await {
         let (state, job) = read.map_err(|_| StoreError::Unavailable)??;
         states.insert(job, state);
@@ -158,7 +159,7 @@
 /// A job's record; `None` if it was never accepted. From one that cannot be read nothing
 /// follows; the leader logs it once.
 pub async fn read_record(store: &Store, class: Class, job: &JobId) -> Result<Option<JobRecord>, StoreError> {
-    let Some(entry) = store.get(class, &record_key(job)).await? else { return Ok(None) };
+    let Some(entry) = store.get(class, &job_record_key(job)).await? else { return Ok(None) };
     decode_record(job, &entry.value).map(Some).map_err(|reason| {
         tracing::debug!(%job, reason, "unreadable record");
         StoreError::Rejected
@@ -183,7 +184,8 @@
     most: usize,
 ) -> Result<bool, StoreError> {
     let mut seen: HashSet<JobId> = HashSet::default();
-    let mut unread: Vec<JobId> = if record.may_wait() { record.spec.awaits.clone() } else { Vec::new() };
+    let mut unread: Vec<JobId> =
+        if record.may_wait_for_dependencies() { record.spec.dependencies.clone() } else { Vec::new() };
     while let Some(need) = unread.pop() {
         if !seen.insert(need.clone()) {
             continue;
@@ -192,11 +194,11 @@
             return Err(StoreError::Unavailable);
         }
         let Some(record) = read_record(store, class, &need).await? else { continue };
-        if record.final_standing() == Some(Standing::Cancelled) {
+        if record.terminal_state() == Some(JobState::Cancelled) {
             return Ok(true);
         }
-        if record.may_wait() {
-            unread.extend(record.spec.awaits);
+        if record.may_wait_for_dependencies() {
+            unread.extend(record.spec.dependencies);
         }
     }
     Ok(false)
@@ -216,7 +218,7 @@
     live_version: u64,
     value_kb: f64,
 ) -> Result<JobRead, StoreError> {
-    let Some(entry) = store.get(Class::Accept, &record_key(job)).await? else {
+    let Some(entry) = store.get(Class::Accept, &job_record_key(job)).await? else {
         return Ok(JobRead::Unreadable("a row without a record".into()));
     };
     let mut record = match decode_record(job, &entry.value) {
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -11,7 +11,7 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
 use crate::protocol::workers::{Command, MachineId};
-use crate::storage::records::RentalRecord;
+use crate::storage::records::NodePoolRecord;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
@@ -166,7 +166,7 @@
 /// A fleet record and the state of its writing.
 #[derive(Debug)]
 pub struct Rental {
-    pub record: RentalRecord,
+    pub record: NodePoolRecord,
     pub version: u64,
     pub writing: bool,
     pub dirty: bool,
@@ -176,7 +176,7 @@
 }
 
 impl Rental {
-    pub fn new(record: RentalRecord, version: u64, now: Instant) -> Self {
+    pub fn new(record: NodePoolRecord, version: u64, now: Instant) -> Self {
         Rental { record, version, writing: false, dirty: false, asking: false, asked_at: now }
     }
 }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -26,7 +26,7 @@
 use super::loading::{self, load, walk};
 use super::model::ReplyId;
 use super::peers::{Detour, Detours, PeerState, Peers};
-use super::pipelines::NeedStates;
+use super::pipelines::DependencyStates;
 use super::sizes::Sizes;
 use super::statistics::Statistics;
 use super::takeover::Loaded;
@@ -103,7 +103,7 @@
     NeedsRead {
         epoch: u64,
         submission: Box<UncheckedSubmission>,
-        states: Option<NeedStates>,
+        states: Option<DependencyStates>,
     },
     /// Another controller replied to a request that was handed on.
     Forwarded(Box<ForwardedReply>),
--- a/src/coordination/node/tests.rs
+++ b/src/coordination/node/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::coordination::takeover::LoadedJob;
 use crate::coordination::tests::{catalog, loaded_job, rented};
-use crate::protocol::jobs::Standing;
-use crate::storage::records::{JobRecord, record_key};
+use crate::protocol::jobs::JobState;
+use crate::storage::records::{JobRecord, job_record_key};
 use crate::storage::stand_in::{StandIn, store};
 use crate::transport::codec::Request;
 use crate::transport::peer::{PeerHandler, RemainingLease};
@@ -222,7 +222,7 @@
     let (mut node, mut inputs, _handle) = rig().await;
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     let record = JobRecord::new(spec.clone(), 0).encode(8.0);
-    put_record(&node, record_key(&spec.id), record).await;
+    put_record(&node, job_record_key(&spec.id), record).await;
     // Nothing listens where the other two controllers are said to be.
     node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let answer = ask(&mut node, &mut inputs, PeerCall::Poll("job-1".into())).await;
@@ -239,16 +239,19 @@
     let mut put = Vec::new();
     let chain = |job: u32, need: u32| {
         let awaits = vec![JobId::parse(&format!("job-{need}")).expect("valid")];
-        JobSpec { awaits, ..crate::protocol::jobs::tests::sample(&format!("job-{job}"), "red", 1, 1.0) }
+        JobSpec {
+            dependencies: awaits,
+            ..crate::protocol::jobs::tests::sample(&format!("job-{job}"), "red", 1, 1.0)
+        }
     };
     let first = crate::protocol::jobs::tests::sample("job-0", "red", 1, 1.0);
     put.push(JobRecord { cancelled: true, ..JobRecord::new(first, 0) });
     put.extend((1..100).map(|n| JobRecord::new(chain(n, n - 1), 0)));
     // One whose needs were done before it began, and one that waits for a job that goes on.
-    put.push(JobRecord { begun: 1, ..JobRecord::new(chain(200, 2), 0) });
+    put.push(JobRecord { started_high_water: 1, ..JobRecord::new(chain(200, 2), 0) });
     put.push(JobRecord::new(chain(201, 200), 0));
     for record in put {
-        put_record(&node, record_key(&record.spec.id), record.encode(8.0)).await;
+        put_record(&node, job_record_key(&record.spec.id), record.encode(8.0)).await;
     }
     for (job, status, standing) in [
         ("job-1", 200, Some("cancelled")),
@@ -308,8 +311,8 @@
     let (mut node, mut inputs, _handle) = rig().await;
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     for (settled, status) in [(false, 503), (true, 200)] {
-        let record = JobRecord { settled, ..JobRecord::new(spec.clone(), 0) }.encode(8.0);
-        put_record(&node, record_key(&spec.id), record).await;
+        let record = JobRecord { completed: settled, ..JobRecord::new(spec.clone(), 0) }.encode(8.0);
+        put_record(&node, job_record_key(&spec.id), record).await;
         let now = Instant::now();
         let mut leader = Leader::new(node.config.clone(), 40, now, 0, Loaded::default());
         leader.extend_lease(now, now + Duration::from_secs(60));
@@ -323,15 +326,15 @@
 /// outcome not heard. `settles`: the task has ended; otherwise its user has called it off.
 fn leading_with_a_final_write_under_way(node: &mut Node, spec: &JobSpec, settles: bool) {
     let now = Instant::now();
-    let record = JobRecord { begun: 1, ..JobRecord::new(spec.clone(), 0) };
+    let record = JobRecord { started_high_water: 1, ..JobRecord::new(spec.clone(), 0) };
     let job = LoadedJob { record, version: 5, live_version: 5, block_versions: Vec::new() };
     let loaded = Loaded { jobs: vec![job], ..Loaded::default() };
     let mut leader = Leader::new(node.config.clone(), 40, now, 0, loaded);
     leader.extend_lease(now, now + Duration::from_secs(60));
     if settles {
-        leader.mark_done(now, &spec.id, 0);
+        leader.mark_task_done(now, &spec.id, 0);
     } else {
-        assert!(leader.withdraw(now, ReplyId(0), &spec.id));
+        assert!(leader.cancel(now, ReplyId(0), &spec.id));
     }
     assert!(leader.drain_effects().iter().any(|a| matches!(a, Effect::Commit { .. })), "it is sent");
     node.leader = Some(leader);
@@ -350,8 +353,13 @@
                 let (mut node, mut inputs, _handle) = rig().await;
                 leading_with_a_final_write_under_way(&mut node, &spec, settles);
                 let (settled, cancelled) = (carried_out && settles, carried_out && !settles);
-                let record = JobRecord { settled, cancelled, begun: 1, ..JobRecord::new(spec.clone(), 0) };
-                put_record(&node, record_key(&spec.id), record.encode(8.0)).await;
+                let record = JobRecord {
+                    completed: settled,
+                    cancelled,
+                    started_high_water: 1,
+                    ..JobRecord::new(spec.clone(), 0)
+                };
+                put_record(&node, job_record_key(&spec.id), record.encode(8.0)).await;
                 let answer = ask(&mut node, &mut inputs, call.clone()).await;
                 let expected = if carried_out { standing } else { "queued" };
                 assert_eq!((answer.status, standing_of(&answer)), (200, expected.to_owned()), "{call:?}");
@@ -372,7 +380,7 @@
     let (mut node, _inputs, _handle) = rig().await;
     node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let job = JobId::parse("job-1").expect("valid");
-    let status = |standing| JobStatus { id: job.clone(), standing, done: 0, running: 0 };
+    let status = |standing| JobStatus { id: job.clone(), state: standing, done: 0, running: 0 };
     let lease = RemainingLease { epoch: 7, remaining: Duration::from_secs(3) };
     let forwarded = |node: &mut Node, standing, lease| {
         let (reply, answer) = oneshot::channel();
@@ -384,28 +392,28 @@
         node.forwarded(ForwardedReply { request, peer, asked: Instant::now(), answer: answered });
         answer
     };
-    let first = forwarded(&mut node, Standing::Running, Some(lease)).await.expect("answered");
+    let first = forwarded(&mut node, JobState::Running, Some(lease)).await.expect("answered");
     assert_eq!(standing_of(&first), "running");
     let stale = RemainingLease { epoch: 6, ..lease };
-    let refused = forwarded(&mut node, Standing::Running, Some(stale)).await.expect("answered");
+    let refused = forwarded(&mut node, JobState::Running, Some(stale)).await.expect("answered");
     assert_eq!(refused.status, 503, "of an epoch that is over");
-    let last = forwarded(&mut node, Standing::Cancelled, None).await.expect("answered");
+    let last = forwarded(&mut node, JobState::Cancelled, None).await.expect("answered");
     assert_eq!(standing_of(&last), "cancelled");
-    let overtaken = forwarded(&mut node, Standing::Running, Some(lease)).await.expect("answered");
+    let overtaken = forwarded(&mut node, JobState::Running, Some(lease)).await.expect("answered");
     assert_eq!(standing_of(&overtaken), "cancelled");
     // So with a record that was read before.
     let (reply, answer) = oneshot::channel();
     let absent = Answer::error(404, "no such job");
     let look_up = LookUp { reply, job: job.clone(), absent, only_final: false };
     node.lookups += 1;
-    node.looked_up(look_up, Instant::now(), RecordRead::Found(status(Standing::Queued)));
+    node.looked_up(look_up, Instant::now(), RecordRead::Found(status(JobState::Queued)));
     assert_eq!(standing_of(&answer.await.expect("answered")), "cancelled");
     // And with a cancellation that another controller answers with something else.
     let (reply, answer) = oneshot::channel();
     let other = JobId::parse("job-2").expect("valid");
     let call = PeerCall::Cancel("job-2".into());
     let request = UserRequest { call, job: other.clone(), reply, origin: Origin::User };
-    let queued = JobStatus { id: other, standing: Standing::Queued, done: 0, running: 0 };
+    let queued = JobStatus { id: other, state: JobState::Queued, done: 0, running: 0 };
     let answered =
         PeerReply { status: 200, body: encode(&queued.encode()), retry_after_s: None, lease: Some(lease) };
     node.forwarded(ForwardedReply { request, peer: "c-1".into(), asked: Instant::now(), answer: answered });
@@ -419,10 +427,10 @@
     let (_node, mut inputs, handle) = rig().await;
     let job = JobId::parse("job-1").expect("valid");
     for (standing, held_up, status) in
-        [(Standing::Running, false, 200), (Standing::Running, true, 503), (Standing::Done, true, 200)]
+        [(JobState::Running, false, 200), (JobState::Running, true, 503), (JobState::Done, true, 200)]
     {
         let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(1) };
-        let told = JobStatus { id: job.clone(), standing, done: 0, running: 0 };
+        let told = JobStatus { id: job.clone(), state: standing, done: 0, running: 0 };
         let to_user = handle.clone();
         let user = tokio::spawn(async move {
             crate::transport::server::Handler::handle(&to_user, request("GET", "/api/jobs/job-1", b"")).await
--- a/src/coordination/node/user_requests.rs
+++ b/src/coordination/node/user_requests.rs
@@ -2,7 +2,7 @@
 //! leads, or answered from the record. Whatever way an answer came, it passes through
 //! [`Node::tell`].
 
-use crate::protocol::jobs::Standing;
+use crate::protocol::jobs::JobState;
 
 use super::*;
 
@@ -112,7 +112,7 @@
     fn withdraw(&mut self, now: Instant, request: UserRequest) {
         let UserRequest { job, reply, .. } = request;
         let to = self.keep(reply, job.clone(), now);
-        let known = self.leader.as_mut().is_some_and(|l| l.withdraw(now, to, &job));
+        let known = self.leader.as_mut().is_some_and(|l| l.cancel(now, to, &job));
         if !known && let Some(Waiting { reply, job, .. }) = self.waiting.remove(&to) {
             let absent = Answer::error(404, "no such job");
             self.look_up(LookUp { reply, job, absent, only_final: true });
@@ -264,7 +264,7 @@
         &mut self,
         epoch: u64,
         submission: UncheckedSubmission,
-        states: Option<NeedStates>,
+        states: Option<DependencyStates>,
     ) {
         self.lookups -= 1;
         let now = Instant::now();
@@ -272,7 +272,7 @@
         match (states, self.leader.as_mut().filter(|leader| leader.epoch() == epoch)) {
             (Some(states), Some(leader)) => {
                 read.extend(states);
-                leader.submit_knowing(now, wall_ms(), to, spec, read);
+                leader.submit_with_dependency_states(now, wall_ms(), to, spec, read);
             }
             _ => self.answer_waiting(to, Answer::retry_later(503, "awaited jobs cannot be looked up now", 1)),
         }
@@ -287,11 +287,11 @@
             RecordRead::Absent => absent,
             RecordRead::Unreadable => Answer::retry_later(503, "unreadable record", 5),
             RecordRead::Unavailable => Answer::retry_later(503, "records cannot be read now", 1),
-            RecordRead::Found(status) if status.standing.is_final() => Answer::terminal_state(status),
+            RecordRead::Found(status) if status.state.is_terminal() => Answer::terminal_state(status),
             RecordRead::Found(_) if only_final => Answer::retry_later(503, "try again", 1),
             RecordRead::Found(status) => {
                 let leader = self.leader.as_ref();
-                let picture = leader.and_then(|l| l.from_memory(Instant::now(), &job));
+                let picture = leader.and_then(|l| l.status_from_memory(Instant::now(), &job));
                 let basis = Validity { epoch: 0, valid_until: started + POLL_PATIENCE };
                 picture.unwrap_or_else(|| Answer::job_state(200, status, basis))
             }
@@ -322,10 +322,10 @@
     let class = Class::Settle;
     let Some(record) = loading::read_record(store, class, job).await? else { return Ok(None) };
     let mut status = record.status();
-    if !status.standing.is_final()
+    if !status.state.is_terminal()
         && loading::is_cancelled_by_needs(store, class, &record, NEEDS_READ).await?
     {
-        status.standing = Standing::Cancelled;
+        status.state = JobState::Cancelled;
     }
     Ok(Some(status))
 }
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/pipelines.rs
@@ -11,16 +11,16 @@
 use tokio::time::Instant;
 
 use super::authority::Violation;
-use super::dependencies::{Entry, Fate, Urgency};
+use super::dependencies::{Cancellation, NewDependent, Urgency};
 use super::leader::Leader;
 use super::model::Job;
 use crate::maps::HashMap;
-use crate::protocol::jobs::{Form, JobId, JobSpec, Standing};
+use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
 use crate::storage::records::JobRecord;
 
 /// What the store says of a job that another one names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NeedState {
+pub enum DependencyState {
     /// Never accepted.
     Absent,
     /// A service, which is never done.
@@ -37,85 +37,96 @@
 }
 
 /// What was read of the jobs that others name.
-pub type NeedStates = HashMap<JobId, NeedState>;
+pub type DependencyStates = HashMap<JobId, DependencyState>;
 
-impl NeedState {
+impl DependencyState {
     /// What a job's record, if it has one, means for those that name it.
     pub fn of(record: Option<&JobRecord>) -> Self {
-        let Some(record) = record else { return NeedState::Absent };
-        match record.final_standing() {
-            _ if record.spec.form == Form::Service => NeedState::Service,
-            Some(Standing::Done) => NeedState::Done { at_ms: record.settled_ms },
-            Some(_) => NeedState::Cancelled,
-            None => NeedState::Unfinished,
+        let Some(record) = record else { return DependencyState::Absent };
+        match record.terminal_state() {
+            _ if record.spec.kind == JobKind::Service => DependencyState::Service,
+            Some(JobState::Done) => DependencyState::Done { at_ms: record.completed_ms },
+            Some(_) => DependencyState::Cancelled,
+            None => DependencyState::Unfinished,
         }
     }
 }
 
 /// The needs of a submission as far as they can be judged now.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Needs {
+pub(super) enum DependencyCheck {
     /// Known: those that are not over, and whether one is cancelled.
-    Known { awaited: BTreeSet<JobId>, fate: Fate },
+    Known { unmet: BTreeSet<JobId>, cancellation: Cancellation },
     /// These are not in the picture: their records decide.
     Unread(Vec<JobId>),
     /// The job can never run.
-    Impossible(&'static str),
+    Infeasible(&'static str),
     /// What a need is cannot be known at present.
-    Unclear(&'static str),
+    Undetermined(&'static str),
 }
 
 impl Leader {
     /// Judges the jobs that a submission names, with what was read of those that are not
     /// in the picture.
-    pub(super) fn judge_needs(&self, spec: &JobSpec, read: &NeedStates) -> Needs {
-        if spec.awaits.contains(&spec.id) {
-            return Needs::Impossible("a job cannot await itself");
+    pub(super) fn check_dependencies(&self, spec: &JobSpec, read: &DependencyStates) -> DependencyCheck {
+        if spec.dependencies.contains(&spec.id) {
+            return DependencyCheck::Infeasible("a job cannot await itself");
         }
-        let (mut awaited, mut unread, mut fate) = (BTreeSet::new(), Vec::new(), Fate::Open);
-        for need in &spec.awaits {
+        let (mut awaited, mut unread, mut fate) = (BTreeSet::new(), Vec::new(), Cancellation::NotCancelled);
+        for need in &spec.dependencies {
             let state = match self.jobs.get(need) {
-                Some(job) if job.cancelled_by_need => Some(NeedState::Cancelled),
-                Some(job) => Some(NeedState::of(Some(&job.record))),
+                Some(job) if job.cancelled_by_dependency => Some(DependencyState::Cancelled),
+                Some(job) => Some(DependencyState::of(Some(&job.record))),
                 None if self.pending_admissions.contains_key(need) => {
-                    return Needs::Unclear("an awaited job is being accepted");
+                    return DependencyCheck::Undetermined("an awaited job is being accepted");
                 }
                 None => read.get(need).copied(),
             };
             match state {
                 None => unread.push(need.clone()),
-                Some(NeedState::Absent) => return Needs::Impossible("an awaited job was never accepted"),
-                Some(NeedState::Service) => return Needs::Impossible("a service cannot be awaited"),
-                Some(NeedState::Unfinished) if !self.jobs.contains_key(need) => {
-                    return Needs::Unclear("an awaited job is not known yet");
+                Some(DependencyState::Absent) => {
+                    return DependencyCheck::Infeasible("an awaited job was never accepted");
                 }
-                Some(NeedState::Unreadable) => return Needs::Unclear("an awaited job cannot be read"),
-                Some(NeedState::Unfinished) => drop(awaited.insert(need.clone())),
-                Some(NeedState::Done { .. }) => {}
-                Some(NeedState::Cancelled) => fate = Fate::Cancelled,
+                Some(DependencyState::Service) => {
+                    return DependencyCheck::Infeasible("a service cannot be awaited");
+                }
+                Some(DependencyState::Unfinished) if !self.jobs.contains_key(need) => {
+                    return DependencyCheck::Undetermined("an awaited job is not known yet");
+                }
+                Some(DependencyState::Unreadable) => {
+                    return DependencyCheck::Undetermined("an awaited job cannot be read");
+                }
+                Some(DependencyState::Unfinished) => drop(awaited.insert(need.clone())),
+                Some(DependencyState::Done { .. }) => {}
+                Some(DependencyState::Cancelled) => fate = Cancellation::Cancelled,
             }
         }
-        if unread.is_empty() { Needs::Known { awaited, fate } } else { Needs::Unread(unread) }
+        if unread.is_empty() {
+            DependencyCheck::Known { unmet: awaited, cancellation: fate }
+        } else {
+            DependencyCheck::Unread(unread)
+        }
     }
 
     /// Enters a job's needs, if it has any, into the graph.
-    pub(super) fn join_needs(
+    pub(super) fn add_to_dependency_graph(
         &mut self,
         spec: &JobSpec,
         submitted: Instant,
         awaited: BTreeSet<JobId>,
-        fate: Fate,
+        fate: Cancellation,
     ) {
-        if spec.awaits.is_empty() {
+        if spec.dependencies.is_empty() {
             return;
         }
         // Whether it is cancelled with them is known once that is written.
-        let being_cancelled = |need: &JobId| self.jobs.get(need).is_some_and(|job| job.cancel_wanted);
-        let fate = if awaited.iter().any(being_cancelled) { fate.max(Fate::Undecided) } else { fate };
+        let being_cancelled = |need: &JobId| self.jobs.get(need).is_some_and(|job| job.cancel_requested);
+        let fate = if awaited.iter().any(being_cancelled) { fate.max(Cancellation::Pending) } else { fate };
         let finish_by = spec.deadline_s.map(|s| submitted + Duration::from_secs_f64(s.min(1e7)));
         let urgency = Urgency { priority: spec.priority, finish_by };
         let duration = self.expected_duration(spec);
-        self.dependencies.insert(&spec.id, Entry { awaited, fate, urgency, duration });
+        self.dependencies
+            .insert(&spec.id, NewDependent { unmet: awaited, cancellation: fate, urgency, duration });
     }
 
     /// How long a job is expected to take from its release to its settle: a report
@@ -123,86 +134,93 @@
     fn expected_duration(&self, spec: &JobSpec) -> Duration {
         let fetch_rate = self.catalog.iter().map(|kind| kind.fetch_gb_per_s).fold(0.0, f64::max);
         let fetch = if fetch_rate > 0.0 { spec.image_gb / fetch_rate } else { 0.0 };
-        let seconds = self.expected_run(spec) + fetch.min(1e4);
+        let seconds = self.expected_run_s(spec) + fetch.min(1e4);
         self.config.settings.cluster.workers.report() + Duration::from_secs_f64(seconds)
     }
 
     /// A job is done, and that is committed: those that waited only for it may start.
-    pub(super) fn release_dependents(&mut self, now: Instant, job: &JobId) {
+    pub(super) fn mark_dependents_ready(&mut self, now: Instant, job: &JobId) {
         let now_ms = self.wall_ms(now);
-        for released in self.dependencies.settled(job) {
+        for released in self.dependencies.complete(job) {
             let Some(j) = self.jobs.get_mut(&released) else { continue };
             tracing::debug!(job = %released, "released");
-            j.released = Some(now);
-            j.record.released_ms = Some(now_ms);
+            j.ready_at = Some(now);
+            j.record.ready_ms = Some(now_ms);
             let spec = j.record.spec.clone();
             self.prompt_work |= self.has_prompt_aim(&spec);
             self.queue_at = None;
             // Its first start is near, and needs this.
-            self.begin(now, &released);
+            self.raise_started_high_water(now, &released);
         }
     }
 
     /// A job is cancelled, and that is committed: so are those that need it, whatever
     /// becomes of the writes of their own records. None of them has ever started.
     pub(super) fn cancel_dependents(&mut self, now: Instant, job: &JobId) {
-        for dependent in self.dependencies.cancelled(job) {
-            self.cancel_with_needs(now, &dependent);
+        for dependent in self.dependencies.cancel(job) {
+            self.cancel_by_dependency(now, &dependent);
         }
     }
 
     /// Cancels a job since one that it needs is cancelled.
-    pub(super) fn cancel_with_needs(&mut self, now: Instant, job: &JobId) {
+    pub(super) fn cancel_by_dependency(&mut self, now: Instant, job: &JobId) {
         // One that is being accepted is cancelled as soon as it is.
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.record.final_standing().is_some() {
+        if j.record.terminal_state().is_some() {
             return;
         }
         tracing::debug!(%job, "cancelled with a job that it needs");
-        j.cancelled_by_need = true;
-        j.cancel_wanted = true;
-        self.answer_withdrawals(job);
+        j.cancelled_by_dependency = true;
+        j.cancel_requested = true;
+        self.answer_cancel_waiters(job);
         self.write_record(now, job);
     }
 
     /// Enters what a new leader has read of a job's needs. Those that are neither over nor
     /// in the picture are waited for: they cannot be judged.
-    pub(super) fn join_loaded_needs(&mut self, now: Instant, now_ms: u64, job: &JobId, read: &NeedStates) {
+    pub(super) fn restore_dependencies(
+        &mut self,
+        now: Instant,
+        now_ms: u64,
+        job: &JobId,
+        read: &DependencyStates,
+    ) {
         let Some(j) = self.jobs.get(job) else { return };
         let (spec, submitted, begun, released_ms) =
-            (j.spec().clone(), j.submitted, j.begun, j.record.released_ms);
-        if spec.awaits.is_empty() || j.record.final_standing().is_some() {
+            (j.spec().clone(), j.submitted_at, j.committed_high_water, j.record.ready_ms);
+        if spec.dependencies.is_empty() || j.record.terminal_state().is_some() {
             return;
         }
         // Only a released job may have begun. What is in the picture must agree.
-        let is_unmet = |need: &JobId| self.jobs.get(need).is_some_and(|need| !need.record.settled);
-        let has_begun = begun > 0 && !spec.awaits.iter().any(is_unmet);
+        let is_unmet = |need: &JobId| self.jobs.get(need).is_some_and(|need| !need.record.completed);
+        let has_begun = begun > 0 && !spec.dependencies.iter().any(is_unmet);
         if begun > 0 && !has_begun {
             self.record_violation(Violation::StartedBeforeDependencies, job);
         }
-        let (mut awaited, mut fate, mut released_ms) = (BTreeSet::new(), Fate::Open, released_ms);
-        for need in spec.awaits.iter().filter(|_| !has_begun) {
-            let known = self.jobs.get(need).map(|job| NeedState::of(Some(&job.record)));
+        let (mut awaited, mut fate, mut released_ms) =
+            (BTreeSet::new(), Cancellation::NotCancelled, released_ms);
+        for need in spec.dependencies.iter().filter(|_| !has_begun) {
+            let known = self.jobs.get(need).map(|job| DependencyState::of(Some(&job.record)));
             match known.or_else(|| read.get(need).copied()) {
-                Some(NeedState::Done { at_ms }) => released_ms = released_ms.max(at_ms),
-                Some(NeedState::Cancelled) => fate = Fate::Cancelled,
+                Some(DependencyState::Done { at_ms }) => released_ms = released_ms.max(at_ms),
+                Some(DependencyState::Cancelled) => fate = Cancellation::Cancelled,
                 _ => drop(awaited.insert(need.clone())),
             }
         }
-        let waits = !awaited.is_empty() || fate == Fate::Cancelled;
-        self.join_needs(&spec, submitted, awaited, fate);
+        let waits = !awaited.is_empty() || fate == Cancellation::Cancelled;
+        self.add_to_dependency_graph(&spec, submitted, awaited, fate);
         let Some(j) = self.jobs.get_mut(job) else { return };
         let ago = released_ms.map(|at| Duration::from_millis(now_ms.saturating_sub(at)));
         let released = ago.and_then(|ago| now.checked_sub(ago)).unwrap_or(submitted).max(submitted);
-        j.released = (!waits).then_some(released);
+        j.ready_at = (!waits).then_some(released);
     }
 
     /// Finishes what an earlier leader has left: jobs whose needs are cancelled.
-    pub(super) fn cancel_loaded_dependents(&mut self, now: Instant) {
-        let doomed = |job: &&Job| self.dependencies.fate(job.id()) == Fate::Cancelled;
+    pub(super) fn cancel_restored_dependents(&mut self, now: Instant) {
+        let doomed = |job: &&Job| self.dependencies.cancellation(job.id()) == Cancellation::Cancelled;
         let doomed: Vec<JobId> = self.jobs.values().filter(doomed).map(|job| job.id().clone()).collect();
         for job in doomed {
-            self.cancel_with_needs(now, &job);
+            self.cancel_by_dependency(now, &job);
         }
     }
 }
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 
 use super::leader::Leader;
-use super::model::{Job, Resources, SlotKey, SlotState, Team};
+use super::model::{Job, Resources, SlotKey, SlotState, TeamQuota};
 use super::scheduler::Ranked;
 use crate::maps::HashMap;
 use crate::protocol::jobs::JobId;
@@ -26,7 +26,7 @@
             .iter()
             .map(|t| !t.used.fits(&Resources { memory_gb: f64::INFINITY, ..t.guaranteed }))
             .collect();
-        let lowest = self.jobs.values().filter(|j| j.slots > 0).map(|j| self.priority(j)).min();
+        let lowest = self.jobs.values().filter(|j| j.slot_count > 0).map(|j| self.priority(j)).min();
         self.rank(now);
         // The machines that have room get their chance to report first. A
         // guarantee is less pressing than a priority, and costs equals.
@@ -39,12 +39,12 @@
             let borrowed =
                 ranked.guaranteed && over.iter().enumerate().any(|(at, over)| *over && job.team != Some(at));
             if !(lower || borrowed)
-                || now < job.counted_from(now) + report.mul_f64(0.5)
+                || now < job.waiting_since(now) + report.mul_f64(0.5)
                 || !self.team_has_room(job)
             {
                 continue;
             }
-            let patient = now >= job.counted_from(now) + report.mul_f64(1.5);
+            let patient = now >= job.waiting_since(now) + report.mul_f64(1.5);
             // Room comes free by itself all the time: what is stopped is lost
             // only for an aim that would be missed otherwise.
             let pressing = ranked.due <= now + report.mul_f64(2.5);
@@ -90,7 +90,7 @@
                     }
                     given.sub(&self.jobs.get(&key.0).map(|j| Resources::of(j.spec())).unwrap_or_default());
                 }
-                let grace = self.jobs.get(&key.0).map_or(0.0, |j| j.spec().save_s);
+                let grace = self.jobs.get(&key.0).map_or(0.0, |j| j.spec().checkpoint_save_s);
                 stops.push((machine, key, grace));
                 missing -= 1;
             }
@@ -104,7 +104,7 @@
         }
     }
 
-    fn team_of(&self, job: &JobId) -> Option<(usize, &Team)> {
+    fn team_of(&self, job: &JobId) -> Option<(usize, &TeamQuota)> {
         let at = self.jobs.get(job)?.team?;
         Some((at, self.teams.get(at)?))
     }
@@ -129,9 +129,9 @@
                 let lower = self.priority(victim) < ranked.priority;
                 let may = lower || (ranked.guaranteed && borrowed);
                 // The only one that a job has begun with is left alone.
-                let first = victim.active.len() == 1
+                let first = victim.placements.len() == 1
                     && victim.record.done.is_empty()
-                    && now >= victim.counted_from(now) + self.config.tuning.begin_within / 2;
+                    && now >= victim.waiting_since(now) + self.config.tuning.begin_within / 2;
                 if !may || first || victim.is_service() {
                     continue;
                 }
@@ -151,7 +151,7 @@
 /// Work that is lost if a task is stopped now.
 fn loss_s(now: Instant, job: &Job, state: SlotState, since: Instant) -> f64 {
     match state {
-        SlotState::Running if job.spec().checkpoint_s > 0.0 => job.spec().save_s,
+        SlotState::Running if job.spec().checkpoint_interval_s > 0.0 => job.spec().checkpoint_save_s,
         // A fetch may have to be done again elsewhere.
         SlotState::Running | SlotState::Fetching => now.saturating_duration_since(since).as_secs_f64(),
         _ => 0.0,
--- a/src/coordination/reconciler.rs
+++ b/src/coordination/reconciler.rs
@@ -6,10 +6,11 @@
 
 use std::collections::BTreeSet;
 
-use crate::protocol::jobs::{JobId, Standing};
+use crate::protocol::jobs::{JobId, JobState};
 use crate::protocol::state::{Change, Condition};
 use crate::storage::records::{
-    JobRecord, LIVE, OVER, RECORDS, RENTALS, RentalRecord, decode_row, live_key, over_key, record_key, row,
+    ARCHIVED_ROWS, JOB_RECORDS, JobRecord, LIVE_ROWS, NODE_POOLS, NodePoolRecord, archived_row_key,
+    decode_row, encode_row, job_record_key, live_row_key,
 };
 use crate::storage::service::{Class, Store, StoreError, Transaction};
 
@@ -17,16 +18,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
     /// `None`: no record. Inside: the final standing that it supports, if any.
-    pub record: Option<Option<Standing>>,
+    pub record: Option<Option<JobState>>,
     pub live_row: bool,
-    pub over_row: Option<Standing>,
+    pub archived_row: Option<JobState>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
     Consistent,
     /// The record is final, the row not yet: the row follows the record.
-    RowBehind(Standing),
+    RowBehind(JobState),
     /// A row says over where the record says live: back among the live.
     Stranded,
     /// Cannot be derived soundly.
@@ -40,7 +41,7 @@
 }
 
 pub fn judge(evidence: Evidence) -> Finding {
-    let Evidence { record, live_row, over_row } = evidence;
+    let Evidence { record, live_row, archived_row: over_row } = evidence;
     match (record, live_row, over_row) {
         (None, false, None) => Finding::Consistent,
         (None, _, _) => Finding::Suspect("a row without a record"),
@@ -60,12 +61,12 @@
     pub job: JobId,
     pub finding: Finding,
     /// Its tasks wait for other jobs.
-    pub waits: bool,
+    pub waits_for_dependencies: bool,
     /// Its record names the size of its blocks of done tasks.
     pub names_blocks: bool,
     record_version: u64,
     live_version: u64,
-    over_version: u64,
+    archived_version: u64,
 }
 
 impl Examined {
@@ -73,24 +74,24 @@
     /// are as they were read.
     pub fn repair(&self, epoch: u64) -> Option<Transaction> {
         let conditions = vec![
-            Condition { key: record_key(&self.job), version: self.record_version },
-            Condition { key: live_key(&self.job), version: self.live_version },
-            Condition { key: over_key(&self.job), version: self.over_version },
+            Condition { key: job_record_key(&self.job), version: self.record_version },
+            Condition { key: live_row_key(&self.job), version: self.live_version },
+            Condition { key: archived_row_key(&self.job), version: self.archived_version },
         ];
-        let put = |key: String, standing| Change::Put { key, value: row(standing), lease: None };
+        let put = |key: String, standing| Change::Put { key, value: encode_row(standing), lease: None };
         let mut changes = Vec::new();
         match self.finding {
             Finding::RowBehind(standing) => {
-                changes.push(put(over_key(&self.job), standing));
+                changes.push(put(archived_row_key(&self.job), standing));
                 if self.live_version > 0 {
-                    changes.push(Change::Delete { key: live_key(&self.job) });
+                    changes.push(Change::Delete { key: live_row_key(&self.job) });
                 }
             }
             Finding::Stranded => {
                 if self.live_version == 0 {
-                    changes.push(put(live_key(&self.job), Standing::Queued));
+                    changes.push(put(live_row_key(&self.job), JobState::Queued));
                 }
-                changes.push(Change::Delete { key: over_key(&self.job) });
+                changes.push(Change::Delete { key: archived_row_key(&self.job) });
             }
             Finding::Consistent | Finding::Suspect(_) => return None,
         }
@@ -104,46 +105,46 @@
 /// record that it follows, so a row that is ahead of a record read later is
 /// damage and not a write under way.
 pub async fn examine(store: &Store, job: &JobId) -> Result<Examined, StoreError> {
-    let over = store.get(Class::Rest, &over_key(job)).await?;
-    let live = store.get(Class::Rest, &live_key(job)).await?;
-    let record = store.get(Class::Rest, &record_key(job)).await?;
+    let over = store.get(Class::Rest, &archived_row_key(job)).await?;
+    let live = store.get(Class::Rest, &live_row_key(job)).await?;
+    let record = store.get(Class::Rest, &job_record_key(job)).await?;
     let version = |entry: &Option<crate::protocol::state::Entry>| entry.as_ref().map_or(0, |e| e.version);
     let unreadable = Finding::Suspect("an unreadable record or row");
     let over_row = over.as_ref().map(|e| decode_row(&e.value));
     let decoded = record.as_ref().map(|e| JobRecord::decode(&e.value));
     let decoded = decoded.transpose();
     let known = decoded.as_ref().ok().and_then(Option::as_ref);
-    let waiting = known.filter(|record| record.may_wait());
+    let waiting = known.filter(|record| record.may_wait_for_dependencies());
     let waits = waiting.is_some();
     let names_blocks = known.is_some_and(|record| record.block_tasks.is_some());
     let lost_need = match waiting {
-        Some(record) => awaits_what_is_not_there(store, record).await?,
+        Some(record) => has_missing_dependency(store, record).await?,
         None => false,
     };
     let finding = match (over_row.transpose(), decoded) {
         _ if lost_need => Finding::Suspect("it awaits a job without a record"),
         (Ok(over_row), Ok(decoded)) => judge(Evidence {
-            record: decoded.map(|r| r.final_standing()),
+            record: decoded.map(|r| r.terminal_state()),
             live_row: live.is_some(),
-            over_row,
+            archived_row: over_row,
         }),
         _ => unreadable,
     };
     Ok(Examined {
         job: job.clone(),
         finding,
-        waits,
+        waits_for_dependencies: waits,
         names_blocks,
         record_version: version(&record),
         live_version: version(&live),
-        over_version: version(&over),
+        archived_version: version(&over),
     })
 }
 
 /// Whether a job waits for one that has no record, and so for ever.
-async fn awaits_what_is_not_there(store: &Store, record: &JobRecord) -> Result<bool, StoreError> {
-    for need in &record.spec.awaits {
-        if store.get(Class::Rest, &record_key(need)).await?.is_none() {
+async fn has_missing_dependency(store: &Store, record: &JobRecord) -> Result<bool, StoreError> {
+    for need in &record.spec.dependencies {
+        if store.get(Class::Rest, &job_record_key(need)).await?.is_none() {
             return Ok(true);
         }
     }
@@ -165,16 +166,16 @@
 
 /// The keys of fleet records that cannot be used: whether their machines hold tasks is not
 /// known, and a takeover waits for them.
-pub async fn unreadable_rentals(store: &Store) -> Result<Vec<String>, StoreError> {
-    let entries = store.scan(RENTALS).await?;
-    let unreadable = entries.into_iter().filter(|entry| RentalRecord::decode(&entry.value).is_err());
+pub async fn unreadable_node_pools(store: &Store) -> Result<Vec<String>, StoreError> {
+    let entries = store.scan(NODE_POOLS).await?;
+    let unreadable = entries.into_iter().filter(|entry| NodePoolRecord::decode(&entry.value).is_err());
     Ok(unreadable.map(|entry| entry.key).collect())
 }
 
 /// Every job that a record or a row names.
 pub async fn all_jobs(store: &Store) -> Result<BTreeSet<JobId>, StoreError> {
     let mut found = BTreeSet::new();
-    for prefix in [RECORDS, LIVE, OVER] {
+    for prefix in [JOB_RECORDS, LIVE_ROWS, ARCHIVED_ROWS] {
         let mut from = String::new();
         loop {
             let (jobs, next) = page_of_jobs(store, prefix, &from, 200).await?;
--- a/src/coordination/reconciler/tests.rs
+++ b/src/coordination/reconciler/tests.rs
@@ -6,11 +6,11 @@
     let examined = |finding, live_version, over_version| Examined {
         job: job.clone(),
         finding,
-        waits: false,
+        waits_for_dependencies: false,
         names_blocks: false,
         record_version: 7,
         live_version,
-        over_version,
+        archived_version: over_version,
     };
     let stranded = examined(Finding::Stranded, 0, 9).repair(40).expect("sound");
     assert_eq!(stranded.epoch, 40);
@@ -18,7 +18,7 @@
     assert_eq!(versions, [7, 0, 9]);
     let keys: Vec<&str> = stranded.changes.iter().map(Change::key).collect();
     assert_eq!(keys, ["live/job-1", "over/job-1"]);
-    let behind = examined(Finding::RowBehind(Standing::Done), 8, 0).repair(40).expect("sound");
+    let behind = examined(Finding::RowBehind(JobState::Done), 8, 0).repair(40).expect("sound");
     let keys: Vec<&str> = behind.changes.iter().map(Change::key).collect();
     assert_eq!(keys, ["over/job-1", "live/job-1"]);
     assert_eq!(examined(Finding::Suspect("x"), 1, 1).repair(40), None);
@@ -27,8 +27,8 @@
 
 #[test]
 fn only_sound_cases_are_repaired_and_all_from_the_record() {
-    use Standing::{Cancelled, Done};
-    let judge = |record, live_row, over_row| judge(Evidence { record, live_row, over_row });
+    use JobState::{Cancelled, Done};
+    let judge = |record, live_row, over_row| judge(Evidence { record, live_row, archived_row: over_row });
     assert_eq!(judge(Some(None), true, None), Finding::Consistent);
     assert_eq!(judge(Some(Some(Done)), false, Some(Done)), Finding::Consistent);
     assert_eq!(judge(Some(Some(Done)), true, None), Finding::RowBehind(Done));
--- a/src/coordination/record_writing.rs
+++ b/src/coordination/record_writing.rs
@@ -13,26 +13,28 @@
 use super::answers::Answer;
 use super::authority::Violation;
 use super::leader::{Effect, Leader, PendingOperation};
-use super::model::{Conversion, Job, WritePart, Written};
-use crate::protocol::jobs::{JobId, Standing};
+use super::model::{BlockConversion, Job, RecordWriteInFlight, WriteScope};
+use crate::protocol::jobs::{JobId, JobState};
 use crate::protocol::state::{Change, Condition};
 use crate::settings::State;
-use crate::storage::records::{JobRecord, Layout, block_size, live_key, over_key, record_key, row};
+use crate::storage::records::{
+    JobRecord, Layout, archived_row_key, block_size, encode_row, job_record_key, live_row_key,
+};
 use crate::storage::service::{Class, StoreError};
 
 /// The part of the state service's allowance that is for done tasks.
-const PROGRESS_SHARE: f64 = 0.4;
+const PROGRESS_WRITE_SHARE: f64 = 0.4;
 /// A record that the service refuses in every size is tried again after this long.
-const REFUSED_PAUSE: Duration = Duration::from_secs(30);
+const REJECTED_RETRY_PAUSE: Duration = Duration::from_secs(30);
 /// Fewest tasks in a block: as many as one digit of a bitmap tells of.
-const LEAST_BLOCK_TASKS: u32 = 6;
+const MIN_BLOCK_TASKS: u32 = 6;
 
 /// One write of a job's record, to be committed.
 struct RecordWrite {
     class: Class,
     conditions: Vec<Condition>,
     changes: Vec<Change>,
-    written: Written,
+    in_flight: RecordWriteInFlight,
 }
 
 fn put(key: String, value: ciborium::value::Value) -> Change {
@@ -40,114 +42,119 @@
 }
 
 /// The record as it should be once the write is carried out.
-fn intended(job: &mut Job, now_ms: u64) -> JobRecord {
-    let settled = job.record.complete() && !job.cancel_wanted;
+fn target_record(job: &mut Job, now_ms: u64) -> JobRecord {
+    let settled = job.record.all_tasks_done() && !job.cancel_requested;
     if settled {
-        job.record.settled_ms.get_or_insert(now_ms);
+        job.record.completed_ms.get_or_insert(now_ms);
     }
-    JobRecord { cancelled: job.cancel_wanted, settled, ..job.record.clone() }
+    JobRecord { cancelled: job.cancel_requested, completed: settled, ..job.record.clone() }
 }
 
 /// A record with as many of its changed blocks as one transaction takes.
-fn ordinary_write(job: &mut Job, record: JobRecord, state: &State) -> RecordWrite {
+fn record_with_blocks_write(job: &mut Job, record: JobRecord, state: &State) -> RecordWrite {
     let value_kb = state.value_kb;
     let layout = record.layout(value_kb);
     let id = record.spec.id.clone();
     let most = state.within_both().txn_ops.saturating_sub(1).max(1);
     let blocks: Vec<u32> = job.dirty_blocks.iter().copied().take(most).collect();
     job.dirty_blocks.retain(|block| !blocks.contains(block));
-    let mut conditions = vec![Condition { key: record_key(&id), version: job.version }];
-    let mut changes = vec![put(record_key(&id), record.encode(value_kb))];
+    let mut conditions = vec![Condition { key: job_record_key(&id), version: job.record_version }];
+    let mut changes = vec![put(job_record_key(&id), record.encode(value_kb))];
     for &block in &blocks {
         let key = layout.block_key(&id, block);
         let version = job.block_versions.get(block as usize).copied().unwrap_or(0);
         conditions.push(Condition { key: key.clone(), version });
         changes.push(put(key, record.encode_block(block, value_kb)));
     }
-    let class = match (record.cancelled, record.settled) {
+    let class = match (record.cancelled, record.completed) {
         // What follows from another's cancellation is told already: users wait for the
         // write of the one, not for those of the others.
-        (true, _) if job.cancelled_by_need => Class::Settle,
+        (true, _) if job.cancelled_by_dependency => Class::Settle,
         (true, _) => Class::Cancel,
         (_, true) => Class::Settle,
         // Its tasks wait for nothing but this.
-        _ if record.begun > job.begun => Class::Settle,
+        _ if record.started_high_water > job.committed_high_water => Class::Settle,
         _ => Class::Progress,
     };
-    let done = if job.dirty_blocks.is_empty() || record.settled {
+    let done = if job.dirty_blocks.is_empty() || record.completed {
         record.done.clone()
     } else {
-        let mut done = job.recorded.clone();
+        let mut done = job.committed_done.clone();
         for &block in &blocks {
             let (start, end) = layout.range(block);
             done.insert_range(&record.done, start, end);
         }
         done
     };
-    let written = Written::new(&record, done, WritePart::Record { blocks });
-    RecordWrite { class, conditions, changes, written }
+    let written = RecordWriteInFlight::new(&record, done, WriteScope::Record { blocks });
+    RecordWrite { class, conditions, changes, in_flight: written }
 }
 
 /// A final record without its done tasks, which nobody needs any more.
-fn verdict_write(job: &Job, record: JobRecord) -> RecordWrite {
-    let key = record_key(&record.spec.id);
-    let conditions = vec![Condition { key: key.clone(), version: job.version }];
-    let changes = vec![put(key, record.encode_verdict())];
+fn terminal_write(job: &Job, record: JobRecord) -> RecordWrite {
+    let key = job_record_key(&record.spec.id);
+    let conditions = vec![Condition { key: key.clone(), version: job.record_version }];
+    let changes = vec![put(key, record.encode_without_done_tasks())];
     let done = record.done.clone();
-    let written = Written::new(&record, done, WritePart::Verdict);
-    RecordWrite { class: Class::Cancel, conditions, changes, written }
+    let written = RecordWriteInFlight::new(&record, done, WriteScope::WithoutDoneTasks);
+    RecordWrite { class: Class::Cancel, conditions, changes, in_flight: written }
 }
 
 /// The next blocks of a conversion, or the record that names them once all are written.
 /// Each part holds only while the record is the one that was read: a part that is carried
 /// out late, after the last one, fails.
-fn conversion_write(job: &Job, conversion: &Conversion, mut record: JobRecord, state: &State) -> RecordWrite {
+fn block_conversion_write(
+    job: &Job,
+    conversion: &BlockConversion,
+    mut record: JobRecord,
+    state: &State,
+) -> RecordWrite {
     let id = record.spec.id.clone();
     record.done = conversion.done.clone();
     record.block_tasks = Some(conversion.block_tasks);
     let layout = Layout::NamedBlocks(conversion.block_tasks);
-    let conditions = vec![Condition { key: record_key(&id), version: job.version }];
+    let conditions = vec![Condition { key: job_record_key(&id), version: job.record_version }];
     let from = conversion.versions.len() as u32;
     let most = state.within_both().txn_ops as u32;
     let until = layout.blocks(record.spec.tasks).min(from.saturating_add(most));
     let done = conversion.done.clone();
     if from == until {
-        let changes = vec![put(record_key(&id), record.encode(state.value_kb))];
-        let written = Written::new(&record, done, WritePart::Switch);
-        return RecordWrite { class: Class::Progress, conditions, changes, written };
+        let changes = vec![put(job_record_key(&id), record.encode(state.value_kb))];
+        let written = RecordWriteInFlight::new(&record, done, WriteScope::SwitchLayout);
+        return RecordWrite { class: Class::Progress, conditions, changes, in_flight: written };
     }
     let block = |n| put(layout.block_key(&id, n), record.encode_block(n, state.value_kb));
     let changes = (from..until).map(block).collect();
-    let written = Written::new(&record, done, WritePart::NewBlocks { count: until - from });
-    RecordWrite { class: Class::Progress, conditions, changes, written }
+    let written = RecordWriteInFlight::new(&record, done, WriteScope::NewBlocks { count: until - from });
+    RecordWrite { class: Class::Progress, conditions, changes, in_flight: written }
 }
 
 impl Leader {
     /// A task has ended well: noted, and written with the next batch.
-    pub(super) fn mark_done(&mut self, now: Instant, job: &JobId, task: u32) {
+    pub(super) fn mark_task_done(&mut self, now: Instant, job: &JobId, task: u32) {
         let value_kb = self.config.settings.cluster.state.value_kb;
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.record.final_standing().is_some() || j.is_service() || !j.record.done.insert(task) {
+        if j.record.terminal_state().is_some() || j.is_service() || !j.record.done.insert(task) {
             return;
         }
-        j.returned.remove(&task);
+        j.requeued.remove(&task);
         j.failed_on.clear();
-        j.hold_until = None;
+        j.backoff_until = None;
         if let Some(size) = j.record.layout(value_kb).block_tasks() {
             j.dirty_blocks.insert(task / size);
         }
-        self.note_dirty(now, job);
+        self.mark_dirty(now, job);
         // A settle is what the user waits for; it does not wait for a batch.
-        if self.jobs.get(job).is_some_and(|j| j.record.complete()) {
+        if self.jobs.get(job).is_some_and(|j| j.record.all_tasks_done()) {
             self.write_record(now, job);
         }
     }
 
-    fn note_dirty(&mut self, now: Instant, job: &JobId) {
+    fn mark_dirty(&mut self, now: Instant, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
         if j.dirty_since.is_none() {
             j.dirty_since = Some(now);
-            self.dirty.push_back((now, job.clone()));
+            self.dirty_jobs.push_back((now, job.clone()));
         }
     }
 
@@ -155,47 +162,51 @@
     /// allowance goes. What users wait for, acceptances and settles, is never to
     /// queue behind done tasks: with more to write than may be, those gather for
     /// longer, and go out in fewer, larger batches.
-    pub(super) fn flush_records(&mut self, now: Instant) {
+    pub(super) fn flush_dirty_records(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.flushed_at).as_secs_f64().min(1.0);
         self.flushed_at = now;
-        let most = (self.state_limits.write_rps * PROGRESS_SHARE * passed).ceil().max(1.0) as usize;
+        let most = (self.state_limits.write_rps * PROGRESS_WRITE_SHARE * passed).ceil().max(1.0) as usize;
         let wait = self.config.tuning.batch;
         let mut written = 0;
-        for _ in 0..self.dirty.len() {
-            let Some((since, job)) = self.dirty.front().cloned() else { break };
+        for _ in 0..self.dirty_jobs.len() {
+            let Some((since, job)) = self.dirty_jobs.front().cloned() else { break };
             if written >= most || now < since + wait {
                 break;
             }
-            self.dirty.pop_front();
+            self.dirty_jobs.pop_front();
             // Another write may have taken it along.
             let Some(j) = self.jobs.get(&job).filter(|j| j.dirty_since == Some(since)) else { continue };
-            if j.writing.is_some() {
-                self.dirty.push_back((since, job));
+            if j.write_in_flight.is_some() {
+                self.dirty_jobs.push_back((since, job));
                 continue;
             }
             written += 1;
             self.write_record(now, &job);
         }
         let (due, later) =
-            std::mem::take(&mut self.refused_records).into_iter().partition(|(at, _)| now >= *at);
-        self.refused_records = later;
+            std::mem::take(&mut self.rejected_records).into_iter().partition(|(at, _)| now >= *at);
+        self.rejected_records = later;
         for (_, job) in due {
             if let Some(j) = self.jobs.get_mut(&job) {
-                j.refused = false;
+                j.record_rejected = false;
             }
             self.write_record(now, &job);
         }
-        self.move_rows();
+        self.archive_queued_rows();
     }
 
     /// Has the record say that all the job's tasks may have begun, or of a very
     /// large one the next few thousand, before the first of them starts.
-    pub(super) fn begin(&mut self, now: Instant, job: &JobId) {
+    pub(super) fn raise_started_high_water(&mut self, now: Instant, job: &JobId) {
         const AT_ONCE: u32 = 4096;
         let Some(j) = self.jobs.get_mut(job) else { return };
         // That one has begun says that its needs are done.
-        if j.is_live() && !j.is_waiting() && j.record.begun == j.begun && j.begun < j.spec().tasks {
-            j.record.begun = j.spec().tasks.min(j.begun.saturating_add(AT_ONCE));
+        if j.is_startable()
+            && !j.waits_for_dependencies()
+            && j.record.started_high_water == j.committed_high_water
+            && j.committed_high_water < j.spec().tasks
+        {
+            j.record.started_high_water = j.spec().tasks.min(j.committed_high_water.saturating_add(AT_ONCE));
             self.write_record(now, job);
         }
     }
@@ -207,21 +218,21 @@
         let config = self.config.clone();
         let state = &config.settings.cluster.state;
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.writing.is_some() || j.refused || j.record.final_standing().is_some() {
+        if j.write_in_flight.is_some() || j.record_rejected || j.record.terminal_state().is_some() {
             return;
         }
-        let record = intended(j, now_ms);
-        let is_final = record.final_standing().is_some();
+        let record = target_record(j, now_ms);
+        let is_final = record.terminal_state().is_some();
         let conversion = j.conversion.take();
         let write = match &conversion {
-            Some(_) if is_final => verdict_write(j, record),
-            Some(conversion) => conversion_write(j, conversion, record, state),
-            None if is_final && j.too_large => verdict_write(j, record),
-            None => ordinary_write(j, record, state),
+            Some(_) if is_final => terminal_write(j, record),
+            Some(conversion) => block_conversion_write(j, conversion, record, state),
+            None if is_final && j.record_too_large => terminal_write(j, record),
+            None => record_with_blocks_write(j, record, state),
         };
         j.conversion = conversion.filter(|_| !is_final);
         j.dirty_since = None;
-        j.writing = Some(write.written);
+        j.write_in_flight = Some(write.in_flight);
         self.commit(
             PendingOperation::WriteJobRecord(job.clone()),
             write.class,
@@ -231,13 +242,18 @@
     }
 
     /// A write of a job's record has ended.
-    pub(super) fn recorded(&mut self, now: Instant, job: JobId, result: Result<u64, StoreError>) {
+    pub(super) fn handle_record_written(
+        &mut self,
+        now: Instant,
+        job: JobId,
+        result: Result<u64, StoreError>,
+    ) {
         let Some(j) = self.jobs.get_mut(&job) else { return };
-        let Some(written) = j.writing.take() else { return };
+        let Some(written) = j.write_in_flight.take() else { return };
         match result {
-            Ok(version) => self.take_written(now, &job, written, version),
+            Ok(version) => self.apply_committed_write(now, &job, written, version),
             Err(StoreError::Fenced) => {}
-            Err(StoreError::Rejected) => self.record_refused(now, &job, written),
+            Err(StoreError::Rejected) => self.handle_record_rejected(now, &job, written),
             Err(error) => {
                 // Somebody else wrote under our epoch: it cannot be mended by going on.
                 tracing::error!(%job, ?error, "a job's record cannot be written; giving up the epoch");
@@ -246,69 +262,78 @@
         }
     }
 
-    fn take_written(&mut self, now: Instant, job: &JobId, written: Written, version: u64) {
+    fn apply_committed_write(
+        &mut self,
+        now: Instant,
+        job: &JobId,
+        written: RecordWriteInFlight,
+        version: u64,
+    ) {
         let value_kb = self.config.settings.cluster.state.value_kb;
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if let WritePart::NewBlocks { count } = written.part {
+        if let WriteScope::NewBlocks { count } = written.scope {
             if let Some(conversion) = &mut j.conversion {
                 conversion.versions.extend((0..count).map(|_| version));
             }
             return self.write_record(now, job);
         }
-        j.version = version;
-        j.recorded = written.done;
-        self.prompt_work |= written.begun > j.begun;
-        j.begun = written.begun;
+        j.record_version = version;
+        j.committed_done = written.done;
+        self.prompt_work |= written.started_high_water > j.committed_high_water;
+        j.committed_high_water = written.started_high_water;
         j.record.cancelled = written.cancelled;
         j.cancelled_at = written.cancelled.then_some(now);
-        j.record.settled = written.settled;
-        match written.part {
-            WritePart::Record { blocks } => {
+        j.record.completed = written.completed;
+        match written.scope {
+            WriteScope::Record { blocks } => {
                 for block in blocks {
                     if let Some(known) = j.block_versions.get_mut(block as usize) {
                         *known = version;
                     }
                 }
             }
-            WritePart::Switch => {
+            WriteScope::SwitchLayout => {
                 if let Some(conversion) = j.conversion.take() {
-                    j.switch_to(conversion, value_kb);
+                    j.adopt_blocks(conversion, value_kb);
                     tracing::info!(%job, blocks = j.block_versions.len(), "done tasks moved to smaller blocks");
                 }
             }
-            WritePart::Verdict | WritePart::NewBlocks { .. } => {}
+            WriteScope::WithoutDoneTasks | WriteScope::NewBlocks { .. } => {}
         }
-        let more = j.record.done.len() > j.recorded.len();
-        match j.record.final_standing() {
-            Some(standing) => self.became_final(now, job, standing),
+        let more = j.record.done.len() > j.committed_done.len();
+        match j.record.terminal_state() {
+            Some(standing) => self.handle_job_terminated(now, job, standing),
             None => {
                 // A cancellation, the last task or a first start came while this
                 // was written.
-                if j.cancel_wanted || j.record.complete() || j.record.begun > j.begun {
+                if j.cancel_requested
+                    || j.record.all_tasks_done()
+                    || j.record.started_high_water > j.committed_high_water
+                {
                     self.write_record(now, job);
                 } else if more {
-                    self.note_dirty(now, job);
+                    self.mark_dirty(now, job);
                 }
             }
         }
     }
 
     /// A job's final state is committed: it is told, and those that need the job follow.
-    fn became_final(&mut self, now: Instant, job: &JobId, standing: Standing) {
-        tracing::debug!(epoch = self.epoch, %job, standing = standing.word(), "job is over");
-        self.answer_withdrawals(job);
+    fn handle_job_terminated(&mut self, now: Instant, job: &JobId, standing: JobState) {
+        tracing::debug!(epoch = self.epoch, %job, standing = standing.as_str(), "job is over");
+        self.answer_cancel_waiters(job);
         match standing {
-            Standing::Done => self.release_dependents(now, job),
+            JobState::Done => self.mark_dependents_ready(now, job),
             _ => self.cancel_dependents(now, job),
         }
         self.stop_remaining_tasks(now, job);
-        self.try_move(job);
+        self.try_archive(job);
     }
 
     /// Tells a job's final state to those who have asked to cancel it.
-    pub(super) fn answer_withdrawals(&mut self, job: &JobId) {
+    pub(super) fn answer_cancel_waiters(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        let waiting = std::mem::take(&mut j.withdrawals);
+        let waiting = std::mem::take(&mut j.cancel_waiters);
         let status = j.status();
         for to in waiting {
             self.reply(to, Answer::terminal_state(status.clone()));
@@ -317,86 +342,87 @@
 
     /// The service takes no value of that size any more. The write is not lost: it is made
     /// again in a smaller form, and holds nothing else up.
-    fn record_refused(&mut self, now: Instant, job: &JobId, written: Written) {
+    fn handle_record_rejected(&mut self, now: Instant, job: &JobId, written: RecordWriteInFlight) {
         let announced = block_size(self.config.settings.cluster.state.within_both().value_kb);
         let value_kb = self.config.settings.cluster.state.value_kb;
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if let WritePart::Record { blocks } = &written.part {
+        if let WriteScope::Record { blocks } = &written.scope {
             j.dirty_blocks.extend(blocks);
         }
-        let is_final = written.cancelled || written.settled;
-        if is_final && !matches!(written.part, WritePart::Verdict) {
-            j.too_large = true;
+        let is_final = written.cancelled || written.completed;
+        if is_final && !matches!(written.scope, WriteScope::WithoutDoneTasks) {
+            j.record_too_large = true;
             return self.write_record(now, job);
         }
         let whole = j.record.layout(value_kb).block_tasks().unwrap_or(j.spec().tasks);
         let present = j.conversion.take().map_or(whole, |conversion| conversion.block_tasks);
         let smaller = announced.min(present / 2);
-        if is_final || smaller < LEAST_BLOCK_TASKS {
+        if is_final || smaller < MIN_BLOCK_TASKS {
             tracing::error!(%job, "the state service refuses a job's record in every size; trying again later");
-            j.refused = true;
-            self.refused_records.push((now + REFUSED_PAUSE, job.clone()));
+            j.record_rejected = true;
+            self.rejected_records.push((now + REJECTED_RETRY_PAUSE, job.clone()));
             return;
         }
         tracing::info!(%job, tasks = smaller, "a job's record is too large now; its done tasks move to blocks");
-        j.conversion = Some(Conversion::new(smaller, j.record.done.clone()));
+        j.conversion = Some(BlockConversion::new(smaller, j.record.done.clone()));
         self.write_record(now, job);
     }
 
     /// Once a job is over and nothing of it is on a machine, its row follows
     /// the record. Until then it stays among the live, so that a new leader
     /// knows what its tasks take.
-    pub(super) fn try_move(&mut self, job: &JobId) {
+    pub(super) fn try_archive(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.record.final_standing().is_none() || j.slots > 0 || j.writing.is_some() {
+        if j.record.terminal_state().is_none() || j.slot_count > 0 || j.write_in_flight.is_some() {
             return;
         }
-        if j.row_moved {
-            return self.leave(job);
+        if j.archived {
+            return self.evict_job(job);
         }
-        if j.leaving {
+        if j.archiving {
             return;
         }
         // While some machine has not been heard, a task may still be there.
-        if j.unproven > 0 && !self.recovered {
+        if j.unreconciled_below > 0 && !self.recovered {
             return;
         }
-        j.leaving = true;
-        self.leaving.push_back(job.clone());
-        self.move_rows();
+        j.archiving = true;
+        self.archive_queue.push_back(job.clone());
+        self.archive_queued_rows();
     }
 
     /// Nobody waits for rows: few of their moves are under way at once, so that
     /// the queue to the state service stays short for others.
-    fn move_rows(&mut self) {
+    fn archive_queued_rows(&mut self) {
         let most = self.config.settings.cluster.state.within_both().txn_ops;
-        while self.moving < most
-            && let Some(job) = self.leaving.pop_front()
+        while self.archives_in_flight < most
+            && let Some(job) = self.archive_queue.pop_front()
         {
-            self.move_row(&job);
+            self.archive_row(&job);
         }
     }
 
-    fn move_row(&mut self, job: &JobId) {
+    fn archive_row(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        let Some(standing) = j.record.final_standing() else { return };
-        if j.slots > 0 {
+        let Some(standing) = j.record.terminal_state() else { return };
+        if j.slot_count > 0 {
             // A machine has shown one more task of it since: once that is gone.
-            j.leaving = false;
+            j.archiving = false;
             return;
         }
-        self.moving += 1;
+        self.archives_in_flight += 1;
         let conditions = vec![
-            Condition { key: live_key(job), version: j.live_version },
-            Condition { key: over_key(job), version: 0 },
+            Condition { key: live_row_key(job), version: j.live_row_version },
+            Condition { key: archived_row_key(job), version: 0 },
         ];
-        let changes = vec![put(over_key(job), row(standing)), Change::Delete { key: live_key(job) }];
+        let changes =
+            vec![put(archived_row_key(job), encode_row(standing)), Change::Delete { key: live_row_key(job) }];
         self.commit(PendingOperation::ArchiveRow(job.clone()), Class::Rest, conditions, changes);
     }
 
     /// A row has followed its record: the job leaves memory.
-    pub(super) fn moved(&mut self, job: JobId, result: Result<u64, StoreError>) {
-        self.moving = self.moving.saturating_sub(1);
+    pub(super) fn handle_row_archived(&mut self, job: JobId, result: Result<u64, StoreError>) {
+        self.archives_in_flight = self.archives_in_flight.saturating_sub(1);
         match result {
             Ok(_) => {}
             Err(StoreError::Fenced) => return,
@@ -404,19 +430,19 @@
                 tracing::error!(%job, ?error, "a row differs from what was read; `audit` tells more")
             }
         }
-        match self.jobs.get_mut(&job).filter(|j| j.slots > 0) {
+        match self.jobs.get_mut(&job).filter(|j| j.slot_count > 0) {
             // A machine has shown a task of it since. Out of memory, nobody would stop it.
             Some(j) => {
-                j.row_moved = true;
+                j.archived = true;
                 self.record_violation(Violation::JobEvictedWithTasks, &job);
             }
-            None => self.leave(&job),
+            None => self.evict_job(&job),
         }
-        self.move_rows();
+        self.archive_queued_rows();
     }
 
     /// A job that is over, with nothing on any machine, leaves memory.
-    fn leave(&mut self, job: &JobId) {
+    fn evict_job(&mut self, job: &JobId) {
         self.reserved.remove(job);
         self.dependencies.remove(job);
         if let Some(j) = self.jobs.remove(job) {
--- a/src/coordination/renting.rs
+++ b/src/coordination/renting.rs
@@ -13,7 +13,7 @@
 use crate::maps::HashSet;
 use crate::protocol::cloud::{MachineType, RentalRequest};
 use crate::protocol::workers::MachineId;
-use crate::storage::records::RentalRecord;
+use crate::storage::records::NodePoolRecord;
 use crate::storage::service::StoreError;
 
 /// What the cloud rents out: a machine type in a zone, as a spot machine or not.
@@ -305,7 +305,7 @@
         let name = format!("{}-{}", self.epoch, self.next_rental);
         tracing::info!(rental = %name, %machine_type, %zone, spot, count, "renting");
         let request = RentalRequest { name: name.clone(), machine_type, zone, spot, count };
-        let record = RentalRecord { request, machines: None, used: Default::default() };
+        let record = NodePoolRecord { request, machines: None, machines_used: Default::default() };
         self.rentals.insert(name.clone(), Rental::new(record, 0, now));
         self.write_rental(&name);
     }
@@ -330,7 +330,7 @@
             self.rentals.remove(&name);
             return;
         }
-        for id in rental.record.used.clone() {
+        for id in rental.record.machines_used.clone() {
             if let Some(m) = self.machines.get_mut(&id) {
                 m.use_recorded = true;
                 m.use_record_in_flight = false;
--- a/src/coordination/scheduler.rs
+++ b/src/coordination/scheduler.rs
@@ -97,7 +97,7 @@
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         // While its own team is at its limit, or its tasks may still be somewhere,
         // room would not help it: others must not wait beside an empty machine.
-        if !self.team_has_room(j) || !(self.recovered || j.unproven == 0) {
+        if !self.team_has_room(j) || !(self.recovered || j.unreconciled_below == 0) {
             self.reserved.remove(job);
             return false;
         }
@@ -153,7 +153,7 @@
             while started < most && self.may_start(now, ranked, machine) {
                 let recovered = self.recovered;
                 let Some(job) = self.jobs.get_mut(&ranked.job) else { break };
-                let least = if recovered { 0 } else { job.unproven };
+                let least = if recovered { 0 } else { job.unreconciled_below };
                 let Some(index) = job.next_pending(least) else { break };
                 let Some(order) = self.start(now, machine, seq, (ranked.job.clone(), index)) else { break };
                 orders.push(order);
@@ -165,7 +165,7 @@
                     break;
                 }
             }
-            let begun = self.jobs.get(&ranked.job).is_none_or(|j| !j.active.is_empty());
+            let begun = self.jobs.get(&ranked.job).is_none_or(|j| !j.placements.is_empty());
             if ranked.starved && !begun && self.keep_clear_for(&ranked.job, machine) {
                 break;
             }
@@ -213,14 +213,14 @@
         let (job_id, task) = (&key.0, key.1);
         let job = self.jobs.get(job_id)?;
         let machine = self.machines.get(machine)?;
-        let awaits_others = !job.spec().awaits.is_empty();
-        let may_be_on_unheard = !self.recovered && task < job.unproven;
-        let is_counted = job.active.contains_key(&task) || machine.slots.contains_key(key);
+        let awaits_others = !job.spec().dependencies.is_empty();
+        let may_be_on_unheard = !self.recovered && task < job.unreconciled_below;
+        let is_counted = job.placements.contains_key(&task) || machine.slots.contains_key(key);
         Some(StartEvidence {
-            job_is_live: job.is_live(),
-            dependencies_are_done: !job.is_waiting()
-                && (!awaits_others || self.dependencies.is_released(job_id)),
-            start_is_recorded: task < job.begun,
+            job_is_live: job.is_startable(),
+            dependencies_are_done: !job.waits_for_dependencies()
+                && (!awaits_others || self.dependencies.is_ready(job_id)),
+            start_is_recorded: task < job.committed_high_water,
             task_is_done: job.record.done.contains(task),
             is_on_no_machine: !is_counted && !may_be_on_unheard,
             machine_use_is_recorded: machine.use_recorded,
@@ -232,7 +232,7 @@
     fn may_start(&mut self, now: Instant, ranked: &Ranked, machine: &MachineId) -> bool {
         let recovered = self.recovered;
         let Some(j) = self.jobs.get_mut(&ranked.job) else { return false };
-        if j.pending() == 0 || j.hold_until.is_some_and(|until| now < until && !j.active.is_empty()) {
+        if j.pending() == 0 || j.backoff_until.is_some_and(|until| now < until && !j.placements.is_empty()) {
             return false;
         }
         // Until every machine has reported, or is gone, and has stopped what it
@@ -246,13 +246,13 @@
         // Those that never began, and jobs accepted in this epoch, cannot be
         // there; where the others are may decide in which zone they may start.
         let tied = j.spec().one_zone || j.spec().spread;
-        if !recovered && j.unproven > 0 && tied {
+        if !recovered && j.unreconciled_below > 0 && tied {
             return false;
         }
-        let least = if recovered { 0 } else { j.unproven };
+        let least = if recovered { 0 } else { j.unreconciled_below };
         let Some(next) = j.next_pending(least) else { return false };
-        if next >= j.begun {
-            self.begin(now, &ranked.job);
+        if next >= j.committed_high_water {
+            self.raise_started_high_water(now, &ranked.job);
             return false;
         }
         let Some(j) = self.jobs.get(&ranked.job) else { return false };
@@ -261,7 +261,7 @@
             return false;
         }
         if ranked.starved {
-            return j.active.is_empty();
+            return j.placements.is_empty();
         }
         // A better place would report too late.
         if self.starts_promptly(now, j, m) {
@@ -363,7 +363,7 @@
             && self
                 .catalog
                 .get(machine.kind)
-                .is_some_and(|k| spec.types.as_ref().is_none_or(|types| types.contains(&k.name)))
+                .is_some_and(|k| spec.machine_types.as_ref().is_none_or(|types| types.contains(&k.name)))
     }
 
     /// Has the records of the jobs whose turn comes next say that they begin,
@@ -381,12 +381,12 @@
                 break;
             }
             room -= job.spec().cpus * f64::from(job.pending());
-            if job.begun < job.spec().tasks {
+            if job.committed_high_water < job.spec().tasks {
                 due.push(job.id().clone());
             }
         }
         for job in due {
-            self.begin(now, &job);
+            self.raise_started_high_water(now, &job);
         }
     }
 
@@ -396,7 +396,7 @@
         if !machine.is_schedulable()
             || !Resources::of(spec).fits(&machine.free)
             || !self.may_use(spec, machine)
-            || machine.slots.keys().any(|(j, t)| j == job.id() && !job.active.contains_key(t))
+            || machine.slots.keys().any(|(j, t)| j == job.id() && !job.placements.contains_key(t))
         {
             return false;
         }
@@ -444,8 +444,8 @@
         let spare = if machine.needed { 0.0 } else { 2.0 };
         // Without checkpoints all of a task's work is lost with the machine;
         // the longer it runs, the likelier and the more.
-        let risk = if machine.spot && spec.checkpoint_s <= 0.0 {
-            let run = self.expected_run(spec);
+        let risk = if machine.spot && spec.checkpoint_interval_s <= 0.0 {
+            let run = self.expected_run_s(spec);
             self.spot_loss_rate() * run * run * self.config.tuning.spot_risk
         } else {
             0.0
--- a/src/coordination/slots.rs
+++ b/src/coordination/slots.rs
@@ -24,13 +24,13 @@
         if let Some(team) = job.team {
             self.teams[team].used.add(&room);
         }
-        job.slots += 1;
+        job.slot_count += 1;
         if state == SlotState::Running {
-            job.running += 1;
+            job.running_count += 1;
             m.record_image(&job.record.spec, self.catalog.get(m.kind));
         }
         if wanted {
-            job.active.insert(key.1, machine.clone());
+            job.placements.insert(key.1, machine.clone());
         }
         let slot = Slot {
             attempt,
@@ -57,12 +57,12 @@
             self.teams[team].used.sub(&slot.resources);
         }
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
-        job.slots = job.slots.saturating_sub(1);
-        job.running = job.running.saturating_sub(u32::from(slot.state == SlotState::Running));
-        if slot.assigned && job.active.get(&key.1) == Some(machine) {
-            job.active.remove(&key.1);
+        job.slot_count = job.slot_count.saturating_sub(1);
+        job.running_count = job.running_count.saturating_sub(u32::from(slot.state == SlotState::Running));
+        if slot.assigned && job.placements.get(&key.1) == Some(machine) {
+            job.placements.remove(&key.1);
             if !job.record.done.contains(key.1) {
-                job.returned.insert(key.1);
+                job.requeued.insert(key.1);
                 self.prompt_work |= job.is_service();
                 // A job that had nothing waiting is not in the queue.
                 if job.pending() == 1 {
@@ -70,8 +70,8 @@
                 }
             }
         }
-        if job.slots == 0 {
-            self.try_move(&key.0);
+        if job.slot_count == 0 {
+            self.try_archive(&key.0);
         }
     }
 
--- a/src/coordination/stopping.rs
+++ b/src/coordination/stopping.rs
@@ -28,9 +28,9 @@
     /// The job is over: whatever runs of it is of no use.
     pub(super) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
         let Some(j) = self.jobs.get(job) else { return };
-        let all_counted = j.active.len() as u32 == j.slots;
+        let all_counted = j.placements.len() as u32 == j.slot_count;
         let found: Vec<(MachineId, SlotKey)> = if all_counted {
-            j.active.iter().map(|(task, machine)| (machine.clone(), (job.clone(), *task))).collect()
+            j.placements.iter().map(|(task, machine)| (machine.clone(), (job.clone(), *task))).collect()
         } else {
             // Some are where they should not be, and known to their machines alone.
             let slots = |m: &Machine| {
@@ -50,7 +50,7 @@
     /// decided by it. A machine that has not been heard since, late in the time that
     /// a cancellation has, is deleted: the answer is the proof.
     pub(super) fn resend_stops(&mut self, now: Instant) {
-        if self.is_fenced() || !self.jobs.values().any(|j| j.cancelled_at.is_some() && j.slots > 0) {
+        if self.is_fenced() || !self.jobs.values().any(|j| j.cancelled_at.is_some() && j.slot_count > 0) {
             return;
         }
         let workers = &self.config.settings.cluster.workers;
@@ -108,10 +108,12 @@
         for (key, slot) in &m.slots {
             let Some(job) = self.jobs.get(&key.0) else { continue };
             let spec = job.spec();
-            let saves = spec.checkpoint_s > 0.0 && slot.state == SlotState::Running && spec.save_s < left;
+            let saves = spec.checkpoint_interval_s > 0.0
+                && slot.state == SlotState::Running
+                && spec.checkpoint_save_s < left;
             let waits = matches!(slot.state, SlotState::StartSent { .. } | SlotState::Fetching);
             let ran = now.saturating_duration_since(slot.since).as_secs_f64();
-            let run = job.proven_run().unwrap_or_else(|| self.expected_run(spec));
+            let run = job.mean_run_s().unwrap_or_else(|| self.expected_run_s(spec));
             // Past the time that was named it may be taken at any moment, or later.
             let ends_late = left > 0.0 && run - ran > left;
             let in_vain = slot.state == SlotState::Running && !job.is_service() && ends_late;
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -11,22 +11,22 @@
 use super::leader::Leader;
 use super::machines::{Machine, Phase, Rental};
 use super::model::{Job, Resources};
-use super::pipelines::NeedStates;
+use super::pipelines::DependencyStates;
 use super::unreadable::Unreadable;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
-use crate::storage::records::{Experience, JobRecord, RentalRecord, record_key, rental_key};
+use crate::storage::records::{JobRecord, LearnedStatistics, NodePoolRecord, job_record_key, node_pool_key};
 
 /// What a new leader reads from the store.
 #[derive(Debug, Default)]
 pub struct Loaded {
     pub jobs: Vec<LoadedJob>,
     /// What was read of jobs that those await and that are not among them.
-    pub needs: NeedStates,
-    pub rentals: Vec<(RentalRecord, u64)>,
+    pub needs: DependencyStates,
+    pub rentals: Vec<(NodePoolRecord, u64)>,
     pub catalog: Option<(Vec<MachineType>, u64)>,
-    pub experience: Option<(Experience, u64)>,
+    pub experience: Option<(LearnedStatistics, u64)>,
     /// What is there and cannot be read.
     pub unreadable: Unreadable,
     /// Keys that could not be read before, and are no more.
@@ -98,11 +98,11 @@
         let over: Vec<JobId> = self
             .jobs
             .values()
-            .filter(|j| j.record.final_standing().is_some())
+            .filter(|j| j.record.terminal_state().is_some())
             .map(|j| j.id().clone())
             .collect();
         for job in over {
-            self.try_move(&job);
+            self.try_archive(&job);
         }
     }
 
@@ -113,7 +113,7 @@
             self.unreadable.forget(key);
         }
         for job in &restored.jobs {
-            self.unreadable.forget(&record_key(&job.record.spec.id));
+            self.unreadable.forget(&job_record_key(&job.record.spec.id));
         }
         self.unreadable.extend(restored.unreadable);
         self.restore_rentals(now, restored.rentals);
@@ -130,10 +130,10 @@
 
     /// Enters fleet records that could not be read at the takeover. Whether their machines
     /// hold tasks is known of each from its own reports from now on.
-    fn restore_rentals(&mut self, now: Instant, rentals: Vec<(RentalRecord, u64)>) {
+    fn restore_rentals(&mut self, now: Instant, rentals: Vec<(NodePoolRecord, u64)>) {
         for (record, version) in rentals {
             let name = record.request.name.clone();
-            self.unreadable.forget(&rental_key(&name));
+            self.unreadable.forget(&node_pool_key(&name));
             if !self.rentals.contains_key(&name) {
                 self.rentals.insert(name.clone(), Rental::new(record, version, now));
                 self.enter_rented(now, &name);
@@ -152,16 +152,16 @@
         now: Instant,
         now_ms: u64,
         jobs: Vec<LoadedJob>,
-        needs: &NeedStates,
+        needs: &DependencyStates,
     ) {
         let ids: Vec<JobId> = jobs.iter().map(|job| job.record.spec.id.clone()).collect();
         for job in jobs {
             self.insert_loaded(now, now_ms, job);
         }
         for id in ids {
-            self.join_loaded_needs(now, now_ms, &id, needs);
+            self.restore_dependencies(now, now_ms, &id, needs);
         }
-        self.cancel_loaded_dependents(now);
+        self.cancel_restored_dependents(now);
     }
 
     fn insert_loaded(&mut self, now: Instant, now_ms: u64, job: LoadedJob) {
@@ -169,7 +169,7 @@
         let submitted = now.checked_sub(age).unwrap_or(now);
         let mut entry = Job::new(job.record, job.version, job.live_version, submitted, 0);
         entry.block_versions = job.block_versions;
-        entry.unproven = entry.begun;
+        entry.unreconciled_below = entry.committed_high_water;
         entry.cancelled_at = entry.record.cancelled.then_some(now);
         entry.team = self.team_index.get(&entry.spec().team).copied();
         self.note_prompt_class(entry.spec());
--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -12,14 +12,14 @@
     let written = rig.commit_all();
     assert_eq!(told(&rig.answer(to).expect("answered")), "cancelled");
     // A start may still be on its way: the row stays among the live.
-    assert!(!written.iter().any(|t| t.changes.iter().any(|c| c.key() == over_key(&id("job-1")))));
+    assert!(!written.iter().any(|t| t.changes.iter().any(|c| c.key() == archived_row_key(&id("job-1")))));
     let orders = rig.beat("vm-1", 6, EPOCH, vec![listed(&start, TaskState::Fetching)]);
     assert_eq!(orders, [Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }]);
     let stopped = TaskState::Exited(ExitCause::Stopped { saved: false });
     let orders = rig.beat("vm-1", 7, EPOCH, vec![listed(&start, stopped)]);
     assert_eq!(orders, [Command::Reap { task: start.0, attempt: start.1 }], "and nothing of it starts again");
     let moved = rig.commit_all();
-    assert_eq!(moved[0].changes[0].key(), over_key(&id("job-1")));
+    assert_eq!(moved[0].changes[0].key(), archived_row_key(&id("job-1")));
 }
 
 #[test]
@@ -41,7 +41,7 @@
         );
     }
     let moves = |all: Vec<Transaction>| {
-        all.iter().flat_map(|t| &t.changes).any(|c| c.key() == over_key(&id("job-1")))
+        all.iter().flat_map(|t| &t.changes).any(|c| c.key() == archived_row_key(&id("job-1")))
     };
     assert!(!moves(rig.commit_all()), "it may still run");
     // Deaf, it gave its lease up by itself: the row may follow the record.
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -14,12 +14,12 @@
     format!("vm-{n:06}")
 }
 
-fn rentals() -> Vec<(RentalRecord, u64)> {
+fn rentals() -> Vec<(NodePoolRecord, u64)> {
     let chunk = |first: usize| {
         let ids: Vec<MachineId> = (first..first + IN_RENTAL).map(|n| machine(&name(n))).collect();
         let (mut record, version) = rented("vm-0", true);
         record.request.name = format!("1-{first}");
-        record.used = ids.iter().cloned().collect();
+        record.machines_used = ids.iter().cloned().collect();
         record.machines = Some(ids);
         (record, version)
     };
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -42,8 +42,8 @@
 /// be no evidence of their end.
 #[test]
 fn a_record_that_has_begun_too_early_is_no_release() {
-    let dependent = JobSpec { awaits: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
-    for (cancelled, standing) in [(false, Standing::Queued), (true, Standing::Cancelled)] {
+    let dependent = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
+    for (cancelled, standing) in [(false, JobState::Queued), (true, JobState::Cancelled)] {
         let mut need = unbegun(sample("job-1", "red", 1, 8.0));
         need.record.cancelled = cancelled;
         let mut rig = Rig::new(vec![need, loaded_job(dependent.clone())], vec![rented("vm-1", true)]);
@@ -62,11 +62,11 @@
     let mut rig = Rig::with_machines(&["vm-1"]);
     rig.accept(sample("job-1", "red", 1, 1.0));
     // What no path does: the job awaits a job that the graph does not hold.
-    rig.leader.jobs.get_mut(&id("job-1")).expect("there").record.spec.awaits = vec![id("job-9")];
+    rig.leader.jobs.get_mut(&id("job-1")).expect("there").record.spec.dependencies = vec![id("job-9")];
     rig.pass(1.0);
     assert_eq!(starts(&rig.beat("vm-1", 2, EPOCH, vec![])), vec![]);
     assert_eq!(violations(&rig), 1);
-    rig.leader.jobs.get_mut(&id("job-1")).expect("there").record.spec.awaits.clear();
+    rig.leader.jobs.get_mut(&id("job-1")).expect("there").record.spec.dependencies.clear();
     rig.pass(1.0);
     let started = starts(&rig.beat("vm-1", 3, EPOCH, vec![]));
     assert_eq!(started.len(), 1, "it is no reason to start it never");
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -26,7 +26,7 @@
     rig.commit_all();
     let to = withdrawn.then(|| rig.withdraw("job-1"));
     if !withdrawn {
-        rig.leader.mark_done(rig.now, &id("job-1"), 0);
+        rig.leader.mark_task_done(rig.now, &id("job-1"), 0);
         rig.collect();
     }
     (rig, to)
@@ -62,7 +62,7 @@
         let verdict = only_put(&rig);
         assert!(json_size(&verdict) < whole);
         let record = JobRecord::decode(&verdict).expect("readable");
-        assert_eq!((record.cancelled, record.settled), (withdrawn, !withdrawn));
+        assert_eq!((record.cancelled, record.completed), (withdrawn, !withdrawn));
         rig.fail_commit(StoreError::Rejected);
         assert!(rig.commits.is_empty(), "not repeated without end");
         assert_eq!((rig.standing("job-1"), to.and_then(|to| rig.answer(to))), (None, None));
@@ -100,7 +100,7 @@
     assert_eq!(rig.standing("job-1"), None);
     // Renewed after all, with the key unchanged: the epoch goes on.
     rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(9));
-    assert_eq!(rig.standing("job-1"), Some(Standing::Queued));
+    assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
 }
 
 /// Frozen past its lease and the lapse window, clocks running on: what it finds when it
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -34,13 +34,15 @@
 use crate::protocol::cbor::{Fields, decode};
 use crate::protocol::cloud::{ListPage, Listed, ListedState, MachineType, RentalRequest};
 use crate::protocol::jobs::tests::sample;
-use crate::protocol::jobs::{Form, JobId, JobSpec, Priority, Standing, TaskId};
+use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState, Priority, TaskId};
 use crate::protocol::state::Change;
 use crate::protocol::workers::{
     Command, ExitCause, HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId, TaskState, TaskStatus,
 };
 use crate::settings;
-use crate::storage::records::{JobRecord, RENTALS, RentalRecord, live_key, over_key, record_key};
+use crate::storage::records::{
+    JobRecord, NODE_POOLS, NodePoolRecord, archived_row_key, job_record_key, live_row_key,
+};
 use crate::storage::service::{Class, StoreError, Transaction};
 
 const EPOCH: u64 = 40;
@@ -84,7 +86,7 @@
 }
 
 /// A fleet record of one machine in zone `z1`.
-pub(super) fn rented(name: &str, used: bool) -> (RentalRecord, u64) {
+pub(super) fn rented(name: &str, used: bool) -> (NodePoolRecord, u64) {
     let request = RentalRequest {
         name: format!("1-{name}"),
         machine_type: "m8".into(),
@@ -94,10 +96,10 @@
     };
     let id = machine(name);
     (
-        RentalRecord {
+        NodePoolRecord {
             request,
             machines: Some(vec![id.clone()]),
-            used: used.then_some(id).into_iter().collect(),
+            machines_used: used.then_some(id).into_iter().collect(),
         },
         3,
     )
@@ -106,23 +108,23 @@
 /// A job of which every task may have begun.
 pub(super) fn loaded_job(spec: JobSpec) -> LoadedJob {
     let begun = spec.tasks;
-    let record = JobRecord { begun, ..JobRecord::new(spec, MS) };
+    let record = JobRecord { started_high_water: begun, ..JobRecord::new(spec, MS) };
     LoadedJob { record, version: 5, live_version: 5, block_versions: Vec::new() }
 }
 
 impl Rig {
     /// A leader that has just read these records. Idle machines stay for two boots,
     /// so that tests of other things keep theirs.
-    fn new(jobs: Vec<LoadedJob>, rentals: Vec<(RentalRecord, u64)>) -> Self {
+    fn new(jobs: Vec<LoadedJob>, rentals: Vec<(NodePoolRecord, u64)>) -> Self {
         let tuning = policy::Tuning { preempt_loss_s: 8.0, idle_ratio: 2.0, ..policy::tests::tuning() };
         Rig::tuned(jobs, rentals, tuning)
     }
 
-    fn tuned(jobs: Vec<LoadedJob>, rentals: Vec<(RentalRecord, u64)>, tuning: policy::Tuning) -> Self {
+    fn tuned(jobs: Vec<LoadedJob>, rentals: Vec<(NodePoolRecord, u64)>, tuning: policy::Tuning) -> Self {
         Rig::configured(jobs, rentals, Config { settings: settings::tests::sample(), tuning })
     }
 
-    fn configured(jobs: Vec<LoadedJob>, rentals: Vec<(RentalRecord, u64)>, config: Config) -> Self {
+    fn configured(jobs: Vec<LoadedJob>, rentals: Vec<(NodePoolRecord, u64)>, config: Config) -> Self {
         let config = Arc::new(config);
         let now = Instant::now();
         let loaded = Loaded { jobs, rentals, catalog: Some((catalog(), 2)), ..Loaded::default() };
@@ -266,7 +268,7 @@
     fn withdraw(&mut self, job: &str) -> ReplyId {
         self.replies += 1;
         let to = ReplyId(self.replies);
-        assert!(self.leader.withdraw(self.now, to, &id(job)));
+        assert!(self.leader.cancel(self.now, to, &id(job)));
         self.collect();
         to
     }
@@ -275,8 +277,8 @@
         self.answers.iter().find(|(t, _)| *t == to).map(|(_, a)| a.clone())
     }
 
-    fn standing(&self, job: &str) -> Option<Standing> {
-        self.leader.poll(self.now, &id(job)).and_then(|answer| answer.job_status).map(|told| told.standing)
+    fn standing(&self, job: &str) -> Option<JobState> {
+        self.leader.poll(self.now, &id(job)).and_then(|answer| answer.job_status).map(|told| told.state)
     }
 }
 
--- a/src/coordination/tests/pipelines.rs
+++ b/src/coordination/tests/pipelines.rs
@@ -1,12 +1,12 @@
 //! Jobs that wait for others: when they start, what is cancelled with what, and what their
 //! users are told.
 
-use super::super::pipelines::{NeedState, NeedStates};
+use super::super::pipelines::{DependencyState, DependencyStates};
 use super::*;
 
 /// A job of one task that awaits others.
 fn awaiting(job: &str, needs: &[&str]) -> JobSpec {
-    JobSpec { awaits: needs.iter().map(|need| id(need)).collect(), ..sample(job, "red", 1, 1.0) }
+    JobSpec { dependencies: needs.iter().map(|need| id(need)).collect(), ..sample(job, "red", 1, 1.0) }
 }
 
 /// A job that a new leader reads, of which no task has begun.
@@ -14,7 +14,7 @@
     LoadedJob { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
 }
 
-fn loaded_with(jobs: Vec<LoadedJob>, needs: &[(&str, NeedState)]) -> Rig {
+fn loaded_with(jobs: Vec<LoadedJob>, needs: &[(&str, DependencyState)]) -> Rig {
     let mut rig = Rig::with_machines(&["vm-1"]);
     let rentals = vec![rented("vm-1", true)];
     let needs = needs.iter().map(|(need, state)| (id(need), *state)).collect();
@@ -36,7 +36,7 @@
         let settles = |transaction: &Transaction| {
             transaction.changes.iter().any(|change| match change {
                 Change::Put { key, value, .. } if key.starts_with("rec/") => {
-                    JobRecord::decode(value).is_ok_and(|record| record.settled)
+                    JobRecord::decode(value).is_ok_and(|record| record.completed)
                 }
                 _ => false,
             })
@@ -47,7 +47,7 @@
         self.commits = kept;
     }
 
-    fn standings(&self, jobs: &[&str]) -> Vec<Option<Standing>> {
+    fn standings(&self, jobs: &[&str]) -> Vec<Option<JobState>> {
         jobs.iter().map(|job| self.standing(job)).collect()
     }
 }
@@ -71,7 +71,7 @@
         rig.commit_all_but_settles();
         assert!(rig.starts_after(seq, vec![]).is_empty());
     }
-    assert_eq!(rig.standing("job-3"), Some(Standing::Queued));
+    assert_eq!(rig.standing("job-3"), Some(JobState::Queued));
     rig.commit_all();
     let last = rig.starts_after(8, vec![]);
     assert_eq!(last.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
@@ -98,7 +98,7 @@
         rig.accept(sample("job-3", "red", 1, 1.0));
         let next = rig.starts_after(200, vec![listed(&first[0], TaskState::Running)]);
         assert_eq!(next.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
-        assert_eq!(rig.standing("job-2"), waiting.then_some(Standing::Queued));
+        assert_eq!(rig.standing("job-2"), waiting.then_some(JobState::Queued));
         let rents = rig.cloud.iter().filter(|(_, call)| matches!(call, CloudCall::Rent(_)));
         rents.map(|(_, call)| format!("{call:?}")).collect::<Vec<_>>()
     };
@@ -127,7 +127,7 @@
     rig.accept(JobSpec {
         class: "stage".into(),
         deadline_s,
-        estimate_s: 20.0,
+        estimated_run_s: 20.0,
         ..awaiting("job-2", &["job-1"])
     });
     let first = rig.starts_after(2, vec![]);
@@ -142,7 +142,7 @@
     rig.commit_all();
     let released = rig.now;
     let job = &rig.leader.jobs[&id("job-2")];
-    assert_eq!((job.submitted, job.released), (submitted, Some(released)));
+    assert_eq!((job.submitted_at, job.ready_at), (submitted, Some(released)));
     assert!(!rig.leader.is_starved(job, released + half - Duration::from_secs(1)));
     assert!(rig.leader.is_starved(job, released + half));
     assert_eq!(rig.leader.latest_start(job, released), released + Duration::from_secs(10));
@@ -153,7 +153,7 @@
 #[test]
 fn a_submission_may_name_what_was_accepted_and_nothing_else() {
     let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(JobSpec { form: Form::Service, ..sample("job-1", "red", 1, 1.0) });
+    rig.accept(JobSpec { kind: JobKind::Service, ..sample("job-1", "red", 1, 1.0) });
     let refused = |rig: &mut Rig, spec: JobSpec| {
         rig.submit(spec);
         rig.lookups.pop().map(|(_, otherwise)| otherwise.status)
@@ -162,25 +162,25 @@
     assert_eq!(refused(&mut rig, awaiting("job-2", &["job-1"])), Some(422), "a service");
     // What is not in the picture is over, or was never accepted: its record tells.
     let read = [
-        (NeedState::Absent, Some(422), None),
-        (NeedState::Service, Some(422), None),
-        (NeedState::Unfinished, None, Some(503)),
-        (NeedState::Done { at_ms: None }, None, Some(201)),
-        (NeedState::Cancelled, None, Some(201)),
+        (DependencyState::Absent, Some(422), None),
+        (DependencyState::Service, Some(422), None),
+        (DependencyState::Unfinished, None, Some(503)),
+        (DependencyState::Done { at_ms: None }, None, Some(201)),
+        (DependencyState::Cancelled, None, Some(201)),
     ];
     for (at, (state, looked_up, answered)) in read.into_iter().enumerate() {
         let spec = awaiting(&format!("job-1{at}"), &["job-9"]);
         rig.submit(spec.clone());
         let unjudged = rig.unjudged.pop().expect("its record is asked");
         assert_eq!((unjudged.unread, rig.commits.len()), (vec![id("job-9")], 0));
-        let states = NeedStates::from_iter([(id("job-9"), state)]);
-        rig.leader.submit_knowing(rig.now, MS, unjudged.reply, spec, states);
+        let states = DependencyStates::from_iter([(id("job-9"), state)]);
+        rig.leader.submit_with_dependency_states(rig.now, MS, unjudged.reply, spec, states);
         rig.collect();
         rig.commit_all();
         assert_eq!(rig.lookups.pop().map(|(_, otherwise)| otherwise.status), looked_up, "{state:?}");
         assert_eq!(rig.answer(unjudged.reply).map(|answer| answer.status), answered, "{state:?}");
     }
-    assert_eq!(rig.standings(&["job-13", "job-14"]), [Some(Standing::Queued), None], "one has left already");
+    assert_eq!(rig.standings(&["job-13", "job-14"]), [Some(JobState::Queued), None], "one has left already");
     // Being accepted is not accepted yet.
     rig.submit(sample("job-20", "red", 1, 1.0));
     let early = rig.submit(awaiting("job-21", &["job-20"]));
@@ -213,8 +213,8 @@
     rig.collect();
     assert_eq!(rig.answer(to).map(|answer| told(&answer)), Some("cancelled".into()));
     // Nothing but the one record is written yet.
-    assert_eq!(rig.standings(&["job-2", "job-3", "job-4"]), [Some(Standing::Cancelled); 3]);
-    assert_eq!(rig.standings(&["job-5", "job-6"]), [Some(Standing::Queued); 2]);
+    assert_eq!(rig.standings(&["job-2", "job-3", "job-4"]), [Some(JobState::Cancelled); 3]);
+    assert_eq!(rig.standings(&["job-5", "job-6"]), [Some(JobState::Queued); 2]);
     let written = rig.commit_all();
     let cancelled = written.iter().flat_map(|t| &t.changes).filter_map(|change| match change {
         Change::Put { key, value, .. } if key.starts_with("rec/") => JobRecord::decode(value).ok(),
@@ -234,7 +234,7 @@
     rig.accept(awaiting("job-8", &["job-6"]));
     rig.withdraw("job-6");
     rig.commit_all();
-    assert_eq!(rig.standing("job-5"), Some(Standing::Running), "what it needed goes on");
+    assert_eq!(rig.standing("job-5"), Some(JobState::Running), "what it needed goes on");
 }
 
 /// Answered with `done`, a cancellation cancels nothing: the settle came first.
@@ -252,19 +252,21 @@
     // And a need that is over stays over when its dependent is cancelled.
     rig.withdraw("job-2");
     rig.commit_all();
-    assert_eq!(rig.standing("job-2"), Some(Standing::Cancelled));
+    assert_eq!(rig.standing("job-2"), Some(JobState::Cancelled));
 }
 
 /// A new leader reads what an earlier one has left at any point.
 #[test]
 fn a_new_leader_comes_to_the_same_verdict() {
-    let done = NeedState::Done { at_ms: Some(MS) };
-    for (state, begins) in [(done, true), (NeedState::Unfinished, false), (NeedState::Absent, false)] {
+    let done = DependencyState::Done { at_ms: Some(MS) };
+    for (state, begins) in
+        [(done, true), (DependencyState::Unfinished, false), (DependencyState::Absent, false)]
+    {
         let mut rig = loaded_with(vec![unbegun(awaiting("job-2", &["job-1"]))], &[("job-1", state)]);
         rig.starts_after(2, vec![]);
         rig.commit_all();
         assert_eq!(!rig.starts_after(3, vec![]).is_empty(), begins, "{state:?}");
-        assert_eq!(rig.standing("job-2"), Some(Standing::Queued));
+        assert_eq!(rig.standing("job-2"), Some(JobState::Queued));
     }
     // The last task has ended and the settle is not written.
     let mut ended = loaded_job(sample("job-1", "red", 1, 1.0));
@@ -277,13 +279,13 @@
     let jobs = ["job-2", "job-3"].map(|job| (job, if job == "job-2" { "job-1" } else { "job-2" }));
     let waiting = jobs.map(|(job, need)| unbegun(awaiting(job, &[need])));
     let mut rig = loaded_with(waiting.into_iter().chain([cancelled]).collect(), &[]);
-    assert_eq!(rig.standings(&["job-2", "job-3"]), [Some(Standing::Cancelled); 2]);
+    assert_eq!(rig.standings(&["job-2", "job-3"]), [Some(JobState::Cancelled); 2]);
     let cancels = rig.commit_all();
     assert!(cancels.iter().any(|t| t.changes.iter().any(|change| change.key() == "rec/job-3")));
     // The same with its row moved already.
     let waiting = jobs.map(|(job, need)| unbegun(awaiting(job, &[need])));
-    let mut rig = loaded_with(waiting.into(), &[("job-1", NeedState::Cancelled)]);
-    assert_eq!(rig.standings(&["job-2", "job-3"]), [Some(Standing::Cancelled); 2]);
+    let mut rig = loaded_with(waiting.into(), &[("job-1", DependencyState::Cancelled)]);
+    assert_eq!(rig.standings(&["job-2", "job-3"]), [Some(JobState::Cancelled); 2]);
     rig.commit_all();
     assert!(rig.starts_after(2, vec![]).is_empty());
 }
@@ -369,7 +371,7 @@
     rig.commit_all();
     let first = rig.starts_after(3, vec![]);
     assert_eq!(first.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-1")]);
-    let mut rig = loaded_with(vec![unbegun(stage())], &[("job-1", NeedState::Unreadable)]);
+    let mut rig = loaded_with(vec![unbegun(stage())], &[("job-1", DependencyState::Unreadable)]);
     rig.starts_after(2, vec![]);
     rig.commit_all();
     assert!(rig.starts_after(3, vec![]).is_empty());
--- a/src/coordination/tests/placing.rs
+++ b/src/coordination/tests/placing.rs
@@ -85,7 +85,7 @@
     rig.beat("vm-1", 6, EPOCH, vec![listed(&low, TaskState::Running)]);
     let mut urgent = sample("job-2", "blue", 1, 4.0);
     urgent.priority = Priority::Critical;
-    urgent.estimate_s = 10.0;
+    urgent.estimated_run_s = 10.0;
     urgent.deadline_s = Some(30.0);
     rig.accept(urgent);
     // It must start within 20 s; room may come free by itself until then.
@@ -303,7 +303,7 @@
 fn a_stop_ends_a_hold() {
     let mut rig = Rig::configured(Vec::new(), vec![rented("vm-1", true)], with_a_prompt_aim());
     rig.beat("vm-1", 1, EPOCH, vec![]);
-    rig.accept(JobSpec { form: Form::Service, ..sample("job-1", "blue", 1, 1.0) });
+    rig.accept(JobSpec { kind: JobKind::Service, ..sample("job-1", "blue", 1, 1.0) });
     let start = starts(&rig.beat("vm-1", 2, EPOCH, vec![])).remove(0);
     let running = vec![listed(&start, TaskState::Running)];
     assert_eq!(rig.beat("vm-1", 3, EPOCH, running.clone()), vec![]);
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -15,13 +15,13 @@
     let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
     let orders = rig.beat("vm-1", 6, EPOCH, vec![listed(&start, DONE)]);
     assert_eq!(orders, vec![], "no reap before the record");
-    assert_ne!(rig.standing("job-1"), Some(Standing::Done), "not told before it is recorded");
+    assert_ne!(rig.standing("job-1"), Some(JobState::Done), "not told before it is recorded");
     // A withdrawal now is answered by the settle that is on its way.
     let to = rig.withdraw("job-1");
     let written = rig.commit_all();
     let keys: Vec<Vec<&str>> = written.iter().map(|t| t.changes.iter().map(Change::key).collect()).collect();
-    assert_eq!(keys[0], [record_key(&id("job-1"))]);
-    assert_eq!(keys[1], [over_key(&id("job-1")), live_key(&id("job-1"))]);
+    assert_eq!(keys[0], [job_record_key(&id("job-1"))]);
+    assert_eq!(keys[1], [archived_row_key(&id("job-1")), live_row_key(&id("job-1"))]);
     assert_eq!(told(&rig.answer(to).expect("answered")), "done");
     let orders = rig.beat("vm-1", 7, EPOCH, vec![listed(&start, DONE)]);
     assert_eq!(orders, [Command::Reap { task: start.0, attempt: start.1 }]);
@@ -30,13 +30,13 @@
 #[test]
 fn a_lagging_row_is_repaired_from_the_record_after_a_takeover() {
     let mut settled = loaded_job(sample("job-1", "red", 1, 1.0));
-    settled.record.settled = true;
+    settled.record.completed = true;
     let mut rig = Rig::new(vec![settled], vec![rented("vm-1", true)]);
-    assert_eq!(rig.standing("job-1"), Some(Standing::Done));
+    assert_eq!(rig.standing("job-1"), Some(JobState::Done));
     assert!(rig.commits.is_empty(), "not while a machine may still hold a task of it");
     rig.beat("vm-1", 5, EPOCH, vec![]);
     let moved = rig.commit_all();
-    assert!(moved.iter().any(|t| t.changes.iter().any(|c| c.key() == over_key(&id("job-1")))));
+    assert!(moved.iter().any(|t| t.changes.iter().any(|c| c.key() == archived_row_key(&id("job-1")))));
 }
 
 #[test]
@@ -68,7 +68,7 @@
     rig.submit(sample("job-3", "red", 1, 9.0));
     assert_eq!(rig.lookups[2].1.status, 422);
     let mut service = sample("job-4", "red", 5, 4.0);
-    service.form = crate::protocol::jobs::Form::Service;
+    service.kind = crate::protocol::jobs::JobKind::Service;
     rig.submit(service);
     assert_eq!(rig.lookups[3].1.status, 422, "all replicas of a service must fit the limit");
 }
@@ -99,8 +99,8 @@
     assert_eq!(starts(&rig.beat("vm-1", 6, EPOCH, vec![listed(&first, DONE)])), vec![]);
     let begun = |t: &Transaction| {
         t.changes.iter().any(|c| match c {
-            Change::Put { key, value, .. } if *key == record_key(&id("job-2")) => {
-                JobRecord::decode(value).expect("a record").begun == 2
+            Change::Put { key, value, .. } if *key == job_record_key(&id("job-2")) => {
+                JobRecord::decode(value).expect("a record").started_high_water == 2
             }
             _ => false,
         })
@@ -110,7 +110,7 @@
     // With room it is accepted as begun, and needs no second write.
     rig.submit(sample("job-3", "red", 1, 1.0));
     let Change::Put { value, .. } = &rig.commits[0].1.changes[0] else { panic!("a record") };
-    assert_eq!(JobRecord::decode(value).expect("a record").begun, 1);
+    assert_eq!(JobRecord::decode(value).expect("a record").started_high_water, 1);
 }
 
 /// Acceptances and settles must not queue behind done tasks: with tasks of many
@@ -216,7 +216,7 @@
         state.limit(limits);
         let config = Config { settings: config.settings.clone(), tuning: config.tuning };
         let mut rig = Rig::configured(vec![job], Vec::new(), config);
-        rig.leader.mark_done(rig.now, &id("job-1"), 1);
+        rig.leader.mark_task_done(rig.now, &id("job-1"), 1);
         rig.pass(10.0);
         let (mut refused, mut committed, mut expected) = (0, 0, recorded.clone());
         while !rig.commits.is_empty() {
@@ -228,7 +228,7 @@
             rig.leader.handle_commit_result(rig.now, ticket, result);
             if committed == 2 {
                 // One more ends while the others are being moved.
-                rig.leader.mark_done(rig.now, &id("job-1"), 3);
+                rig.leader.mark_task_done(rig.now, &id("job-1"), 3);
             }
             rig.collect();
             let done = done_by_records(&mut state, "job-1");
--- a/src/coordination/tests/renting.rs
+++ b/src/coordination/tests/renting.rs
@@ -52,11 +52,11 @@
     rig.pass(1.1);
     assert_eq!(rig.beat("vm-9", 3, EPOCH, vec![]), vec![], "not recorded yet");
     let written = rig.commit_all();
-    let of_unexpected = |c: &&Change| c.key().starts_with(RENTALS) && c.key().contains("x-");
+    let of_unexpected = |c: &&Change| c.key().starts_with(NODE_POOLS) && c.key().contains("x-");
     let rentals: Vec<_> = written.iter().flat_map(|t| &t.changes).filter(of_unexpected).collect();
     let [Change::Put { value, .. }] = rentals[..] else { panic!("{rentals:?}") };
-    let record = RentalRecord::decode(value).expect("readable");
-    assert_eq!(record.used, unexpected.map(machine).into_iter().collect());
+    let record = NodePoolRecord::decode(value).expect("readable");
+    assert_eq!(record.machines_used, unexpected.map(machine).into_iter().collect());
     assert_eq!(starts(&rig.beat("vm-9", 4, EPOCH, vec![])).len(), 1);
 }
 
@@ -145,7 +145,7 @@
 fn work_that_is_over_is_no_demand_whatever_was_expected_of_it() {
     let mut rig = Rig::with_machines(&["vm-1"]);
     let mut job = sample("job-1", "red", 2, 4.0);
-    job.estimate_s = 600.0;
+    job.estimated_run_s = 600.0;
     rig.accept(job);
     let started = starts(&rig.beat("vm-1", 5, EPOCH, vec![]));
     rig.pass(1.1);
@@ -161,7 +161,7 @@
 fn demand_counts_no_longer_than_the_class_is_known_to_run() {
     let mut rig = Rig::with_machines(&["vm-1"]);
     let mut job = sample("job-1", "red", 1, 4.0);
-    job.estimate_s = 20.0;
+    job.estimated_run_s = 20.0;
     rig.accept(job);
     let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
     let ideal = |rig: &Rig| rig.leader.demand.values().map(|d| d.ideal).sum::<f64>();
@@ -285,7 +285,7 @@
     }
     rig.commits.clear();
     rig.pass(1.1);
-    let rented = rig.commits.iter().flat_map(|(_, t)| &t.changes).filter(|c| c.key().starts_with(RENTALS));
+    let rented = rig.commits.iter().flat_map(|(_, t)| &t.changes).filter(|c| c.key().starts_with(NODE_POOLS));
     assert_eq!(rented.count() as f64, rig.config.settings.cluster.cloud.rps);
 }
 
@@ -293,7 +293,7 @@
 fn a_backlog_asks_for_more_as_its_aims_come_near() {
     let mut rig = Rig::with_machines(&["vm-1"]);
     let mut job = sample("job-1", "red", 20, 1.0);
-    (job.estimate_s, job.deadline_s) = (20.0, Some(150.0));
+    (job.estimated_run_s, job.deadline_s) = (20.0, Some(150.0));
     rig.accept(job);
     let mut drains = Vec::new();
     for seq in 0..12 {
@@ -343,7 +343,7 @@
         rig.beat(name, 1, EPOCH, vec![]);
     }
     let service = |id: &str, image: &str| JobSpec {
-        form: Form::Service,
+        kind: JobKind::Service,
         image: image.into(),
         spot: false,
         ..sample(id, "blue", 1, 2.0)
--- a/src/coordination/tests/reports.rs
+++ b/src/coordination/tests/reports.rs
@@ -12,7 +12,7 @@
         assert_eq!(rig.report("vm-1", 1, seq, EPOCH, vec![]), HeartbeatReply::Redirect);
     }
     assert_eq!(rig.beat("vm-1", 6, EPOCH, vec![listed(&start, TaskState::Running)]), vec![]);
-    assert_eq!(rig.standing("job-1"), Some(Standing::Running));
+    assert_eq!(rig.standing("job-1"), Some(JobState::Running));
     // A higher token than ours: another leads, and a 200 would be dropped.
     assert_eq!(rig.report("vm-1", 1, 7, EPOCH + 1, vec![]), HeartbeatReply::Redirect);
 }
@@ -91,7 +91,7 @@
         ["vm-2b", "vm-3", "vm-4b"].map(|name| starts(&rig.beat(name, 7, EPOCH, vec![])).len()).iter().sum();
     assert!(placed > 0, "only vm-1 is sick");
     assert_eq!(starts(&rig.beat("vm-1", 7, EPOCH, vec![])), vec![]);
-    assert!(rig.standing("job-1").is_some_and(|s| !s.is_final()), "a failing job is never given up");
+    assert!(rig.standing("job-1").is_some_and(|s| !s.is_terminal()), "a failing job is never given up");
 }
 
 /// A task that cannot save and cannot end before its machine is taken is lost
@@ -102,7 +102,7 @@
     let mut rig = Rig::with_machines(&["vm-1"]);
     for (job, estimate_s) in [("job-1", 100.0), ("job-2", 12.0)] {
         let mut spec = sample(job, "blue", 1, 2.0);
-        (spec.estimate_s, spec.checkpoint_s) = (estimate_s, 0.0);
+        (spec.estimated_run_s, spec.checkpoint_interval_s) = (estimate_s, 0.0);
         rig.accept(spec);
     }
     let held = starts(&rig.beat("vm-1", 2, EPOCH, vec![]));
--- a/src/coordination/tests/sequences.rs
+++ b/src/coordination/tests/sequences.rs
@@ -195,7 +195,7 @@
     });
     caught("too_early", |simulation| {
         submitted(simulation, |_| {});
-        let spec = JobSpec { awaits: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
+        let spec = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
         simulation.submit(Instant::now(), spec, 10.0, None);
         simulation.place_wrongly("job-2", 0, "z1", false);
     });
@@ -286,7 +286,7 @@
     let pipeline = |simulation: &mut Simulation, first: &'static str| {
         let now = submitted(simulation, |_| {});
         for (job, need) in [("job-2", "job-1"), ("job-3", "job-2")] {
-            let spec = JobSpec { awaits: vec![id(need)], ..sample(job, "red", 1, 1.0) };
+            let spec = JobSpec { dependencies: vec![id(need)], ..sample(job, "red", 1, 1.0) };
             simulation.submit(now, spec, 10.0, None);
             simulation.note_answer(now, job, sent(now, 0), 201, Some("queued"), false);
         }
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -36,7 +36,7 @@
 use crate::policy;
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode, texts};
 use crate::protocol::cloud::{MachineType, encode_catalog};
-use crate::protocol::jobs::{Form, JobId, JobSpec, Priority};
+use crate::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
 use crate::settings::{self, Settings};
 use crate::storage::pacing::Bucket;
 use crate::storage::service;
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -38,7 +38,7 @@
         let unfinished = |need: &JobId| {
             self.jobs.get(need.as_str()).is_none_or(|job| (job.done.len() as u32) < job.spec.tasks)
         };
-        if let Some(need) = spec.awaits.iter().find(|need| unfinished(need)) {
+        if let Some(need) = spec.dependencies.iter().find(|need| unfinished(need)) {
             self.breaks("too_early", format!("{}/{} starts before {need} is done", key.0, key.1));
         }
         let cancelled = self.settings.cluster.workers.cancellation();
@@ -102,7 +102,7 @@
             let waits = job.told.is_none()
                 && job.accepted.is_some()
                 && (job.done.len() as u32) < spec.tasks
-                && spec.awaits.iter().all(over)
+                && spec.dependencies.iter().all(over)
                 && !busy.contains(spec.id.as_str());
             let limit = self.settings.cluster.teams.iter().find(|t| t.name == spec.team);
             let limit = limit.map_or(0.0, |t| if t.cpus_max > 0.0 { t.cpus_max } else { f64::INFINITY });
