--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -31,14 +31,15 @@
             0 => spec.one_zone = true,
             1 => spec.spread = true,
             2 => spec.zone = Some("z2".into()),
-            3 if team == "blue" => spec.form = Form::Service,
+            3 if team == "blue" => spec.kind = JobKind::Service,
             _ => {}
         }
-        spec.awaits = self.choose_needs(n);
+        spec.dependencies = self.choose_needs(n);
         let r = &mut self.rng;
         let run = r.random_range(self.shape.longest_run * 0.08..self.shape.longest_run);
-        spec.estimate_s = if spec.form == Form::Service { 0.0 } else { run * r.random_range(0.5..1.5) };
-        let cancels = spec.form == Form::Service || r.random_bool(0.25);
+        spec.estimated_run_s =
+            if spec.kind == JobKind::Service { 0.0 } else { run * r.random_range(0.5..1.5) };
+        let cancels = spec.kind == JobKind::Service || r.random_bool(0.25);
         let cancel_from = cancels.then(|| now + seconds(r.random_range(1.0..40.0)));
         self.submit(now, spec, run, cancel_from);
     }
@@ -60,7 +61,7 @@
             let first = if r.random_bool(0.8) { n.saturating_sub(5).max(1) } else { 1 };
             needs.insert(format!("job-{:05}", r.random_range(first..n)));
         }
-        let arrays = |need: &String| self.jobs.get(need).is_some_and(|j| j.spec.form == Form::Array);
+        let arrays = |need: &String| self.jobs.get(need).is_some_and(|j| j.spec.kind == JobKind::Array);
         needs.iter().filter(|need| arrays(need)).filter_map(|need| JobId::parse(need)).collect()
     }
 
@@ -69,7 +70,7 @@
         let mut found: BTreeMap<&str, &Job> = BTreeMap::new();
         let mut work = vec![id];
         while let Some(job) = work.pop().and_then(|id| self.jobs.get(id)) {
-            for need in &job.spec.awaits {
+            for need in &job.spec.dependencies {
                 if let Some(needed) = self.jobs.get(need.as_str())
                     && found.insert(need.as_str(), needed).is_none()
                 {
@@ -102,7 +103,7 @@
     pub(super) fn step_user(&mut self, now: Instant, id: &str) {
         let resubmits = self.rng.random_bool(0.05);
         let accepted = |need: &JobId| self.jobs.get(need.as_str()).is_some_and(|job| job.accepted.is_some());
-        if !self.jobs.get(id).is_some_and(|job| job.spec.awaits.iter().all(accepted)) {
+        if !self.jobs.get(id).is_some_and(|job| job.spec.dependencies.iter().all(accepted)) {
             return;
         }
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -245,14 +246,14 @@
         match self.rng.random_range(0..kinds) {
             4 => {
                 let awaits = ["job-77777", spec.id.as_str()][n % 2];
-                spec.awaits = JobId::parse(awaits).into_iter().collect();
+                spec.dependencies = JobId::parse(awaits).into_iter().collect();
                 let request = post("/api/jobs", encode(&spec.encode().build()));
                 self.question(now, "odd", Question::Odd(422), request);
             }
             5 => {
-                let service = |job: &&Job| job.spec.form == Form::Service && job.accepted.is_some();
+                let service = |job: &&Job| job.spec.kind == JobKind::Service && job.accepted.is_some();
                 let Some(service) = self.jobs.values().find(service) else { return };
-                spec.awaits = vec![service.spec.id.clone()];
+                spec.dependencies = vec![service.spec.id.clone()];
                 let request = post("/api/jobs", encode(&spec.encode().build()));
                 self.question(now, "odd", Question::Odd(422), request);
             }
@@ -273,7 +274,7 @@
                 self.question(now, "odd", Question::Odd(422), request);
             }
             2 => {
-                (spec.form, spec.tasks, spec.cpus) = (Form::Service, 9, 2.0);
+                (spec.kind, spec.tasks, spec.cpus) = (JobKind::Service, 9, 2.0);
                 let request = post("/api/jobs", encode(&spec.encode().build()));
                 self.question(now, "odd", Question::Odd(422), request);
             }
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -38,7 +38,7 @@
                 }
                 RunState::Running(since)
                     if self.jobs.get(&key.0).is_some_and(|j| {
-                        j.spec.form == Form::Array && (now >= since + j.run || j.done.contains(&key.1))
+                        j.spec.kind == JobKind::Array && (now >= since + j.run || j.done.contains(&key.1))
                     }) =>
                 {
                     task.state = RunState::Exited("done");
--- a/src/coordination/tests/takeover.rs
+++ b/src/coordination/tests/takeover.rs
@@ -128,7 +128,7 @@
     assert_eq!(rig.report("vm-1", 1, 49, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
     let m = &rig.leader.machines[&machine("vm-1")];
     assert_eq!((m.replied_at, m.heartbeat_at, m.slots.len()), (answered, None, 0));
-    assert_eq!(rig.standing("job-1"), Some(Standing::Queued));
+    assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
     // Once it has shown the token, copies from before it change nothing.
     rig.beat("vm-1", 51, EPOCH, copied.clone());
     rig.accept(sample("job-2", "blue", 1, 1.0));
@@ -176,10 +176,10 @@
 #[test]
 fn beside_a_silent_machine_only_tasks_that_may_have_begun_wait() {
     let mut part = loaded_job(sample("job-1", "red", 6, 1.0));
-    part.record.begun = 2;
+    part.record.started_high_water = 2;
     let mut tied = loaded_job(sample("job-2", "blue", 2, 1.0));
     tied.record.spec.one_zone = true;
-    tied.record.begun = 1;
+    tied.record.started_high_water = 1;
     let mut rig = Rig::new(vec![part, tied], vec![rented("vm-1", true), rented("vm-2b", true)]);
     rig.beat("vm-1", 5, EPOCH, vec![]);
     assert_eq!(starts(&rig.beat("vm-1", 6, EPOCH, vec![])), vec![], "not begun by the record");
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::protocol::cbor::MapBuilder;
 use crate::protocol::cloud::encode_catalog;
-use crate::storage::records::{CATALOG, rental_key, row};
+use crate::storage::records::{CATALOG, encode_row, node_pool_key};
 use crate::storage::stand_in::{StandIn, store};
 
 /// A value that no build writes.
@@ -36,21 +36,21 @@
 
 fn live_job(record: &JobRecord) -> Vec<(String, Value)> {
     let job = &record.spec.id;
-    vec![(record_key(job), record.encode(8.0)), (live_key(job), row(Standing::Queued))]
+    vec![(job_record_key(job), record.encode(8.0)), (live_row_key(job), encode_row(JobState::Queued))]
 }
 
 fn fleet_record(name: &str) -> (String, Value) {
     let (record, _) = rented(name, true);
-    (rental_key(&record.request.name), record.encode())
+    (node_pool_key(&record.request.name), record.encode())
 }
 
 /// A fleet record that cannot be read names machines that may hold tasks. A leader that
 /// counts it as none starts those tasks a second time, and the first ones run on unknown.
 #[tokio::test]
 async fn machines_of_an_unreadable_fleet_record_are_waited_for() {
-    let record = JobRecord { begun: 1, ..JobRecord::new(sample("job-1", "red", 1, 1.0), MS) };
+    let record = JobRecord { started_high_water: 1, ..JobRecord::new(sample("job-1", "red", 1, 1.0), MS) };
     let mut entries = live_job(&record);
-    entries.extend([fleet_record("vm-1"), (rental_key("1-vm-2"), damaged())]);
+    entries.extend([fleet_record("vm-1"), (node_pool_key("1-vm-2"), damaged())]);
     let mut rig = leading(left_behind(entries).await);
     let mut seq = 1;
     let waits_until = rig.leader.snapshot_at + rig.config.failover_lease_timeout();
@@ -70,12 +70,19 @@
 #[tokio::test]
 async fn an_unreadable_need_holds_back_only_what_awaits_it() {
     let awaiting = |job: &str, need: &str| {
-        JobRecord::new(JobSpec { awaits: vec![id(need)], ..sample(job, "red", 1, 1.0) }, MS)
+        JobRecord::new(JobSpec { dependencies: vec![id(need)], ..sample(job, "red", 1, 1.0) }, MS)
+    };
+    let done = JobRecord {
+        completed: true,
+        started_high_water: 1,
+        ..JobRecord::new(sample("job-2", "red", 1, 1.0), MS)
     };
-    let done = JobRecord { settled: true, begun: 1, ..JobRecord::new(sample("job-2", "red", 1, 1.0), MS) };
     let mut entries = live_job(&awaiting("job-3", "job-1"));
     entries.extend(live_job(&awaiting("job-4", "job-2")));
-    entries.extend([(record_key(&id("job-1")), damaged()), (record_key(&id("job-2")), done.encode(8.0))]);
+    entries.extend([
+        (job_record_key(&id("job-1")), damaged()),
+        (job_record_key(&id("job-2")), done.encode(8.0)),
+    ]);
     entries.push(fleet_record("vm-1"));
     let loaded = tokio::time::timeout(Duration::from_secs(20), left_behind(entries)).await;
     let mut rig = leading(loaded.expect("read"));
@@ -84,7 +91,7 @@
     let started: Vec<JobId> =
         starts(&rig.beat("vm-1", 2, EPOCH, vec![])).into_iter().map(|(task, _)| task.job).collect();
     assert_eq!(started, [id("job-4")]);
-    assert_eq!(rig.standing("job-3"), Some(Standing::Queued));
+    assert_eq!(rig.standing("job-3"), Some(JobState::Queued));
 }
 
 /// A job whose row was stranded is awaited by another that was read at the takeover. It is
@@ -97,11 +104,11 @@
         ..loaded_job(sample("job-0", "red", 1, 1.0))
     };
     let stranded = sample("job-1", "red", 1, 1.0);
-    let dependent = JobSpec { awaits: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
+    let dependent = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
     let (record, version) = rented("vm-1", true);
     let mut rig = leading(Loaded {
         jobs: vec![unbegun(dependent)],
-        needs: [(id("job-1"), super::super::pipelines::NeedState::Unfinished)].into_iter().collect(),
+        needs: [(id("job-1"), super::super::pipelines::DependencyState::Unfinished)].into_iter().collect(),
         rentals: vec![(record, version)],
         catalog: Some((catalog(), 2)),
         ..Loaded::default()
@@ -120,7 +127,7 @@
     let cancelled: Vec<JobId> =
         records.filter(|record| record.cancelled).map(|record| record.spec.id).collect();
     assert_eq!(cancelled, [id("job-1"), id("job-2")]);
-    assert_ne!(rig.standing("job-2"), Some(Standing::Queued), "a job before it is cancelled");
+    assert_ne!(rig.standing("job-2"), Some(JobState::Queued), "a job before it is cancelled");
 }
 
 /// Nothing is known of what became of its tasks: what a machine shows of it is stopped, and
@@ -129,8 +136,8 @@
 async fn tasks_of_an_unreadable_job_are_stopped_counted_and_their_results_kept() {
     let mut rig = leading(
         left_behind(vec![
-            (record_key(&id("job-1")), damaged()),
-            (live_key(&id("job-1")), row(Standing::Queued)),
+            (job_record_key(&id("job-1")), damaged()),
+            (live_row_key(&id("job-1")), encode_row(JobState::Queued)),
             fleet_record("vm-1"),
         ])
         .await,
@@ -190,8 +197,8 @@
     let store = store(stand_in.address(), 12);
     let record = JobRecord::new(sample("job-1", "red", 1, 1.0), MS);
     let (rental, _) = rented("vm-2", true);
-    let keys = vec![record_key(&id("job-1")), rental_key(&rental.request.name)];
-    stand_in.seed(&live_key(&id("job-1")), row(Standing::Queued), 4).await;
+    let keys = vec![job_record_key(&id("job-1")), node_pool_key(&rental.request.name)];
+    stand_in.seed(&live_row_key(&id("job-1")), encode_row(JobState::Queued), 4).await;
     for key in &keys {
         stand_in.seed(key, damaged(), 5).await;
     }
@@ -204,6 +211,6 @@
     let found = loading::read_again(&store, keys, 8.0).await.expect("served");
     rig.leader.restore(rig.now, MS, found);
     assert!(rig.leader.unreadable.is_empty());
-    assert_eq!(rig.standing("job-1"), Some(Standing::Queued));
+    assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
     assert!(rig.leader.machines.contains_key(&machine("vm-2")));
 }
--- a/src/coordination/unreadable.rs
+++ b/src/coordination/unreadable.rs
@@ -8,7 +8,7 @@
 use std::collections::btree_map::Entry;
 
 use crate::protocol::jobs::JobId;
-use crate::storage::records::{RECORDS, RENTALS, record_key};
+use crate::storage::records::{JOB_RECORDS, NODE_POOLS, job_record_key};
 
 /// Keys of records that are there and cannot be used, and why.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 impl Unreadable {
     /// A job's record, or a block of its done tasks, cannot be used.
     pub fn note_job(&mut self, job: &JobId, reason: String) {
-        self.keys.insert(record_key(job), reason);
+        self.keys.insert(job_record_key(job), reason);
     }
 
     /// The fleet record of that key cannot be used.
@@ -53,12 +53,12 @@
     /// Whether a job is among them: nothing is known of what became of it.
     pub fn contains_job(&self, job: &JobId) -> bool {
         // Mostly nothing is, and then no key need be made for each look.
-        !self.keys.is_empty() && self.keys.contains_key(&record_key(job))
+        !self.keys.is_empty() && self.keys.contains_key(&job_record_key(job))
     }
 
     /// Whether machines may be rented that no readable record names.
     pub fn hides_machines(&self) -> bool {
-        self.keys.keys().any(|key| key.starts_with(RENTALS))
+        self.keys.keys().any(|key| key.starts_with(NODE_POOLS))
     }
 
     /// The next keys after the given one, to be read again; from the first where none
@@ -71,7 +71,7 @@
 
     /// The job whose record has this key.
     pub fn job_of(key: &str) -> Option<JobId> {
-        key.strip_prefix(RECORDS).and_then(JobId::parse)
+        key.strip_prefix(JOB_RECORDS).and_then(JobId::parse)
     }
 }
 
--- a/src/coordination/urgency.rs
+++ b/src/coordination/urgency.rs
@@ -27,7 +27,7 @@
     pub(super) fn latest_start(&self, job: &Job, now: Instant) -> Instant {
         let next = self.aimed_starts(job, now).filter(|&at| at > now).min();
         next.unwrap_or_else(|| {
-            let age = now.saturating_duration_since(job.counted_from(now));
+            let age = now.saturating_duration_since(job.waiting_since(now));
             now + self.longest_boot().mul_f64(1.0 / (1.0 + age.as_secs_f64() / 600.0))
         })
     }
@@ -41,10 +41,10 @@
     /// When a job's tasks should have started, by each of the users' aims for its class,
     /// by its deadline and by those of the jobs that need it.
     fn aimed_starts<'a>(&'a self, job: &'a Job, now: Instant) -> impl Iterator<Item = Instant> + 'a {
-        let (spec, released) = (job.spec(), job.counted_from(now));
-        let run = Duration::from_secs_f64(self.expected_run(spec));
+        let (spec, released) = (job.spec(), job.waiting_since(now));
+        let run = Duration::from_secs_f64(self.expected_run_s(spec));
         let after_release = self.starts_after_release(spec).map(move |after| released + after);
-        let by_deadline = self.starts_by_deadline(spec).map(move |after| job.submitted + after);
+        let by_deadline = self.starts_by_deadline(spec).map(move |after| job.submitted_at + after);
         let inherited = self.dependencies.inherited(job.id()).and_then(|urgency| urgency.finish_by);
         let inherited = inherited.map(move |finish_by| finish_by.checked_sub(run).unwrap_or(finish_by));
         after_release.chain(by_deadline).chain(inherited)
@@ -56,7 +56,7 @@
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = Duration> + 'a {
-        let run = self.expected_run(spec);
+        let run = self.expected_run_s(spec);
         let aims = self.aims_for(spec).filter_map(move |aim| match (aim.kind.as_str(), aim.within_s) {
             ("wait", Some(within)) => Some(within),
             ("finished", Some(within)) => Some(within - run),
@@ -68,7 +68,7 @@
     /// How long after its submission a job's tasks should have started to meet its
     /// deadline, and the multiples of it that the users aim at.
     pub(super) fn starts_by_deadline<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = Duration> + 'a {
-        let run = self.expected_run(spec);
+        let run = self.expected_run_s(spec);
         let aims = self.aims_for(spec).filter(|aim| aim.kind == "deadline");
         let times = aims.map(|aim| aim.times.unwrap_or(1.0)).chain(std::iter::once(1.0));
         let deadline = spec.deadline_s;
@@ -102,9 +102,9 @@
     /// expected to meet it; but one that would have to fetch the image first may miss
     /// it as surely, and then is compared with the others like any other.
     pub(super) fn starts_promptly(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
-        let waited = now.saturating_duration_since(job.counted_from(now)).as_secs_f64();
+        let waited = now.saturating_duration_since(job.waiting_since(now)).as_secs_f64();
         let fetch = self.fetch_s(job.spec(), machine);
-        if job.is_service() && !job.active.is_empty() && fetch <= 0.0 {
+        if job.is_service() && !job.placements.is_empty() && fetch <= 0.0 {
             // One of its replicas is down: each second counts.
             return true;
         }
@@ -136,23 +136,23 @@
     /// it goes before: else a stream of more urgent, or smaller, work could
     /// keep it out for ever.
     pub(super) fn is_starved(&self, job: &Job, now: Instant) -> bool {
-        job.active.is_empty()
+        job.placements.is_empty()
             && job.record.done.is_empty()
-            && now >= job.counted_from(now) + self.config.tuning.begin_within / 2
+            && now >= job.waiting_since(now) + self.config.tuning.begin_within / 2
     }
 
     /// Jobs that fit into their team's guarantee together with the team's
     /// earlier unfinished jobs, with what they may still take.
     pub(super) fn within_guarantees(&self) -> HashMap<JobId, Resources> {
         let mut by_team: HashMap<usize, Vec<&Job>> = HashMap::default();
-        for job in self.jobs.values().filter(|j| j.is_live() && !j.is_waiting()) {
+        for job in self.jobs.values().filter(|j| j.is_startable() && !j.waits_for_dependencies()) {
             if let Some(team) = job.team.filter(|&t| self.teams[t].guaranteed != Resources::default()) {
                 by_team.entry(team).or_default().push(job);
             }
         }
         let mut found = HashMap::default();
         for (team, mut jobs) in by_team {
-            jobs.sort_by_key(|j| (j.released, j.id().clone()));
+            jobs.sort_by_key(|j| (j.ready_at, j.id().clone()));
             let guaranteed = self.teams[team].guaranteed;
             let mut total = Resources::default();
             for job in jobs {
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum JobKind {
     /// Independent tasks, each of which runs to its end.
     Array,
     /// Replicas that run until the job is cancelled.
@@ -82,7 +82,7 @@
     pub id: JobId,
     pub class: String,
     pub team: String,
-    pub form: Form,
+    pub kind: JobKind,
     pub priority: Priority,
     pub tasks: u32,
     pub cpus: f64,
@@ -90,21 +90,21 @@
     pub memory_gb: f64,
     pub image: String,
     pub image_gb: f64,
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     pub zone: Option<String>,
     pub one_zone: bool,
     pub spread: bool,
     pub spot: bool,
-    pub estimate_s: f64,
-    pub checkpoint_s: f64,
-    pub save_s: f64,
+    pub estimated_run_s: f64,
+    pub checkpoint_interval_s: f64,
+    pub checkpoint_save_s: f64,
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each named once.
-    pub awaits: Vec<JobId>,
+    pub dependencies: Vec<JobId>,
 }
 
 /// Reads the jobs that a job waits for. Absent, null and empty mean the same.
-fn awaited_jobs(fields: &Fields<'_>) -> Result<Vec<JobId>, Malformed> {
+fn decode_dependencies(fields: &Fields<'_>) -> Result<Vec<JobId>, Malformed> {
     let names = fields.opt_texts("awaits")?.unwrap_or_default();
     let mut jobs = Vec::with_capacity(names.len());
     let mut seen: HashSet<JobId> = HashSet::default();
@@ -117,11 +117,11 @@
     Ok(jobs)
 }
 
-fn name(fields: &Fields<'_>, key: &'static str) -> Result<String, Malformed> {
-    checked_name(fields.text(key)?, key)
+fn decode_name(fields: &Fields<'_>, key: &'static str) -> Result<String, Malformed> {
+    validate_name(fields.text(key)?, key)
 }
 
-fn checked_name(text: &str, key: &'static str) -> Result<String, Malformed> {
+fn validate_name(text: &str, key: &'static str) -> Result<String, Malformed> {
     let valid = !text.is_empty() && text.len() <= MAX_NAME && !text.chars().any(char::is_control);
     if valid { Ok(text.to_owned()) } else { Err(Malformed::Invalid(key)) }
 }
@@ -135,7 +135,7 @@
             if types.is_empty() || types.len() > MAX_TYPES {
                 return Err(Malformed::Invalid("builds"));
             }
-            types.iter().try_for_each(|t| checked_name(t, "builds").map(drop))?;
+            types.iter().try_for_each(|t| validate_name(t, "builds").map(drop))?;
         }
         let tasks = u32::try_from(f.count("sheets")?).map_err(|_| Malformed::Invalid("sheets"))?;
         if tasks == 0 || tasks > MAX_TASKS {
@@ -143,11 +143,11 @@
         }
         Ok(JobSpec {
             id: JobId::parse(f.text("nameId")?).ok_or(Malformed::Invalid("nameId"))?,
-            class: name(&f, "docket")?,
-            team: name(&f, "crew")?,
-            form: match f.text("form")? {
-                "array" => Form::Array,
-                "daemon" => Form::Service,
+            class: decode_name(&f, "docket")?,
+            team: decode_name(&f, "crew")?,
+            kind: match f.text("form")? {
+                "array" => JobKind::Array,
+                "daemon" => JobKind::Service,
                 _ => return Err(Malformed::Invalid("form")),
             },
             priority: match f.text("urgency")? {
@@ -161,18 +161,18 @@
             cpus: f.amount("cores")?,
             gpus: f.amount("accelerators")?,
             memory_gb: f.amount("ramGb")?,
-            image: name(&f, "bundle")?,
+            image: decode_name(&f, "bundle")?,
             image_gb: f.amount("pullGb")?,
-            types,
-            zone: f.opt_text("hall")?.map(|z| checked_name(z, "hall")).transpose()?,
+            machine_types: types,
+            zone: f.opt_text("hall")?.map(|z| validate_name(z, "hall")).transpose()?,
             one_zone: f.bool("together")?,
             spread: f.bool("scatter")?,
             spot: f.bool("loaners")?,
-            estimate_s: f.amount("reckonS")?,
-            checkpoint_s: f.amount("bookmarkS")?,
-            save_s: f.amount("stashS")?,
+            estimated_run_s: f.amount("reckonS")?,
+            checkpoint_interval_s: f.amount("bookmarkS")?,
+            checkpoint_save_s: f.amount("stashS")?,
             deadline_s: f.opt_amount("dueS")?,
-            awaits: awaited_jobs(&f)?,
+            dependencies: decode_dependencies(&f)?,
         })
     }
 
@@ -182,7 +182,7 @@
             .set("nameId", self.id.as_str())
             .set("docket", self.class.as_str())
             .set("crew", self.team.as_str())
-            .set("form", if self.form == Form::Array { "array" } else { "daemon" })
+            .set("form", if self.kind == JobKind::Array { "array" } else { "daemon" })
             .set(
                 "urgency",
                 match self.priority {
@@ -198,49 +198,49 @@
             .set("ramGb", self.memory_gb)
             .set("bundle", self.image.as_str())
             .set("pullGb", self.image_gb)
-            .set_some("builds", self.types.as_ref().map(|t| texts(t.iter().map(String::as_str))))
+            .set_some("builds", self.machine_types.as_ref().map(|t| texts(t.iter().map(String::as_str))))
             .set_some("hall", self.zone.as_deref())
             .set("together", self.one_zone)
             .set("scatter", self.spread)
             .set("loaners", self.spot)
-            .set("reckonS", self.estimate_s)
-            .set("bookmarkS", self.checkpoint_s)
-            .set("stashS", self.save_s)
+            .set("reckonS", self.estimated_run_s)
+            .set("bookmarkS", self.checkpoint_interval_s)
+            .set("stashS", self.checkpoint_save_s)
             .set_some("dueS", self.deadline_s)
             .set_some(
                 "awaits",
-                (!self.awaits.is_empty()).then(|| texts(self.awaits.iter().map(JobId::as_str))),
+                (!self.dependencies.is_empty()).then(|| texts(self.dependencies.iter().map(JobId::as_str))),
             )
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum JobState {
     Queued,
     Running,
     Done,
     Cancelled,
 }
 
-impl Standing {
-    pub fn word(self) -> &'static str {
+impl JobState {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Standing::Queued => "queued",
-            Standing::Running => "running",
-            Standing::Done => "done",
-            Standing::Cancelled => "cancelled",
+            JobState::Queued => "queued",
+            JobState::Running => "running",
+            JobState::Done => "done",
+            JobState::Cancelled => "cancelled",
         }
     }
 
     /// The standing that a word stands for.
     pub fn parse(word: &str) -> Option<Self> {
-        let all = [Standing::Queued, Standing::Running, Standing::Done, Standing::Cancelled];
-        all.into_iter().find(|standing| standing.word() == word)
+        let all = [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled];
+        all.into_iter().find(|standing| standing.as_str() == word)
     }
 
     /// Whether it can never change again.
-    pub fn is_final(self) -> bool {
-        matches!(self, Standing::Done | Standing::Cancelled)
+    pub fn is_terminal(self) -> bool {
+        matches!(self, JobState::Done | JobState::Cancelled)
     }
 }
 
@@ -248,7 +248,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobStatus {
     pub id: JobId,
-    pub standing: Standing,
+    pub state: JobState,
     pub done: u32,
     pub running: u32,
 }
@@ -260,7 +260,7 @@
         let count = |key| u32::try_from(f.count(key)?).map_err(|_| Malformed::Invalid(key));
         Ok(JobStatus {
             id: JobId::parse(f.text("nameId")?).ok_or(Malformed::Invalid("nameId"))?,
-            standing: Standing::parse(f.text("standing")?).ok_or(Malformed::Invalid("standing"))?,
+            state: JobState::parse(f.text("standing")?).ok_or(Malformed::Invalid("standing"))?,
             done: count("done")?,
             running: count("running")?,
         })
@@ -269,7 +269,7 @@
     pub fn encode(&self) -> Value {
         MapBuilder::new()
             .set("nameId", self.id.as_str())
-            .set("standing", self.standing.word())
+            .set("standing", self.state.as_str())
             .set("done", self.done)
             .set("running", self.running)
             .build()
@@ -277,7 +277,7 @@
 }
 
 /// The body of a refusal: a short reason.
-pub fn refusal(reason: &str) -> Value {
+pub fn encode_error(reason: &str) -> Value {
     MapBuilder::new().set("error", reason).build()
 }
 
--- a/src/protocol/jobs/tests.rs
+++ b/src/protocol/jobs/tests.rs
@@ -6,7 +6,7 @@
         id: JobId::parse(id).expect("valid id"),
         class: "build".into(),
         team: team.into(),
-        form: Form::Array,
+        kind: JobKind::Array,
         priority: Priority::High,
         tasks,
         cpus,
@@ -14,25 +14,25 @@
         memory_gb: 1.0,
         image: "img-1".into(),
         image_gb: 0.5,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 20.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_run_s: 20.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_save_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
 #[test]
 fn a_submission_survives_its_record() {
     let mut spec = sample("job-000412", "vision", 16, 8.0);
-    spec.types = Some(vec!["g8".into()]);
+    spec.machine_types = Some(vec!["g8".into()]);
     spec.deadline_s = Some(900.0);
-    spec.awaits = ["job-2", "job-1"].map(|id| JobId::parse(id).expect("valid id")).into();
+    spec.dependencies = ["job-2", "job-1"].map(|id| JobId::parse(id).expect("valid id")).into();
     assert_eq!(JobSpec::decode(&spec.encode().build()), Ok(spec));
 }
 
@@ -83,8 +83,9 @@
 #[test]
 fn awaited_jobs_are_a_set() {
     let spec = sample("job-1", "vision", 1, 1.0);
-    let awaits =
-        |value: Value| JobSpec::decode(&spec.encode().set("awaits", value).build()).expect("valid").awaits;
+    let awaits = |value: Value| {
+        JobSpec::decode(&spec.encode().set("awaits", value).build()).expect("valid").dependencies
+    };
     assert_eq!(awaits(Value::Null), []);
     assert_eq!(awaits(texts([])), []);
     let twice = awaits(texts(["job-3", "job-2", "job-3"]));
--- a/src/storage/done_set.rs
+++ b/src/storage/done_set.rs
@@ -7,7 +7,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("unreadable set of done tasks")]
-pub struct BadSet;
+pub struct InvalidDoneSet;
 
 /// A set of numbers below a fixed bound.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -101,28 +101,28 @@
     }
 
     /// Adds what [`DoneSet::encode`] wrote for the numbers from `start` on.
-    pub fn decode_into(&mut self, start: u32, text: &str) -> Result<(), BadSet> {
+    pub fn decode_into(&mut self, start: u32, text: &str) -> Result<(), InvalidDoneSet> {
         let mut add = |n: u32| {
-            let n = start.checked_add(n).filter(|&n| n < self.bound).ok_or(BadSet)?;
+            let n = start.checked_add(n).filter(|&n| n < self.bound).ok_or(InvalidDoneSet)?;
             self.insert(n);
             Ok(())
         };
         if let Some(ranges) = text.strip_prefix('r') {
             for range in ranges.split(',').filter(|r| !r.is_empty()) {
                 let (first, last) = range.split_once('-').unwrap_or((range, range));
-                let first: u32 = first.parse().map_err(|_| BadSet)?;
-                let last: u32 = last.parse().map_err(|_| BadSet)?;
+                let first: u32 = first.parse().map_err(|_| InvalidDoneSet)?;
+                let last: u32 = last.parse().map_err(|_| InvalidDoneSet)?;
                 (first..=last).try_for_each(&mut add)?;
             }
             Ok(())
         } else if let Some(bitmap) = text.strip_prefix('b') {
             for (group, digit) in (0u32..).step_by(6).zip(bitmap.bytes()) {
-                let bits = DIGITS.iter().position(|&d| d == digit).ok_or(BadSet)?;
+                let bits = DIGITS.iter().position(|&d| d == digit).ok_or(InvalidDoneSet)?;
                 (0..6).filter(|i| bits >> i & 1 == 1).try_for_each(|i| add(group + i))?;
             }
             Ok(())
         } else {
-            Err(BadSet)
+            Err(InvalidDoneSet)
         }
     }
 }
--- a/src/storage/done_set/tests.rs
+++ b/src/storage/done_set/tests.rs
@@ -17,6 +17,6 @@
 #[test]
 fn damaged_text_is_refused_not_trusted() {
     for bad in ["", "x1", "r1-", "r99999999999", "r0-4000000000", "b!", "r10", "b__"] {
-        assert_eq!(DoneSet::new(10).decode_into(0, bad), Err(BadSet), "{bad:?}");
+        assert_eq!(DoneSet::new(10).decode_into(0, bad), Err(InvalidDoneSet), "{bad:?}");
     }
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -17,43 +17,43 @@
 use ciborium::value::Value;
 use thiserror::Error;
 
-use super::done_set::{BadSet, DoneSet};
+use super::done_set::{DoneSet, InvalidDoneSet};
 use crate::protocol::cbor::{Fields, Malformed, MapBuilder, texts};
 use crate::protocol::cloud::RentalRequest;
-use crate::protocol::jobs::{Form, JobId, JobSpec, JobStatus, Standing};
+use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState, JobStatus};
 use crate::protocol::workers::MachineId;
 
 pub const LEADER: &str = "leader";
 pub const CATALOG: &str = "catalog";
 /// What leaders have learnt; a convenience, nothing rests on it.
-pub const EXPERIENCE: &str = "experience";
-pub const LIVE: &str = "live/";
-pub const OVER: &str = "over/";
-pub const RENTALS: &str = "hire/";
-pub const RECORDS: &str = "rec/";
-
-pub fn record_key(job: &JobId) -> String {
-    format!("{RECORDS}{job}")
+pub const LEARNED_STATISTICS: &str = "experience";
+pub const LIVE_ROWS: &str = "live/";
+pub const ARCHIVED_ROWS: &str = "over/";
+pub const NODE_POOLS: &str = "hire/";
+pub const JOB_RECORDS: &str = "rec/";
+
+pub fn job_record_key(job: &JobId) -> String {
+    format!("{JOB_RECORDS}{job}")
 }
 
-pub fn live_key(job: &JobId) -> String {
-    format!("{LIVE}{job}")
+pub fn live_row_key(job: &JobId) -> String {
+    format!("{LIVE_ROWS}{job}")
 }
 
-pub fn over_key(job: &JobId) -> String {
-    format!("{OVER}{job}")
+pub fn archived_row_key(job: &JobId) -> String {
+    format!("{ARCHIVED_ROWS}{job}")
 }
 
-pub fn rental_key(name: &str) -> String {
-    format!("{RENTALS}{name}")
+pub fn node_pool_key(name: &str) -> String {
+    format!("{NODE_POOLS}{name}")
 }
 
 #[derive(Debug, Error)]
-pub enum BadRecord {
+pub enum RecordError {
     #[error(transparent)]
     Malformed(#[from] Malformed),
     #[error(transparent)]
-    Set(#[from] BadSet),
+    Set(#[from] InvalidDoneSet),
 }
 
 /// How many tasks go into one block, so that even a bitmap of it takes at
@@ -120,18 +120,18 @@
     /// Time of day of the submission, in milliseconds.
     pub submitted_ms: u64,
     pub cancelled: bool,
-    pub settled: bool,
+    pub completed: bool,
     pub done: DoneSet,
     /// No task from this number on was ever started. Raised before the first
     /// start beyond it, so a new leader knows which tasks can be on no machine
     /// and need not wait for any.
-    pub begun: u32,
+    pub started_high_water: u32,
     /// Tasks in each block of done tasks, if the record names it.
     pub block_tasks: Option<u32>,
     /// Time of day when the last job that it awaits was done; written with `begun`.
-    pub released_ms: Option<u64>,
+    pub ready_ms: Option<u64>,
     /// Time of day of its settle.
-    pub settled_ms: Option<u64>,
+    pub completed_ms: Option<u64>,
 }
 
 impl JobRecord {
@@ -141,12 +141,12 @@
             spec,
             submitted_ms,
             cancelled: false,
-            settled: false,
+            completed: false,
             done,
-            begun: 0,
+            started_high_water: 0,
             block_tasks: None,
-            released_ms: None,
-            settled_ms: None,
+            ready_ms: None,
+            completed_ms: None,
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// The record without its done tasks: all that one needs that is final.
-    pub fn encode_verdict(&self) -> Value {
+    pub fn encode_without_done_tasks(&self) -> Value {
         self.fields().build()
     }
 
@@ -171,11 +171,11 @@
             .set("spec", self.spec.encode().build())
             .set("at", self.submitted_ms)
             .set("cancelled", self.cancelled)
-            .set("settled", self.settled)
-            .set("begun", self.begun)
+            .set("settled", self.completed)
+            .set("begun", self.started_high_water)
             .set_some("block", self.block_tasks)
-            .set_some("releasedAt", self.released_ms)
-            .set_some("settledAt", self.settled_ms)
+            .set_some("releasedAt", self.ready_ms)
+            .set_some("settledAt", self.completed_ms)
     }
 
     pub fn encode_block(&self, block: u32, value_kb: f64) -> Value {
@@ -183,7 +183,7 @@
         MapBuilder::new().set("from", start).set("done", self.done.encode(start, end)).build()
     }
 
-    pub fn decode(value: &Value) -> Result<Self, BadRecord> {
+    pub fn decode(value: &Value) -> Result<Self, RecordError> {
         let f = Fields::of(value)?;
         let spec = JobSpec::decode(f.get("spec").ok_or(Malformed::Missing("spec"))?)?;
         let mut done = DoneSet::new(spec.tasks);
@@ -201,78 +201,78 @@
             spec,
             submitted_ms: f.count("at")?,
             cancelled: f.bool("cancelled")?,
-            settled: f.bool("settled")?,
+            completed: f.bool("settled")?,
             done,
-            begun,
+            started_high_water: begun,
             block_tasks,
-            released_ms: f.opt_count("releasedAt")?,
-            settled_ms: f.opt_count("settledAt")?,
+            ready_ms: f.opt_count("releasedAt")?,
+            completed_ms: f.opt_count("settledAt")?,
         })
     }
 
-    pub fn add_block(&mut self, value: &Value) -> Result<(), BadRecord> {
+    pub fn add_block(&mut self, value: &Value) -> Result<(), RecordError> {
         let f = Fields::of(value)?;
-        let start = u32::try_from(f.count("from")?).map_err(|_| BadSet)?;
+        let start = u32::try_from(f.count("from")?).map_err(|_| InvalidDoneSet)?;
         Ok(self.done.decode_into(start, f.text("done")?)?)
     }
 
     /// The final standing, if the record says so. A cancellation recorded
     /// after the last task ended is never written, so the two exclude each
     /// other; were both there, the settle came first.
-    pub fn final_standing(&self) -> Option<Standing> {
-        match (self.settled, self.cancelled) {
-            (true, _) => Some(Standing::Done),
-            (false, true) => Some(Standing::Cancelled),
+    pub fn terminal_state(&self) -> Option<JobState> {
+        match (self.completed, self.cancelled) {
+            (true, _) => Some(JobState::Done),
+            (false, true) => Some(JobState::Cancelled),
             (false, false) => None,
         }
     }
 
     /// Whether its tasks may have to wait for other jobs. One that has begun was released
     /// before, and its needs are done.
-    pub fn may_wait(&self) -> bool {
-        !self.spec.awaits.is_empty() && self.begun == 0 && self.final_standing().is_none()
+    pub fn may_wait_for_dependencies(&self) -> bool {
+        !self.spec.dependencies.is_empty() && self.started_high_water == 0 && self.terminal_state().is_none()
     }
 
     /// What the record alone supports telling a user.
     pub fn status(&self) -> JobStatus {
-        let standing = self.final_standing().unwrap_or(Standing::Queued);
-        let done = if self.settled { self.spec.tasks } else { self.done.len() };
-        JobStatus { id: self.spec.id.clone(), standing, done, running: 0 }
+        let standing = self.terminal_state().unwrap_or(JobState::Queued);
+        let done = if self.completed { self.spec.tasks } else { self.done.len() };
+        JobStatus { id: self.spec.id.clone(), state: standing, done, running: 0 }
     }
 
     /// Whether every task is done. Services never complete.
-    pub fn complete(&self) -> bool {
-        self.spec.form == Form::Array && self.done.is_full()
+    pub fn all_tasks_done(&self) -> bool {
+        self.spec.kind == JobKind::Array && self.done.is_full()
     }
 }
 
 /// A summary row.
-pub fn row(standing: Standing) -> Value {
-    MapBuilder::new().set("standing", standing.word()).build()
+pub fn encode_row(standing: JobState) -> Value {
+    MapBuilder::new().set("standing", standing.as_str()).build()
 }
 
-pub fn decode_row(value: &Value) -> Result<Standing, Malformed> {
-    Standing::parse(Fields::of(value)?.text("standing")?).ok_or(Malformed::Invalid("standing"))
+pub fn decode_row(value: &Value) -> Result<JobState, Malformed> {
+    JobState::parse(Fields::of(value)?.text("standing")?).ok_or(Malformed::Invalid("standing"))
 }
 
 /// A rental request. `machines` is `None` until the cloud has answered.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RentalRecord {
+pub struct NodePoolRecord {
     pub request: RentalRequest,
     pub machines: Option<Vec<MachineId>>,
     /// Machines to which starts may have been sent. A machine is entered here
     /// before its first start, so a new leader knows that no other can hold
     /// tasks and need not wait for it.
-    pub used: BTreeSet<MachineId>,
+    pub machines_used: BTreeSet<MachineId>,
 }
 
-impl RentalRecord {
+impl NodePoolRecord {
     pub fn encode(&self) -> Value {
         let machines = self.machines.as_ref().map(|m| texts(m.iter().map(MachineId::as_str)));
         MapBuilder::new()
             .set("request", self.request.encode())
             .set_some("machines", machines)
-            .set("used", texts(self.used.iter().map(MachineId::as_str)))
+            .set("used", texts(self.machines_used.iter().map(MachineId::as_str)))
             .build()
     }
 
@@ -282,7 +282,7 @@
         let parse = |name: &String| MachineId::parse(name).ok_or(Malformed::Invalid("machines"));
         let machines = f.opt_texts("machines")?.map(|names| names.iter().map(parse).collect());
         let used = f.opt_texts("used")?.unwrap_or_default();
-        Ok(RentalRecord {
+        Ok(NodePoolRecord {
             request: RentalRequest {
                 name: r.text("hire")?.to_owned(),
                 machine_type: r.text("build")?.to_owned(),
@@ -291,34 +291,34 @@
                 count: u32::try_from(r.count("howMany")?).map_err(|_| Malformed::Invalid("howMany"))?,
             },
             machines: machines.transpose()?,
-            used: used.iter().map(parse).collect::<Result<_, _>>()?,
+            machines_used: used.iter().map(parse).collect::<Result<_, _>>()?,
         })
     }
 }
 
 /// Demand of jobs that may use the same machines.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct GroupExperience {
+pub struct DemandStatistics {
     pub types: Vec<String>,
     pub zone: Option<String>,
     pub spot: bool,
     pub gpus: bool,
-    pub patient: bool,
+    pub delay_tolerant: bool,
     pub mean: f64,
-    pub size: f64,
-    pub size_square: f64,
-    pub jobs: f64,
+    pub mean_size: f64,
+    pub mean_square_size: f64,
+    pub job_count: f64,
     pub age_s: f64,
 }
 
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Experience {
-    pub groups: Vec<GroupExperience>,
+pub struct LearnedStatistics {
+    pub groups: Vec<DemandStatistics>,
     /// By class, run time as a multiple of the owners' estimates.
-    pub ratios: Vec<(String, f64)>,
+    pub runtime_ratios: Vec<(String, f64)>,
 }
 
-impl Experience {
+impl LearnedStatistics {
     pub fn encode(&self) -> Value {
         let groups = self.groups.iter().map(|g| {
             MapBuilder::new()
@@ -326,16 +326,16 @@
                 .set_some("zone", g.zone.as_deref())
                 .set("spot", g.spot)
                 .set("gpus", g.gpus)
-                .set("patient", g.patient)
+                .set("patient", g.delay_tolerant)
                 .set("mean", g.mean)
-                .set("size", g.size)
-                .set("square", g.size_square)
-                .set("jobs", g.jobs)
+                .set("size", g.mean_size)
+                .set("square", g.mean_square_size)
+                .set("jobs", g.job_count)
                 .set("age", g.age_s)
                 .build()
         });
         let ratios = self
-            .ratios
+            .runtime_ratios
             .iter()
             .map(|(class, r)| MapBuilder::new().set("class", class.as_str()).set("ratio", *r).build());
         MapBuilder::new()
@@ -348,16 +348,16 @@
         let f = Fields::of(value)?;
         let group = |value: &Value| {
             let g = Fields::of(value)?;
-            Ok(GroupExperience {
+            Ok(DemandStatistics {
                 types: g.opt_texts("types")?.unwrap_or_default(),
                 zone: g.opt_text("zone")?.map(str::to_owned),
                 spot: g.bool("spot")?,
                 gpus: g.bool("gpus")?,
-                patient: g.bool("patient")?,
+                delay_tolerant: g.bool("patient")?,
                 mean: g.amount("mean")?,
-                size: g.amount("size")?,
-                size_square: g.amount("square")?,
-                jobs: g.amount("jobs")?,
+                mean_size: g.amount("size")?,
+                mean_square_size: g.amount("square")?,
+                job_count: g.amount("jobs")?,
                 age_s: g.amount("age")?,
             })
         };
@@ -365,9 +365,9 @@
             let r = Fields::of(value)?;
             Ok((r.text("class")?.to_owned(), r.amount("ratio")?))
         };
-        Ok(Experience {
+        Ok(LearnedStatistics {
             groups: f.list("groups")?.iter().map(group).collect::<Result<_, Malformed>>()?,
-            ratios: f.list("ratios")?.iter().map(ratio).collect::<Result<_, Malformed>>()?,
+            runtime_ratios: f.list("ratios")?.iter().map(ratio).collect::<Result<_, Malformed>>()?,
         })
     }
 }
--- a/src/storage/records/production_tests.rs
+++ b/src/storage/records/production_tests.rs
@@ -23,7 +23,7 @@
 
 fn spec() -> JobSpec {
     JobSpec {
-        types: Some(vec!["g8".into(), "m8".into()]),
+        machine_types: Some(vec!["g8".into(), "m8".into()]),
         zone: Some("a".into()),
         deadline_s: Some(900.0),
         ..sample("job-000412", "vision", 16, 8.0)
@@ -39,10 +39,13 @@
 #[test]
 fn small_records_are_read_and_written_alike() {
     assert_eq!(JobSpec::decode(&written!("submission")), Ok(spec()));
-    let small = JobRecord { begun: 12, ..record(spec(), 1_750_000_000_123, [0, 1, 2, 5, 11].into_iter()) };
+    let small = JobRecord {
+        started_high_water: 12,
+        ..record(spec(), 1_750_000_000_123, [0, 1, 2, 5, 11].into_iter())
+    };
     let cancelled = JobRecord { cancelled: true, ..small.clone() };
     let settled = record(sample("job-000413", "red", 3, 1.0), 1_750_000_000_456, 0..3);
-    let settled = JobRecord { settled: true, begun: 3, ..settled };
+    let settled = JobRecord { completed: true, started_high_water: 3, ..settled };
     for (value, expected) in [
         (written!("record-small"), small),
         (written!("record-cancelled"), cancelled),
@@ -59,7 +62,7 @@
 fn blocks_are_read_and_written_alike() {
     let value = written!("record-large");
     let large = record(sample("job-000414", "red", 60_000, 1.0), 1_750_000_000_789, (0..60_000).step_by(3));
-    let large = JobRecord { begun: 60_000, ..large };
+    let large = JobRecord { started_high_water: 60_000, ..large };
     let mut back = JobRecord::decode(&value).expect("readable");
     let layout = back.layout(VALUE_KB);
     assert_eq!(layout.blocks(60_000), 3);
@@ -75,19 +78,19 @@
 
 #[test]
 fn all_other_keys_are_read() {
-    assert_eq!(decode_row(&written!("row-live")), Ok(Standing::Queued));
-    assert_eq!(decode_row(&written!("row-over")), Ok(Standing::Done));
-    let rental = RentalRecord::decode(&written!("rental")).expect("readable");
-    assert_eq!((rental.request.count, rental.used.len()), (2, 1));
+    assert_eq!(decode_row(&written!("row-live")), Ok(JobState::Queued));
+    assert_eq!(decode_row(&written!("row-over")), Ok(JobState::Done));
+    let rental = NodePoolRecord::decode(&written!("rental")).expect("readable");
+    assert_eq!((rental.request.count, rental.machines_used.len()), (2, 1));
     assert_eq!(rental.machines.map(|machines| machines.len()), Some(2));
-    let unanswered = RentalRecord::decode(&written!("rental-unanswered")).expect("readable");
+    let unanswered = NodePoolRecord::decode(&written!("rental-unanswered")).expect("readable");
     assert_eq!(unanswered.machines, None);
     let catalog = decode_catalog(&written!("catalog")).expect("readable");
     assert_eq!(catalog.iter().map(|kind| kind.name.as_str()).collect::<Vec<_>>(), ["g8"]);
-    let experience = Experience::decode(&written!("experience")).expect("readable");
-    assert_eq!((experience.groups[0].mean, experience.ratios[0].1), (2.5, 1.25));
+    let experience = LearnedStatistics::decode(&written!("experience")).expect("readable");
+    assert_eq!((experience.groups[0].mean, experience.runtime_ratios[0].1), (2.5, 1.25));
     let status = JobStatus::decode(&written!("status")).expect("readable");
-    assert_eq!((status.standing, status.done, status.running), (Standing::Running, 3, 13));
+    assert_eq!((status.state, status.done, status.running), (JobState::Running, 3, 13));
     let leader = crate::protocol::state::Entry {
         key: LEADER.into(),
         value: written!("leader"),
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -25,7 +25,7 @@
     let tasks = block_size(8.0);
     let mut spec = sample("job-1", "red", tasks, 1.0);
     spec.class = "c".repeat(128);
-    spec.types = Some(vec!["t".repeat(128); 16]);
+    spec.machine_types = Some(vec!["t".repeat(128); 16]);
     let mut record = JobRecord::new(spec, u64::MAX);
     (0..tasks).step_by(2).for_each(|n| assert!(record.done.insert(n)));
     let value = record.encode(8.0);
@@ -57,9 +57,9 @@
 
 #[test]
 fn experience_is_read_back_as_written() {
-    let group = GroupExperience { types: vec!["m8".into()], mean: 2.5, spot: true, ..Default::default() };
-    let experience = Experience { groups: vec![group], ratios: vec![("build".into(), 1.25)] };
-    assert_eq!(Experience::decode(&experience.encode()), Ok(experience));
+    let group = DemandStatistics { types: vec!["m8".into()], mean: 2.5, spot: true, ..Default::default() };
+    let experience = LearnedStatistics { groups: vec![group], runtime_ratios: vec![("build".into(), 1.25)] };
+    assert_eq!(LearnedStatistics::decode(&experience.encode()), Ok(experience));
 }
 
 #[test]
@@ -72,7 +72,7 @@
         count: 2,
     };
     for machines in [None, Some(vec![]), MachineId::parse("vm-1").map(|m| vec![m])] {
-        let record = RentalRecord { request: request.clone(), machines, used: BTreeSet::new() };
-        assert_eq!(RentalRecord::decode(&record.encode()), Ok(record));
+        let record = NodePoolRecord { request: request.clone(), machines, machines_used: BTreeSet::new() };
+        assert_eq!(NodePoolRecord::decode(&record.encode()), Ok(record));
     }
 }
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use super::history::{At, Entry, Event, Question, Standing, TaskOn};
+use super::history::{At, Entry, Event, JobState, Question, TaskOn};
 use super::jobs::{Job, LIMITED_TEAM};
 
 /// The rules, by the names that PROTOCOL and the users' later pages give them.
@@ -71,10 +71,10 @@
 
 /// What is known of a job at a point of the history.
 #[derive(Debug, Default, Clone)]
-struct JobState {
+struct ObservedJob {
     accepted: Option<At>,
     calls_off: Option<At>,
-    told: Option<(Standing, At)>,
+    told: Option<(JobState, At)>,
     completed: BTreeSet<u32>,
     begun: bool,
     answered: At,
@@ -83,7 +83,7 @@
 struct Checker<'a> {
     jobs: &'a [Job],
     terms: &'a Terms,
-    states: Vec<JobState>,
+    states: Vec<ObservedJob>,
     /// Every task on a machine, with its zone and since when.
     on: BTreeMap<TaskOn, (&'static str, At)>,
     /// All jobs that each one needs, directly or not.
@@ -97,7 +97,7 @@
     let mut checker = Checker {
         jobs,
         terms,
-        states: vec![JobState::default(); jobs.len()],
+        states: vec![ObservedJob::default(); jobs.len()],
         on: BTreeMap::new(),
         ancestors: ancestors(jobs),
         findings: Vec::new(),
@@ -156,7 +156,7 @@
     /// When users were told that a job, or one that it needs, is cancelled.
     fn cancelled_since(&self, job: usize) -> Option<At> {
         let told = |job: &usize| match self.states[*job].told {
-            Some((Standing::Cancelled, at)) => Some(at),
+            Some((JobState::Cancelled, at)) => Some(at),
             _ => None,
         };
         self.ancestors[job].iter().chain([&job]).filter_map(told).min()
@@ -228,7 +228,7 @@
         {
             self.breaks(Rule::RanCancelled, until, format!("{name} until then, told at {told:?}"));
         }
-        if let Some((Standing::Done, told)) = self.states[task.job].told
+        if let Some((JobState::Done, told)) = self.states[task.job].told
             && until > told + bound
         {
             self.breaks(Rule::OrphanedTask, until, format!("{name} after its job was done"));
@@ -250,7 +250,7 @@
         job: usize,
         question: Question,
         asked: At,
-        answer: (u16, Option<Standing>),
+        answer: (u16, Option<JobState>),
         by: &str,
     ) {
         let what = format!("{}: {by}, asked at {:.2} s", self.name(job), asked.as_secs_f64());
@@ -276,32 +276,32 @@
         job: usize,
         question: Question,
         asked: At,
-        standing: Standing,
+        standing: JobState,
         what: String,
     ) {
         let state = &self.states[job];
         let goes_back = state.told.is_some_and(|(told, when)| told != standing && when < asked);
         let may_be_cancelled = self.ancestors[job].iter().chain([&job]).any(|other| {
             let other = &self.states[*other];
-            other.calls_off.is_some() && !matches!(other.told, Some((Standing::Done, _)))
+            other.calls_off.is_some() && !matches!(other.told, Some((JobState::Done, _)))
         });
-        let withdrawn_to_nothing = question == Question::Withdraw && !standing.is_final();
-        if goes_back || withdrawn_to_nothing || (standing == Standing::Cancelled && !may_be_cancelled) {
+        let withdrawn_to_nothing = question == Question::Withdraw && !standing.is_terminal();
+        if goes_back || withdrawn_to_nothing || (standing == JobState::Cancelled && !may_be_cancelled) {
             self.breaks(Rule::WentBack, at, what.clone());
         }
         let complete = self.states[job].completed.len() as u32 == self.jobs[job].tasks;
-        if standing == Standing::Done && !complete {
+        if standing == JobState::Done && !complete {
             self.breaks(Rule::NotDone, at, what.clone());
         }
         let bound = self.terms.cancel + self.terms.lag;
         let before = self.ancestors[job].iter().filter_map(|need| match self.states[*need].told {
-            Some((Standing::Cancelled, told)) => Some(told),
+            Some((JobState::Cancelled, told)) => Some(told),
             _ => None,
         });
-        if !standing.is_final() && before.min().is_some_and(|told| asked > told + bound) {
+        if !standing.is_terminal() && before.min().is_some_and(|told| asked > told + bound) {
             self.breaks(Rule::OrphanedJob, at, what);
         }
-        if standing.is_final() {
+        if standing.is_terminal() {
             self.states[job].told.get_or_insert((standing, at));
         }
     }
@@ -324,7 +324,7 @@
                 continue;
             }
             let is_released = |need: &usize| {
-                self.states[*need].told.is_some_and(|(told, at)| told == Standing::Done && at < due)
+                self.states[*need].told.is_some_and(|(told, at)| told == JobState::Done && at < due)
             };
             let waits = self.jobs[job].awaits.iter().all(is_released);
             if waits && !state.begun && state.told.is_none() && state.calls_off.is_none() {
--- a/tests/soak/checker_tests.rs
+++ b/tests/soak/checker_tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::checker::{Rule, Terms, check};
-use super::history::{At, Entry, Event, Question, Standing, TaskOn};
+use super::history::{At, Entry, Event, JobState, Question, TaskOn};
 use super::jobs::Job;
 
 fn s(seconds: f64) -> At {
@@ -84,16 +84,16 @@
     Event::Completed { job, index }
 }
 
-fn answered(job: usize, question: Question, asked: f64, status: u16, standing: Option<Standing>) -> Event {
+fn answered(job: usize, question: Question, asked: f64, status: u16, standing: Option<JobState>) -> Event {
     Event::Answered { job, question, asked: s(asked), controller: 0, status, standing }
 }
 
-fn polled(job: usize, asked: f64, standing: Standing) -> Event {
+fn polled(job: usize, asked: f64, standing: JobState) -> Event {
     answered(job, Question::Poll, asked, 200, Some(standing))
 }
 
 fn accepted(job: usize) -> Told {
-    (1.0, answered(job, Question::Submit, 0.9, 201, Some(Standing::Queued)))
+    (1.0, answered(job, Question::Submit, 0.9, 201, Some(JobState::Queued)))
 }
 
 /// The first of a chain is called off and told cancelled at 10 s.
@@ -103,7 +103,7 @@
         accepted(1),
         accepted(2),
         (9.0, Event::CallsOff { job: 0 }),
-        (10.0, answered(0, Question::Withdraw, 9.0, 200, Some(Standing::Cancelled))),
+        (10.0, answered(0, Question::Withdraw, 9.0, 200, Some(JobState::Cancelled))),
     ]
 }
 
@@ -176,12 +176,12 @@
     };
     breaks(Rule::Forgotten, &chain(), &answer(Question::Poll, 2.0, 404));
     breaks(Rule::Forgotten, &chain(), &answer(Question::Submit, 2.0, 422));
-    let lately = [(95.0, polled(0, 94.9, Standing::Running))];
+    let lately = [(95.0, polled(0, 94.9, JobState::Running))];
     keeps(Rule::Forgotten, &chain(), &with(answer(Question::Poll, 0.5, 404), &lately));
     keeps(Rule::Forgotten, &chain(), &with(answer(Question::Poll, 2.0, 503), &lately));
     // Asked, and not answered any more.
-    breaks(Rule::Forgotten, &chain(), &[accepted(0), (69.0, polled(0, 68.9, Standing::Running))]);
-    keeps(Rule::Forgotten, &chain(), &[accepted(0), (71.0, polled(0, 70.9, Standing::Running))]);
+    breaks(Rule::Forgotten, &chain(), &[accepted(0), (69.0, polled(0, 68.9, JobState::Running))]);
+    keeps(Rule::Forgotten, &chain(), &[accepted(0), (71.0, polled(0, 70.9, JobState::Running))]);
 }
 
 #[test]
@@ -197,7 +197,7 @@
 
 #[test]
 fn not_done() {
-    let told = (4.0, polled(0, 3.9, Standing::Done));
+    let told = (4.0, polled(0, 3.9, JobState::Done));
     breaks(Rule::NotDone, &chain(), &[accepted(0), (2.0, completed(0, 0)), told.clone()]);
     let both = [accepted(0), (2.0, completed(0, 0)), (3.0, completed(0, 1)), told];
     keeps(Rule::NotDone, &chain(), &both);
@@ -206,20 +206,20 @@
 #[test]
 fn went_back() {
     let done =
-        [accepted(0), (2.0, completed(0, 0)), (2.0, completed(0, 1)), (3.0, polled(0, 2.9, Standing::Done))];
+        [accepted(0), (2.0, completed(0, 0)), (2.0, completed(0, 1)), (3.0, polled(0, 2.9, JobState::Done))];
     let again = |asked, standing| with(done.to_vec(), &[(asked + 0.5, polled(0, asked, standing))]);
-    breaks(Rule::WentBack, &chain(), &again(3.1, Standing::Running));
-    keeps(Rule::WentBack, &chain(), &again(3.1, Standing::Done));
+    breaks(Rule::WentBack, &chain(), &again(3.1, JobState::Running));
+    keeps(Rule::WentBack, &chain(), &again(3.1, JobState::Done));
     // Asked before the final state was told: no controller can know.
-    keeps(Rule::WentBack, &chain(), &again(2.8, Standing::Running));
+    keeps(Rule::WentBack, &chain(), &again(2.8, JobState::Running));
     // Called cancelled, and nobody has called it off, nor a job before it.
-    breaks(Rule::WentBack, &chain(), &[accepted(2), (3.0, polled(2, 2.9, Standing::Cancelled))]);
+    breaks(Rule::WentBack, &chain(), &[accepted(2), (3.0, polled(2, 2.9, JobState::Cancelled))]);
     keeps(
         Rule::WentBack,
         &chain(),
-        &with(cancelled_at_10(), &[(11.0, polled(2, 10.9, Standing::Cancelled))]),
+        &with(cancelled_at_10(), &[(11.0, polled(2, 10.9, JobState::Cancelled))]),
     );
-    let nothing = answered(0, Question::Withdraw, 9.0, 200, Some(Standing::Running));
+    let nothing = answered(0, Question::Withdraw, 9.0, 200, Some(JobState::Running));
     breaks(Rule::WentBack, &chain(), &[accepted(0), (10.0, nothing)]);
 }
 
@@ -239,15 +239,15 @@
 #[test]
 fn orphaned_job() {
     let told = |asked, standing| with(cancelled_at_10(), &[(asked + 0.1, polled(2, asked, standing))]);
-    breaks(Rule::OrphanedJob, &chain(), &told(26.5, Standing::Queued));
-    keeps(Rule::OrphanedJob, &chain(), &told(26.3, Standing::Queued));
-    keeps(Rule::OrphanedJob, &chain(), &told(40.0, Standing::Cancelled));
+    breaks(Rule::OrphanedJob, &chain(), &told(26.5, JobState::Queued));
+    keeps(Rule::OrphanedJob, &chain(), &told(26.3, JobState::Queued));
+    keeps(Rule::OrphanedJob, &chain(), &told(40.0, JobState::Cancelled));
 }
 
 #[test]
 fn orphaned_task() {
     let done =
-        [accepted(0), (2.0, completed(0, 0)), (2.0, completed(0, 1)), (3.0, polled(0, 2.9, Standing::Done))];
+        [accepted(0), (2.0, completed(0, 0)), (2.0, completed(0, 1)), (3.0, polled(0, 2.9, JobState::Done))];
     let copy = |until| with(done.to_vec(), &[(2.5, began(0, 0, "b")), (until, left(0, 0, "b"))]);
     breaks(Rule::OrphanedTask, &chain(), &copy(19.5));
     keeps(Rule::OrphanedTask, &chain(), &copy(19.3));
@@ -256,12 +256,12 @@
 
 #[test]
 fn starved() {
-    let lately = |job| (95.0, polled(job, 94.9, Standing::Queued));
+    let lately = |job| (95.0, polled(job, 94.9, JobState::Queued));
     breaks(Rule::Starved, &chain(), &[accepted(0), lately(0)]);
     keeps(Rule::Starved, &chain(), &[accepted(0), (90.0, began(0, 0, "a")), lately(0)]);
     // It waits for a job that is not done, and comes too late to have begun.
     keeps(Rule::Starved, &chain(), &[accepted(1), lately(1)]);
-    keeps(Rule::Starved, &chain(), &[(75.0, polled(0, 74.9, Standing::Queued)), lately(0)]);
+    keeps(Rule::Starved, &chain(), &[(75.0, polled(0, 74.9, JobState::Queued)), lately(0)]);
 }
 
 #[test]
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-pub use shedtally::protocol::jobs::Standing;
+pub use shedtally::protocol::jobs::JobState;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
@@ -33,7 +33,7 @@
         asked: At,
         controller: usize,
         status: u16,
-        standing: Option<Standing>,
+        standing: Option<JobState>,
     },
     /// A user asks for the first time that a job be cancelled.
     CallsOff { job: usize },
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -16,7 +16,7 @@
 use super::CANCEL;
 use super::checker::{self, Finding, Terms};
 use super::cloud::Cloud;
-use super::history::{Entry, Event, Question, Recorder, Standing};
+use super::history::{Entry, Event, JobState, Question, Recorder};
 use super::jobs::{self, Job, LIMITED_PART, MACHINE_CPUS};
 use super::network::Passage;
 use super::options::{Options, PROGRAM};
@@ -238,10 +238,10 @@
 fn moment_of(event: &Event) -> Option<Told> {
     match event {
         Event::Answered { controller, question: Question::Withdraw, standing, .. } => {
-            (*standing == Some(Standing::Cancelled)).then_some((Moment::Confirmed, *controller))
+            (*standing == Some(JobState::Cancelled)).then_some((Moment::Confirmed, *controller))
         }
         Event::Answered { controller, status: 201, .. } => Some((Moment::Accepted, *controller)),
-        Event::Answered { controller, standing: Some(Standing::Done), .. } => {
+        Event::Answered { controller, standing: Some(JobState::Done), .. } => {
             Some((Moment::Settled, *controller))
         }
         _ => None,
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::history::{Event, Question, Recorder, Standing};
+use super::history::{Event, JobState, Question, Recorder};
 use super::jobs::Job;
 
 const HTTP_LIMITS: Limits = Limits { head: 8192, body: 64 * 1024 };
@@ -103,7 +103,7 @@
             let repeats = self.rng.random_bool(0.06);
             let question = if repeats { Question::Submit } else { Question::Poll };
             let (_, standing) = self.ask_anybody(question).await;
-            if standing.is_some_and(Standing::is_final) && known != standing {
+            if standing.is_some_and(JobState::is_terminal) && known != standing {
                 known = standing;
                 self.look_closely();
             }
@@ -117,7 +117,7 @@
         self.users.recorder.note(Event::CallsOff { job: self.job });
         loop {
             let (_, standing) = self.ask_anybody(Question::Withdraw).await;
-            if standing.is_some_and(Standing::is_final) {
+            if standing.is_some_and(JobState::is_terminal) {
                 return;
             }
             self.pause(0.1..0.5).await;
@@ -148,12 +148,12 @@
         }
     }
 
-    async fn ask_anybody(&mut self, question: Question) -> (u16, Option<Standing>) {
+    async fn ask_anybody(&mut self, question: Question) -> (u16, Option<JobState>) {
         let controller = self.rng.random_range(0..self.users.controllers.len());
         self.ask(question, controller).await
     }
 
-    async fn ask(&mut self, question: Question, controller: usize) -> (u16, Option<Standing>) {
+    async fn ask(&mut self, question: Question, controller: usize) -> (u16, Option<JobState>) {
         let asked = self.users.recorder.now();
         let id = &self.plan().id;
         let (method, target, body) = match question {
@@ -173,9 +173,9 @@
     }
 }
 
-fn standing_in(answer: &Response) -> Option<Standing> {
+fn standing_in(answer: &Response) -> Option<JobState> {
     let body = decode(&answer.body).ok()?;
-    Standing::parse(Fields::of(&body).ok()?.text("standing").ok()?)
+    JobState::parse(Fields::of(&body).ok()?.text("standing").ok()?)
 }
 
 async fn send(to: SocketAddr, call: Call) -> Option<Response> {
