--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -14,7 +14,7 @@
 use shedtally::coordination::model::ReplyId;
 use shedtally::coordination::takeover::Loaded;
 use shedtally::policy::Tuning;
-use shedtally::protocol::cloud::{MachineType, RentalRequest};
+use shedtally::protocol::cloud::{MachineType, NodePoolRequest};
 use shedtally::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
 use shedtally::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
 use shedtally::settings::Settings;
@@ -113,7 +113,7 @@
             zones: vec!["z1".into()],
         };
         let ids: Vec<MachineId> = (0..machines).map(name).collect();
-        let request = RentalRequest {
+        let request = NodePoolRequest {
             name: "1-1".into(),
             machine_type: "m8".into(),
             zone: "z1".into(),
--- a/src/coordination/agents.rs
+++ b/src/coordination/agents.rs
@@ -43,7 +43,7 @@
         if !self.holds_lease(now) {
             return self.handle_heartbeat_after_lease(now, report);
         }
-        if self.gone.contains(&report.machine) {
+        if self.tombstones.contains(&report.machine) {
             // A late copy from a machine whose deletion was confirmed.
             return HeartbeatReply::Redirect;
         }
@@ -62,7 +62,13 @@
                 return HeartbeatReply::Redirect;
             }
             if report.fencing_token == epoch {
-                self.note_unexpected(now, &report.machine, &report.machine_type, &report.zone, report.spot);
+                self.record_unregistered(
+                    now,
+                    &report.machine,
+                    &report.machine_type,
+                    &report.zone,
+                    report.spot,
+                );
             }
             return self.reply_with_terminal_stops(report);
         };
@@ -125,7 +131,7 @@
             m.replied_at = Some(now);
         }
         m.heartbeat_at = Some(now);
-        m.up_at.get_or_insert(now);
+        m.up_since.get_or_insert(now);
         m.address.clone_from(&report.address);
         if m.phase == Phase::Booting {
             m.phase = Phase::Up;
@@ -385,7 +391,7 @@
                         job.running_count =
                             (job.running_count + u32::from(is)).saturating_sub(u32::from(was));
                         if is {
-                            m.record_image(&job.record.spec, self.catalog.get(m.kind));
+                            m.record_image(&job.record.spec, self.catalog.get(m.machine_type));
                         }
                     }
                 }
@@ -519,10 +525,10 @@
             return;
         }
         m.use_record_in_flight = true;
-        let name = m.rental.clone();
-        if let Some(rental) = self.rentals.get_mut(&name) {
+        let name = m.node_pool.clone();
+        if let Some(rental) = self.node_pools.get_mut(&name) {
             rental.record.machines_used.insert(machine.clone());
         }
-        self.write_rental(&name);
+        self.write_node_pool(&name);
     }
 }
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -9,7 +9,8 @@
 
 use crate::protocol::cbor::{decode, encode};
 use crate::protocol::cloud::{
-    ListPage, MachineType, PAGE, RentalRequest, decode_catalog, decode_list, decode_rented, encode_delete,
+    INVENTORY_PAGE, InventoryPage, MachineType, NodePoolRequest, decode_catalog, decode_inventory_page,
+    decode_provisioned, encode_delete,
 };
 use crate::protocol::workers::MachineId;
 use crate::storage::pacing::{Bucket, Complaints};
@@ -24,15 +25,15 @@
 pub enum CloudCall {
     Catalog,
     List { from: String },
-    Rent(RentalRequest),
+    Provision(NodePoolRequest),
     Delete(Vec<MachineId>),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     Catalog(Vec<MachineType>),
-    List(ListPage),
-    Rented(Vec<MachineId>),
+    List(InventoryPage),
+    Provisioned(Vec<MachineId>),
     Deleted,
 }
 
@@ -113,7 +114,7 @@
                 biased;
                 request = inbox.recv(), if waiting.len() < 32 => match request {
                     // What costs or saves money goes before looking around.
-                    Some(r) if matches!(r.call, CloudCall::Rent(_) | CloudCall::Delete(_)) => {
+                    Some(r) if matches!(r.call, CloudCall::Provision(_) | CloudCall::Delete(_)) => {
                         let at = waiting.iter().position(|w| matches!(w.call, CloudCall::List { .. } | CloudCall::Catalog));
                         waiting.insert(at.unwrap_or(waiting.len()), r);
                     }
@@ -139,9 +140,13 @@
 fn encode_call(call: &CloudCall, deadline: Duration) -> Call {
     let (method, target, body) = match call {
         CloudCall::Catalog => ("GET", "/catalog".to_owned(), Vec::new()),
-        CloudCall::List { from } if from.is_empty() => ("GET", format!("/machines?page={PAGE}"), Vec::new()),
-        CloudCall::List { from } => ("GET", format!("/machines?from={from}&page={PAGE}"), Vec::new()),
-        CloudCall::Rent(request) => ("POST", "/machines".to_owned(), encode(&request.encode())),
+        CloudCall::List { from } if from.is_empty() => {
+            ("GET", format!("/machines?page={INVENTORY_PAGE}"), Vec::new())
+        }
+        CloudCall::List { from } => {
+            ("GET", format!("/machines?from={from}&page={INVENTORY_PAGE}"), Vec::new())
+        }
+        CloudCall::Provision(request) => ("POST", "/machines".to_owned(), encode(&request.encode())),
         CloudCall::Delete(machines) => {
             ("POST", "/machines/delete".to_owned(), encode(&encode_delete(machines)))
         }
@@ -167,8 +172,8 @@
     let body = decode(&response.body).map_err(|_| CloudError::Failed)?;
     match call {
         CloudCall::Catalog => decode_catalog(&body).map(CloudReply::Catalog),
-        CloudCall::List { .. } => decode_list(&body).map(CloudReply::List),
-        CloudCall::Rent(_) => decode_rented(&body).map(CloudReply::Rented),
+        CloudCall::List { .. } => decode_inventory_page(&body).map(CloudReply::List),
+        CloudCall::Provision(_) => decode_provisioned(&body).map(CloudReply::Provisioned),
         CloudCall::Delete(_) => return Ok(CloudReply::Deleted),
     }
     .map_err(|_| CloudError::Failed)
--- a/src/coordination/consolidation.rs
+++ b/src/coordination/consolidation.rs
@@ -15,12 +15,12 @@
 use crate::protocol::workers::MachineId;
 
 /// A replica stays where it started for this many report intervals.
-const SETTLED_REPORTS: u32 = 10;
+const MIN_HEARTBEATS_BEFORE_MOVE: u32 = 10;
 
 impl Leader {
     /// Chooses at most one machine to empty, once all replicas moved before run again.
-    pub(super) fn consolidate(&mut self, now: Instant) {
-        let steady = self.recovered && !self.cloud_is_down(now) && self.clear_since.is_some();
+    pub(super) fn rebalance(&mut self, now: Instant) {
+        let steady = self.recovered && !self.cloud_is_down(now) && self.mostly_live_since.is_some();
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             machine.draining = steady && !machine.needed;
         }
@@ -28,7 +28,7 @@
         if !steady || waiting {
             return;
         }
-        let Some(machine) = self.machine_to_empty(now) else { return };
+        let Some(machine) = self.choose_machine_to_drain(now) else { return };
         let Some(emptied) = self.machines.get_mut(&machine) else { return };
         emptied.draining = true;
         let replicas: Vec<SlotKey> = emptied.slots.keys().cloned().collect();
@@ -39,18 +39,20 @@
     }
 
     /// The dearest machine that holds nothing but replicas for which others have room.
-    fn machine_to_empty(&self, now: Instant) -> Option<MachineId> {
+    fn choose_machine_to_drain(&self, now: Instant) -> Option<MachineId> {
         let mut candidates: Vec<&Machine> =
-            self.machines.values().filter(|m| self.may_be_emptied(now, m)).collect();
+            self.machines.values().filter(|m| self.may_drain(now, m)).collect();
         candidates.sort_by(|a, b| {
-            let by_price = self.price_per_cpu(b.kind, b.spot).total_cmp(&self.price_per_cpu(a.kind, a.spot));
+            let by_price = self
+                .price_per_cpu(b.machine_type, b.spot)
+                .total_cmp(&self.price_per_cpu(a.machine_type, a.spot));
             by_price.then(a.slots.len().cmp(&b.slots.len()))
         });
-        candidates.into_iter().find(|m| self.others_have_room(m)).map(|m| m.id.clone())
+        candidates.into_iter().find(|m| self.others_can_host(m)).map(|m| m.id.clone())
     }
 
-    fn may_be_emptied(&self, now: Instant, machine: &Machine) -> bool {
-        let settled = self.config.settings.cluster.workers.report() * SETTLED_REPORTS;
+    fn may_drain(&self, now: Instant, machine: &Machine) -> bool {
+        let settled = self.config.settings.cluster.workers.report() * MIN_HEARTBEATS_BEFORE_MOVE;
         let boot = self.longest_boot();
         machine.has_usable_capacity()
             && machine.unneeded_since.is_some_and(|since| now >= since + boot / 2)
@@ -65,7 +67,7 @@
     }
 
     /// Whether machines that stay have room, and the images, for all its replicas.
-    fn others_have_room(&self, machine: &Machine) -> bool {
+    fn others_can_host(&self, machine: &Machine) -> bool {
         let mut taken: HashMap<&MachineId, Resources> = HashMap::default();
         machine.slots.keys().all(|(id, _)| {
             let Some(job) = self.jobs.get(id) else { return false };
--- a/src/coordination/demand.rs
+++ b/src/coordination/demand.rs
@@ -7,20 +7,20 @@
 
 use super::leader::Leader;
 use super::model::Resources;
-use super::renting::Offer;
+use super::renting::InstanceOffer;
 use crate::protocol::jobs::{JobId, JobSpec};
 use crate::storage::records::{DemandStatistics, LEARNED_STATISTICS, LearnedStatistics};
 
 /// Jobs that may use the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct GroupKey {
-    pub(super) types: Vec<usize>,
+pub(super) struct DemandGroup {
+    pub(super) machine_types: Vec<usize>,
     pub(super) zone: Option<String>,
     pub(super) spot: bool,
     pub(super) gpus: bool,
     /// Its jobs may wait for as long as machines take to boot: nothing is kept
     /// ready for them beyond their usual demand.
-    pub(super) patient: bool,
+    pub(super) delay_tolerant: bool,
 }
 
 /// Demand of one group over time, in CPUs (or GPUs, for jobs that need them).
@@ -33,30 +33,30 @@
 #[derive(Debug, Clone)]
 pub(super) struct Demand {
     /// Work that would be running now.
-    pub(super) ideal: f64,
+    pub(super) offered_load: f64,
     pub(super) mean: f64,
     /// Mean size of a job, and of its square: large jobs come in one piece.
-    size: f64,
-    size_square: f64,
-    jobs: f64,
-    born: Instant,
-    at: Instant,
+    mean_size: f64,
+    mean_square_size: f64,
+    job_count: f64,
+    measured_since: Instant,
+    sampled_at: Instant,
     pub(super) active: f64,
     pub(super) pending: f64,
     /// Since when there has been no work at all.
-    pub(super) quiet_since: Option<Instant>,
+    pub(super) idle_since: Option<Instant>,
     /// What works off all that waits in time.
-    pub(super) drain: f64,
+    pub(super) backlog_rate: f64,
     /// How long its jobs may wait for their first aim; nothing for those that may
     /// not wait while machines boot.
-    patience: Duration,
-    shape: Resources,
+    max_delay: Duration,
+    task_shape: Resources,
 }
 
-impl GroupKey {
+impl DemandGroup {
     /// Whether its jobs may use such machines.
-    pub(super) fn allows(&self, offer: &Offer) -> bool {
-        self.types.contains(&offer.kind)
+    pub(super) fn allows(&self, offer: &InstanceOffer) -> bool {
+        self.machine_types.contains(&offer.machine_type)
             && self.zone.as_ref().is_none_or(|zone| *zone == offer.zone)
             && (self.spot || !offer.spot)
     }
@@ -65,56 +65,56 @@
 impl Demand {
     fn new(now: Instant) -> Self {
         Demand {
-            ideal: 0.0,
+            offered_load: 0.0,
             mean: 0.0,
-            size: 0.0,
-            size_square: 0.0,
-            jobs: 0.0,
-            born: now,
-            at: now,
+            mean_size: 0.0,
+            mean_square_size: 0.0,
+            job_count: 0.0,
+            measured_since: now,
+            sampled_at: now,
             active: 0.0,
             pending: 0.0,
-            quiet_since: None,
-            drain: 0.0,
-            patience: Duration::ZERO,
-            shape: Resources::default(),
+            idle_since: None,
+            backlog_rate: 0.0,
+            max_delay: Duration::ZERO,
+            task_shape: Resources::default(),
         }
     }
 
-    fn arrive(&mut self, units: f64) {
-        self.jobs += 1.0;
+    fn record_arrival(&mut self, units: f64) {
+        self.job_count += 1.0;
         // A plain mean at first, later over about the last hundred jobs.
-        let weight = 1.0 / self.jobs.min(100.0);
-        self.size += (units - self.size) * weight;
-        self.size_square += (units * units - self.size_square) * weight;
+        let weight = 1.0 / self.job_count.min(100.0);
+        self.mean_size += (units - self.mean_size) * weight;
+        self.mean_square_size += (units * units - self.mean_square_size) * weight;
     }
 
     fn sample(&mut self, now: Instant, memory: Duration) {
-        if self.active + self.pending + self.ideal > 0.0 {
-            self.quiet_since = None;
+        if self.active + self.pending + self.offered_load > 0.0 {
+            self.idle_since = None;
         } else {
-            self.quiet_since.get_or_insert(now);
+            self.idle_since.get_or_insert(now);
         }
-        let passed = now.saturating_duration_since(self.at).as_secs_f64().max(0.1);
-        let age = now.saturating_duration_since(self.born).as_secs_f64() + passed;
+        let passed = now.saturating_duration_since(self.sampled_at).as_secs_f64().max(0.1);
+        let age = now.saturating_duration_since(self.measured_since).as_secs_f64() + passed;
         // Young, it is a plain mean; later, the past fades.
         let weight = (passed / age.min(memory.as_secs_f64())).clamp(0.0, 1.0);
-        self.mean += (self.ideal - self.mean) * weight;
-        self.at = now;
+        self.mean += (self.offered_load - self.mean) * weight;
+        self.sampled_at = now;
     }
 
     /// The standard deviation of work that comes in jobs of such sizes at
     /// random times: the square root of the mean times the size of the job
     /// that a unit of work typically belongs to.
-    pub(super) fn spread(&self) -> f64 {
-        if self.size <= 0.0 { 0.0 } else { (self.mean * self.size_square / self.size).sqrt() }
+    pub(super) fn standard_deviation(&self) -> f64 {
+        if self.mean_size <= 0.0 { 0.0 } else { (self.mean * self.mean_square_size / self.mean_size).sqrt() }
     }
 }
 
 impl Leader {
     pub(super) fn measure_demand(&mut self, now: Instant) {
         for demand in self.demand.values_mut() {
-            (demand.ideal, demand.active, demand.pending, demand.drain) = (0.0, 0.0, 0.0, 0.0);
+            (demand.offered_load, demand.active, demand.pending, demand.backlog_rate) = (0.0, 0.0, 0.0, 0.0);
         }
         let start_delay = self.config.settings.cluster.workers.report().mul_f64(0.5);
         let ids: Vec<JobId> = self
@@ -130,10 +130,16 @@
             let gpus = spec.gpus > 0.0;
             let unit = if gpus { spec.gpus } else { spec.cpus };
             let limit = if gpus { team.limit.gpus } else { team.limit.cpus };
-            let patience = self.patience(spec);
+            let patience = self.max_start_delay(spec);
             let patient = patience > self.longest_boot().mul_f64(1.5);
             let types = self.feasible_types(spec);
-            let key = GroupKey { types, zone: spec.zone.clone(), spot: spec.spot, gpus, patient };
+            let key = DemandGroup {
+                machine_types: types,
+                zone: spec.zone.clone(),
+                spot: spec.spot,
+                gpus,
+                delay_tolerant: patient,
+            };
             let shape = Resources::of(spec);
             let run = self.expected_run_s(spec);
             let active = unit * job.placements.len() as f64;
@@ -150,19 +156,19 @@
             let ideal_end = job.waiting_since(now) + Duration::from_secs_f64(run) + start_delay;
             let runs_ideally = job.is_service() || now < ideal_end;
             let demand = self.demand.entry(key).or_insert_with(|| Demand::new(now));
-            demand.patience = if patient { patience } else { Duration::ZERO };
+            demand.max_delay = if patient { patience } else { Duration::ZERO };
             demand.active += active;
             demand.pending += pending.min(limit);
-            demand.drain += pending * run / time.as_secs_f64();
-            demand.ideal += if runs_ideally { offered } else { 0.0 };
+            demand.backlog_rate += pending * run / time.as_secs_f64();
+            demand.offered_load += if runs_ideally { offered } else { 0.0 };
             if arriving {
-                demand.arrive(offered);
-                let weight = (offered / (offered + demand.size * 4.0)).clamp(0.0, 1.0);
+                demand.record_arrival(offered);
+                let weight = (offered / (offered + demand.mean_size * 4.0)).clamp(0.0, 1.0);
                 let blend = |old: f64, new: f64| if old > 0.0 { old + (new - old) * weight } else { new };
-                demand.shape = Resources {
-                    cpus: blend(demand.shape.cpus, shape.cpus),
-                    gpus: blend(demand.shape.gpus, shape.gpus),
-                    memory_gb: blend(demand.shape.memory_gb, shape.memory_gb),
+                demand.task_shape = Resources {
+                    cpus: blend(demand.task_shape.cpus, shape.cpus),
+                    gpus: blend(demand.task_shape.gpus, shape.gpus),
+                    memory_gb: blend(demand.task_shape.memory_gb, shape.memory_gb),
                 };
                 if let Some(job) = self.jobs.get_mut(&id) {
                     job.offered_load = Some(offered);
@@ -174,14 +180,14 @@
         for demand in self.demand.values_mut() {
             // Work that may wait evens out by itself for that long: machines that come
             // and go with each of its jobs would spend their time on booting.
-            demand.sample(now, memory.max(demand.patience.min(longest)));
+            demand.sample(now, memory.max(demand.max_delay.min(longest)));
         }
         self.demand.retain(|_, d| d.mean > 0.05 || d.active + d.pending > 0.0);
     }
 
     /// How long a job may wait for its first aim. The deadline of one that waits for others
     /// says little of that: most of it may be over when the job is released.
-    fn patience(&self, spec: &JobSpec) -> Duration {
+    fn max_start_delay(&self, spec: &JobSpec) -> Duration {
         let after_release = self.starts_after_release(spec).min();
         let by_deadline = self.starts_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
         after_release.into_iter().chain(by_deadline).min().unwrap_or_default()
@@ -189,48 +195,50 @@
 
     /// What a later leader could not find out by itself: demand so far and how
     /// estimates have turned out.
-    pub(super) fn write_experience(&mut self, now: Instant) {
+    pub(super) fn save_statistics(&mut self, now: Instant) {
         let groups = self.demand.iter().map(|(key, demand)| {
-            let types = key.types.iter().filter_map(|&t| self.catalog.get(t)).map(|k| k.name.as_str());
+            let types =
+                key.machine_types.iter().filter_map(|&t| self.catalog.get(t)).map(|k| k.name.as_str());
             DemandStatistics {
                 types: types.map(str::to_owned).collect(),
                 zone: key.zone.clone(),
                 spot: key.spot,
                 gpus: key.gpus,
-                delay_tolerant: key.patient,
+                delay_tolerant: key.delay_tolerant,
                 mean: demand.mean,
-                mean_size: demand.size,
-                mean_square_size: demand.size_square,
-                job_count: demand.jobs,
-                age_s: now.saturating_duration_since(demand.born).as_secs_f64(),
+                mean_size: demand.mean_size,
+                mean_square_size: demand.mean_square_size,
+                job_count: demand.job_count,
+                age_s: now.saturating_duration_since(demand.measured_since).as_secs_f64(),
             }
         });
         let experience = LearnedStatistics {
             groups: groups.take(32).collect(),
             runtime_ratios: self.runtime_ratios.iter().take(64).map(|(c, r)| (c.clone(), *r)).collect(),
         };
-        self.write_note(LEARNED_STATISTICS, experience.encode());
+        self.write_singleton(LEARNED_STATISTICS, experience.encode());
     }
 
     /// Takes over what an earlier leader had learnt.
-    pub(super) fn take_experience(&mut self, now: Instant, experience: LearnedStatistics) {
+    pub(super) fn restore_statistics(&mut self, now: Instant, experience: LearnedStatistics) {
         self.runtime_ratios = experience.runtime_ratios.into_iter().collect();
         for group in experience.groups {
             let types = group.types.iter().map(|name| self.catalog.iter().position(|k| k.name == *name));
             let Some(types) = types.collect::<Option<Vec<_>>>() else { continue };
-            let key = GroupKey {
-                types,
+            let key = DemandGroup {
+                machine_types: types,
                 zone: group.zone,
                 spot: group.spot,
                 gpus: group.gpus,
-                patient: group.delay_tolerant,
+                delay_tolerant: group.delay_tolerant,
             };
             let mut demand = Demand::new(now);
             demand.mean = group.mean;
-            demand.size = group.mean_size;
-            demand.size_square = group.mean_square_size;
-            demand.jobs = group.job_count;
-            demand.born = now.checked_sub(Duration::from_secs_f64(group.age_s.min(1e6))).unwrap_or(now);
+            demand.mean_size = group.mean_size;
+            demand.mean_square_size = group.mean_square_size;
+            demand.job_count = group.job_count;
+            demand.measured_since =
+                now.checked_sub(Duration::from_secs_f64(group.age_s.min(1e6))).unwrap_or(now);
             self.demand.insert(key, demand);
         }
     }
@@ -246,9 +254,9 @@
     }
 
     /// Units of a group's work that a machine type takes.
-    pub(super) fn units(&self, kind: usize, demand: &Demand, gpus: bool) -> f64 {
+    pub(super) fn capacity_units(&self, kind: usize, demand: &Demand, gpus: bool) -> f64 {
         let Some(kind) = self.catalog.get(kind) else { return 0.0 };
-        let tasks = f64::from(demand.shape.times_in(&Resources::of_type(kind)).min(10_000));
-        tasks * if gpus { demand.shape.gpus } else { demand.shape.cpus }
+        let tasks = f64::from(demand.task_shape.times_in(&Resources::of_type(kind)).min(10_000));
+        tasks * if gpus { demand.task_shape.gpus } else { demand.task_shape.cpus }
     }
 }
--- a/src/coordination/figures.rs
+++ b/src/coordination/figures.rs
@@ -49,7 +49,7 @@
         // CPUs used and there, on ordinary and on spot machines.
         let mut cpus = [[0.0; 2]; 2];
         for m in self.machines.values().filter(|m| m.phase == Phase::Up) {
-            let all = self.catalog.get(m.kind).map_or(0.0, |k| k.cpus);
+            let all = self.catalog.get(m.machine_type).map_or(0.0, |k| k.cpus);
             let [used, there] = &mut cpus[usize::from(m.spot)];
             *used += all - m.free.cpus;
             *there += all;
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -9,38 +9,48 @@
 
 use super::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
 use super::leader::{CloudQuery, Leader, PendingOperation};
-use super::machine_list::ListRound;
-use super::machines::{Machine, Phase, Rental};
+use super::machine_list::InventoryScan;
+use super::machines::{Machine, NodePool, Phase};
 use super::model::Resources;
 use crate::maps::HashSet;
 use crate::protocol::cbor::json_size;
-use crate::protocol::cloud::{MAX_DELETE, MAX_RENTAL, MachineType, RentalRequest, encode_catalog};
+use crate::protocol::cloud::{
+    MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST, MachineType, NodePoolRequest, encode_catalog,
+};
 use crate::protocol::state::{Change, Condition};
 use crate::protocol::workers::MachineId;
 use crate::storage::records::{CATALOG, NodePoolRecord};
 use crate::storage::service::Class;
 
 /// The cloud bills at least this much of a machine.
-const LEAST_BILLED: Duration = Duration::from_secs(60);
+const MIN_BILLED: Duration = Duration::from_secs(60);
 /// After the cloud has failed, what must be repeated waits this long.
-const CLOUD_PAUSE: Duration = Duration::from_secs(2);
+const CLOUD_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 impl Leader {
     pub(super) fn request_catalog(&mut self) {
         self.read_cloud(CloudQuery::Catalog);
     }
 
-    pub(super) fn cloud_answered(&mut self, now: Instant, ticket: PendingOperation, result: CloudResult) {
+    pub(super) fn apply_cloud_result(&mut self, now: Instant, ticket: PendingOperation, result: CloudResult) {
         if result == Err(CloudError::Failed) {
             self.cloud_failed_at = Some(now);
         }
         match (ticket, result) {
-            (PendingOperation::ReadCatalog, Ok(CloudReply::Catalog(types))) => self.take_catalog(now, types),
-            (PendingOperation::ReadCatalog, _) => self.catalog_at = Some(now),
-            (PendingOperation::ListMachines, Ok(CloudReply::List(page))) => self.take_list(now, page),
-            (PendingOperation::ListMachines, _) => self.listing = None,
-            (PendingOperation::ProvisionNodePool(name), result) => self.rental_answered(now, &name, result),
-            (PendingOperation::DeleteMachines(machines), Ok(_)) => self.deleted(now, &machines),
+            (PendingOperation::ReadCatalog, Ok(CloudReply::Catalog(types))) => {
+                self.update_catalog(now, types)
+            }
+            (PendingOperation::ReadCatalog, _) => self.catalog_read_at = Some(now),
+            (PendingOperation::ListMachines, Ok(CloudReply::List(page))) => {
+                self.handle_inventory_page(now, page)
+            }
+            (PendingOperation::ListMachines, _) => self.inventory_scan = None,
+            (PendingOperation::ProvisionNodePool(name), result) => {
+                self.handle_node_pool_provisioned(now, &name, result)
+            }
+            (PendingOperation::DeleteMachines(machines), Ok(_)) => {
+                self.handle_machines_deleted(now, &machines)
+            }
             (PendingOperation::DeleteMachines(machines), Err(_)) => {
                 // Perhaps carried out, perhaps not: asked again until it is.
                 for machine in machines {
@@ -54,8 +64,8 @@
     }
 
     /// Types keep their place, so that machines can refer to them by number.
-    pub(super) fn take_catalog(&mut self, now: Instant, types: Vec<MachineType>) {
-        self.catalog_at = Some(now);
+    pub(super) fn update_catalog(&mut self, now: Instant, types: Vec<MachineType>) {
+        self.catalog_read_at = Some(now);
         let first = self.catalog.is_empty();
         // Kept in the store, so that a takeover while the cloud is down can
         // tell what its machines are. Prices move; they are not worth a write.
@@ -71,26 +81,26 @@
             self.write_catalog();
         }
         if first && !self.catalog.is_empty() {
-            self.enter_all_rented(now);
+            self.register_all_machines(now);
         }
     }
 
     /// Enters all recorded machines, once their types are known.
-    pub(super) fn enter_all_rented(&mut self, now: Instant) {
-        let rentals: Vec<String> = self.rentals.keys().cloned().collect();
+    pub(super) fn register_all_machines(&mut self, now: Instant) {
+        let rentals: Vec<String> = self.node_pools.keys().cloned().collect();
         for name in rentals {
-            self.enter_rented(now, &name);
+            self.register_pool_machines(now, &name);
         }
         self.check_recovered();
     }
 
     fn write_catalog(&mut self) {
-        self.write_note(CATALOG, encode_catalog(&self.catalog));
+        self.write_singleton(CATALOG, encode_catalog(&self.catalog));
     }
 
     /// Writes one of the notes that leaders keep for the next, unless its last
     /// write is still under way or it does not fit.
-    pub(super) fn write_note(&mut self, key: &'static str, value: Value) {
+    pub(super) fn write_singleton(&mut self, key: &'static str, value: Value) {
         let limit = self.config.settings.cluster.state.within_both().value_bytes();
         let note = self.singleton_keys.entry(key).or_default();
         if note.write_in_flight || json_size(&value) + 64 > limit {
@@ -103,36 +113,36 @@
     }
 
     /// A machine type's number; one that no machine has, if it is not known.
-    pub(super) fn kind_of(&self, name: &str) -> usize {
+    pub(super) fn machine_type_index(&self, name: &str) -> usize {
         self.catalog.iter().position(|k| k.name == name).unwrap_or(usize::MAX)
     }
 
     /// Enters the machines of a fleet record into the picture.
-    pub(super) fn enter_rented(&mut self, now: Instant, name: &str) {
-        let Some(rental) = self.rentals.get(name) else { return };
+    pub(super) fn register_pool_machines(&mut self, now: Instant, name: &str) {
+        let Some(rental) = self.node_pools.get(name) else { return };
         let request = rental.record.request.clone();
         let used = rental.record.machines_used.clone();
         let ids = rental.record.machines.clone().unwrap_or_default();
-        let kind = self.kind_of(&request.machine_type);
+        let kind = self.machine_type_index(&request.machine_type);
         // One that had tasks has booted and worked before this epoch: what is
         // billed at the least is behind it. Counted from each takeover anew, it
         // kept hundreds of idle machines where leaders followed one another.
-        let worked = now.checked_sub(LEAST_BILLED).unwrap_or(now);
+        let worked = now.checked_sub(MIN_BILLED).unwrap_or(now);
         for id in ids {
-            if self.machines.contains_key(&id) || self.gone.contains(&id) {
+            if self.machines.contains_key(&id) || self.tombstones.contains(&id) {
                 continue;
             }
             let was_used = used.contains(&id);
             let machine = Machine {
                 id: id.clone(),
-                kind,
+                machine_type: kind,
                 zone: request.zone.clone(),
                 spot: request.spot,
-                rental: name.to_owned(),
+                node_pool: name.to_owned(),
                 phase: if was_used { Phase::Up } else { Phase::Booting },
                 address: String::new(),
-                rented: if was_used { worked } else { now },
-                up_at: None,
+                requested_at: if was_used { worked } else { now },
+                up_since: None,
                 last_heartbeat: None,
                 last_stale_heartbeat: None,
                 ack_tracker: Default::default(),
@@ -173,7 +183,7 @@
     /// A machine that no record knows: entered first, then used or returned. Those
     /// that show up together share a record and its write; many do where machines
     /// were up before the first controller was.
-    pub(super) fn note_unexpected(
+    pub(super) fn record_unregistered(
         &mut self,
         now: Instant,
         id: &MachineId,
@@ -181,44 +191,44 @@
         zone: &str,
         spot: bool,
     ) {
-        if self.catalog.is_empty() || self.gone.contains(id) || self.unexpected.contains_key(id) {
+        if self.catalog.is_empty() || self.tombstones.contains(id) || self.unregistered.contains_key(id) {
             return;
         }
         // It may be of a request whose answer is still on its way.
-        let asked = |h: &Rental| {
+        let asked = |h: &NodePool| {
             let r = &h.record.request;
             h.record.machines.is_none() && r.machine_type == kind && r.zone == zone && r.spot == spot
         };
-        if self.rentals.values().any(asked) {
+        if self.node_pools.values().any(asked) {
             return;
         }
         let option = (kind.to_owned(), zone.to_owned(), spot);
-        self.unexpected.insert(id.clone(), option);
-        self.unexpected_since.get_or_insert(now);
+        self.unregistered.insert(id.clone(), option);
+        self.unregistered_since.get_or_insert(now);
     }
 
     /// Enters the machines that were not expected, each kind in one record. No
     /// record has named them, so nothing was ever started on them; the record says
     /// at once that they are used, which saves the write before their first start.
-    pub(super) fn enter_unexpected(&mut self, now: Instant) {
+    pub(super) fn register_unregistered(&mut self, now: Instant) {
         let wait = self.config.settings.cluster.workers.report() / 4;
-        if self.unexpected_since.is_none_or(|since| now < since + wait) {
+        if self.unregistered_since.is_none_or(|since| now < since + wait) {
             return;
         }
-        self.unexpected_since = None;
+        self.unregistered_since = None;
         let mut groups: BTreeMap<(String, String, bool), Vec<MachineId>> = BTreeMap::new();
-        for (id, option) in std::mem::take(&mut self.unexpected) {
-            if !self.machines.contains_key(&id) && !self.gone.contains(&id) {
+        for (id, option) in std::mem::take(&mut self.unregistered) {
+            if !self.machines.contains_key(&id) && !self.tombstones.contains(&id) {
                 groups.entry(option).or_default().push(id);
             }
         }
         for ((machine_type, zone, spot), ids) in groups {
-            let most = self.most_in_rental(ids.iter().map(|id| id.as_str().len()).max());
+            let most = self.max_machines_per_pool(ids.iter().map(|id| id.as_str().len()).max());
             for ids in ids.chunks(most as usize) {
-                self.next_rental += 1;
-                let name = format!("x-{}-{}", self.epoch, self.next_rental);
+                self.last_node_pool += 1;
+                let name = format!("x-{}-{}", self.epoch, self.last_node_pool);
                 tracing::info!(count = ids.len(), %machine_type, %zone, spot, "machines that were not expected");
-                let request = RentalRequest {
+                let request = NodePoolRequest {
                     name: name.clone(),
                     machine_type: machine_type.clone(),
                     zone: zone.clone(),
@@ -230,24 +240,24 @@
                     machines: Some(ids.to_vec()),
                     machines_used: Default::default(),
                 };
-                self.rentals.insert(name.clone(), Rental::new(record, 0, now));
-                self.enter_rented(now, &name);
+                self.node_pools.insert(name.clone(), NodePool::new(record, 0, now));
+                self.register_pool_machines(now, &name);
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
                         m.use_record_in_flight = true;
                     }
                 }
-                if let Some(rental) = self.rentals.get_mut(&name) {
+                if let Some(rental) = self.node_pools.get_mut(&name) {
                     rental.record.machines_used = ids.iter().cloned().collect();
                 }
-                self.write_rental(&name);
+                self.write_node_pool(&name);
             }
         }
     }
 
     /// Most machines in one rental: so many that its record, which names each of them twice,
     /// fits into a value under both sets of limits.
-    pub(super) fn most_in_rental(&self, longest_name: Option<usize>) -> u32 {
+    pub(super) fn max_machines_per_pool(&self, longest_name: Option<usize>) -> u32 {
         /// What surrounds a name in a list, and what the record has beside the two lists.
         const AROUND_NAME: usize = 3;
         const BESIDE_LISTS: usize = 512;
@@ -257,37 +267,37 @@
         let known = || self.machines.keys().next_back().map(|id| id.as_str().len());
         let name = longest_name.or_else(known).unwrap_or(UNKNOWN_NAME);
         let fits = value.saturating_sub(BESIDE_LISTS) / (2 * (name + AROUND_NAME));
-        u32::try_from(fits).unwrap_or(MAX_RENTAL).clamp(1, MAX_RENTAL)
+        u32::try_from(fits).unwrap_or(MAX_MACHINES_PER_REQUEST).clamp(1, MAX_MACHINES_PER_REQUEST)
     }
 
-    pub(super) fn deleted(&mut self, now: Instant, machines: &[MachineId]) {
+    pub(super) fn handle_machines_deleted(&mut self, now: Instant, machines: &[MachineId]) {
         for id in machines {
             // The answer proves that the machine and all on it are gone.
             self.clear_slots(now, id);
             let Some(m) = self.machines.remove(id) else { continue };
-            if self.gone.insert(id.clone()) {
-                self.gone_order.push_back(id.clone());
+            if self.tombstones.insert(id.clone()) {
+                self.tombstone_order.push_back(id.clone());
             }
-            while self.gone_order.len() > self.most_gone {
-                if let Some(old) = self.gone_order.pop_front() {
-                    self.gone.remove(&old);
+            while self.tombstone_order.len() > self.max_tombstones {
+                if let Some(old) = self.tombstone_order.pop_front() {
+                    self.tombstones.remove(&old);
                 }
             }
-            if let Some(rental) = self.rentals.get_mut(&m.rental) {
+            if let Some(rental) = self.node_pools.get_mut(&m.node_pool) {
                 if let Some(list) = &mut rental.record.machines {
                     list.retain(|other| other != id);
                 }
                 rental.record.machines_used.remove(id);
             }
-            self.write_rental(&m.rental);
+            self.write_node_pool(&m.node_pool);
         }
         self.check_recovered();
     }
 
     /// Has machines deleted, unless this leader may not decide that any more.
-    pub(super) fn delete(&mut self, now: Instant, machines: Vec<MachineId>) {
+    pub(super) fn delete_machines(&mut self, now: Instant, machines: Vec<MachineId>) {
         let Ok(permit) = self.term().leader_permit(now) else { return };
-        for chunk in machines.chunks(MAX_DELETE) {
+        for chunk in machines.chunks(MAX_MACHINES_PER_DELETION) {
             for id in chunk {
                 if let Some(m) = self.machines.get_mut(id) {
                     m.phase = Phase::Deleting;
@@ -308,73 +318,74 @@
     }
 
     /// Once a second.
-    pub(super) fn fleet_tick(&mut self, now: Instant) {
-        let lag = self.list_lag();
+    pub(super) fn autoscale(&mut self, now: Instant) {
+        let lag = self.inventory_lag();
         let catalog_age = if self.catalog.is_empty() { Duration::from_secs(1) } else { lag * 10 };
         let asked = self.pending_operations.values().any(|t| matches!(t, PendingOperation::ReadCatalog));
-        if !asked && self.catalog_at.is_none_or(|at| now > at + catalog_age) {
+        if !asked && self.catalog_read_at.is_none_or(|at| now > at + catalog_age) {
             self.request_catalog();
         }
         if self.catalog.is_empty() {
             return;
         }
-        if self.listing.is_none() && self.listed_at.is_none_or(|at| now > at + lag) {
-            self.listing = Some(ListRound { started: now, seen: HashSet::default() });
-            self.read_cloud(CloudQuery::List { from: String::new() });
+        if self.inventory_scan.is_none() && self.inventory_read_at.is_none_or(|at| now > at + lag) {
+            self.inventory_scan = Some(InventoryScan { started_at: now, seen: HashSet::default() });
+            self.read_cloud(CloudQuery::Machines { from: String::new() });
         }
         let unresolved: Vec<String> = self
-            .rentals
+            .node_pools
             .values()
-            .filter(|h| h.record.machines.is_none() && !h.writing && !h.asking)
-            .filter(|h| h.version > 0 && now >= h.asked_at + CLOUD_PAUSE)
+            .filter(|h| h.record.machines.is_none() && !h.write_in_flight && !h.request_in_flight)
+            .filter(|h| h.version > 0 && now >= h.requested_at + CLOUD_RETRY_PAUSE)
             .map(|h| h.record.request.name.clone())
             .collect();
         for name in unresolved {
-            self.ask_rental(now, &name);
+            self.provision_node_pool(now, &name);
         }
         self.spot_seconds += self.machines.values().filter(|m| m.spot && m.phase == Phase::Up).count() as f64;
         self.measure_demand(now);
         let boot = self.longest_boot();
-        if now > self.experience_at + boot / 5 {
-            self.experience_at = now;
-            self.write_experience(now);
+        if now > self.statistics_saved_at + boot / 5 {
+            self.statistics_saved_at = now;
+            self.save_statistics(now);
         }
-        self.note_silence(now);
-        let wanted = self.rent(now);
+        self.record_liveness(now);
+        let wanted = self.scale_out(now);
         for m in self.machines.values_mut() {
             m.needed = wanted.contains(&m.id);
             m.unneeded_since = if m.needed { None } else { m.unneeded_since.or(Some(now)) };
         }
-        self.consolidate(now);
-        self.give_back(now, &wanted);
+        self.rebalance(now);
+        self.scale_in(now, &wanted);
     }
 
     /// Returns what is idle and not wanted, and what is of no use any more.
-    fn give_back(&mut self, now: Instant, wanted: &HashSet<MachineId>) {
+    fn scale_in(&mut self, now: Instant, wanted: &HashSet<MachineId>) {
         let tuning = &self.config.tuning;
-        let silence = self.silence(now);
+        let silence = self.failure_detector(now);
         let cloud_down = self.cloud_is_down(now);
         let mut back = Vec::new();
         for m in self.machines.values() {
-            let boot = Duration::from_secs_f64(self.catalog.get(m.kind).map_or(30.0, |k| k.boot_s).max(1.0));
+            let boot =
+                Duration::from_secs_f64(self.catalog.get(m.machine_type).map_or(30.0, |k| k.boot_s).max(1.0));
             let idle = m.slots.is_empty() && m.reconciled;
             let reason = match m.phase {
                 Phase::Deleting => None,
                 Phase::Booting => {
-                    let limit = boot.mul_f64(tuning.boot_limit_ratio).max(LEAST_BILLED);
-                    if now > m.rented + limit { Some("never started") } else { None }
+                    let limit = boot.mul_f64(tuning.boot_limit_ratio).max(MIN_BILLED);
+                    if now > m.requested_at + limit { Some("never started") } else { None }
                 }
-                Phase::Up if silence.is_gone(m) => Some("silent"),
+                Phase::Up if silence.is_dead(m) => Some("silent"),
                 Phase::Up if idle && (m.cordoned || m.preempted_at.is_some()) => Some("sick or taken"),
                 Phase::Up => {
                     let long = now > m.idle_since + boot.mul_f64(tuning.idle_ratio);
-                    let billed = now > m.rented + LEAST_BILLED;
+                    let billed = now > m.requested_at + MIN_BILLED;
                     (idle && long && billed && !cloud_down && !wanted.contains(&m.id)).then_some("idle")
                 }
             };
             if m.phase == Phase::Deleting {
                 // Perhaps not carried out: asked again, but not all the time.
-                let pause = self.cloud_failed_at.is_some_and(|at| now < at + CLOUD_PAUSE);
+                let pause = self.cloud_failed_at.is_some_and(|at| now < at + CLOUD_RETRY_PAUSE);
                 if !m.deletion_in_flight && !pause {
                     back.push(m.id.clone());
                 }
@@ -386,7 +397,7 @@
             }
         }
         if !back.is_empty() {
-            self.delete(now, back);
+            self.delete_machines(now, back);
         }
     }
 }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -20,13 +20,13 @@
 use super::authority::{LeaderPermit, LeadershipTerm, Violation};
 use super::cloud::{CloudCall, CloudResult};
 use super::config::Config;
-use super::demand::{Demand, GroupKey};
+use super::demand::{Demand, DemandGroup};
 use super::dependencies::DependencyGraph;
-use super::machine_list::ListRound;
-use super::machines::{Machine, Rental};
+use super::machine_list::InventoryScan;
+use super::machines::{Machine, NodePool};
 use super::model::{Job, ReplyId, Resources, TeamQuota};
 use super::pipelines::DependencyStates;
-use super::renting::{Backoff, Offer};
+use super::renting::{Backoff, InstanceOffer};
 use super::scheduler::Ranked;
 use super::sizes::Sizes;
 use super::takeover::Loaded;
@@ -104,7 +104,7 @@
 pub(super) enum CloudQuery {
     Catalog,
     /// A page of the machine list, after that name.
-    List {
+    Machines {
         from: String,
     },
 }
@@ -141,28 +141,28 @@
     pub(super) teams: Vec<TeamQuota>,
     pub(super) team_index: HashMap<String, usize>,
     pub(super) machines: BTreeMap<MachineId, Machine>,
-    pub(super) rentals: BTreeMap<String, Rental>,
+    pub(super) node_pools: BTreeMap<String, NodePool>,
     /// Machines that no record names, to be entered together: type, zone, spot.
-    pub(super) unexpected: BTreeMap<MachineId, (String, String, bool)>,
-    pub(super) unexpected_since: Option<Instant>,
-    pub(super) gone: HashSet<MachineId>,
-    pub(super) gone_order: VecDeque<MachineId>,
+    pub(super) unregistered: BTreeMap<MachineId, (String, String, bool)>,
+    pub(super) unregistered_since: Option<Instant>,
+    pub(super) tombstones: HashSet<MachineId>,
+    pub(super) tombstone_order: VecDeque<MachineId>,
     /// Deleted machines remembered, against late reports of theirs.
-    pub(super) most_gone: usize,
+    pub(super) max_tombstones: usize,
     pub(super) catalog: Vec<MachineType>,
-    pub(super) catalog_at: Option<Instant>,
+    pub(super) catalog_read_at: Option<Instant>,
     pub(super) singleton_keys: HashMap<&'static str, SingletonKey>,
-    pub(super) experience_at: Instant,
-    pub(super) demand: HashMap<GroupKey, Demand>,
+    pub(super) statistics_saved_at: Instant,
+    pub(super) demand: HashMap<DemandGroup, Demand>,
     /// Measured run time against the owners' estimates, by class.
     pub(super) runtime_ratios: HashMap<String, f64>,
     pub(super) spot_losses: f64,
     pub(super) spot_seconds: f64,
-    pub(super) backoff: HashMap<Offer, Backoff>,
+    pub(super) backoff: HashMap<InstanceOffer, Backoff>,
     /// Since when all but a few machines have been heard in time.
-    pub(super) clear_since: Option<Instant>,
-    pub(super) listing: Option<ListRound>,
-    pub(super) listed_at: Option<Instant>,
+    pub(super) mostly_live_since: Option<Instant>,
+    pub(super) inventory_scan: Option<InventoryScan>,
+    pub(super) inventory_read_at: Option<Instant>,
     pub(super) cloud_failed_at: Option<Instant>,
     pub(super) queue: Vec<Ranked>,
     pub(super) queue_at: Option<Instant>,
@@ -187,7 +187,7 @@
     pub(super) archive_queue: VecDeque<JobId>,
     pub(super) archives_in_flight: usize,
     pub(super) next_attempt: u32,
-    pub(super) next_rental: u32,
+    pub(super) last_node_pool: u32,
     pub(super) next_slow_tick: Instant,
     pub(super) recovered: bool,
     pub(super) unreadable: Unreadable,
@@ -246,24 +246,24 @@
             teams,
             team_index,
             machines: BTreeMap::new(),
-            rentals: BTreeMap::new(),
-            unexpected: BTreeMap::new(),
-            unexpected_since: None,
-            gone: HashSet::default(),
-            gone_order: VecDeque::new(),
-            most_gone: Sizes::new(&config.settings.cluster.limits).machines,
+            node_pools: BTreeMap::new(),
+            unregistered: BTreeMap::new(),
+            unregistered_since: None,
+            tombstones: HashSet::default(),
+            tombstone_order: VecDeque::new(),
+            max_tombstones: Sizes::new(&config.settings.cluster.limits).machines,
             catalog: Vec::new(),
-            catalog_at: None,
+            catalog_read_at: None,
             singleton_keys: HashMap::default(),
-            experience_at: now,
+            statistics_saved_at: now,
             demand: HashMap::default(),
             runtime_ratios: HashMap::default(),
             spot_losses: 0.0,
             spot_seconds: 0.0,
             backoff: HashMap::default(),
-            clear_since: None,
-            listing: None,
-            listed_at: None,
+            mostly_live_since: None,
+            inventory_scan: None,
+            inventory_read_at: None,
             cloud_failed_at: None,
             queue: Vec::new(),
             queue_at: None,
@@ -279,7 +279,7 @@
             archive_queue: VecDeque::new(),
             archives_in_flight: 0,
             next_attempt: 0,
-            next_rental: 0,
+            last_node_pool: 0,
             next_slow_tick: now,
             recovered: false,
             hidden_machines: loaded.unreadable.hides_machines(),
@@ -299,19 +299,19 @@
         };
         leader.unreadable.extend(loaded.unreadable);
         for (record, version) in loaded.rentals {
-            let rental = Rental::new(record, version, now);
-            leader.rentals.insert(rental.record.request.name.clone(), rental);
+            let rental = NodePool::new(record, version, now);
+            leader.node_pools.insert(rental.record.request.name.clone(), rental);
         }
         if let Some((types, version)) = loaded.catalog {
             leader.catalog = types;
             leader.singleton_keys.insert(CATALOG, SingletonKey { version, write_in_flight: false });
-            leader.enter_all_rented(now);
+            leader.register_all_machines(now);
         }
         if let Some((experience, version)) = loaded.experience {
             leader
                 .singleton_keys
                 .insert(LEARNED_STATISTICS, SingletonKey { version, write_in_flight: false });
-            leader.take_experience(now, experience);
+            leader.restore_statistics(now, experience);
         }
         leader.insert_all_loaded(now, now_ms, loaded.jobs, &loaded.needs);
         leader.request_catalog();
@@ -413,7 +413,7 @@
     pub(super) fn read_cloud(&mut self, query: CloudQuery) {
         match query {
             CloudQuery::Catalog => self.call_cloud(PendingOperation::ReadCatalog, CloudCall::Catalog),
-            CloudQuery::List { from } => {
+            CloudQuery::Machines { from } => {
                 self.call_cloud(PendingOperation::ListMachines, CloudCall::List { from })
             }
         }
@@ -439,7 +439,7 @@
                 note.write_in_flight = false;
                 note.version = result.unwrap_or(note.version);
             }
-            Some(PendingOperation::WriteNodePool(name)) => self.rental_written(now, name, result),
+            Some(PendingOperation::WriteNodePool(name)) => self.handle_node_pool_written(now, name, result),
             _ => {}
         }
     }
@@ -447,7 +447,7 @@
     /// A call to the cloud has ended.
     pub fn handle_cloud_result(&mut self, now: Instant, ticket: u64, result: CloudResult) {
         let Some(ticket) = self.pending_operations.remove(&ticket) else { return };
-        self.cloud_answered(now, ticket, result);
+        self.apply_cloud_result(now, ticket, result);
     }
 
     /// To be called a few times a second.
@@ -461,25 +461,25 @@
             return;
         }
         self.flush_dirty_records(now);
-        self.enter_unexpected(now);
+        self.register_unregistered(now);
         self.prove_silent_machines(now);
         self.prove_hidden_machines(now);
         if slow {
             self.begin_next(now);
-            self.fleet_tick(now);
+            self.autoscale(now);
             self.preempt(now);
         }
     }
 
     /// Writes a fleet record, one write at a time.
-    pub(super) fn write_rental(&mut self, name: &str) {
-        let Some(rental) = self.rentals.get_mut(name) else { return };
-        if rental.writing {
-            rental.dirty = true;
+    pub(super) fn write_node_pool(&mut self, name: &str) {
+        let Some(rental) = self.node_pools.get_mut(name) else { return };
+        if rental.write_in_flight {
+            rental.rewrite_needed = true;
             return;
         }
-        rental.writing = true;
-        rental.dirty = false;
+        rental.write_in_flight = true;
+        rental.rewrite_needed = false;
         let key = node_pool_key(name);
         let conditions = vec![Condition { key: key.clone(), version: rental.version }];
         let empty = rental.record.machines.as_ref().is_some_and(Vec::is_empty);
--- a/src/coordination/machine_list.rs
+++ b/src/coordination/machine_list.rs
@@ -8,28 +8,28 @@
 use super::leader::{CloudQuery, Leader};
 use super::machines::Phase;
 use crate::maps::HashSet;
-use crate::protocol::cloud::{ListPage, ListedState};
+use crate::protocol::cloud::{InventoryPage, ListedState};
 use crate::protocol::workers::MachineId;
 
 /// One reading of the machine list, page by page.
 #[derive(Debug)]
-pub(super) struct ListRound {
-    pub(super) started: Instant,
+pub(super) struct InventoryScan {
+    pub(super) started_at: Instant,
     pub(super) seen: HashSet<MachineId>,
 }
 
 impl Leader {
     /// How old the machine list usually is.
-    pub(super) fn list_lag(&self) -> Duration {
+    pub(super) fn inventory_lag(&self) -> Duration {
         Duration::from_secs_f64(self.config.settings.cluster.cloud.list_lag_s.max(1.0))
     }
 
-    pub(super) fn take_list(&mut self, now: Instant, page: ListPage) {
-        let Some(mut round) = self.listing.take() else { return };
+    pub(super) fn handle_inventory_page(&mut self, now: Instant, page: InventoryPage) {
+        let Some(mut round) = self.inventory_scan.take() else { return };
         let mut failed = Vec::new();
         // A list as old as the takeover may still show what an earlier leader
         // has deleted.
-        let young = round.started >= self.snapshot_at + self.list_lag() * 2;
+        let young = round.started_at >= self.snapshot_at + self.inventory_lag() * 2;
         for listed in &page.machines {
             round.seen.insert(listed.machine.clone());
             match self.machines.get_mut(&listed.machine) {
@@ -45,7 +45,7 @@
                 }
                 None if !young => {}
                 None => {
-                    self.note_unexpected(
+                    self.record_unregistered(
                         now,
                         &listed.machine,
                         &listed.machine_type,
@@ -57,24 +57,24 @@
         }
         if !failed.is_empty() {
             tracing::info!(count = failed.len(), "machines have stopped on their own");
-            self.delete(now, failed);
+            self.delete_machines(now, failed);
         }
         match page.machines.last() {
             Some(last) if page.more => {
                 let from = last.machine.as_str().to_owned();
-                self.listing = Some(round);
-                self.read_cloud(CloudQuery::List { from });
+                self.inventory_scan = Some(round);
+                self.read_cloud(CloudQuery::Machines { from });
             }
             _ => {
-                self.listed_at = Some(now);
-                self.judge_unlisted(now, &round);
+                self.inventory_read_at = Some(now);
+                self.delete_unlisted(now, &round);
             }
         }
     }
 
     /// A machine that was listed and is no more is gone, unless the list is
     /// older than an earlier one. Its deletion proves it, and costs nothing.
-    pub(super) fn judge_unlisted(&mut self, now: Instant, round: &ListRound) {
+    pub(super) fn delete_unlisted(&mut self, now: Instant, round: &InventoryScan) {
         let cluster = &self.config.settings.cluster;
         let lag = Duration::from_secs_f64(cluster.cloud.list_lag_s);
         let quiet = cluster.workers.report().mul_f64(1.5);
@@ -84,7 +84,7 @@
             if round.seen.contains(&m.id) || m.phase == Phase::Deleting {
                 continue;
             }
-            let old_enough = m.was_listed || m.rented + lag * 4 < round.started;
+            let old_enough = m.was_listed || m.requested_at + lag * 4 < round.started_at;
             let silent = m.heartbeat_at.unwrap_or(loaded_at) + quiet < now;
             if old_enough && silent {
                 m.missed_listings += 1;
@@ -95,7 +95,7 @@
         }
         if !lost.is_empty() {
             tracing::info!(count = lost.len(), "machines are not listed any more");
-            self.delete(now, lost);
+            self.delete_machines(now, lost);
         }
     }
 }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -63,15 +63,15 @@
 #[derive(Debug)]
 pub struct Machine {
     pub id: MachineId,
-    pub kind: usize,
+    pub machine_type: usize,
     pub zone: String,
     pub spot: bool,
     /// The fleet record it stands in.
-    pub rental: String,
+    pub node_pool: String,
     pub phase: Phase,
     pub address: String,
-    pub rented: Instant,
-    pub up_at: Option<Instant>,
+    pub requested_at: Instant,
+    pub up_since: Option<Instant>,
     /// Newest report taken, under this epoch's token: (session, sequence).
     pub last_heartbeat: Option<(u64, u64)>,
     /// Newest report under an earlier token, of which nothing was taken.
@@ -165,18 +165,25 @@
 
 /// A fleet record and the state of its writing.
 #[derive(Debug)]
-pub struct Rental {
+pub struct NodePool {
     pub record: NodePoolRecord,
     pub version: u64,
-    pub writing: bool,
-    pub dirty: bool,
+    pub write_in_flight: bool,
+    pub rewrite_needed: bool,
     /// The cloud is being asked.
-    pub asking: bool,
-    pub asked_at: Instant,
+    pub request_in_flight: bool,
+    pub requested_at: Instant,
 }
 
-impl Rental {
+impl NodePool {
     pub fn new(record: NodePoolRecord, version: u64, now: Instant) -> Self {
-        Rental { record, version, writing: false, dirty: false, asking: false, asked_at: now }
+        NodePool {
+            record,
+            version,
+            write_in_flight: false,
+            rewrite_needed: false,
+            request_in_flight: false,
+            requested_at: now,
+        }
     }
 }
--- a/src/coordination/scheduler.rs
+++ b/src/coordination/scheduler.rs
@@ -78,7 +78,7 @@
         let unknown =
             |m: &&Machine| m.has_orphan_tasks || (!self.recovered && m.use_recorded && !m.reconciled);
         for m in self.machines.values().filter(unknown) {
-            self.unheard.add(&self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default());
+            self.unheard.add(&self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default());
         }
         // One that has missed its time to report may be dead.
         let patience = self.config.settings.cluster.workers.report().mul_f64(1.5);
@@ -108,7 +108,10 @@
         let spec = j.spec();
         let suits = m.has_usable_capacity()
             && self.may_use(spec, m)
-            && self.catalog.get(m.kind).is_some_and(|k| Resources::of(spec).fits(&Resources::of_type(k)));
+            && self
+                .catalog
+                .get(m.machine_type)
+                .is_some_and(|k| Resources::of(spec).fits(&Resources::of_type(k)));
         if suits {
             self.reserved.insert(job.clone(), machine.clone());
         }
@@ -117,7 +120,7 @@
 
     /// How long the machine is expected to fetch the image of the job.
     pub(super) fn fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
-        match self.catalog.get(machine.kind) {
+        match self.catalog.get(machine.machine_type) {
             Some(kind) if kind.fetch_gb_per_s > 0.0 && !machine.has_image(&spec.image) => {
                 spec.image_gb / kind.fetch_gb_per_s
             }
@@ -362,7 +365,7 @@
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && self
                 .catalog
-                .get(machine.kind)
+                .get(machine.machine_type)
                 .is_some_and(|k| spec.machine_types.as_ref().is_none_or(|types| types.contains(&k.name)))
     }
 
@@ -372,7 +375,7 @@
     pub(super) fn begin_next(&mut self, now: Instant) {
         self.rank(now);
         // Room that is there, and what comes free until the next round.
-        let kinds = |m: &Machine| self.catalog.get(m.kind).map_or(0.0, |k| k.cpus);
+        let kinds = |m: &Machine| self.catalog.get(m.machine_type).map_or(0.0, |k| k.cpus);
         let open = self.machines.values().filter(|m| m.has_usable_capacity());
         let mut room: f64 = open.map(|m| m.free.cpus + 0.1 * kinds(m)).sum();
         let mut due = Vec::new();
@@ -432,7 +435,7 @@
     /// How good a place is, in seconds saved: larger is better.
     fn score(&self, now: Instant, job: &Job, machine: &Machine, report: Instant) -> f64 {
         let spec = job.spec();
-        let Some(kind) = self.catalog.get(machine.kind) else { return f64::MIN };
+        let Some(kind) = self.catalog.get(machine.machine_type) else { return f64::MIN };
         let wait = report.saturating_duration_since(now).as_secs_f64();
         let fetch = self.fetch_s(spec, machine);
         let left = machine.free.cpus - spec.cpus;
--- a/src/coordination/silence.rs
+++ b/src/coordination/silence.rs
@@ -19,84 +19,85 @@
 /// few must not make the others seem dead. If nobody is heard at all, nothing
 /// follows. Where all but a few have been heard for a while, a missed report is
 /// enough: what was lost starts elsewhere the sooner.
-pub(super) struct Silence {
+pub(super) struct FailureDetector {
     now: Instant,
     /// Since when this leader could have heard anybody.
-    since: Instant,
+    listening_since: Instant,
     /// How long silence must last to be believed, as things are.
-    patience: Duration,
-    anybody_heard: bool,
+    suspicion_timeout: Duration,
+    any_live: bool,
     lease: Duration,
     /// Machines that are up, and those heard of, by zone.
     zones: HashMap<String, (usize, usize)>,
 }
 
-impl Silence {
-    fn lasts(&self, m: &Machine, time: Duration) -> bool {
-        m.phase == Phase::Up && self.now > m.heartbeat_at.map_or(self.since, |h| h.max(self.since)) + time
+impl FailureDetector {
+    fn is_overdue_by(&self, m: &Machine, time: Duration) -> bool {
+        m.phase == Phase::Up
+            && self.now > m.heartbeat_at.map_or(self.listening_since, |h| h.max(self.listening_since)) + time
     }
 
     /// Nothing is to be expected of it for now.
-    pub(super) fn is_silent(&self, m: &Machine) -> bool {
-        self.anybody_heard && self.lasts(m, self.patience)
+    pub(super) fn is_suspected(&self, m: &Machine) -> bool {
+        self.any_live && self.is_overdue_by(m, self.suspicion_timeout)
     }
 
     /// It is not coming back: to be returned.
-    pub(super) fn is_gone(&self, m: &Machine) -> bool {
+    pub(super) fn is_dead(&self, m: &Machine) -> bool {
         let (up, heard) = self.zones.get(&m.zone).copied().unwrap_or_default();
-        self.is_silent(m) && (most(heard, up) || self.lasts(m, self.lease))
+        self.is_suspected(m) && (is_majority(heard, up) || self.is_overdue_by(m, self.lease))
     }
 }
 
 /// Whether so many of all are the rule, not the exception.
-fn most(count: usize, all: usize) -> bool {
+fn is_majority(count: usize, all: usize) -> bool {
     count * 2 >= all
 }
 
 impl Leader {
     /// When the next report of a machine is surely overdue: it may come a quarter
     /// late, and its packets a little more.
-    fn overdue(&self) -> Duration {
+    fn heartbeat_timeout(&self) -> Duration {
         let silence = self.config.tuning.silence;
         let report = self.config.settings.cluster.workers.report();
         report.mul_f64(1.6).max(silence * 2 / 3).min(silence)
     }
 
-    pub(super) fn silence(&self, now: Instant) -> Silence {
-        let (overdue, lease) = (self.overdue(), self.config.settings.cluster.workers.lease());
-        let mut found = Silence {
+    pub(super) fn failure_detector(&self, now: Instant) -> FailureDetector {
+        let (overdue, lease) = (self.heartbeat_timeout(), self.config.settings.cluster.workers.lease());
+        let mut found = FailureDetector {
             now,
-            since: self.replying_since,
-            patience: self.config.tuning.silence,
-            anybody_heard: false,
+            listening_since: self.replying_since,
+            suspicion_timeout: self.config.tuning.silence,
+            any_live: false,
             lease,
             zones: HashMap::default(),
         };
         for m in self.machines.values().filter(|m| m.phase == Phase::Up) {
-            let silent = found.lasts(m, found.patience);
+            let silent = found.is_overdue_by(m, found.suspicion_timeout);
             let (up, heard) = found.zones.entry(m.zone.clone()).or_default();
             *up += 1;
             *heard += usize::from(!silent);
         }
         let (up, heard) = found.zones.values().fold((0, 0), |sum, zone| (sum.0 + zone.0, sum.1 + zone.1));
-        found.anybody_heard = heard > 0;
-        if !most(heard, up) {
-            found.patience = lease;
-        } else if self.clear_since.is_some_and(|at| now >= at + overdue) {
-            found.patience = overdue;
+        found.any_live = heard > 0;
+        if !is_majority(heard, up) {
+            found.suspicion_timeout = lease;
+        } else if self.mostly_live_since.is_some_and(|at| now >= at + overdue) {
+            found.suspicion_timeout = overdue;
         }
         found
     }
 
     /// Notes since when all but a few machines have been heard in time.
-    pub(super) fn note_silence(&mut self, now: Instant) {
-        let (silence, overdue) = (self.silence(now), self.overdue());
+    pub(super) fn record_liveness(&mut self, now: Instant) {
+        let (silence, overdue) = (self.failure_detector(now), self.heartbeat_timeout());
         let up = self.machines.values().filter(|m| m.phase == Phase::Up);
-        let late = up.clone().filter(|m| silence.lasts(m, overdue)).count();
+        let late = up.clone().filter(|m| silence.is_overdue_by(m, overdue)).count();
         if late * 10 > up.count() {
-            self.clear_since = None;
+            self.mostly_live_since = None;
         } else {
-            self.clear_since.get_or_insert(now);
+            self.mostly_live_since.get_or_insert(now);
         }
     }
 }
--- a/src/coordination/slots.rs
+++ b/src/coordination/slots.rs
@@ -27,7 +27,7 @@
         job.slot_count += 1;
         if state == SlotState::Running {
             job.running_count += 1;
-            m.record_image(&job.record.spec, self.catalog.get(m.kind));
+            m.record_image(&job.record.spec, self.catalog.get(m.machine_type));
         }
         if wanted {
             job.placements.insert(key.1, machine.clone());
@@ -51,7 +51,7 @@
         m.free.add(&slot.resources);
         if m.slots.is_empty() {
             m.idle_since = now;
-            m.free = self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default();
+            m.free = self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default();
         }
         if let Some(team) = slot.team {
             self.teams[team].used.sub(&slot.resources);
--- a/src/coordination/stopping.rs
+++ b/src/coordination/stopping.rs
@@ -80,7 +80,7 @@
         }
         if !lost.is_empty() {
             tracing::info!(count = lost.len(), "silent machines may hold cancelled tasks; deleting them");
-            self.delete(now, lost);
+            self.delete_machines(now, lost);
         }
     }
 
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::leader::Leader;
-use super::machines::{Machine, Phase, Rental};
+use super::machines::{Machine, NodePool, Phase};
 use super::model::{Job, Resources};
 use super::pipelines::DependencyStates;
 use super::unreadable::Unreadable;
@@ -67,7 +67,7 @@
         let Some(m) = self.machines.get_mut(machine).filter(|m| !m.reconciled) else { return };
         m.reconciled = true;
         tracing::debug!(epoch = self.epoch, %machine, tasks = m.slots.len(), "what is on the machine is known");
-        let room = self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default();
+        let room = self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default();
         // Counted anew with each ordering of the queue, and not below nothing.
         if room.fits(&self.unheard) {
             self.unheard.sub(&room);
@@ -134,9 +134,9 @@
         for (record, version) in rentals {
             let name = record.request.name.clone();
             self.unreadable.forget(&node_pool_key(&name));
-            if !self.rentals.contains_key(&name) {
-                self.rentals.insert(name.clone(), Rental::new(record, version, now));
-                self.enter_rented(now, &name);
+            if !self.node_pools.contains_key(&name) {
+                self.node_pools.insert(name.clone(), NodePool::new(record, version, now));
+                self.register_pool_machines(now, &name);
             }
         }
     }
@@ -230,7 +230,7 @@
                 // A report that was held back may still list them.
                 m.min_incarnation =
                     m.last_heartbeat.max(m.last_stale_heartbeat).map_or(0, |(session, _)| session + 1);
-                m.free = self.catalog.get(m.kind).map(Resources::of_type).unwrap_or_default();
+                m.free = self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default();
             }
             self.become_known(&machine);
         }
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::protocol::BODY_LIMIT;
 use crate::protocol::cbor::{encode, json_size};
-use crate::protocol::cloud::{MAX_DELETE, MAX_RENTAL, PAGE};
+use crate::protocol::cloud::{INVENTORY_PAGE, MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST};
 use crate::protocol::workers::encode_heartbeat_reply;
 
 const MACHINES: usize = 4_100;
@@ -90,14 +90,14 @@
 
     // The list comes in pages, one call at a time.
     let mut pages = 0;
-    while pages < MACHINES.div_ceil(PAGE) {
+    while pages < MACHINES.div_ceil(INVENTORY_PAGE) {
         rig.pass(1.0);
         pages += rig.answer_cloud(|call| {
             let CloudCall::List { from } = call else { return None };
             let mut rest = (0..MACHINES).map(name).filter(|name| name > from);
             let machines =
-                rest.by_ref().take(PAGE).map(|name| in_list(&name, ListedState::Running)).collect();
-            Some(CloudReply::List(ListPage { machines, more: rest.next().is_some() }))
+                rest.by_ref().take(INVENTORY_PAGE).map(|name| in_list(&name, ListedState::Running)).collect();
+            Some(CloudReply::List(InventoryPage { machines, more: rest.next().is_some() }))
         });
     }
     let listed = |rig: &Rig| rig.leader.machines.values().all(|m| m.was_listed);
@@ -118,7 +118,7 @@
         rig.pass(3.0);
         rig.answer_cloud(|call| {
             let CloudCall::Delete(names) = call else { return None };
-            assert!(names.len() <= MAX_DELETE);
+            assert!(names.len() <= MAX_MACHINES_PER_DELETION);
             Some(CloudReply::Deleted)
         });
         rig.commit_within_limits();
@@ -130,7 +130,7 @@
     assert_eq!(deleted, MACHINES);
     let late = rig.report(&name(0), 1, 900, EPOCH, vec![]);
     assert_eq!(late, HeartbeatReply::Redirect, "a late copy of a machine that was deleted first");
-    assert!(rig.leader.unexpected.is_empty());
+    assert!(rig.leader.unregistered.is_empty());
 
     // A new backlog rents anew, in records that fit.
     for n in 0..40 {
@@ -141,9 +141,12 @@
         rig.commit_within_limits();
     }
     let counts = rig.cloud.iter().filter_map(|(_, call)| match call {
-        CloudCall::Rent(request) => Some(request.count),
+        CloudCall::Provision(request) => Some(request.count),
         _ => None,
     });
     let counts: Vec<u32> = counts.collect();
-    assert!(!counts.is_empty() && counts.iter().all(|count| *count <= MAX_RENTAL), "{counts:?}");
+    assert!(
+        !counts.is_empty() && counts.iter().all(|count| *count <= MAX_MACHINES_PER_REQUEST),
+        "{counts:?}"
+    );
 }
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -32,7 +32,7 @@
 use super::takeover::{Loaded, LoadedJob};
 use crate::policy;
 use crate::protocol::cbor::{Fields, decode};
-use crate::protocol::cloud::{ListPage, Listed, ListedState, MachineType, RentalRequest};
+use crate::protocol::cloud::{InventoryPage, ListedMachine, ListedState, MachineType, NodePoolRequest};
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState, Priority, TaskId};
 use crate::protocol::state::Change;
@@ -87,7 +87,7 @@
 
 /// A fleet record of one machine in zone `z1`.
 pub(super) fn rented(name: &str, used: bool) -> (NodePoolRecord, u64) {
-    let request = RentalRequest {
+    let request = NodePoolRequest {
         name: format!("1-{name}"),
         machine_type: "m8".into(),
         zone: if name.ends_with('b') { "z2".into() } else { "z1".into() },
@@ -303,8 +303,8 @@
     Fields::of(&value).and_then(|f| f.text("standing").map(str::to_owned)).expect("a standing")
 }
 
-fn in_list(name: &str, state: ListedState) -> Listed {
-    Listed {
+fn in_list(name: &str, state: ListedState) -> ListedMachine {
+    ListedMachine {
         machine: machine(name),
         address: String::new(),
         machine_type: "m8".into(),
--- a/src/coordination/tests/pipelines.rs
+++ b/src/coordination/tests/pipelines.rs
@@ -99,7 +99,7 @@
         let next = rig.starts_after(200, vec![listed(&first[0], TaskState::Running)]);
         assert_eq!(next.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
         assert_eq!(rig.standing("job-2"), waiting.then_some(JobState::Queued));
-        let rents = rig.cloud.iter().filter(|(_, call)| matches!(call, CloudCall::Rent(_)));
+        let rents = rig.cloud.iter().filter(|(_, call)| matches!(call, CloudCall::Provision(_)));
         rents.map(|(_, call)| format!("{call:?}")).collect::<Vec<_>>()
     };
     assert_eq!(rented_beside(true), rented_beside(false));
--- a/src/coordination/tests/renting.rs
+++ b/src/coordination/tests/renting.rs
@@ -76,7 +76,7 @@
         rig.beat("vm-9b", seq, EPOCH, vec![]);
         rig.pass(1.1);
     }
-    let names: Vec<_> = rig.leader.rentals.values().filter_map(|h| h.record.machines.as_ref()).collect();
+    let names: Vec<_> = rig.leader.node_pools.values().filter_map(|h| h.record.machines.as_ref()).collect();
     assert_eq!(names, [&[machine("vm-9b")]]);
 }
 
@@ -88,9 +88,9 @@
     let mut rig = Rig::new(Vec::new(), vec![(record, version)]);
     rig.pass(3.0);
     let (ticket, call) =
-        rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::Rent(_))).cloned().expect("asked again");
-    assert!(matches!(call, CloudCall::Rent(r) if r.name == name));
-    rig.leader.handle_cloud_result(rig.now, ticket, Ok(CloudReply::Rented(vec![machine("vm-1")])));
+        rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::Provision(_))).cloned().expect("asked again");
+    assert!(matches!(call, CloudCall::Provision(r) if r.name == name));
+    rig.leader.handle_cloud_result(rig.now, ticket, Ok(CloudReply::Provisioned(vec![machine("vm-1")])));
     rig.collect();
     rig.commit_all();
     rig.accept(sample("job-1", "red", 1, 1.0));
@@ -105,7 +105,7 @@
 fn one_old_list_does_not_cost_a_machine() {
     let mut rig = Rig::with_machines(&["vm-1"]);
     let entry = |state| in_list("vm-1", state);
-    let list = |rig: &mut Rig, machines: Vec<Listed>| {
+    let list = |rig: &mut Rig, machines: Vec<ListedMachine>| {
         rig.cloud.clear();
         rig.pass(4.2);
         let found = rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
@@ -114,7 +114,7 @@
         rig.leader.handle_cloud_result(
             rig.now,
             ticket,
-            Ok(CloudReply::List(ListPage { machines, more: false })),
+            Ok(CloudReply::List(InventoryPage { machines, more: false })),
         );
         rig.collect();
         rig.cloud.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_)))
@@ -149,7 +149,7 @@
     rig.accept(job);
     let started = starts(&rig.beat("vm-1", 5, EPOCH, vec![]));
     rig.pass(1.1);
-    let ideal = |rig: &Rig| rig.leader.demand.values().map(|d| d.ideal).sum::<f64>();
+    let ideal = |rig: &Rig| rig.leader.demand.values().map(|d| d.offered_load).sum::<f64>();
     assert!((ideal(&rig) - 8.0).abs() < 1e-9);
     rig.beat("vm-1", 6, EPOCH, started.iter().map(|s| listed(s, DONE)).collect());
     rig.commit_all();
@@ -164,7 +164,7 @@
     job.estimated_run_s = 20.0;
     rig.accept(job);
     let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
-    let ideal = |rig: &Rig| rig.leader.demand.values().map(|d| d.ideal).sum::<f64>();
+    let ideal = |rig: &Rig| rig.leader.demand.values().map(|d| d.offered_load).sum::<f64>();
     for seq in 6..18 {
         rig.pass(2.0);
         rig.beat("vm-1", seq, EPOCH, vec![listed(&start, TaskState::Running)]);
@@ -221,7 +221,8 @@
     for (seq, name) in names.iter().take(8).enumerate() {
         rig.beat(name, 6 + seq as u64, EPOCH, vec![]);
         rig.pass(1.0);
-        let asked = rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::Delete(_) | CloudCall::Rent(_)));
+        let asked =
+            rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::Delete(_) | CloudCall::Provision(_)));
         assert_eq!(asked, None, "with {} of 20 heard", seq + 1);
     }
     // Once most are heard, the rest are believed to be gone.
@@ -299,7 +300,7 @@
     for seq in 0..12 {
         rig.pass(10.0);
         rig.report("vm-9", 1, seq, EPOCH, vec![]);
-        drains.push(rig.leader.demand.values().map(|d| d.drain).sum::<f64>());
+        drains.push(rig.leader.demand.values().map(|d| d.backlog_rate).sum::<f64>());
     }
     // Boots take 30 s: at first the work may take four, at last two of them.
     let work = 20.0 * 20.0;
--- a/src/coordination/tests/takeover.rs
+++ b/src/coordination/tests/takeover.rs
@@ -146,7 +146,7 @@
         rig.pass(pause);
         let list = rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
         let machines = vec![in_list("vm-9", ListedState::Running)];
-        let answer = Ok(CloudReply::List(ListPage { machines, more: false }));
+        let answer = Ok(CloudReply::List(InventoryPage { machines, more: false }));
         rig.leader.handle_cloud_result(rig.now, list.expect("read again and again").0, answer);
         rig.collect();
         rig.pass(1.0);
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -6,11 +6,11 @@
 use super::workers::MachineId;
 
 /// Most machines in one rental request.
-pub const MAX_RENTAL: u32 = 50;
+pub const MAX_MACHINES_PER_REQUEST: u32 = 50;
 /// Most names in one deletion.
-pub const MAX_DELETE: usize = 100;
+pub const MAX_MACHINES_PER_DELETION: usize = 100;
 /// Most machines on one page of the list.
-pub const PAGE: usize = 500;
+pub const INVENTORY_PAGE: usize = 500;
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
@@ -71,7 +71,7 @@
 
 /// A request to rent machines. Its name is never used twice.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RentalRequest {
+pub struct NodePoolRequest {
     pub name: String,
     pub machine_type: String,
     pub zone: String,
@@ -79,7 +79,7 @@
     pub count: u32,
 }
 
-impl RentalRequest {
+impl NodePoolRequest {
     pub fn encode(&self) -> Value {
         MapBuilder::new()
             .set("hire", self.name.as_str())
@@ -95,7 +95,7 @@
     value.as_text().and_then(MachineId::parse).ok_or(Malformed::Invalid("benches"))
 }
 
-pub fn decode_rented(value: &Value) -> Result<Vec<MachineId>, Malformed> {
+pub fn decode_provisioned(value: &Value) -> Result<Vec<MachineId>, Malformed> {
     Fields::of(value)?.list("benches")?.iter().map(machine_id).collect()
 }
 
@@ -111,7 +111,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListedMachine {
     pub machine: MachineId,
     pub address: String,
     pub machine_type: String,
@@ -122,20 +122,20 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct ListPage {
-    pub machines: Vec<Listed>,
+pub struct InventoryPage {
+    pub machines: Vec<ListedMachine>,
     pub more: bool,
 }
 
-pub fn decode_list(value: &Value) -> Result<ListPage, Malformed> {
+pub fn decode_inventory_page(value: &Value) -> Result<InventoryPage, Malformed> {
     let f = Fields::of(value)?;
     let machines = f.list("benches")?.iter().map(decode_listed).collect::<Result<_, _>>()?;
-    Ok(ListPage { machines, more: f.opt_bool("more")?.unwrap_or(false) })
+    Ok(InventoryPage { machines, more: f.opt_bool("more")?.unwrap_or(false) })
 }
 
-fn decode_listed(value: &Value) -> Result<Listed, Malformed> {
+fn decode_listed(value: &Value) -> Result<ListedMachine, Malformed> {
     let f = Fields::of(value)?;
-    Ok(Listed {
+    Ok(ListedMachine {
         machine: MachineId::parse(f.text("nameId")?).ok_or(Malformed::Invalid("nameId"))?,
         address: f.opt_text("address")?.unwrap_or_default().to_owned(),
         machine_type: f.text("build")?.to_owned(),
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -19,7 +19,7 @@
 
 use super::done_set::{DoneSet, InvalidDoneSet};
 use crate::protocol::cbor::{Fields, Malformed, MapBuilder, texts};
-use crate::protocol::cloud::RentalRequest;
+use crate::protocol::cloud::NodePoolRequest;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState, JobStatus};
 use crate::protocol::workers::MachineId;
 
@@ -258,7 +258,7 @@
 /// A rental request. `machines` is `None` until the cloud has answered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePoolRecord {
-    pub request: RentalRequest,
+    pub request: NodePoolRequest,
     pub machines: Option<Vec<MachineId>>,
     /// Machines to which starts may have been sent. A machine is entered here
     /// before its first start, so a new leader knows that no other can hold
@@ -283,7 +283,7 @@
         let machines = f.opt_texts("machines")?.map(|names| names.iter().map(parse).collect());
         let used = f.opt_texts("used")?.unwrap_or_default();
         Ok(NodePoolRecord {
-            request: RentalRequest {
+            request: NodePoolRequest {
                 name: r.text("hire")?.to_owned(),
                 machine_type: r.text("build")?.to_owned(),
                 zone: r.text("hall")?.to_owned(),
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -64,7 +64,7 @@
 
 #[test]
 fn an_unanswered_rental_is_told_from_an_empty_one() {
-    let request = RentalRequest {
+    let request = NodePoolRequest {
         name: "7-1".into(),
         machine_type: "t".into(),
         zone: "z".into(),
