--- a/src/coordination/agents.rs
+++ b/src/coordination/agents.rs
@@ -106,7 +106,7 @@
         if orders.len() < MAX_COMMANDS && (!doubted || probe) {
             // A doubted machine is tried with a single start now and then.
             let room = if doubted { 1 } else { MAX_COMMANDS - orders.len() };
-            self.fill(now, &report.machine, stamp.1, room, &mut orders);
+            self.place_tasks(now, &report.machine, stamp.1, room, &mut orders);
         }
         HeartbeatReply::Commands { fencing_token: epoch, commands: orders }
     }
@@ -156,7 +156,7 @@
                 task.state == TaskState::Running
                     && self.jobs.get(&task.task.job).is_some_and(|job| job.is_startable() && job.is_service())
             })
-            && self.machines.get(&report.machine).is_some_and(|m| self.expects_prompt_start(m))
+            && self.machines.get(&report.machine).is_some_and(|m| self.expects_latency_sensitive_start(m))
     }
 
     /// Decides the answer to a report that was taken before and held since: what it
@@ -175,7 +175,7 @@
             && !self.machines.get(&report.machine).is_some_and(|m| m.one_way_partitioned)
         {
             let room = MAX_COMMANDS - orders.len();
-            self.fill(now, &report.machine, report.sequence, room, &mut orders);
+            self.place_tasks(now, &report.machine, report.sequence, room, &mut orders);
         }
         HeartbeatReply::Commands { fencing_token: self.epoch, commands: orders }
     }
@@ -187,13 +187,13 @@
         held: impl Iterator<Item = &'a MachineId>,
     ) -> Vec<MachineId> {
         let ordered = std::mem::take(&mut self.machines_with_commands);
-        if !std::mem::take(&mut self.prompt_work) {
+        if !std::mem::take(&mut self.latency_sensitive_work) {
             return ordered;
         }
         let waiting: Vec<&str> = self
             .jobs
             .values()
-            .filter(|job| job.pending() > 0 && self.has_prompt_aim(job.spec()))
+            .filter(|job| job.pending() > 0 && self.is_latency_sensitive(job.spec()))
             .map(|job| job.spec().image.as_str())
             .collect();
         let mut machines: Vec<MachineId> = held.cloned().collect();
@@ -359,7 +359,7 @@
         }
         self.orphan_tasks += count as u64;
         // What they take is counted with the queue's order.
-        self.queue_at = None;
+        self.queue_ordered_at = None;
     }
 
     /// A task that is on the machine. False if its job is not known.
--- a/src/coordination/consolidation.rs
+++ b/src/coordination/consolidation.rs
@@ -82,7 +82,7 @@
                     && other.has_usable_capacity()
                     && need.fits(&room)
                     && other.has_image(&job.spec().image)
-                    && self.eligible(job, other)
+                    && self.passes_filters(job, other)
             });
             target.is_some_and(|other| {
                 taken.entry(&other.id).or_default().add(&need);
--- a/src/coordination/demand.rs
+++ b/src/coordination/demand.rs
@@ -188,8 +188,8 @@
     /// How long a job may wait for its first aim. The deadline of one that waits for others
     /// says little of that: most of it may be over when the job is released.
     fn max_start_delay(&self, spec: &JobSpec) -> Duration {
-        let after_release = self.starts_after_release(spec).min();
-        let by_deadline = self.starts_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
+        let after_release = self.start_limits_after_ready(spec).min();
+        let by_deadline = self.start_limits_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
         after_release.into_iter().chain(by_deadline).min().unwrap_or_default()
     }
 
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -175,7 +175,7 @@
             self.machines.insert(id, machine);
             if was_used {
                 // What unheard machines may hold is counted with the queue's order.
-                self.queue_at = None;
+                self.queue_ordered_at = None;
             }
         }
     }
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -104,7 +104,9 @@
         // With room for some of it, its first start should not wait for a
         // second write; nor where nothing has been started on any machine yet,
         // since then whatever comes up will be for the jobs that come now.
-        if may_begin && (self.has_room_for(&record.spec) || !self.machines.values().any(|m| m.use_recorded)) {
+        if may_begin
+            && (self.could_start_now(&record.spec) || !self.machines.values().any(|m| m.use_recorded))
+        {
             record.started_high_water = record.spec.tasks;
         }
         let conditions = vec![
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -27,11 +27,11 @@
 use super::model::{Job, ReplyId, Resources, TeamQuota};
 use super::pipelines::DependencyStates;
 use super::renting::{Backoff, InstanceOffer};
-use super::scheduler::Ranked;
+use super::scheduler::QueuedJob;
 use super::sizes::Sizes;
 use super::takeover::Loaded;
 use super::unreadable::Unreadable;
-use super::urgency::PromptNeed;
+use super::urgency::LatencySensitiveTask;
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
@@ -164,17 +164,17 @@
     pub(super) inventory_scan: Option<InventoryScan>,
     pub(super) inventory_read_at: Option<Instant>,
     pub(super) cloud_failed_at: Option<Instant>,
-    pub(super) queue: Vec<Ranked>,
-    pub(super) queue_at: Option<Instant>,
+    pub(super) queue: Vec<QueuedJob>,
+    pub(super) queue_ordered_at: Option<Instant>,
     /// The least that any task in it takes: with less room, no job need be looked
     /// at.
-    pub(super) least_cpus: f64,
+    pub(super) min_task_cpus: f64,
     /// Machines that had room when the queue was last ordered.
-    pub(super) roomy: Vec<MachineId>,
+    pub(super) candidates: Vec<MachineId>,
     /// All the room of machines that may hold unknown tasks, counted then.
-    pub(super) unheard: Resources,
+    pub(super) unreconciled_capacity: Resources,
     /// Machines kept clear for jobs that must begin.
-    pub(super) reserved: HashMap<JobId, MachineId>,
+    pub(super) reservations: HashMap<JobId, MachineId>,
     pub(super) pending_operations: HashMap<u64, PendingOperation>,
     pub(super) last_operation: u64,
     /// Jobs with done tasks to be written, the longest waiting first.
@@ -186,7 +186,7 @@
     /// Jobs whose rows are to follow their records, and moves under way.
     pub(super) archive_queue: VecDeque<JobId>,
     pub(super) archives_in_flight: usize,
-    pub(super) next_attempt: u32,
+    pub(super) last_attempt: u32,
     pub(super) last_node_pool: u32,
     pub(super) next_slow_tick: Instant,
     pub(super) recovered: bool,
@@ -204,9 +204,9 @@
     pub(super) unknown_machine: Option<MachineId>,
     pub(super) submissions_refused: u64,
     /// Classes of jobs that are to start within less than a report interval.
-    pub(super) prompt_classes: HashMap<String, PromptNeed>,
+    pub(super) latency_sensitive_classes: HashMap<String, LatencySensitiveTask>,
     /// Work that is to start promptly has come to wait.
-    pub(super) prompt_work: bool,
+    pub(super) latency_sensitive_work: bool,
     /// Machines for which there is an order that should not wait.
     pub(super) machines_with_commands: Vec<MachineId>,
     pub(super) effects: Vec<Effect>,
@@ -266,11 +266,11 @@
             inventory_read_at: None,
             cloud_failed_at: None,
             queue: Vec::new(),
-            queue_at: None,
-            least_cpus: 0.0,
-            roomy: Vec::new(),
-            unheard: Resources::default(),
-            reserved: HashMap::default(),
+            queue_ordered_at: None,
+            min_task_cpus: 0.0,
+            candidates: Vec::new(),
+            unreconciled_capacity: Resources::default(),
+            reservations: HashMap::default(),
             pending_operations: HashMap::default(),
             last_operation: 0,
             dirty_jobs: VecDeque::new(),
@@ -278,7 +278,7 @@
             flushed_at: now,
             archive_queue: VecDeque::new(),
             archives_in_flight: 0,
-            next_attempt: 0,
+            last_attempt: 0,
             last_node_pool: 0,
             next_slow_tick: now,
             recovered: false,
@@ -289,8 +289,8 @@
             invariant_violations: 0,
             unknown_machine: None,
             submissions_refused: 0,
-            prompt_classes: HashMap::default(),
-            prompt_work: false,
+            latency_sensitive_classes: HashMap::default(),
+            latency_sensitive_work: false,
             machines_with_commands: Vec::new(),
             effects: Vec::new(),
             rng: SmallRng::seed_from_u64(epoch ^ now_ms),
@@ -465,7 +465,7 @@
         self.prove_silent_machines(now);
         self.prove_hidden_machines(now);
         if slow {
-            self.begin_next(now);
+            self.record_upcoming_starts(now);
             self.autoscale(now);
             self.preempt(now);
         }
@@ -505,10 +505,10 @@
         job.team = self.team_index.get(&job.spec().team).copied();
         job.ready_at = (!waits).then_some(now);
         job.cancelled_at = job.record.cancelled.then_some(now);
-        self.note_prompt_class(job.spec());
-        self.prompt_work |= !waits && self.has_prompt_aim(job.spec());
+        self.record_latency_sensitive_class(job.spec());
+        self.latency_sensitive_work |= !waits && self.is_latency_sensitive(job.spec());
         self.jobs.insert(job.id().clone(), job);
-        self.queue_at = None;
+        self.queue_ordered_at = None;
     }
 
     /// Machine types on which a task can run.
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/pipelines.rs
@@ -147,8 +147,8 @@
             j.ready_at = Some(now);
             j.record.ready_ms = Some(now_ms);
             let spec = j.record.spec.clone();
-            self.prompt_work |= self.has_prompt_aim(&spec);
-            self.queue_at = None;
+            self.latency_sensitive_work |= self.is_latency_sensitive(&spec);
+            self.queue_ordered_at = None;
             // Its first start is near, and needs this.
             self.raise_started_high_water(now, &released);
         }
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -5,7 +5,7 @@
 
 use super::leader::Leader;
 use super::model::{Job, Resources, SlotKey, SlotState, TeamQuota};
-use super::scheduler::Ranked;
+use super::scheduler::QueuedJob;
 use crate::maps::HashMap;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
@@ -27,7 +27,7 @@
             .map(|t| !t.used.fits(&Resources { memory_gb: f64::INFINITY, ..t.guaranteed }))
             .collect();
         let lowest = self.jobs.values().filter(|j| j.slot_count > 0).map(|j| self.priority(j)).min();
-        self.rank(now);
+        self.order_queue(now);
         // The machines that have room get their chance to report first. A
         // guarantee is less pressing than a priority, and costs equals.
         let report = self.config.settings.cluster.workers.report();
@@ -40,14 +40,14 @@
                 ranked.guaranteed && over.iter().enumerate().any(|(at, over)| *over && job.team != Some(at));
             if !(lower || borrowed)
                 || now < job.waiting_since(now) + report.mul_f64(0.5)
-                || !self.team_has_room(job)
+                || !self.is_within_quota(job)
             {
                 continue;
             }
             let patient = now >= job.waiting_since(now) + report.mul_f64(1.5);
             // Room comes free by itself all the time: what is stopped is lost
             // only for an aim that would be missed otherwise.
-            let pressing = ranked.due <= now + report.mul_f64(2.5);
+            let pressing = ranked.latest_start <= now + report.mul_f64(2.5);
             // Looking for those who could give way is dear.
             if !((lower && pressing) || (borrowed && patient)) {
                 continue;
@@ -57,7 +57,7 @@
             let free: u32 = self
                 .machines
                 .values()
-                .filter(|m| !m.one_way_partitioned && self.eligible(job, m))
+                .filter(|m| !m.one_way_partitioned && self.passes_filters(job, m))
                 .map(|m| need.times_in(&m.free))
                 .fold(0, u32::saturating_add);
             let coming = self
@@ -72,7 +72,7 @@
             }
             let tuning = &self.config.tuning;
             let mut given: HashMap<usize, Resources> = HashMap::default();
-            for (machine, key, loss, lower) in self.victims(now, ranked, job, &over) {
+            for (machine, key, loss, lower) in self.preemption_victims(now, ranked, job, &over) {
                 if missing == 0 {
                     break;
                 }
@@ -83,7 +83,7 @@
                 if !lower {
                     // Only what its team has beyond its own guarantee, less
                     // what is stopped of it already.
-                    let Some((at, team)) = self.team_of(&key.0) else { continue };
+                    let Some((at, team)) = self.quota_of(&key.0) else { continue };
                     let given = given.entry(at).or_insert(team.used);
                     if given.cpus <= team.guaranteed.cpus && given.gpus <= team.guaranteed.gpus {
                         continue;
@@ -104,22 +104,24 @@
         }
     }
 
-    fn team_of(&self, job: &JobId) -> Option<(usize, &TeamQuota)> {
+    fn quota_of(&self, job: &JobId) -> Option<(usize, &TeamQuota)> {
         let at = self.jobs.get(job)?.team?;
         Some((at, self.teams.get(at)?))
     }
 
     /// Tasks that may give way to the job, those that lose least first.
-    fn victims(
+    fn preemption_victims(
         &self,
         now: Instant,
-        ranked: &Ranked,
+        ranked: &QueuedJob,
         job: &Job,
         over: &[bool],
     ) -> Vec<(MachineId, SlotKey, f64, bool)> {
         let need = Resources::of(job.spec());
         let mut found = Vec::new();
-        for machine in self.machines.values().filter(|m| m.is_schedulable() && self.may_use(job.spec(), m)) {
+        for machine in
+            self.machines.values().filter(|m| m.is_schedulable() && self.allows_machine(job.spec(), m))
+        {
             for (key, slot) in &machine.slots {
                 if slot.stop_grace_s.is_some() || slot.resources.cpus < need.cpus {
                     continue;
@@ -138,7 +140,7 @@
                 found.push((
                     machine.id.clone(),
                     key.clone(),
-                    loss_s(now, victim, slot.state, slot.since),
+                    lost_work_s(now, victim, slot.state, slot.since),
                     lower,
                 ));
             }
@@ -149,7 +151,7 @@
 }
 
 /// Work that is lost if a task is stopped now.
-fn loss_s(now: Instant, job: &Job, state: SlotState, since: Instant) -> f64 {
+fn lost_work_s(now: Instant, job: &Job, state: SlotState, since: Instant) -> f64 {
     match state {
         SlotState::Running if job.spec().checkpoint_interval_s > 0.0 => job.spec().checkpoint_save_s,
         // A fetch may have to be done again elsewhere.
--- a/src/coordination/record_writing.rs
+++ b/src/coordination/record_writing.rs
@@ -279,7 +279,7 @@
         }
         j.record_version = version;
         j.committed_done = written.done;
-        self.prompt_work |= written.started_high_water > j.committed_high_water;
+        self.latency_sensitive_work |= written.started_high_water > j.committed_high_water;
         j.committed_high_water = written.started_high_water;
         j.record.cancelled = written.cancelled;
         j.cancelled_at = written.cancelled.then_some(now);
@@ -443,7 +443,7 @@
 
     /// A job that is over, with nothing on any machine, leaves memory.
     fn evict_job(&mut self, job: &JobId) {
-        self.reserved.remove(job);
+        self.reservations.remove(job);
         self.dependencies.remove(job);
         if let Some(j) = self.jobs.remove(job) {
             self.effects.push(Effect::JobEvicted(j.status()));
--- a/src/coordination/scheduler.rs
+++ b/src/coordination/scheduler.rs
@@ -18,27 +18,27 @@
 
 /// A waiting job's place in the queue.
 #[derive(Debug, Clone)]
-pub(super) struct Ranked {
+pub(super) struct QueuedJob {
     pub(super) job: JobId,
     /// Must begin before anything else does.
     starved: bool,
     pub(super) guaranteed: bool,
     pub(super) priority: Priority,
-    pub(super) due: Instant,
+    pub(super) latest_start: Instant,
     /// What a task takes, and whether it may go to spot machines: most of the
     /// queue is passed over for a machine by these alone.
-    need: Resources,
-    spot: bool,
+    task_resources: Resources,
+    allows_spot: bool,
 }
 
-impl Ranked {
-    fn order(&self, other: &Self) -> Ordering {
+impl QueuedJob {
+    fn compare(&self, other: &Self) -> Ordering {
         other
             .starved
             .cmp(&self.starved)
             .then(other.guaranteed.cmp(&self.guaranteed))
             .then(other.priority.cmp(&self.priority))
-            .then(self.due.cmp(&other.due))
+            .then(self.latest_start.cmp(&other.latest_start))
             .then_with(|| self.job.cmp(&other.job))
     }
 }
@@ -46,80 +46,82 @@
 impl Leader {
     /// Orders the waiting jobs: guarantees first, then priority, then the time
     /// by which a job must start to be done when it is due, or its age.
-    pub(super) fn rank(&mut self, now: Instant) {
+    pub(super) fn order_queue(&mut self, now: Instant) {
         let fresh_enough = self.config.settings.cluster.workers.report() / 12;
-        if self.queue_at.is_some_and(|at| now < at + fresh_enough) {
+        if self.queue_ordered_at.is_some_and(|at| now < at + fresh_enough) {
             return;
         }
-        self.queue_at = Some(now);
+        self.queue_ordered_at = Some(now);
         let guaranteed = self.within_guarantees();
-        let mut queue: Vec<Ranked> = self
+        let mut queue: Vec<QueuedJob> = self
             .jobs
             .values()
             .filter(|j| j.pending() > 0)
-            .map(|j| Ranked {
+            .map(|j| QueuedJob {
                 job: j.id().clone(),
                 starved: self.is_starved(j, now),
                 guaranteed: guaranteed.contains_key(j.id()),
                 priority: self.priority(j),
-                due: self.latest_start(j, now),
-                need: Resources::of(j.spec()),
-                spot: j.spec().spot,
+                latest_start: self.latest_start(j, now),
+                task_resources: Resources::of(j.spec()),
+                allows_spot: j.spec().spot,
             })
             .collect();
-        queue.sort_by(Ranked::order);
+        queue.sort_by(QueuedJob::compare);
         // A job that must begin may have a machine kept clear that is full now.
-        let least = |r: &Ranked| if r.starved { 0.0 } else { r.need.cpus };
-        self.least_cpus = queue.iter().map(least).fold(f64::INFINITY, f64::min);
+        let least = |r: &QueuedJob| if r.starved { 0.0 } else { r.task_resources.cpus };
+        self.min_task_cpus = queue.iter().map(least).fold(f64::INFINITY, f64::min);
         self.queue = queue;
         // Machines are heard one after the other, and none becomes unheard: what
         // was counted last is never too little.
-        self.unheard = if self.hidden_machines { Resources::UNBOUNDED } else { Resources::default() };
+        self.unreconciled_capacity =
+            if self.hidden_machines { Resources::UNBOUNDED } else { Resources::default() };
         let unknown =
             |m: &&Machine| m.has_orphan_tasks || (!self.recovered && m.use_recorded && !m.reconciled);
         for m in self.machines.values().filter(unknown) {
-            self.unheard.add(&self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default());
+            self.unreconciled_capacity
+                .add(&self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default());
         }
         // One that has missed its time to report may be dead.
         let patience = self.config.settings.cluster.workers.report().mul_f64(1.5);
         let heard = |m: &Machine| m.heartbeat_at.is_some_and(|h| now < h + patience);
         let open =
             self.machines.values().filter(|m| m.free.cpus > 1e-3 && m.has_usable_capacity() && heard(m));
-        self.roomy = open.map(|m| m.id.clone()).collect();
+        self.candidates = open.map(|m| m.id.clone()).collect();
     }
 
     /// A starved job that fits nowhere gets one machine kept clear for it, or
     /// smaller tasks would take every bit of room as it comes free. True if it
     /// is to be this one.
-    fn keep_clear_for(&mut self, job: &JobId, machine: &MachineId) -> bool {
+    fn try_reserve(&mut self, job: &JobId, machine: &MachineId) -> bool {
         // One that has gone, or that nothing may be placed on, is given up.
         let usable = |id: &&MachineId| self.machines.get(*id).is_some_and(Machine::has_usable_capacity);
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         // While its own team is at its limit, or its tasks may still be somewhere,
         // room would not help it: others must not wait beside an empty machine.
-        if !self.team_has_room(j) || !(self.recovered || j.unreconciled_below == 0) {
-            self.reserved.remove(job);
+        if !self.is_within_quota(j) || !(self.recovered || j.unreconciled_below == 0) {
+            self.reservations.remove(job);
             return false;
         }
-        let reserved = self.reserved.get(job).filter(usable);
+        let reserved = self.reservations.get(job).filter(usable);
         if let Some(reserved) = reserved {
             return reserved == machine;
         }
         let spec = j.spec();
         let suits = m.has_usable_capacity()
-            && self.may_use(spec, m)
+            && self.allows_machine(spec, m)
             && self
                 .catalog
                 .get(m.machine_type)
                 .is_some_and(|k| Resources::of(spec).fits(&Resources::of_type(k)));
         if suits {
-            self.reserved.insert(job.clone(), machine.clone());
+            self.reservations.insert(job.clone(), machine.clone());
         }
         suits
     }
 
     /// How long the machine is expected to fetch the image of the job.
-    pub(super) fn fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
+    pub(super) fn image_fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
         match self.catalog.get(machine.machine_type) {
             Some(kind) if kind.fetch_gb_per_s > 0.0 && !machine.has_image(&spec.image) => {
                 spec.image_gb / kind.fetch_gb_per_s
@@ -129,7 +131,7 @@
     }
 
     /// Starts tasks on a machine that has just reported.
-    pub(super) fn fill(
+    pub(super) fn place_tasks(
         &mut self,
         now: Instant,
         machine: &MachineId,
@@ -140,36 +142,38 @@
         if !self.machines.get(machine).is_some_and(Machine::is_schedulable) {
             return;
         }
-        self.rank(now);
+        self.order_queue(now);
         let queue = std::mem::take(&mut self.queue);
         let spot = self.machines.get(machine).is_some_and(|m| m.spot);
         let mut started = 0;
         for ranked in &queue {
             let room = self.machines.get(machine).map(|m| m.free).unwrap_or_default();
-            if started >= most || room.cpus < self.least_cpus.max(1e-3) - 1e-6 {
+            if started >= most || room.cpus < self.min_task_cpus.max(1e-3) - 1e-6 {
                 break;
             }
             // One that must begin may have this machine kept clear for it.
-            if !ranked.starved && !(ranked.need.fits(&room) && (ranked.spot || !spot)) {
+            if !ranked.starved && !(ranked.task_resources.fits(&room) && (ranked.allows_spot || !spot)) {
                 continue;
             }
-            while started < most && self.may_start(now, ranked, machine) {
+            while started < most && self.should_start(now, ranked, machine) {
                 let recovered = self.recovered;
                 let Some(job) = self.jobs.get_mut(&ranked.job) else { break };
                 let least = if recovered { 0 } else { job.unreconciled_below };
                 let Some(index) = job.next_pending(least) else { break };
-                let Some(order) = self.start(now, machine, seq, (ranked.job.clone(), index)) else { break };
+                let Some(order) = self.start_task(now, machine, seq, (ranked.job.clone(), index)) else {
+                    break;
+                };
                 orders.push(order);
                 started += 1;
-                self.reserved.remove(&ranked.job);
+                self.reservations.remove(&ranked.job);
                 if ranked.starved {
                     // It has begun; the rest of it waits like any other's.
-                    self.queue_at = None;
+                    self.queue_ordered_at = None;
                     break;
                 }
             }
             let begun = self.jobs.get(&ranked.job).is_none_or(|j| !j.placements.is_empty());
-            if ranked.starved && !begun && self.keep_clear_for(&ranked.job, machine) {
+            if ranked.starved && !begun && self.try_reserve(&ranked.job, machine) {
                 break;
             }
         }
@@ -177,13 +181,13 @@
     }
 
     /// Counts a task on the machine and returns its start order, if there is a right to it.
-    fn start(&mut self, now: Instant, machine: &MachineId, seq: u64, key: SlotKey) -> Option<Command> {
-        let Some(counter) = self.next_attempt.checked_add(1) else {
+    fn start_task(&mut self, now: Instant, machine: &MachineId, seq: u64, key: SlotKey) -> Option<Command> {
+        let Some(counter) = self.last_attempt.checked_add(1) else {
             tracing::error!("attempt numbers of this epoch are used up");
             return None;
         };
         // Epochs differ, and counters within one: never used twice.
-        let attempt = self.attempt(counter);
+        let attempt = self.attempt_number(counter);
         let evidence = self.start_evidence(machine, &key)?;
         let task = TaskId { job: key.0.clone(), index: key.1 };
         let permit = match self.term().start_permit(now, task, attempt, evidence) {
@@ -193,7 +197,7 @@
                 return None;
             }
         };
-        self.next_attempt = counter;
+        self.last_attempt = counter;
         tracing::debug!(
             epoch = self.epoch,
             lease_left_ms = self.lease_expiry.saturating_duration_since(now).as_millis() as u64,
@@ -207,7 +211,7 @@
         Some(permit.into_command())
     }
 
-    fn attempt(&self, counter: u32) -> u64 {
+    fn attempt_number(&self, counter: u32) -> u64 {
         self.epoch << 32 | u64::from(counter)
     }
 
@@ -227,12 +231,12 @@
             task_is_done: job.record.done.contains(task),
             is_on_no_machine: !is_counted && !may_be_on_unheard,
             machine_use_is_recorded: machine.use_recorded,
-            last_attempt: self.attempt(self.next_attempt),
+            last_attempt: self.attempt_number(self.last_attempt),
         })
     }
 
     /// Whether the job's next task may and should start on this machine.
-    fn may_start(&mut self, now: Instant, ranked: &Ranked, machine: &MachineId) -> bool {
+    fn should_start(&mut self, now: Instant, ranked: &QueuedJob, machine: &MachineId) -> bool {
         let recovered = self.recovered;
         let Some(j) = self.jobs.get_mut(&ranked.job) else { return false };
         if j.pending() == 0 || j.backoff_until.is_some_and(|until| now < until && !j.placements.is_empty()) {
@@ -260,37 +264,40 @@
         }
         let Some(j) = self.jobs.get(&ranked.job) else { return false };
         let Some(m) = self.machines.get(machine) else { return false };
-        if !self.eligible(j, m) || !self.team_has_room(j) {
+        if !self.passes_filters(j, m) || !self.is_within_quota(j) {
             return false;
         }
         if ranked.starved {
             return j.placements.is_empty();
         }
         // A better place would report too late.
-        if self.starts_promptly(now, j, m) {
+        if self.meets_latency_objective(now, j, m) {
             return true;
         }
         // Machines that have the image report sooner than this one has fetched it. All
         // are counted, since a sample would let one of many machines start it too early.
-        if self.has_prompt_aim(j.spec()) && self.fetch_s(j.spec(), m) > 0.0 && self.has_room_with_image(j) {
+        if self.is_latency_sensitive(j.spec())
+            && self.image_fetch_s(j.spec(), m) > 0.0
+            && self.fits_on_machines_with_image(j)
+        {
             return false;
         }
         let here = self.score(now, j, m, now);
         let pending = j.pending();
         // A machine that no demand counts on is left to run empty while the
         // others have room for all that waits.
-        if !m.needed && self.has_room_on_wanted(j) {
+        if !m.needed && self.fits_on_needed_machines(j) {
             return false;
         }
         let report = self.config.settings.cluster.workers.report();
         let need = Resources::of(j.spec());
-        let (others, population) = self.sample(machine, &need);
+        let (others, population) = self.sample_candidates(machine, &need);
         let Some(j) = self.jobs.get(&ranked.job) else { return false };
         let sampled = others.len();
         let room: u32 = others
             .iter()
             .filter_map(|id| self.machines.get(id))
-            .filter(|o| self.eligible(j, o))
+            .filter(|o| self.passes_filters(j, o))
             .filter(|o| {
                 let next_report = o.heartbeat_at.map_or(now, |h| (h + report).max(now));
                 self.score(now, j, o, next_report) > here + 0.5
@@ -306,17 +313,17 @@
     /// A few other machines that last reported room for a task, and about how
     /// many such there are. Drawn from what the last ordering of the queue found,
     /// so that a placement costs the same on a fleet of any size.
-    fn sample(&mut self, machine: &MachineId, need: &Resources) -> (Vec<MachineId>, f64) {
+    fn sample_candidates(&mut self, machine: &MachineId, need: &Resources) -> (Vec<MachineId>, f64) {
         let most = self.config.tuning.sample.saturating_sub(1);
-        let tries = (most * 4).min(self.roomy.len());
+        let tries = (most * 4).min(self.candidates.len());
         let mut found = Vec::with_capacity(most);
         let mut tried: u32 = 0;
-        for at in rand::seq::index::sample(&mut self.rng, self.roomy.len(), tries) {
+        for at in rand::seq::index::sample(&mut self.rng, self.candidates.len(), tries) {
             if found.len() >= most {
                 break;
             }
             tried += 1;
-            let id = &self.roomy[at];
+            let id = &self.candidates[at];
             if id != machine
                 && self.machines.get(id).is_some_and(|m| m.has_usable_capacity() && need.fits(&m.free))
             {
@@ -324,26 +331,26 @@
             }
         }
         let share = found.len() as f64 / f64::from(tried.max(1));
-        (found, share * self.roomy.len() as f64)
+        (found, share * self.candidates.len() as f64)
     }
 
     /// Whether all that waits of the job fits on machines that demand counts on.
-    fn has_room_on_wanted(&self, job: &Job) -> bool {
-        self.has_room_where(job, |m| m.needed)
+    fn fits_on_needed_machines(&self, job: &Job) -> bool {
+        self.fits_on_machines_where(job, |m| m.needed)
     }
 
     /// Whether all that waits of the job fits on machines that have its image.
-    fn has_room_with_image(&self, job: &Job) -> bool {
-        self.has_room_where(job, |m| m.has_image(&job.spec().image))
+    fn fits_on_machines_with_image(&self, job: &Job) -> bool {
+        self.fits_on_machines_where(job, |m| m.has_image(&job.spec().image))
     }
 
     /// Whether all that waits of the job fits on such machines, of those that had room
     /// when the queue was last ordered.
-    fn has_room_where(&self, job: &Job, suits: impl Fn(&Machine) -> bool) -> bool {
+    fn fits_on_machines_where(&self, job: &Job, suits: impl Fn(&Machine) -> bool) -> bool {
         let need = Resources::of(job.spec());
         let mut left = job.pending();
-        for m in self.roomy.iter().filter_map(|id| self.machines.get(id)) {
-            if suits(m) && need.fits(&m.free) && !m.one_way_partitioned && self.eligible(job, m) {
+        for m in self.candidates.iter().filter_map(|id| self.machines.get(id)) {
+            if suits(m) && need.fits(&m.free) && !m.one_way_partitioned && self.passes_filters(job, m) {
                 left = left.saturating_sub(need.times_in(&m.free));
                 if left == 0 {
                     return true;
@@ -354,13 +361,15 @@
     }
 
     /// Whether a task of a new job could start now.
-    pub(super) fn has_room_for(&self, spec: &JobSpec) -> bool {
+    pub(super) fn could_start_now(&self, spec: &JobSpec) -> bool {
         let need = Resources::of(spec);
-        self.machines.values().any(|m| m.has_usable_capacity() && need.fits(&m.free) && self.may_use(spec, m))
+        self.machines
+            .values()
+            .any(|m| m.has_usable_capacity() && need.fits(&m.free) && self.allows_machine(spec, m))
     }
 
     /// Whether the job allows the machine: its type, its zone, spot or not.
-    pub(super) fn may_use(&self, spec: &JobSpec, machine: &Machine) -> bool {
+    pub(super) fn allows_machine(&self, spec: &JobSpec, machine: &Machine) -> bool {
         (spec.spot || !machine.spot)
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && self
@@ -372,8 +381,8 @@
     /// Has the records of the jobs whose turn comes next say that they begin,
     /// so that no start waits for the write. Those behind them stay free for a
     /// next leader to start at once.
-    pub(super) fn begin_next(&mut self, now: Instant) {
-        self.rank(now);
+    pub(super) fn record_upcoming_starts(&mut self, now: Instant) {
+        self.order_queue(now);
         // Room that is there, and what comes free until the next round.
         let kinds = |m: &Machine| self.catalog.get(m.machine_type).map_or(0.0, |k| k.cpus);
         let open = self.machines.values().filter(|m| m.has_usable_capacity());
@@ -394,11 +403,11 @@
     }
 
     /// What the rules demand of a machine for the job's next task.
-    pub(super) fn eligible(&self, job: &Job, machine: &Machine) -> bool {
+    pub(super) fn passes_filters(&self, job: &Job, machine: &Machine) -> bool {
         let spec = job.spec();
         if !machine.is_schedulable()
             || !Resources::of(spec).fits(&machine.free)
-            || !self.may_use(spec, machine)
+            || !self.allows_machine(spec, machine)
             || machine.slots.keys().any(|(j, t)| j == job.id() && !job.placements.contains_key(t))
         {
             return false;
@@ -423,11 +432,11 @@
         true
     }
 
-    pub(super) fn team_has_room(&self, job: &Job) -> bool {
+    pub(super) fn is_within_quota(&self, job: &Job) -> bool {
         let Some(team) = job.team.and_then(|t| self.teams.get(t)) else { return false };
         let mut used = team.used;
         // What is on unheard machines, or is of unknown jobs, may all be this team's.
-        used.add(&self.unheard);
+        used.add(&self.unreconciled_capacity);
         used.add(&Resources::of(job.spec()));
         used.fits(&team.limit)
     }
@@ -437,7 +446,7 @@
         let spec = job.spec();
         let Some(kind) = self.catalog.get(machine.machine_type) else { return f64::MIN };
         let wait = report.saturating_duration_since(now).as_secs_f64();
-        let fetch = self.fetch_s(spec, machine);
+        let fetch = self.image_fetch_s(spec, machine);
         let left = machine.free.cpus - spec.cpus;
         let emptiness = if kind.cpus > 0.0 { left / kind.cpus } else { 0.0 };
         // Work that may run on spot machines leaves the others to work that
--- a/src/coordination/slots.rs
+++ b/src/coordination/slots.rs
@@ -63,10 +63,10 @@
             job.placements.remove(&key.1);
             if !job.record.done.contains(key.1) {
                 job.requeued.insert(key.1);
-                self.prompt_work |= job.is_service();
+                self.latency_sensitive_work |= job.is_service();
                 // A job that had nothing waiting is not in the queue.
                 if job.pending() == 1 {
-                    self.queue_at = None;
+                    self.queue_ordered_at = None;
                 }
             }
         }
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -69,8 +69,8 @@
         tracing::debug!(epoch = self.epoch, %machine, tasks = m.slots.len(), "what is on the machine is known");
         let room = self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default();
         // Counted anew with each ordering of the queue, and not below nothing.
-        if room.fits(&self.unheard) {
-            self.unheard.sub(&room);
+        if room.fits(&self.unreconciled_capacity) {
+            self.unreconciled_capacity.sub(&room);
         }
         self.check_recovered();
     }
@@ -172,7 +172,7 @@
         entry.unreconciled_below = entry.committed_high_water;
         entry.cancelled_at = entry.record.cancelled.then_some(now);
         entry.team = self.team_index.get(&entry.spec().team).copied();
-        self.note_prompt_class(entry.spec());
+        self.record_latency_sensitive_class(entry.spec());
         self.jobs.insert(entry.id().clone(), entry);
     }
 
@@ -197,7 +197,7 @@
         }
         tracing::info!(epoch = self.epoch, "machines of unreadable fleet records have lost their leases");
         self.hidden_machines = false;
-        self.queue_at = None;
+        self.queue_ordered_at = None;
         self.check_recovered();
     }
 
--- a/src/coordination/tests/placing.rs
+++ b/src/coordination/tests/placing.rs
@@ -164,7 +164,7 @@
         for (name, tasks) in &on {
             rig.beat(name, seq, EPOCH, tasks.clone());
         }
-        kept = rig.leader.reserved.get(&id("job-5")).cloned();
+        kept = rig.leader.reservations.get(&id("job-5")).cloned();
     }
     let kept = kept.expect("it has waited for long");
     // Its team takes what was left of its limit elsewhere.
--- a/src/coordination/urgency.rs
+++ b/src/coordination/urgency.rs
@@ -15,9 +15,9 @@
 
 /// What a task of a class that is to start promptly takes.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct PromptNeed {
-    task: Resources,
-    spot: bool,
+pub(super) struct LatencySensitiveTask {
+    task_resources: Resources,
+    allows_spot: bool,
 }
 
 impl Leader {
@@ -25,7 +25,7 @@
     /// still be met. With all of them missed it goes behind those for whom
     /// haste still helps, by a boot time, and then by age.
     pub(super) fn latest_start(&self, job: &Job, now: Instant) -> Instant {
-        let next = self.aimed_starts(job, now).filter(|&at| at > now).min();
+        let next = self.objective_start_times(job, now).filter(|&at| at > now).min();
         next.unwrap_or_else(|| {
             let age = now.saturating_duration_since(job.waiting_since(now));
             now + self.longest_boot().mul_f64(1.0 / (1.0 + age.as_secs_f64() / 600.0))
@@ -40,11 +40,11 @@
 
     /// When a job's tasks should have started, by each of the users' aims for its class,
     /// by its deadline and by those of the jobs that need it.
-    fn aimed_starts<'a>(&'a self, job: &'a Job, now: Instant) -> impl Iterator<Item = Instant> + 'a {
+    fn objective_start_times<'a>(&'a self, job: &'a Job, now: Instant) -> impl Iterator<Item = Instant> + 'a {
         let (spec, released) = (job.spec(), job.waiting_since(now));
         let run = Duration::from_secs_f64(self.expected_run_s(spec));
-        let after_release = self.starts_after_release(spec).map(move |after| released + after);
-        let by_deadline = self.starts_by_deadline(spec).map(move |after| job.submitted_at + after);
+        let after_release = self.start_limits_after_ready(spec).map(move |after| released + after);
+        let by_deadline = self.start_limits_by_deadline(spec).map(move |after| job.submitted_at + after);
         let inherited = self.dependencies.inherited(job.id()).and_then(|urgency| urgency.finish_by);
         let inherited = inherited.map(move |finish_by| finish_by.checked_sub(run).unwrap_or(finish_by));
         after_release.chain(by_deadline).chain(inherited)
@@ -52,36 +52,39 @@
 
     /// How long after its release a job's tasks should have started, by the users' aims
     /// for its class.
-    pub(super) fn starts_after_release<'a>(
+    pub(super) fn start_limits_after_ready<'a>(
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = Duration> + 'a {
         let run = self.expected_run_s(spec);
-        let aims = self.aims_for(spec).filter_map(move |aim| match (aim.kind.as_str(), aim.within_s) {
+        let aims = self.objectives_for(spec).filter_map(move |aim| match (aim.kind.as_str(), aim.within_s) {
             ("wait", Some(within)) => Some(within),
             ("finished", Some(within)) => Some(within - run),
             _ => None,
         });
-        aims.filter_map(duration_of)
+        aims.filter_map(duration_from_seconds)
     }
 
     /// How long after its submission a job's tasks should have started to meet its
     /// deadline, and the multiples of it that the users aim at.
-    pub(super) fn starts_by_deadline<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = Duration> + 'a {
+    pub(super) fn start_limits_by_deadline<'a>(
+        &'a self,
+        spec: &'a JobSpec,
+    ) -> impl Iterator<Item = Duration> + 'a {
         let run = self.expected_run_s(spec);
-        let aims = self.aims_for(spec).filter(|aim| aim.kind == "deadline");
+        let aims = self.objectives_for(spec).filter(|aim| aim.kind == "deadline");
         let times = aims.map(|aim| aim.times.unwrap_or(1.0)).chain(std::iter::once(1.0));
         let deadline = spec.deadline_s;
-        times.filter_map(move |times| Some(deadline? * times - run)).filter_map(duration_of)
+        times.filter_map(move |times| Some(deadline? * times - run)).filter_map(duration_from_seconds)
     }
 
-    fn aims_for<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a Objective> + 'a {
+    fn objectives_for<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a Objective> + 'a {
         let aims = self.config.settings.cluster.objectives.iter();
         aims.filter(|aim| aim.class.as_ref().is_none_or(|class| *class == spec.class))
     }
 
     /// The aims at the job's start that are shorter than a report interval.
-    fn prompt_aims<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
+    fn latency_objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
         let report = self.config.settings.cluster.workers.report_s;
         self.config
             .settings
@@ -93,42 +96,42 @@
             .filter(move |&within| within > 0.0 && within < report)
     }
 
-    pub(super) fn has_prompt_aim(&self, spec: &JobSpec) -> bool {
-        self.prompt_aims(spec).next().is_some()
+    pub(super) fn is_latency_sensitive(&self, spec: &JobSpec) -> bool {
+        self.latency_objectives(spec).next().is_some()
     }
 
     /// Whether a task that starts on the machine now still meets an aim at its start
     /// that is shorter than a report interval. No machine that reports later could be
     /// expected to meet it; but one that would have to fetch the image first may miss
     /// it as surely, and then is compared with the others like any other.
-    pub(super) fn starts_promptly(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
+    pub(super) fn meets_latency_objective(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
         let waited = now.saturating_duration_since(job.waiting_since(now)).as_secs_f64();
-        let fetch = self.fetch_s(job.spec(), machine);
+        let fetch = self.image_fetch_s(job.spec(), machine);
         if job.is_service() && !job.placements.is_empty() && fetch <= 0.0 {
             // One of its replicas is down: each second counts.
             return true;
         }
-        self.prompt_aims(job.spec()).any(|within| waited + fetch < within)
+        self.latency_objectives(job.spec()).any(|within| waited + fetch < within)
     }
 
     /// Notes what a job takes whose class is to start promptly: others like it are
     /// likely to come.
-    pub(super) fn note_prompt_class(&mut self, spec: &JobSpec) {
+    pub(super) fn record_latency_sensitive_class(&mut self, spec: &JobSpec) {
         const CLASSES: usize = 64;
-        let known = self.prompt_classes.contains_key(&spec.class);
-        if self.has_prompt_aim(spec) && (known || self.prompt_classes.len() < CLASSES) {
-            let need = PromptNeed { task: Resources::of(spec), spot: spec.spot };
-            self.prompt_classes.insert(spec.class.clone(), need);
+        let known = self.latency_sensitive_classes.contains_key(&spec.class);
+        if self.is_latency_sensitive(spec) && (known || self.latency_sensitive_classes.len() < CLASSES) {
+            let need = LatencySensitiveTask { task_resources: Resources::of(spec), allows_spot: spec.spot };
+            self.latency_sensitive_classes.insert(spec.class.clone(), need);
         }
     }
 
     /// Whether jobs that are to start promptly may use room on the machine.
-    pub(super) fn expects_prompt_start(&self, machine: &Machine) -> bool {
+    pub(super) fn expects_latency_sensitive_start(&self, machine: &Machine) -> bool {
         machine.has_usable_capacity()
             && self
-                .prompt_classes
+                .latency_sensitive_classes
                 .values()
-                .any(|need| need.task.fits(&machine.free) && (need.spot || !machine.spot))
+                .any(|need| need.task_resources.fits(&machine.free) && (need.allows_spot || !machine.spot))
     }
 
     /// Whether a job has waited for half the time within which every job must
@@ -173,6 +176,6 @@
 }
 
 /// Seconds as a duration, a negative number of them as none.
-fn duration_of(seconds: f64) -> Option<Duration> {
+fn duration_from_seconds(seconds: f64) -> Option<Duration> {
     seconds.is_finite().then(|| Duration::from_secs_f64(seconds.clamp(0.0, 1e7)))
 }
