--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -12,7 +12,7 @@
 use shedtally::coordination::config::Config;
 use shedtally::coordination::leader::{Effect, Leader};
 use shedtally::coordination::model::ReplyId;
-use shedtally::coordination::takeover::Loaded;
+use shedtally::coordination::takeover::Snapshot;
 use shedtally::policy::Tuning;
 use shedtally::protocol::cloud::{MachineType, NodePoolRequest};
 use shedtally::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
@@ -122,7 +122,7 @@
         };
         let used = ids.iter().cloned().collect();
         let rentals = vec![(NodePoolRecord { request, machines: Some(ids), machines_used: used }, 3)];
-        let loaded = Loaded { rentals, catalog: Some((vec![kind], 2)), ..Loaded::default() };
+        let loaded = Snapshot { node_pools: rentals, catalog: Some((vec![kind], 2)), ..Snapshot::default() };
         let mut leader = Leader::new(Arc::new(Config { settings, tuning }), EPOCH, now, 0, loaded);
         leader.extend_lease(now, now + Duration::from_secs(1 << 20));
         World { leader, now, seq: 0, running: vec![Vec::new(); machines], jobs: 0 }
--- a/src/coordination/agents.rs
+++ b/src/coordination/agents.rs
@@ -58,7 +58,7 @@
             // only then it is entered. No machine that no record names was
             // ever given a start, so the answer keeps nothing alive; unless a
             // record cannot be read.
-            if self.hidden_machines && !self.may_answer_hidden(now) {
+            if self.unlisted_machines_possible && !self.may_reply_to_unlisted(now) {
                 return HeartbeatReply::Redirect;
             }
             if report.fencing_token == epoch {
@@ -95,7 +95,7 @@
             self.clear_slots(now, &report.machine);
         }
         self.reconcile_tasks(now, report);
-        self.become_known(&report.machine);
+        self.mark_machine_reconciled(&report.machine);
         if outlives {
             return HeartbeatReply::Redirect;
         }
--- a/src/coordination/consolidation.rs
+++ b/src/coordination/consolidation.rs
@@ -20,7 +20,7 @@
 impl Leader {
     /// Chooses at most one machine to empty, once all replicas moved before run again.
     pub(super) fn rebalance(&mut self, now: Instant) {
-        let steady = self.recovered && !self.cloud_is_down(now) && self.mostly_live_since.is_some();
+        let steady = self.failover_complete && !self.cloud_is_down(now) && self.mostly_live_since.is_some();
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             machine.draining = steady && !machine.needed;
         }
--- a/src/coordination/figures.rs
+++ b/src/coordination/figures.rs
@@ -34,7 +34,7 @@
             .set("machines", self.machines.len() as u64)
             .set("machinesBooting", booting as u64)
             .set("machinesDoubted", self.machines.values().filter(|m| m.one_way_partitioned).count() as u64)
-            .set("accountedFor", self.recovered)
+            .set("accountedFor", self.failover_complete)
             .set("submissionsRefused", self.submissions_refused)
             .set("recordsUnreadable", self.unreadable.len() as u64)
             .set("tasksOfUnknownJobs", self.orphan_tasks)
@@ -60,7 +60,7 @@
             self.epoch,
             self.jobs.len(),
             self.machines.len(),
-            self.recovered
+            self.failover_complete
         )
     }
 }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -91,7 +91,7 @@
         for name in rentals {
             self.register_pool_machines(now, &name);
         }
-        self.check_recovered();
+        self.check_failover_complete();
     }
 
     fn write_catalog(&mut self) {
@@ -291,7 +291,7 @@
             }
             self.write_node_pool(&m.node_pool);
         }
-        self.check_recovered();
+        self.check_failover_complete();
     }
 
     /// Has machines deleted, unless this leader may not decide that any more.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -29,8 +29,8 @@
 use super::renting::{Backoff, InstanceOffer};
 use super::scheduler::QueuedJob;
 use super::sizes::Sizes;
-use super::takeover::Loaded;
-use super::unreadable::Unreadable;
+use super::takeover::Snapshot;
+use super::unreadable::UnreadableRecords;
 use super::urgency::LatencySensitiveTask;
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::cloud::MachineType;
@@ -189,19 +189,19 @@
     pub(super) last_attempt: u32,
     pub(super) last_node_pool: u32,
     pub(super) next_slow_tick: Instant,
-    pub(super) recovered: bool,
-    pub(super) unreadable: Unreadable,
+    pub(super) failover_complete: bool,
+    pub(super) unreadable: UnreadableRecords,
     /// Machines that no readable record names may hold tasks.
-    pub(super) hidden_machines: bool,
+    pub(super) unlisted_machines_possible: bool,
     /// When a machine that is not in the picture was last answered while that was so.
-    pub(super) hidden_answered: Option<Instant>,
+    pub(super) unlisted_replied_at: Option<Instant>,
     /// Tasks reported under this epoch's token whose job is not in the picture.
     pub(super) orphan_tasks: u64,
     /// Acts that were refused since they would have broken what must always hold.
     pub(super) invariant_violations: u64,
     /// A machine that was not known when that was last looked at: while it is not, there
     /// is nothing to look for.
-    pub(super) unknown_machine: Option<MachineId>,
+    pub(super) unreconciled_machine: Option<MachineId>,
     pub(super) submissions_refused: u64,
     /// Classes of jobs that are to start within less than a report interval.
     pub(super) latency_sensitive_classes: HashMap<String, LatencySensitiveTask>,
@@ -215,7 +215,7 @@
 }
 
 impl Leader {
-    pub fn new(config: Arc<Config>, epoch: u64, now: Instant, now_ms: u64, loaded: Loaded) -> Self {
+    pub fn new(config: Arc<Config>, epoch: u64, now: Instant, now_ms: u64, loaded: Snapshot) -> Self {
         let cluster = &config.settings.cluster;
         let unlimited = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
         let teams = cluster
@@ -281,13 +281,13 @@
             last_attempt: 0,
             last_node_pool: 0,
             next_slow_tick: now,
-            recovered: false,
-            hidden_machines: loaded.unreadable.hides_machines(),
-            hidden_answered: None,
-            unreadable: Unreadable::default(),
+            failover_complete: false,
+            unlisted_machines_possible: loaded.unreadable.may_hide_machines(),
+            unlisted_replied_at: None,
+            unreadable: UnreadableRecords::default(),
             orphan_tasks: 0,
             invariant_violations: 0,
-            unknown_machine: None,
+            unreconciled_machine: None,
             submissions_refused: 0,
             latency_sensitive_classes: HashMap::default(),
             latency_sensitive_work: false,
@@ -298,7 +298,7 @@
             config,
         };
         leader.unreadable.extend(loaded.unreadable);
-        for (record, version) in loaded.rentals {
+        for (record, version) in loaded.node_pools {
             let rental = NodePool::new(record, version, now);
             leader.node_pools.insert(rental.record.request.name.clone(), rental);
         }
@@ -307,13 +307,13 @@
             leader.singleton_keys.insert(CATALOG, SingletonKey { version, write_in_flight: false });
             leader.register_all_machines(now);
         }
-        if let Some((experience, version)) = loaded.experience {
+        if let Some((experience, version)) = loaded.statistics {
             leader
                 .singleton_keys
                 .insert(LEARNED_STATISTICS, SingletonKey { version, write_in_flight: false });
             leader.restore_statistics(now, experience);
         }
-        leader.insert_all_loaded(now, now_ms, loaded.jobs, &loaded.needs);
+        leader.restore_jobs(now, now_ms, loaded.jobs, &loaded.dependency_states);
         leader.request_catalog();
         leader
     }
@@ -462,8 +462,8 @@
         }
         self.flush_dirty_records(now);
         self.register_unregistered(now);
-        self.prove_silent_machines(now);
-        self.prove_hidden_machines(now);
+        self.expire_silent_machines(now);
+        self.expire_unlisted_machines(now);
         if slow {
             self.record_upcoming_starts(now);
             self.autoscale(now);
--- a/src/coordination/loading.rs
+++ b/src/coordination/loading.rs
@@ -6,8 +6,8 @@
 
 use super::pipelines::{DependencyState, DependencyStates};
 use super::reconciler::{self, Finding};
-use super::takeover::{Loaded, LoadedJob};
-use super::unreadable::Unreadable;
+use super::takeover::{JobSnapshot, Snapshot};
+use super::unreadable::UnreadableRecords;
 use crate::maps::HashSet;
 use crate::protocol::cloud::decode_catalog;
 use crate::protocol::jobs::{JobId, JobState};
@@ -18,18 +18,18 @@
 use crate::storage::service::{Class, Store, StoreError};
 
 /// Rows compared with their records in one round.
-pub const ROWS_A_ROUND: usize = 8;
+pub const ROWS_PER_ROUND: usize = 8;
 
 /// One round of the reconciler: where to go on, and the jobs that a repair
 /// brought back among the living.
-pub async fn walk(
+pub async fn reconcile_page(
     store: &Store,
     epoch: u64,
     from: &str,
     value_kb: f64,
-) -> Result<(String, Loaded), StoreError> {
-    let (jobs, next) = reconciler::page_of_jobs(store, ARCHIVED_ROWS, from, ROWS_A_ROUND).await?;
-    let mut restored = Loaded::default();
+) -> Result<(String, Snapshot), StoreError> {
+    let (jobs, next) = reconciler::page_of_jobs(store, ARCHIVED_ROWS, from, ROWS_PER_ROUND).await?;
+    let mut restored = Snapshot::default();
     for job in &jobs {
         let examined = reconciler::examine(store, job).await?;
         if let Finding::Suspect(reason) = examined.finding {
@@ -39,55 +39,59 @@
             tracing::error!(%job, finding = ?examined.finding, "a row differs from its record; repairing it");
             let live_version = store.commit(repair).await?;
             if examined.finding == Finding::Stranded {
-                match load_job(store, job, live_version, value_kb).await? {
-                    JobRead::Loaded(loaded) => restored.jobs.push(*loaded),
-                    JobRead::Unreadable(reason) => restored.unreadable.note_job(job, reason),
+                match read_job(store, job, live_version, value_kb).await? {
+                    JobReadOutcome::Loaded(loaded) => restored.jobs.push(*loaded),
+                    JobReadOutcome::Unreadable(reason) => restored.unreadable.add_job(job, reason),
                 }
             }
         }
     }
-    restored.needs = needs_of(store, &restored.jobs).await?;
+    restored.dependency_states = read_dependencies_of(store, &restored.jobs).await?;
     // At the end it begins anew.
     Ok((next.unwrap_or_default(), restored))
 }
 
 /// Reads once more what could not be read before: records and fleet records that are
 /// readable by now, or gone.
-pub async fn read_again(store: &Store, keys: Vec<String>, value_kb: f64) -> Result<Loaded, StoreError> {
-    let mut found = Loaded::default();
+pub async fn reread_unreadable(
+    store: &Store,
+    keys: Vec<String>,
+    value_kb: f64,
+) -> Result<Snapshot, StoreError> {
+    let mut found = Snapshot::default();
     for key in keys {
         if key.starts_with(NODE_POOLS) {
             match store.get(Class::Rest, &key).await? {
-                Some(entry) => take_rental(&mut found, &key, &entry.value, entry.version),
-                None => found.gone.push(key),
+                Some(entry) => add_node_pool(&mut found, &key, &entry.value, entry.version),
+                None => found.deleted_keys.push(key),
             }
-        } else if let Some(job) = Unreadable::job_of(&key) {
+        } else if let Some(job) = UnreadableRecords::job_of(&key) {
             match store.get(Class::Rest, &live_row_key(&job)).await? {
-                Some(row) => match load_job(store, &job, row.version, value_kb).await? {
-                    JobRead::Loaded(loaded) => found.jobs.push(*loaded),
-                    JobRead::Unreadable(reason) => found.unreadable.note_job(&job, reason),
+                Some(row) => match read_job(store, &job, row.version, value_kb).await? {
+                    JobReadOutcome::Loaded(loaded) => found.jobs.push(*loaded),
+                    JobReadOutcome::Unreadable(reason) => found.unreadable.add_job(&job, reason),
                 },
-                None => found.gone.push(key),
+                None => found.deleted_keys.push(key),
             }
         }
     }
-    found.needs = needs_of(store, &found.jobs).await?;
+    found.dependency_states = read_dependencies_of(store, &found.jobs).await?;
     Ok(found)
 }
 
 /// Takes a fleet record in; one that does not decode is noted as unreadable.
-fn take_rental(loaded: &mut Loaded, key: &str, value: &Value, version: u64) {
+fn add_node_pool(loaded: &mut Snapshot, key: &str, value: &Value, version: u64) {
     match NodePoolRecord::decode(value) {
-        Ok(record) => loaded.rentals.push((record, version)),
-        Err(error) => loaded.unreadable.note_rental(key, error.to_string()),
+        Ok(record) => loaded.node_pools.push((record, version)),
+        Err(error) => loaded.unreadable.add_node_pool(key, error.to_string()),
     }
 }
 
 /// Reads all unfinished work and the fleet.
-pub async fn load(store: &Store, value_kb: f64) -> Result<Loaded, StoreError> {
-    let mut loaded = Loaded::default();
+pub async fn read_snapshot(store: &Store, value_kb: f64) -> Result<Snapshot, StoreError> {
+    let mut loaded = Snapshot::default();
     for entry in store.scan(NODE_POOLS).await? {
-        take_rental(&mut loaded, &entry.key, &entry.value, entry.version);
+        add_node_pool(&mut loaded, &entry.key, &entry.value, entry.version);
     }
     if let Some(entry) = store.get(Class::Rest, CATALOG).await?
         && let Ok(types) = decode_catalog(&entry.value)
@@ -97,7 +101,7 @@
     if let Some(entry) = store.get(Class::Rest, LEARNED_STATISTICS).await? {
         // Unreadable, it is written anew; its version is still needed for that.
         let experience = LearnedStatistics::decode(&entry.value).unwrap_or_default();
-        loaded.experience = Some((experience, entry.version));
+        loaded.statistics = Some((experience, entry.version));
     }
     let mut reads = JoinSet::new();
     for row in store.scan(LIVE_ROWS).await? {
@@ -107,22 +111,22 @@
         };
         let store = store.clone();
         reads.spawn(async move {
-            let read = load_job(&store, &job, row.version, value_kb).await?;
+            let read = read_job(&store, &job, row.version, value_kb).await?;
             Ok::<_, StoreError>((job, read))
         });
     }
     while let Some(read) = reads.join_next().await {
         match read.map_err(|_| StoreError::Unavailable)?? {
-            (_, JobRead::Loaded(loaded_job)) => loaded.jobs.push(*loaded_job),
-            (job, JobRead::Unreadable(reason)) => loaded.unreadable.note_job(&job, reason),
+            (_, JobReadOutcome::Loaded(loaded_job)) => loaded.jobs.push(*loaded_job),
+            (job, JobReadOutcome::Unreadable(reason)) => loaded.unreadable.add_job(&job, reason),
         }
     }
-    loaded.needs = needs_of(store, &loaded.jobs).await?;
+    loaded.dependency_states = read_dependencies_of(store, &loaded.jobs).await?;
     Ok(loaded)
 }
 
 /// What the records say of the jobs that these await and that are not among them.
-async fn needs_of(store: &Store, jobs: &[LoadedJob]) -> Result<DependencyStates, StoreError> {
+async fn read_dependencies_of(store: &Store, jobs: &[JobSnapshot]) -> Result<DependencyStates, StoreError> {
     let among: HashSet<&JobId> = jobs.iter().map(|job| &job.record.spec.id).collect();
     let waiting = jobs.iter().map(|job| &job.record).filter(|record| record.may_wait_for_dependencies());
     let needs: HashSet<JobId> = waiting
@@ -130,12 +134,12 @@
         .filter(|need| !among.contains(need))
         .cloned()
         .collect();
-    read_needs(store, needs.into_iter().collect()).await
+    read_dependency_states(store, needs.into_iter().collect()).await
 }
 
 /// Reads what the records say of jobs that others await. One that cannot be used is no
 /// reason to know nothing of the others.
-pub async fn read_needs(store: &Store, jobs: Vec<JobId>) -> Result<DependencyStates, StoreError> {
+pub async fn read_dependency_states(store: &Store, jobs: Vec<JobId>) -> Result<DependencyStates, StoreError> {
     let mut reads = JoinSet::new();
     for job in jobs {
         let store = store.clone();
@@ -177,7 +181,7 @@
 
 /// Whether a job that has not begun is cancelled with one that it needs, directly or not,
 /// by the records alone. At most so many of them are read.
-pub async fn is_cancelled_by_needs(
+pub async fn is_cancelled_by_dependencies(
     store: &Store,
     class: Class,
     record: &JobRecord,
@@ -205,25 +209,25 @@
 }
 
 /// What reading an unfinished job came to.
-enum JobRead {
-    Loaded(Box<LoadedJob>),
+enum JobReadOutcome {
+    Loaded(Box<JobSnapshot>),
     /// Its record, or a block of its done tasks, cannot be used, for that reason.
     Unreadable(String),
 }
 
 /// Reads one unfinished job.
-async fn load_job(
+async fn read_job(
     store: &Store,
     job: &JobId,
     live_version: u64,
     value_kb: f64,
-) -> Result<JobRead, StoreError> {
+) -> Result<JobReadOutcome, StoreError> {
     let Some(entry) = store.get(Class::Accept, &job_record_key(job)).await? else {
-        return Ok(JobRead::Unreadable("a row without a record".into()));
+        return Ok(JobReadOutcome::Unreadable("a row without a record".into()));
     };
     let mut record = match decode_record(job, &entry.value) {
         Ok(record) => record,
-        Err(reason) => return Ok(JobRead::Unreadable(reason)),
+        Err(reason) => return Ok(JobReadOutcome::Unreadable(reason)),
     };
     let mut block_versions = Vec::new();
     let layout = record.layout(value_kb);
@@ -232,8 +236,13 @@
         block_versions.push(found.as_ref().map_or(0, |b| b.version));
         if let Some(Err(error)) = found.map(|b| record.add_block(&b.value)) {
             // Which of its tasks are done is not known, and no done task may start again.
-            return Ok(JobRead::Unreadable(format!("block {block} of its done tasks: {error}")));
+            return Ok(JobReadOutcome::Unreadable(format!("block {block} of its done tasks: {error}")));
         }
     }
-    Ok(JobRead::Loaded(Box::new(LoadedJob { record, version: entry.version, live_version, block_versions })))
+    Ok(JobReadOutcome::Loaded(Box::new(JobSnapshot {
+        record,
+        record_version: entry.version,
+        live_row_version: live_version,
+        block_versions,
+    })))
 }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -23,13 +23,13 @@
 use super::election::Role;
 use super::held_reports::{DeferredReplies, DeferredReply};
 use super::leader::{Effect, Leader, UncheckedSubmission};
-use super::loading::{self, load, walk};
+use super::loading::{self, read_snapshot, reconcile_page};
 use super::model::ReplyId;
 use super::peers::{Detour, Detours, PeerState, Peers};
 use super::pipelines::DependencyStates;
 use super::sizes::Sizes;
 use super::statistics::Statistics;
-use super::takeover::Loaded;
+use super::takeover::Snapshot;
 use crate::maps::HashMap;
 use crate::protocol::cbor::{Fields, Malformed, MapBuilder, decode, encode};
 use crate::protocol::jobs::{JobId, JobSpec, JobStatus};
@@ -81,7 +81,7 @@
 enum Inner {
     Loaded {
         epoch: u64,
-        loaded: Option<Loaded>,
+        loaded: Option<Snapshot>,
     },
     Committed {
         epoch: u64,
@@ -111,12 +111,12 @@
     Reconciled {
         epoch: u64,
         from: String,
-        restored: Loaded,
+        restored: Snapshot,
     },
     /// What could not be read before was read again.
     ReadAgain {
         epoch: u64,
-        restored: Loaded,
+        restored: Snapshot,
     },
     /// Another controller was asked whether it leads; `None`: no answer.
     PeerAnswered {
@@ -341,7 +341,7 @@
                         tracing::info!(
                             epoch,
                             jobs = loaded.jobs.len(),
-                            rentals = loaded.rentals.len(),
+                            rentals = loaded.node_pools.len(),
                             unreadable = loaded.unreadable.len(),
                             lease_left_ms = until.saturating_duration_since(now).as_millis() as u64,
                             "records read"
@@ -413,7 +413,9 @@
         if (leads || follows) && !unreached {
             self.peers.rest();
         }
-        if !(leads || follows) || unreached || self.leader.as_ref().is_some_and(Leader::awaits_lapse_windows)
+        if !(leads || follows)
+            || unreached
+            || self.leader.as_ref().is_some_and(Leader::awaits_post_lease_graces)
         {
             self.ask_peers(now);
         }
--- a/src/coordination/node/peer_questions.rs
+++ b/src/coordination/node/peer_questions.rs
@@ -36,7 +36,7 @@
         if let Some(leader) = self.leader.as_mut().filter(|_| listed)
             && let Some(at) = self.peers.all_free_since(leader.snapshot_at)
         {
-            leader.lapse_windows_are_over(at);
+            leader.record_post_lease_graces_over(at);
         }
         // A higher epoch means that the key was written anew: ours is over, and
         // keeping workers here for the rest of the lapse window would only hold them
--- a/src/coordination/node/reading.rs
+++ b/src/coordination/node/reading.rs
@@ -9,7 +9,7 @@
         let value_kb = self.config.settings.cluster.state.value_kb;
         let pause = self.config.tuning.lease / 20;
         tokio::spawn(async move {
-            let loaded = load(&store, value_kb).await.ok();
+            let loaded = read_snapshot(&store, value_kb).await.ok();
             if loaded.is_none() {
                 // An outage refuses at once; asking again without a pause
                 // would spend the allowance that renewals need.
@@ -30,22 +30,22 @@
         (self.walking, self.walk_at) = (true, now);
         let (store, inner, epoch) = (self.store.clone(), self.inner.clone(), leader.epoch());
         let (from, value_kb) = (self.walk_from.clone(), self.config.settings.cluster.state.value_kb);
-        let unreadable = leader.unreadable_after(&self.read_again_from, loading::ROWS_A_ROUND);
+        let unreadable = leader.unreadable_after(&self.read_again_from, loading::ROWS_PER_ROUND);
         self.read_again_from = unreadable.last().cloned().unwrap_or_default();
         tokio::spawn(async move {
             let (next, restored) =
-                walk(&store, epoch, &from, value_kb).await.unwrap_or((from, Loaded::default()));
+                reconcile_page(&store, epoch, &from, value_kb).await.unwrap_or((from, Snapshot::default()));
             let _ = inner.send(Inner::Reconciled { epoch, from: next, restored }).await;
-            if let Ok(restored) = loading::read_again(&store, unreadable, value_kb).await {
+            if let Ok(restored) = loading::reread_unreadable(&store, unreadable, value_kb).await {
                 let _ = inner.send(Inner::ReadAgain { epoch, restored }).await;
             }
         });
     }
 
     /// Hands what was read after the takeover to the leader that it was read for.
-    pub(super) fn restore(&mut self, epoch: u64, restored: Loaded) {
+    pub(super) fn restore(&mut self, epoch: u64, restored: Snapshot) {
         if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-            leader.restore(Instant::now(), wall_ms(), restored);
+            leader.restore_snapshot(Instant::now(), wall_ms(), restored);
         }
     }
 }
--- a/src/coordination/node/tests.rs
+++ b/src/coordination/node/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::coordination::takeover::LoadedJob;
+use crate::coordination::takeover::JobSnapshot;
 use crate::coordination::tests::{catalog, loaded_job, rented};
 use crate::protocol::jobs::JobState;
 use crate::storage::records::{JobRecord, job_record_key};
@@ -117,7 +117,7 @@
 async fn a_lapsed_leader_ends_its_lapse_window_when_it_hears_of_a_higher_epoch() {
     let (mut node, _inputs, _handle) = rig().await;
     let now = Instant::now();
-    let loaded = Loaded::default();
+    let loaded = Snapshot::default();
     node.leader = Some(Leader::new(node.config.clone(), 40, now, 0, loaded));
     node.role = Role::Leader { epoch: 40, lease_expiry: now };
     node.tick();
@@ -182,7 +182,7 @@
 async fn reports_that_waited_too_long_are_dropped_unread() {
     let (mut node, _inputs, _handle) = rig().await;
     let now = Instant::now();
-    let mut leader = Leader::new(node.config.clone(), 40, now, 0, Loaded::default());
+    let mut leader = Leader::new(node.config.clone(), 40, now, 0, Snapshot::default());
     leader.extend_lease(now, now + Duration::from_secs(60));
     node.leader = Some(leader);
     for (waited, answered) in [(Duration::ZERO, true), (HEARTBEAT_REPLY_TIMEOUT, false)] {
@@ -314,7 +314,7 @@
         let record = JobRecord { completed: settled, ..JobRecord::new(spec.clone(), 0) }.encode(8.0);
         put_record(&node, job_record_key(&spec.id), record).await;
         let now = Instant::now();
-        let mut leader = Leader::new(node.config.clone(), 40, now, 0, Loaded::default());
+        let mut leader = Leader::new(node.config.clone(), 40, now, 0, Snapshot::default());
         leader.extend_lease(now, now + Duration::from_secs(60));
         node.leader = Some(leader);
         let answer = ask(&mut node, &mut inputs, PeerCall::Cancel("job-1".into())).await;
@@ -327,8 +327,8 @@
 fn leading_with_a_final_write_under_way(node: &mut Node, spec: &JobSpec, settles: bool) {
     let now = Instant::now();
     let record = JobRecord { started_high_water: 1, ..JobRecord::new(spec.clone(), 0) };
-    let job = LoadedJob { record, version: 5, live_version: 5, block_versions: Vec::new() };
-    let loaded = Loaded { jobs: vec![job], ..Loaded::default() };
+    let job = JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() };
+    let loaded = Snapshot { jobs: vec![job], ..Snapshot::default() };
     let mut leader = Leader::new(node.config.clone(), 40, now, 0, loaded);
     leader.extend_lease(now, now + Duration::from_secs(60));
     if settles {
@@ -471,7 +471,7 @@
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     let jobs = if starts { vec![loaded_job(spec)] } else { Vec::new() };
     let rentals = vec![rented("vm-1", true)];
-    let loaded = Loaded { jobs, rentals, catalog: Some((catalog(), 2)), ..Loaded::default() };
+    let loaded = Snapshot { jobs, node_pools: rentals, catalog: Some((catalog(), 2)), ..Snapshot::default() };
     let now = Instant::now();
     let mut leader = Leader::new(node.config.clone(), 40, now, 0, loaded);
     leader.extend_lease(now, now + Duration::from_secs(1));
@@ -521,7 +521,7 @@
     node.role = Role::Leader { epoch: 40, lease_expiry: Instant::now() + Duration::from_secs(9) };
     for begun in [true, false] {
         node.leader = None;
-        node.take_inner(Inner::Loaded { epoch: 40, loaded: Some(Loaded::default()) });
+        node.take_inner(Inner::Loaded { epoch: 40, loaded: Some(Snapshot::default()) });
         assert_eq!(node.leader.is_some(), begun);
     }
     assert_eq!((node.violations, *given_up.borrow_and_update()), (1, 40));
--- a/src/coordination/node/user_requests.rs
+++ b/src/coordination/node/user_requests.rs
@@ -252,7 +252,7 @@
         self.lookups += 1;
         let (store, inner) = (self.store.clone(), self.inner.clone());
         tokio::spawn(async move {
-            let read = loading::read_needs(&store, submission.unread.clone());
+            let read = loading::read_dependency_states(&store, submission.unread.clone());
             let read = tokio::time::timeout(PATIENCE, read).await;
             let states = read.ok().and_then(Result::ok);
             let _ = inner.send(Inner::NeedsRead { epoch, submission, states }).await;
@@ -323,7 +323,7 @@
     let Some(record) = loading::read_record(store, class, job).await? else { return Ok(None) };
     let mut status = record.status();
     if !status.state.is_terminal()
-        && loading::is_cancelled_by_needs(store, class, &record, NEEDS_READ).await?
+        && loading::is_cancelled_by_dependencies(store, class, &record, NEEDS_READ).await?
     {
         status.state = JobState::Cancelled;
     }
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -14,7 +14,7 @@
     /// Frees room for work within its guarantee from work beyond another's,
     /// and for work of higher priority from lower. Only tasks that lose little.
     pub(super) fn preempt(&mut self, now: Instant) {
-        if !self.recovered
+        if !self.failover_complete
             || self.config.tuning.preempt_loss_s.max(self.config.tuning.preempt_lower_loss_s) <= 0.0
         {
             return;
--- a/src/coordination/record_writing.rs
+++ b/src/coordination/record_writing.rs
@@ -383,7 +383,7 @@
             return;
         }
         // While some machine has not been heard, a task may still be there.
-        if j.unreconciled_below > 0 && !self.recovered {
+        if j.unreconciled_below > 0 && !self.failover_complete {
             return;
         }
         j.archiving = true;
--- a/src/coordination/scheduler.rs
+++ b/src/coordination/scheduler.rs
@@ -75,9 +75,9 @@
         // Machines are heard one after the other, and none becomes unheard: what
         // was counted last is never too little.
         self.unreconciled_capacity =
-            if self.hidden_machines { Resources::UNBOUNDED } else { Resources::default() };
+            if self.unlisted_machines_possible { Resources::UNBOUNDED } else { Resources::default() };
         let unknown =
-            |m: &&Machine| m.has_orphan_tasks || (!self.recovered && m.use_recorded && !m.reconciled);
+            |m: &&Machine| m.has_orphan_tasks || (!self.failover_complete && m.use_recorded && !m.reconciled);
         for m in self.machines.values().filter(unknown) {
             self.unreconciled_capacity
                 .add(&self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default());
@@ -99,7 +99,7 @@
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         // While its own team is at its limit, or its tasks may still be somewhere,
         // room would not help it: others must not wait beside an empty machine.
-        if !self.is_within_quota(j) || !(self.recovered || j.unreconciled_below == 0) {
+        if !self.is_within_quota(j) || !(self.failover_complete || j.unreconciled_below == 0) {
             self.reservations.remove(job);
             return false;
         }
@@ -156,7 +156,7 @@
                 continue;
             }
             while started < most && self.should_start(now, ranked, machine) {
-                let recovered = self.recovered;
+                let recovered = self.failover_complete;
                 let Some(job) = self.jobs.get_mut(&ranked.job) else { break };
                 let least = if recovered { 0 } else { job.unreconciled_below };
                 let Some(index) = job.next_pending(least) else { break };
@@ -221,7 +221,7 @@
         let job = self.jobs.get(job_id)?;
         let machine = self.machines.get(machine)?;
         let awaits_others = !job.spec().dependencies.is_empty();
-        let may_be_on_unheard = !self.recovered && task < job.unreconciled_below;
+        let may_be_on_unheard = !self.failover_complete && task < job.unreconciled_below;
         let is_counted = job.placements.contains_key(&task) || machine.slots.contains_key(key);
         Some(StartEvidence {
             job_is_live: job.is_startable(),
@@ -237,7 +237,7 @@
 
     /// Whether the job's next task may and should start on this machine.
     fn should_start(&mut self, now: Instant, ranked: &QueuedJob, machine: &MachineId) -> bool {
-        let recovered = self.recovered;
+        let recovered = self.failover_complete;
         let Some(j) = self.jobs.get_mut(&ranked.job) else { return false };
         if j.pending() == 0 || j.backoff_until.is_some_and(|until| now < until && !j.placements.is_empty()) {
             return false;
--- a/src/coordination/takeover.rs
+++ b/src/coordination/takeover.rs
@@ -12,7 +12,7 @@
 use super::machines::{Machine, NodePool, Phase};
 use super::model::{Job, Resources};
 use super::pipelines::DependencyStates;
-use super::unreadable::Unreadable;
+use super::unreadable::UnreadableRecords;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
@@ -20,50 +20,50 @@
 
 /// What a new leader reads from the store.
 #[derive(Debug, Default)]
-pub struct Loaded {
-    pub jobs: Vec<LoadedJob>,
+pub struct Snapshot {
+    pub jobs: Vec<JobSnapshot>,
     /// What was read of jobs that those await and that are not among them.
-    pub needs: DependencyStates,
-    pub rentals: Vec<(NodePoolRecord, u64)>,
+    pub dependency_states: DependencyStates,
+    pub node_pools: Vec<(NodePoolRecord, u64)>,
     pub catalog: Option<(Vec<MachineType>, u64)>,
-    pub experience: Option<(LearnedStatistics, u64)>,
+    pub statistics: Option<(LearnedStatistics, u64)>,
     /// What is there and cannot be read.
-    pub unreadable: Unreadable,
+    pub unreadable: UnreadableRecords,
     /// Keys that could not be read before, and are no more.
-    pub gone: Vec<String>,
+    pub deleted_keys: Vec<String>,
 }
 
 #[derive(Debug)]
-pub struct LoadedJob {
+pub struct JobSnapshot {
     pub record: JobRecord,
-    pub version: u64,
-    pub live_version: u64,
+    pub record_version: u64,
+    pub live_row_version: u64,
     pub block_versions: Vec<u64>,
 }
 
 impl Leader {
     /// Whether it would help to know that no earlier leader is in its lapse window.
-    pub fn awaits_lapse_windows(&self) -> bool {
-        !self.recovered && self.post_lease_graces_over_at.is_none()
+    pub fn awaits_post_lease_graces(&self) -> bool {
+        !self.failover_complete && self.post_lease_graces_over_at.is_none()
     }
 
     /// Every other controller has said, by then and after this epoch began,
     /// that it has no picture of any epoch and so answers no worker. What it
     /// held before, a dead process' included, is over: a name is used by one
     /// process at a time, and a picture is only had with a new epoch.
-    pub fn lapse_windows_are_over(&mut self, at: Instant) {
+    pub fn record_post_lease_graces_over(&mut self, at: Instant) {
         self.post_lease_graces_over_at.get_or_insert(at);
     }
 
     /// When a machine that this epoch has never answered has lost its lease.
-    pub(super) fn unheard_proof(&self) -> Instant {
+    pub(super) fn unreplied_lease_expiry(&self) -> Instant {
         let lapse_window = self.snapshot_at + self.config.failover_lease_timeout();
         self.post_lease_graces_over_at
             .map_or(lapse_window, |at| lapse_window.min(at + self.config.worker_lease_timeout()))
     }
 
     /// What is on the machine is known from now on.
-    pub(super) fn become_known(&mut self, machine: &MachineId) {
+    pub(super) fn mark_machine_reconciled(&mut self, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine).filter(|m| !m.reconciled) else { return };
         m.reconciled = true;
         tracing::debug!(epoch = self.epoch, %machine, tasks = m.slots.len(), "what is on the machine is known");
@@ -72,28 +72,32 @@
         if room.fits(&self.unreconciled_capacity) {
             self.unreconciled_capacity.sub(&room);
         }
-        self.check_recovered();
+        self.check_failover_complete();
     }
 
     /// Whether all that may be on machines from before this epoch is known.
     ///
     /// Machines become known in about the order of the walk or in any other; it goes on
     /// where it stopped, so that a takeover's reports do not each walk the whole fleet.
-    pub(super) fn has_recovered(&mut self) -> bool {
+    pub(super) fn all_machines_reconciled(&mut self) -> bool {
         let is_unknown = |m: &&Machine| m.use_recorded && !m.reconciled;
-        let from = self.unknown_machine.take();
+        let from = self.unreconciled_machine.take();
         let rest = from.and_then(|from| self.machines.range(from..).map(|(_, m)| m).find(is_unknown));
         let found = rest.or_else(|| self.machines.values().find(is_unknown));
-        self.unknown_machine = found.map(|m| m.id.clone());
-        self.unknown_machine.is_none()
+        self.unreconciled_machine = found.map(|m| m.id.clone());
+        self.unreconciled_machine.is_none()
     }
 
     /// Notes when all that was on machines before is known; what waited for it goes on.
-    pub(super) fn check_recovered(&mut self) {
-        if self.recovered || self.hidden_machines || self.catalog.is_empty() || !self.has_recovered() {
+    pub(super) fn check_failover_complete(&mut self) {
+        if self.failover_complete
+            || self.unlisted_machines_possible
+            || self.catalog.is_empty()
+            || !self.all_machines_reconciled()
+        {
             return;
         }
-        self.recovered = true;
+        self.failover_complete = true;
         tracing::info!(epoch = self.epoch, "every machine is accounted for");
         let over: Vec<JobId> = self
             .jobs
@@ -108,19 +112,19 @@
 
     /// Takes in what was read after the takeover: jobs that the reconciler brought back
     /// among the living, and what could not be read before.
-    pub fn restore(&mut self, now: Instant, now_ms: u64, restored: Loaded) {
-        for key in &restored.gone {
-            self.unreadable.forget(key);
+    pub fn restore_snapshot(&mut self, now: Instant, now_ms: u64, restored: Snapshot) {
+        for key in &restored.deleted_keys {
+            self.unreadable.remove(key);
         }
         for job in &restored.jobs {
-            self.unreadable.forget(&job_record_key(&job.record.spec.id));
+            self.unreadable.remove(&job_record_key(&job.record.spec.id));
         }
         self.unreadable.extend(restored.unreadable);
-        self.restore_rentals(now, restored.rentals);
-        let new = |job: &LoadedJob| !self.jobs.contains_key(&job.record.spec.id);
-        let jobs: Vec<LoadedJob> = restored.jobs.into_iter().filter(new).collect();
+        self.restore_node_pools(now, restored.node_pools);
+        let new = |job: &JobSnapshot| !self.jobs.contains_key(&job.record.spec.id);
+        let jobs: Vec<JobSnapshot> = restored.jobs.into_iter().filter(new).collect();
         let ids: Vec<JobId> = jobs.iter().map(|job| job.record.spec.id.clone()).collect();
-        self.insert_all_loaded(now, now_ms, jobs, &restored.needs);
+        self.restore_jobs(now, now_ms, jobs, &restored.dependency_states);
         for id in ids {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.not_before = Some(now + self.config.failover_lease_timeout());
@@ -130,10 +134,10 @@
 
     /// Enters fleet records that could not be read at the takeover. Whether their machines
     /// hold tasks is known of each from its own reports from now on.
-    fn restore_rentals(&mut self, now: Instant, rentals: Vec<(NodePoolRecord, u64)>) {
+    fn restore_node_pools(&mut self, now: Instant, rentals: Vec<(NodePoolRecord, u64)>) {
         for (record, version) in rentals {
             let name = record.request.name.clone();
-            self.unreadable.forget(&node_pool_key(&name));
+            self.unreadable.remove(&node_pool_key(&name));
             if !self.node_pools.contains_key(&name) {
                 self.node_pools.insert(name.clone(), NodePool::new(record, version, now));
                 self.register_pool_machines(now, &name);
@@ -147,16 +151,16 @@
     }
 
     /// Takes in jobs as they were read, all of them before what they wait for.
-    pub(super) fn insert_all_loaded(
+    pub(super) fn restore_jobs(
         &mut self,
         now: Instant,
         now_ms: u64,
-        jobs: Vec<LoadedJob>,
+        jobs: Vec<JobSnapshot>,
         needs: &DependencyStates,
     ) {
         let ids: Vec<JobId> = jobs.iter().map(|job| job.record.spec.id.clone()).collect();
         for job in jobs {
-            self.insert_loaded(now, now_ms, job);
+            self.restore_job(now, now_ms, job);
         }
         for id in ids {
             self.restore_dependencies(now, now_ms, &id, needs);
@@ -164,10 +168,10 @@
         self.cancel_restored_dependents(now);
     }
 
-    fn insert_loaded(&mut self, now: Instant, now_ms: u64, job: LoadedJob) {
+    fn restore_job(&mut self, now: Instant, now_ms: u64, job: JobSnapshot) {
         let age = Duration::from_millis(now_ms.saturating_sub(job.record.submitted_ms));
         let submitted = now.checked_sub(age).unwrap_or(now);
-        let mut entry = Job::new(job.record, job.version, job.live_version, submitted, 0);
+        let mut entry = Job::new(job.record, job.record_version, job.live_row_version, submitted, 0);
         entry.block_versions = job.block_versions;
         entry.unreconciled_below = entry.committed_high_water;
         entry.cancelled_at = entry.record.cancelled.then_some(now);
@@ -179,33 +183,36 @@
     /// Whether a machine that is not in the picture may be answered while a fleet record
     /// cannot be read. Each answer may keep alive tasks that nobody counts, so they end
     /// after a lease: by then a live machine has been entered.
-    pub(super) fn may_answer_hidden(&mut self, now: Instant) -> bool {
+    pub(super) fn may_reply_to_unlisted(&mut self, now: Instant) -> bool {
         let lease = self.config.settings.cluster.workers.lease();
         let may = now < self.snapshot_at + lease;
         if may {
-            self.hidden_answered = Some(now);
+            self.unlisted_replied_at = Some(now);
         }
         may
     }
 
     /// Machines whose fleet record cannot be read, and that have not been heard, have lost
     /// their leases by now.
-    pub(super) fn prove_hidden_machines(&mut self, now: Instant) {
-        let answered = self.hidden_answered.map(|at| at + self.config.worker_lease_timeout());
-        if !self.hidden_machines || now < self.unheard_proof() || answered.is_some_and(|proof| now < proof) {
+    pub(super) fn expire_unlisted_machines(&mut self, now: Instant) {
+        let answered = self.unlisted_replied_at.map(|at| at + self.config.worker_lease_timeout());
+        if !self.unlisted_machines_possible
+            || now < self.unreplied_lease_expiry()
+            || answered.is_some_and(|proof| now < proof)
+        {
             return;
         }
         tracing::info!(epoch = self.epoch, "machines of unreadable fleet records have lost their leases");
-        self.hidden_machines = false;
+        self.unlisted_machines_possible = false;
         self.queue_ordered_at = None;
-        self.check_recovered();
+        self.check_failover_complete();
     }
 
     /// A machine that has not been answered for its whole lease, and a margin,
     /// has killed all its tasks.
-    pub(super) fn prove_silent_machines(&mut self, now: Instant) {
+    pub(super) fn expire_silent_machines(&mut self, now: Instant) {
         let proof = self.config.worker_lease_timeout();
-        let unheard = self.unheard_proof();
+        let unheard = self.unreplied_lease_expiry();
         let silent: Vec<MachineId> = self
             .machines
             .values()
@@ -232,7 +239,7 @@
                     m.last_heartbeat.max(m.last_stale_heartbeat).map_or(0, |(session, _)| session + 1);
                 m.free = self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default();
             }
-            self.become_known(&machine);
+            self.mark_machine_reconciled(&machine);
         }
     }
 }
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -10,8 +10,8 @@
     Fields::of(&figures).and_then(|f| f.count("invariantsViolated")).expect("a figure")
 }
 
-fn unbegun(spec: JobSpec) -> LoadedJob {
-    LoadedJob { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
+fn unbegun(spec: JobSpec) -> JobSnapshot {
+    JobSnapshot { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
 }
 
 /// A machine shows a task of a job whose row is being moved: out of memory, its stop would
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -29,7 +29,7 @@
 use super::config::Config;
 use super::leader::{Effect, Leader, UncheckedSubmission};
 use super::model::ReplyId;
-use super::takeover::{Loaded, LoadedJob};
+use super::takeover::{JobSnapshot, Snapshot};
 use crate::policy;
 use crate::protocol::cbor::{Fields, decode};
 use crate::protocol::cloud::{InventoryPage, ListedMachine, ListedState, MachineType, NodePoolRequest};
@@ -106,28 +106,29 @@
 }
 
 /// A job of which every task may have begun.
-pub(super) fn loaded_job(spec: JobSpec) -> LoadedJob {
+pub(super) fn loaded_job(spec: JobSpec) -> JobSnapshot {
     let begun = spec.tasks;
     let record = JobRecord { started_high_water: begun, ..JobRecord::new(spec, MS) };
-    LoadedJob { record, version: 5, live_version: 5, block_versions: Vec::new() }
+    JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() }
 }
 
 impl Rig {
     /// A leader that has just read these records. Idle machines stay for two boots,
     /// so that tests of other things keep theirs.
-    fn new(jobs: Vec<LoadedJob>, rentals: Vec<(NodePoolRecord, u64)>) -> Self {
+    fn new(jobs: Vec<JobSnapshot>, rentals: Vec<(NodePoolRecord, u64)>) -> Self {
         let tuning = policy::Tuning { preempt_loss_s: 8.0, idle_ratio: 2.0, ..policy::tests::tuning() };
         Rig::tuned(jobs, rentals, tuning)
     }
 
-    fn tuned(jobs: Vec<LoadedJob>, rentals: Vec<(NodePoolRecord, u64)>, tuning: policy::Tuning) -> Self {
+    fn tuned(jobs: Vec<JobSnapshot>, rentals: Vec<(NodePoolRecord, u64)>, tuning: policy::Tuning) -> Self {
         Rig::configured(jobs, rentals, Config { settings: settings::tests::sample(), tuning })
     }
 
-    fn configured(jobs: Vec<LoadedJob>, rentals: Vec<(NodePoolRecord, u64)>, config: Config) -> Self {
+    fn configured(jobs: Vec<JobSnapshot>, rentals: Vec<(NodePoolRecord, u64)>, config: Config) -> Self {
         let config = Arc::new(config);
         let now = Instant::now();
-        let loaded = Loaded { jobs, rentals, catalog: Some((catalog(), 2)), ..Loaded::default() };
+        let loaded =
+            Snapshot { jobs, node_pools: rentals, catalog: Some((catalog(), 2)), ..Snapshot::default() };
         let mut leader = Leader::new(config.clone(), EPOCH, now, MS, loaded);
         leader.extend_lease(now, now + Duration::from_secs(3600));
         let mut rig = Rig {
--- a/src/coordination/tests/pipelines.rs
+++ b/src/coordination/tests/pipelines.rs
@@ -10,15 +10,21 @@
 }
 
 /// A job that a new leader reads, of which no task has begun.
-fn unbegun(spec: JobSpec) -> LoadedJob {
-    LoadedJob { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
+fn unbegun(spec: JobSpec) -> JobSnapshot {
+    JobSnapshot { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
 }
 
-fn loaded_with(jobs: Vec<LoadedJob>, needs: &[(&str, DependencyState)]) -> Rig {
+fn loaded_with(jobs: Vec<JobSnapshot>, needs: &[(&str, DependencyState)]) -> Rig {
     let mut rig = Rig::with_machines(&["vm-1"]);
     let rentals = vec![rented("vm-1", true)];
     let needs = needs.iter().map(|(need, state)| (id(need), *state)).collect();
-    let loaded = Loaded { jobs, rentals, needs, catalog: Some((catalog(), 2)), ..Loaded::default() };
+    let loaded = Snapshot {
+        jobs,
+        node_pools: rentals,
+        dependency_states: needs,
+        catalog: Some((catalog(), 2)),
+        ..Snapshot::default()
+    };
     rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
     rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
     rig.collect();
@@ -342,8 +348,9 @@
         }),
         ("refused, and brought back by the reconciler", |rig| {
             rig.fail_commit(StoreError::Conflict);
-            let restored = Loaded { jobs: vec![unbegun(awaiting("job-2", &["job-1"]))], ..Loaded::default() };
-            rig.leader.restore(rig.now, MS, restored);
+            let restored =
+                Snapshot { jobs: vec![unbegun(awaiting("job-2", &["job-1"]))], ..Snapshot::default() };
+            rig.leader.restore_snapshot(rig.now, MS, restored);
             rig.pass(rig.config.failover_lease_timeout().as_secs_f64() + 1.0);
         }),
     ];
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -43,7 +43,7 @@
 fn a_restored_job_waits_until_no_machine_can_still_hold_its_tasks() {
     let mut rig = Rig::with_machines(&["vm-1"]);
     let jobs = vec![loaded_job(sample("job-1", "red", 1, 1.0))];
-    rig.leader.restore(rig.now, MS, Loaded { jobs, ..Loaded::default() });
+    rig.leader.restore_snapshot(rig.now, MS, Snapshot { jobs, ..Snapshot::default() });
     assert_eq!(starts(&rig.beat("vm-1", 5, EPOCH, vec![])), vec![]);
     let mut seq = 5;
     while rig.now < rig.leader.snapshot_at + rig.config.failover_lease_timeout() {
@@ -211,8 +211,8 @@
         let before = changes.iter().map(size).max();
         assert!(before > Some(limits.value_bytes()), "{before:?}");
         let written = Transaction { class: Class::Rest, epoch: EPOCH, conditions: Vec::new(), changes };
-        job.version = carry_out(&mut state, &written).expect("no limits yet");
-        job.block_versions = vec![job.version; layout.blocks(tasks) as usize];
+        job.record_version = carry_out(&mut state, &written).expect("no limits yet");
+        job.block_versions = vec![job.record_version; layout.blocks(tasks) as usize];
         state.limit(limits);
         let config = Config { settings: config.settings.clone(), tuning: config.tuning };
         let mut rig = Rig::configured(vec![job], Vec::new(), config);
--- a/src/coordination/tests/takeover.rs
+++ b/src/coordination/tests/takeover.rs
@@ -62,13 +62,13 @@
 fn machines_entered_late_count_against_limits_at_once() {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     let rentals = ["vm-1", "vm-2", "vm-3"].map(|name| rented(name, true)).to_vec();
-    let jobs = vec![LoadedJob {
+    let jobs = vec![JobSnapshot {
         record: JobRecord::new(sample("job-1", "red", 1, 1.0), MS),
-        version: 5,
-        live_version: 5,
+        record_version: 5,
+        live_row_version: 5,
         block_versions: Vec::new(),
     }];
-    let loaded = Loaded { jobs, rentals, ..Loaded::default() };
+    let loaded = Snapshot { jobs, node_pools: rentals, ..Snapshot::default() };
     rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
     rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
     rig.cloud.clear();
@@ -197,12 +197,12 @@
     let old = loaded_job(sample("job-1", "red", 1, 1.0));
     let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2", true)]);
     rig.beat("vm-1", 5, EPOCH, vec![]);
-    assert!(rig.leader.awaits_lapse_windows());
+    assert!(rig.leader.awaits_post_lease_graces());
     rig.pass(1.0);
     let (over, mut seq) = (rig.now, 5);
-    rig.leader.lapse_windows_are_over(over);
-    rig.leader.lapse_windows_are_over(over + Duration::from_secs(9));
-    assert!(!rig.leader.awaits_lapse_windows(), "the first proof is enough");
+    rig.leader.record_post_lease_graces_over(over);
+    rig.leader.record_post_lease_graces_over(over + Duration::from_secs(9));
+    assert!(!rig.leader.awaits_post_lease_graces(), "the first proof is enough");
     while rig.now + Duration::from_secs(2) < over + rig.config.worker_lease_timeout() {
         rig.pass(2.0);
         seq += 1;
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -16,17 +16,17 @@
 }
 
 /// The state service as an earlier leader has left it.
-async fn left_behind(entries: Vec<(String, Value)>) -> Loaded {
+async fn left_behind(entries: Vec<(String, Value)>) -> Snapshot {
     let stand_in = StandIn::start(&[]).await;
     stand_in.seed(CATALOG, encode_catalog(&catalog()), 2).await;
     for (key, value) in entries {
         stand_in.seed(&key, value, 5).await;
     }
-    loading::load(&store(stand_in.address(), 12), 8.0).await.expect("the state service answers")
+    loading::read_snapshot(&store(stand_in.address(), 12), 8.0).await.expect("the state service answers")
 }
 
 /// A new leader with what it has read.
-fn leading(loaded: Loaded) -> Rig {
+fn leading(loaded: Snapshot) -> Rig {
     let mut rig = Rig::new(Vec::new(), Vec::new());
     rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
     rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
@@ -99,24 +99,26 @@
 /// reconciler: its cancellation must reach the job that awaits it.
 #[test]
 fn a_conflicting_acceptance_does_not_cut_off_the_jobs_that_await_it() {
-    let unbegun = |spec: JobSpec| LoadedJob {
+    let unbegun = |spec: JobSpec| JobSnapshot {
         record: JobRecord::new(spec, MS),
         ..loaded_job(sample("job-0", "red", 1, 1.0))
     };
     let stranded = sample("job-1", "red", 1, 1.0);
     let dependent = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
     let (record, version) = rented("vm-1", true);
-    let mut rig = leading(Loaded {
+    let mut rig = leading(Snapshot {
         jobs: vec![unbegun(dependent)],
-        needs: [(id("job-1"), super::super::pipelines::DependencyState::Unfinished)].into_iter().collect(),
-        rentals: vec![(record, version)],
+        dependency_states: [(id("job-1"), super::super::pipelines::DependencyState::Unfinished)]
+            .into_iter()
+            .collect(),
+        node_pools: vec![(record, version)],
         catalog: Some((catalog(), 2)),
-        ..Loaded::default()
+        ..Snapshot::default()
     });
     rig.submit(stranded.clone());
     rig.fail_commit(StoreError::Conflict);
-    let restored = Loaded { jobs: vec![unbegun(stranded)], ..Loaded::default() };
-    rig.leader.restore(rig.now, MS, restored);
+    let restored = Snapshot { jobs: vec![unbegun(stranded)], ..Snapshot::default() };
+    rig.leader.restore_snapshot(rig.now, MS, restored);
     rig.collect();
     rig.withdraw("job-1");
     let written = rig.commit_all();
@@ -168,7 +170,7 @@
     // Read at last, it goes on.
     let mut readable = loaded_job(sample("job-1", "red", 2, 1.0));
     readable.record.done.insert(0);
-    rig.leader.restore(rig.now, MS, Loaded { jobs: vec![readable], ..Loaded::default() });
+    rig.leader.restore_snapshot(rig.now, MS, Snapshot { jobs: vec![readable], ..Snapshot::default() });
     rig.beat("vm-1", 4, EPOCH, vec![ended]);
     rig.commit_all();
     assert!(!rig.leader.unreadable.contains_job(&id("job-1")));
@@ -202,14 +204,14 @@
     for key in &keys {
         stand_in.seed(key, damaged(), 5).await;
     }
-    let still = loading::read_again(&store, keys.clone(), 8.0).await.expect("served");
-    assert_eq!((still.jobs.len(), still.rentals.len(), still.unreadable.len()), (0, 0, 2));
-    let mut rig = leading(loading::load(&store, 8.0).await.expect("served"));
+    let still = loading::reread_unreadable(&store, keys.clone(), 8.0).await.expect("served");
+    assert_eq!((still.jobs.len(), still.node_pools.len(), still.unreadable.len()), (0, 0, 2));
+    let mut rig = leading(loading::read_snapshot(&store, 8.0).await.expect("served"));
     assert_eq!(rig.leader.unreadable_after("", 8).len(), 2);
     stand_in.seed(&keys[0], record.encode(8.0), 6).await;
     stand_in.seed(&keys[1], rental.encode(), 7).await;
-    let found = loading::read_again(&store, keys, 8.0).await.expect("served");
-    rig.leader.restore(rig.now, MS, found);
+    let found = loading::reread_unreadable(&store, keys, 8.0).await.expect("served");
+    rig.leader.restore_snapshot(rig.now, MS, found);
     assert!(rig.leader.unreadable.is_empty());
     assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
     assert!(rig.leader.machines.contains_key(&machine("vm-2")));
--- a/src/coordination/unreadable.rs
+++ b/src/coordination/unreadable.rs
@@ -12,28 +12,28 @@
 
 /// Keys of records that are there and cannot be used, and why.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Unreadable {
+pub struct UnreadableRecords {
     keys: BTreeMap<String, String>,
 }
 
-impl Unreadable {
+impl UnreadableRecords {
     /// A job's record, or a block of its done tasks, cannot be used.
-    pub fn note_job(&mut self, job: &JobId, reason: String) {
+    pub fn add_job(&mut self, job: &JobId, reason: String) {
         self.keys.insert(job_record_key(job), reason);
     }
 
     /// The fleet record of that key cannot be used.
-    pub fn note_rental(&mut self, key: &str, reason: String) {
+    pub fn add_node_pool(&mut self, key: &str, reason: String) {
         self.keys.insert(key.to_owned(), reason);
     }
 
     /// The record was read since, or is gone.
-    pub fn forget(&mut self, key: &str) {
+    pub fn remove(&mut self, key: &str) {
         self.keys.remove(key);
     }
 
     /// Takes over what another reading found; what is new is logged.
-    pub fn extend(&mut self, other: Unreadable) {
+    pub fn extend(&mut self, other: UnreadableRecords) {
         for (key, reason) in other.keys {
             if let Entry::Vacant(entry) = self.keys.entry(key) {
                 tracing::error!(key = %entry.key(), reason, "cannot be read; what depends on it is held back");
@@ -57,7 +57,7 @@
     }
 
     /// Whether machines may be rented that no readable record names.
-    pub fn hides_machines(&self) -> bool {
+    pub fn may_hide_machines(&self) -> bool {
         self.keys.keys().any(|key| key.starts_with(NODE_POOLS))
     }
 
--- a/src/coordination/unreadable/tests.rs
+++ b/src/coordination/unreadable/tests.rs
@@ -4,13 +4,13 @@
 
 #[test]
 fn what_cannot_be_read_is_read_again_in_turn() {
-    let mut unreadable = Unreadable::default();
-    assert!(unreadable.next_keys("", 2).is_empty() && !unreadable.hides_machines());
+    let mut unreadable = UnreadableRecords::default();
+    assert!(unreadable.next_keys("", 2).is_empty() && !unreadable.may_hide_machines());
     for job in ["job-1", "job-2", "job-3"] {
-        unreadable.note_job(&JobId::parse(job).expect("valid"), "damaged".into());
+        unreadable.add_job(&JobId::parse(job).expect("valid"), "damaged".into());
     }
-    unreadable.note_rental("hire/1-7", "damaged".into());
-    assert!(unreadable.hides_machines());
+    unreadable.add_node_pool("hire/1-7", "damaged".into());
+    assert!(unreadable.may_hide_machines());
     let mut after = String::new();
     let mut seen = BTreeSet::new();
     for _ in 0..2 {
@@ -21,8 +21,8 @@
     }
     assert_eq!(seen.len(), 4, "each has had its turn: {seen:?}");
     assert_eq!(unreadable.next_keys(&after, 1), ["hire/1-7"], "and it begins anew");
-    unreadable.forget("hire/1-7");
-    let job = Unreadable::job_of("rec/job-2").expect("a job's record");
-    assert!(unreadable.contains_job(&job) && !unreadable.hides_machines());
-    assert_eq!(Unreadable::job_of("hire/1-7"), None);
+    unreadable.remove("hire/1-7");
+    let job = UnreadableRecords::job_of("rec/job-2").expect("a job's record");
+    assert!(unreadable.contains_job(&job) && !unreadable.may_hide_machines());
+    assert_eq!(UnreadableRecords::job_of("hire/1-7"), None);
 }
