--- a/src/cli.rs
+++ b/src/cli.rs
@@ -17,7 +17,7 @@
 use crate::coordination::cloud;
 use crate::coordination::config::Config;
 use crate::coordination::election::{self, Election, Role};
-use crate::coordination::node::Node;
+use crate::coordination::node::Controller;
 use crate::coordination::reconciler::{self, Finding};
 use crate::policy::Tuning;
 use crate::protocol::cbor::decode;
@@ -315,7 +315,7 @@
     };
     let peer_listen = settings.peer_listen;
     let config = Arc::new(config);
-    let (node, inputs, handle) = Node::new(config, store, cloud, leads, term, abandoned, roles);
+    let (node, inputs, handle) = Controller::new(config, store, cloud, leads, term, abandoned, roles);
     let peers = handle.clone();
     tokio::spawn(async move {
         if let Err(error) = peer::serve(peer_listen, BODY_LIMIT, peers).await {
--- a/src/coordination/figures.rs
+++ b/src/coordination/figures.rs
@@ -7,7 +7,7 @@
 
 impl Leader {
     /// Tasks that wait, tasks on machines, and machines that boot.
-    fn counts(&self) -> (u32, usize, usize) {
+    fn task_counts(&self) -> (u32, usize, usize) {
         (
             self.jobs.values().map(Job::pending).sum(),
             self.jobs.values().map(|j| j.placements.len()).sum(),
@@ -16,8 +16,8 @@
     }
 
     /// For operators.
-    pub fn figures(&self, figures: MapBuilder) -> MapBuilder {
-        let (pending, active, booting) = self.counts();
+    pub fn metrics(&self, figures: MapBuilder) -> MapBuilder {
+        let (pending, active, booting) = self.task_counts();
         figures
             .set("epoch", self.epoch)
             .set("jobs", self.jobs.len() as u64)
@@ -43,7 +43,7 @@
 
     /// For the log.
     pub fn summary(&self) -> String {
-        let (pending, active, booting) = self.counts();
+        let (pending, active, booting) = self.task_counts();
         let spot = self.machines.values().filter(|m| m.spot).count();
         let idle = self.machines.values().filter(|m| m.phase == Phase::Up && m.slots.is_empty()).count();
         // CPUs used and there, on ordinary and on spot machines.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -28,7 +28,7 @@
 use super::pipelines::DependencyStates;
 use super::renting::{Backoff, InstanceOffer};
 use super::scheduler::QueuedJob;
-use super::sizes::Sizes;
+use super::sizes::CapacityLimits;
 use super::takeover::Snapshot;
 use super::unreadable::UnreadableRecords;
 use super::urgency::LatencySensitiveTask;
@@ -251,7 +251,7 @@
             unregistered_since: None,
             tombstones: HashSet::default(),
             tombstone_order: VecDeque::new(),
-            max_tombstones: Sizes::new(&config.settings.cluster.limits).machines,
+            max_tombstones: CapacityLimits::new(&config.settings.cluster.limits).machines,
             catalog: Vec::new(),
             catalog_read_at: None,
             singleton_keys: HashMap::default(),
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -25,10 +25,10 @@
 use super::leader::{Effect, Leader, UncheckedSubmission};
 use super::loading::{self, read_snapshot, reconcile_page};
 use super::model::ReplyId;
-use super::peers::{Detour, Detours, PeerState, Peers};
+use super::peers::{PeerState, Peers, RedirectDecision, WorkerRedirects};
 use super::pipelines::DependencyStates;
-use super::sizes::Sizes;
-use super::statistics::Statistics;
+use super::sizes::CapacityLimits;
+use super::statistics::LatencyHistograms;
 use super::takeover::Snapshot;
 use crate::maps::HashMap;
 use crate::protocol::cbor::{Fields, Malformed, MapBuilder, decode, encode};
@@ -44,19 +44,19 @@
 
 /// Longest that a user's request is pursued before it is given up. Users wait
 /// five seconds for a submission and two for a poll.
-const PATIENCE: Duration = Duration::from_millis(3000);
-const POLL_PATIENCE: Duration = Duration::from_millis(1500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
+const POLL_TIMEOUT: Duration = Duration::from_millis(1500);
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 const TICK: Duration = Duration::from_millis(200);
 
-pub use handle::NodeHandle;
-use user_requests::{ForwardedReply, LookUp, RecordRead, UserRequest, Waiting};
+pub use handle::ControllerHandle;
+use user_requests::{ForwardedReply, JobLookUp, PendingReply, RecordRead, UserRequest};
 
 type Reply = oneshot::Sender<Answer>;
 
 /// Where a call comes from, which bounds how far it goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Origin {
+enum RequestOrigin {
     /// A user: to the leader by whatever way there is.
     User,
     /// A controller that cannot reach the leader: straight to it or not at all.
@@ -66,26 +66,26 @@
 }
 
 enum UserMessage {
-    Call { call: PeerCall, reply: Reply, origin: Origin, arrived: Instant },
+    Call { call: PeerCall, reply: Reply, origin: RequestOrigin, arrived: Instant },
     Status { reply: Reply },
 }
 
-struct ReportMessage {
-    report: Heartbeat,
+struct HeartbeatMessage {
+    heartbeat: Heartbeat,
     /// As it came, should it have to be handed on; not for one that was.
     body: Option<Vec<u8>>,
     reply: oneshot::Sender<Answer>,
     arrived: Instant,
 }
 
-enum Inner {
-    Loaded {
+enum InternalEvent {
+    SnapshotRead {
         epoch: u64,
-        loaded: Option<Snapshot>,
+        snapshot: Option<Snapshot>,
     },
     Committed {
         epoch: u64,
-        ticket: u64,
+        operation: u64,
         result: Result<u64, StoreError>,
     },
     CloudDone {
@@ -94,27 +94,27 @@
         result: CloudResult,
     },
     /// A job's record was read for a user.
-    LookedUp {
-        look_up: LookUp,
+    JobLookedUp {
+        look_up: JobLookUp,
         started: Instant,
         read: RecordRead,
     },
     /// The records of jobs that a submission names were read; `None`: they cannot be.
-    NeedsRead {
+    DependenciesRead {
         epoch: u64,
         submission: Box<UncheckedSubmission>,
         states: Option<DependencyStates>,
     },
     /// Another controller replied to a request that was handed on.
     Forwarded(Box<ForwardedReply>),
-    DirectDone,
+    PushDone,
     Reconciled {
         epoch: u64,
         from: String,
         restored: Snapshot,
     },
     /// What could not be read before was read again.
-    ReadAgain {
+    UnreadableReread {
         epoch: u64,
         restored: Snapshot,
     },
@@ -124,71 +124,71 @@
         peer_state: Option<PeerState>,
     },
     /// A call to another controller got no answer in time.
-    PeerSilent {
+    PeerTimedOut {
         peer: String,
     },
     /// Whether a user's call got through to the leader by any way.
     LeaderReached(bool),
     /// A report was handed on; `silent`: in vain.
     Relayed {
-        silent: Option<String>,
+        timed_out_peer: Option<String>,
     },
     /// A user's request that no way led to the leader for.
-    Unanswered(UserRequest),
+    LeaderUnreachable(UserRequest),
 }
 
 /// Everything the actor owns.
-pub struct Node {
+pub struct Controller {
     config: Arc<Config>,
     store: Store,
     cloud: Cloud,
     links: HashMap<String, PeerLink>,
     peers: Peers,
-    detours: Detours,
+    worker_redirects: WorkerRedirects,
     /// Since when no user's call has got through to the leader.
-    unreached: Option<Instant>,
+    leader_unreachable_since: Option<Instant>,
     /// Reports being handed on.
-    relaying: usize,
+    relays_in_flight: usize,
     role: Role,
-    leads: watch::Sender<bool>,
+    is_leader: watch::Sender<bool>,
     /// Until when it leads.
-    term: watch::Sender<Instant>,
+    lease_expiry: watch::Sender<Instant>,
     /// The last epoch given up before its lease ended.
-    abandoned: watch::Sender<u64>,
+    resigned_epoch: watch::Sender<u64>,
     ready: watch::Sender<bool>,
     leader: Option<Leader>,
     /// The last epoch in which a leader began here.
-    led_epoch: u64,
+    last_led_epoch: u64,
     /// Leaders that would have begun a second time in an epoch.
-    violations: u64,
-    held: DeferredReplies<oneshot::Sender<Answer>>,
-    waiting: HashMap<ReplyId, Waiting>,
-    next_reply: u64,
-    lookups: usize,
-    directs: usize,
+    invariant_violations: u64,
+    deferred_replies: DeferredReplies<oneshot::Sender<Answer>>,
+    pending_replies: HashMap<ReplyId, PendingReply>,
+    last_reply: u64,
+    lookups_in_flight: usize,
+    pushes_in_flight: usize,
     /// Final states that were told from here, or learnt.
-    told: TerminalStates,
-    sizes: Sizes,
-    inner: mpsc::Sender<Inner>,
-    last_led: Instant,
+    terminal_states: TerminalStates,
+    capacity: CapacityLimits,
+    events: mpsc::Sender<InternalEvent>,
+    leader_known_at: Instant,
     logged_at: Instant,
     /// Where the walk through the finished jobs' rows goes on.
-    walk_from: String,
-    walk_at: Instant,
-    walking: bool,
+    reconcile_cursor: String,
+    reconciled_at: Instant,
+    reconcile_in_flight: bool,
     /// Where the reading of what could not be read before goes on.
-    read_again_from: String,
-    statistics: Statistics,
+    reread_cursor: String,
+    latencies: LatencyHistograms,
 }
 
 pub struct Inputs {
-    users: mpsc::Receiver<UserMessage>,
-    reports: mpsc::Receiver<ReportMessage>,
-    inner: mpsc::Receiver<Inner>,
+    requests: mpsc::Receiver<UserMessage>,
+    heartbeats: mpsc::Receiver<HeartbeatMessage>,
+    events: mpsc::Receiver<InternalEvent>,
     pub roles: mpsc::Receiver<Role>,
 }
 
-impl Node {
+impl Controller {
     pub fn new(
         config: Arc<Config>,
         store: Store,
@@ -197,58 +197,58 @@
         term: watch::Sender<Instant>,
         abandoned: watch::Sender<u64>,
         roles: mpsc::Receiver<Role>,
-    ) -> (Self, Inputs, NodeHandle) {
-        let sizes = Sizes::new(&config.settings.cluster.limits);
-        let (users_in, users) = mpsc::channel(sizes.users);
-        let (reports_in, reports) = mpsc::channel(sizes.reports);
+    ) -> (Self, Inputs, ControllerHandle) {
+        let sizes = CapacityLimits::new(&config.settings.cluster.limits);
+        let (users_in, users) = mpsc::channel(sizes.queued_requests);
+        let (reports_in, reports) = mpsc::channel(sizes.queued_heartbeats);
         let (inner_in, inner) = mpsc::channel(256);
         let (ready, is_ready) = watch::channel(false);
         let mut links = HashMap::default();
         for peer in &config.settings.peers {
-            match PeerLink::new(peer.address, POLL_PATIENCE) {
+            match PeerLink::new(peer.address, POLL_TIMEOUT) {
                 Ok(link) => drop(links.insert(peer.name.clone(), link)),
                 Err(error) => tracing::error!(peer = %peer.name, %error, "cannot set up the link"),
             }
         }
         let now = Instant::now();
         let peers = Peers::new(links.keys().cloned(), config.tuning.lease);
-        let detours = Detours::new(config.settings.cluster.workers.lease(), sizes.machines);
+        let detours = WorkerRedirects::new(config.settings.cluster.workers.lease(), sizes.machines);
         let held = DeferredReplies::new(&config);
-        let node = Node {
+        let node = Controller {
             config,
             store,
             cloud,
             links,
             peers,
-            detours,
-            unreached: None,
-            relaying: 0,
+            worker_redirects: detours,
+            leader_unreachable_since: None,
+            relays_in_flight: 0,
             role: Role::Leaderless,
-            leads,
-            term,
-            abandoned,
+            is_leader: leads,
+            lease_expiry: term,
+            resigned_epoch: abandoned,
             ready,
             leader: None,
-            led_epoch: 0,
-            violations: 0,
-            held,
-            waiting: HashMap::default(),
-            next_reply: 0,
-            lookups: 0,
-            directs: 0,
-            told: TerminalStates::new(sizes.finals),
-            sizes,
-            inner: inner_in,
-            last_led: now,
+            last_led_epoch: 0,
+            invariant_violations: 0,
+            deferred_replies: held,
+            pending_replies: HashMap::default(),
+            last_reply: 0,
+            lookups_in_flight: 0,
+            pushes_in_flight: 0,
+            terminal_states: TerminalStates::new(sizes.terminal_states),
+            capacity: sizes,
+            events: inner_in,
+            leader_known_at: now,
             logged_at: now,
-            walk_from: String::new(),
-            walk_at: now,
-            walking: false,
-            read_again_from: String::new(),
-            statistics: Statistics::new(),
+            reconcile_cursor: String::new(),
+            reconciled_at: now,
+            reconcile_in_flight: false,
+            reread_cursor: String::new(),
+            latencies: LatencyHistograms::new(),
         };
-        let handle = NodeHandle { users: users_in, reports: reports_in, ready: is_ready };
-        (node, Inputs { users, reports, inner, roles }, handle)
+        let handle = ControllerHandle { requests: users_in, heartbeats: reports_in, ready: is_ready };
+        (node, Inputs { requests: users, heartbeats: reports, events: inner, roles }, handle)
     }
 
     pub async fn run(mut self, mut inputs: Inputs) {
@@ -260,84 +260,84 @@
                 // written, workers, then users.
                 biased;
                 role = inputs.roles.recv() => match role {
-                    Some(role) => self.take_role(role),
+                    Some(role) => self.handle_role(role),
                     None => return,
                 },
-                Some(inner) = inputs.inner.recv() => self.take_inner(inner),
+                Some(inner) = inputs.events.recv() => self.handle_event(inner),
                 _ = tick.tick() => self.tick(),
-                Some(message) = inputs.reports.recv() => self.take_report(message),
-                Some(message) = inputs.users.recv() => match message {
+                Some(message) = inputs.heartbeats.recv() => self.handle_heartbeat(message),
+                Some(message) = inputs.requests.recv() => match message {
                     UserMessage::Call { call, reply, origin, arrived } => {
-                        self.take_user(call, reply, origin);
-                        self.statistics.user(arrived);
+                        self.handle_request(call, reply, origin);
+                        self.latencies.record_request(arrived);
                     }
                     UserMessage::Status { reply } => drop(reply.send(Answer::new(200, &self.status()))),
                 },
                 else => return,
             }
-            self.carry_out();
+            self.perform_effects();
         }
     }
 
-    fn take_role(&mut self, role: Role) {
+    fn handle_role(&mut self, role: Role) {
         let now = Instant::now();
         match &role {
             Role::Leader { epoch, lease_expiry: until } => {
                 let same = matches!(&self.role, Role::Leader { epoch: before, .. } if before == epoch);
                 if !same {
-                    self.drop_leader();
-                    let _ = self.leads.send(true);
-                    self.load(*epoch);
+                    self.step_down();
+                    let _ = self.is_leader.send(true);
+                    self.read_snapshot(*epoch);
                 }
-                let _ = self.term.send(*until);
+                let _ = self.lease_expiry.send(*until);
                 if let Some(leader) = &mut self.leader {
                     leader.extend_lease(now, *until);
                 }
             }
             _ => {
-                self.drop_leader();
-                let _ = self.leads.send(false);
-                let _ = self.term.send(now);
+                self.step_down();
+                let _ = self.is_leader.send(false);
+                let _ = self.lease_expiry.send(now);
             }
         }
         if self.role != role {
-            self.detours.clear();
-            self.unreached = None;
+            self.worker_redirects.clear();
+            self.leader_unreachable_since = None;
         }
         self.role = role;
     }
 
     /// Unwinds: nothing of the epoch's picture is used any more.
-    fn drop_leader(&mut self) {
+    fn step_down(&mut self) {
         if self.leader.take().is_some() {
             tracing::info!("the epoch is over; its picture is dropped");
         }
-        for (_, waiting) in std::mem::take(&mut self.waiting) {
+        for (_, waiting) in std::mem::take(&mut self.pending_replies) {
             let answer = Answer::retry_later(503, "leadership has changed", 1);
-            self.tell(waiting.reply, &waiting.job, answer);
+            self.answer_about_job(waiting.reply, &waiting.job, answer);
         }
-        for held in self.held.drain() {
-            let _ = held.reply.send(reports::elsewhere(None));
+        for held in self.deferred_replies.drain() {
+            let _ = held.reply.send(reports::redirect_answer(None));
         }
     }
 
-    fn take_inner(&mut self, inner: Inner) {
+    fn handle_event(&mut self, inner: InternalEvent) {
         let now = Instant::now();
         match inner {
-            Inner::Loaded { epoch, loaded } => {
+            InternalEvent::SnapshotRead { epoch, snapshot: loaded } => {
                 let Role::Leader { epoch: current, lease_expiry: until } = self.role else { return };
                 if current != epoch || self.leader.is_some() {
                     return;
                 }
                 match loaded {
-                    Some(_) if epoch <= self.led_epoch => {
+                    Some(_) if epoch <= self.last_led_epoch => {
                         // Attempt numbers would be used a second time.
-                        self.violations += 1;
+                        self.invariant_violations += 1;
                         tracing::error!(epoch, violation = %Violation::EpochReused, "giving the epoch up");
-                        let _ = self.abandoned.send(epoch);
+                        let _ = self.resigned_epoch.send(epoch);
                     }
                     Some(loaded) => {
-                        self.led_epoch = epoch;
+                        self.last_led_epoch = epoch;
                         tracing::info!(
                             epoch,
                             jobs = loaded.jobs.len(),
@@ -350,44 +350,52 @@
                         leader.extend_lease(now, until);
                         self.leader = Some(leader);
                     }
-                    None => self.load(epoch),
+                    None => self.read_snapshot(epoch),
                 }
             }
-            Inner::Committed { epoch, ticket, result } => {
+            InternalEvent::Committed { epoch, operation: ticket, result } => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
                     leader.handle_commit_result(now, ticket, result);
                     if leader.is_fenced() {
-                        let _ = self.abandoned.send(epoch);
-                        self.drop_leader();
+                        let _ = self.resigned_epoch.send(epoch);
+                        self.step_down();
                     }
                 }
             }
-            Inner::CloudDone { epoch, ticket, result } => {
+            InternalEvent::CloudDone { epoch, ticket, result } => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
                     leader.handle_cloud_result(now, ticket, result);
                 }
             }
-            Inner::LookedUp { look_up, started, read } => self.looked_up(look_up, started, read),
-            Inner::NeedsRead { epoch, submission, states } => self.needs_read(epoch, *submission, states),
-            Inner::Forwarded(reply) => self.forwarded(*reply),
-            Inner::DirectDone => self.directs -= 1,
-            Inner::PeerAnswered { peer, peer_state } => self.peer_answered(now, &peer, peer_state),
-            Inner::PeerSilent { peer } => self.peers.silent(now, &peer),
-            Inner::LeaderReached(true) => self.unreached = None,
-            Inner::LeaderReached(false) => drop(self.unreached.get_or_insert(now)),
-            Inner::Relayed { silent } => {
-                self.relaying -= 1;
+            InternalEvent::JobLookedUp { look_up, started, read } => {
+                self.handle_job_looked_up(look_up, started, read)
+            }
+            InternalEvent::DependenciesRead { epoch, submission, states } => {
+                self.handle_dependencies_read(epoch, *submission, states)
+            }
+            InternalEvent::Forwarded(reply) => self.handle_forwarded_reply(*reply),
+            InternalEvent::PushDone => self.pushes_in_flight -= 1,
+            InternalEvent::PeerAnswered { peer, peer_state } => {
+                self.handle_peer_answer(now, &peer, peer_state)
+            }
+            InternalEvent::PeerTimedOut { peer } => self.peers.record_timeout(now, &peer),
+            InternalEvent::LeaderReached(true) => self.leader_unreachable_since = None,
+            InternalEvent::LeaderReached(false) => drop(self.leader_unreachable_since.get_or_insert(now)),
+            InternalEvent::Relayed { timed_out_peer: silent } => {
+                self.relays_in_flight -= 1;
                 if let Some(peer) = silent {
-                    self.peers.silent(now, &peer);
+                    self.peers.record_timeout(now, &peer);
                 }
             }
-            Inner::Unanswered(request) => self.without_leader(request, "the leader did not answer"),
-            Inner::Reconciled { epoch, from, restored } => {
-                self.walking = false;
-                self.walk_from = from;
+            InternalEvent::LeaderUnreachable(request) => {
+                self.answer_without_leader(request, "the leader did not answer")
+            }
+            InternalEvent::Reconciled { epoch, from, restored } => {
+                self.reconcile_in_flight = false;
+                self.reconcile_cursor = from;
                 self.restore(epoch, restored);
             }
-            Inner::ReadAgain { epoch, restored } => self.restore(epoch, restored),
+            InternalEvent::UnreadableReread { epoch, restored } => self.restore(epoch, restored),
         }
     }
 
@@ -397,45 +405,47 @@
             leader.set_state_limits(self.store.limits());
             leader.tick(now);
         }
-        self.end_holds();
+        self.flush_expired_replies();
         let late: Vec<ReplyId> = self
-            .waiting
+            .pending_replies
             .iter()
-            .filter(|(_, waiting)| now > waiting.since + PATIENCE)
+            .filter(|(_, waiting)| now > waiting.since + REQUEST_TIMEOUT)
             .map(|(to, _)| *to)
             .collect();
         for to in late {
-            self.answer_waiting(to, Answer::retry_later(503, "not recorded in time", 1));
+            self.answer_pending(to, Answer::retry_later(503, "not recorded in time", 1));
         }
         let leads = self.leader.as_ref().is_some_and(|l| l.holds_lease(now));
         let follows = matches!(self.role, Role::Follower { .. });
-        let unreached = follows && self.unreached.is_some();
+        let unreached = follows && self.leader_unreachable_since.is_some();
         if (leads || follows) && !unreached {
-            self.peers.rest();
+            self.peers.stop_querying();
         }
         if !(leads || follows)
             || unreached
             || self.leader.as_ref().is_some_and(Leader::awaits_post_lease_graces)
         {
-            self.ask_peers(now);
+            self.query_peers(now);
         }
         // A leader that nobody here can reach, for longer than it would lead if it
         // were dead: users are better off with the controller that does.
-        let lost = follows && self.unreached.is_some_and(|at| now >= at + self.config.tuning.lease);
-        let known = leads || (follows && !lost) || self.peers.leading(now).is_some();
+        let lost =
+            follows && self.leader_unreachable_since.is_some_and(|at| now >= at + self.config.tuning.lease);
+        let known = leads || (follows && !lost) || self.peers.known_leader(now).is_some();
         if known {
-            self.last_led = now;
+            self.leader_known_at = now;
         }
         // Removal from service lasts longer than most changes of leader, so a
         // short one is not worth it; being cut off from all others is.
         let lease = self.config.settings.cluster.workers.lease();
-        let hopes = *self.ready.borrow() && now < self.last_led + lease * 2 && !self.peers.cut_off(now);
+        let hopes =
+            *self.ready.borrow() && now < self.leader_known_at + lease * 2 && !self.peers.is_isolated(now);
         let ready = known || (hopes && !lost);
         self.ready.send_if_modified(|before| std::mem::replace(before, ready) != ready);
         if now > self.logged_at + LOG_INTERVAL {
             self.logged_at = now;
             if let Some(leader) = &self.leader {
-                tracing::info!("{} {}", leader.summary(), self.statistics.line());
+                tracing::info!("{} {}", leader.summary(), self.latencies.summary());
             }
         }
         self.reconcile(now);
@@ -444,7 +454,7 @@
     /// Figures for operators.
     fn status(&self) -> ciborium::value::Value {
         let role = match &self.role {
-            Role::Leaderless => match self.peers.leading(Instant::now()) {
+            Role::Leaderless => match self.peers.known_leader(Instant::now()) {
                 Some((leader, _)) => format!("leaderless, {leader} says that it leads"),
                 None => "leaderless".to_owned(),
             },
@@ -455,9 +465,9 @@
             .set("name", self.config.settings.name.as_str())
             .set("build", env!("CARGO_PKG_VERSION"))
             .set("role", role);
-        let figures = figures.set("epochsReused", self.violations);
+        let figures = figures.set("epochsReused", self.invariant_violations);
         let figures = match &self.leader {
-            Some(leader) => leader.figures(figures),
+            Some(leader) => leader.metrics(figures),
             None => figures,
         };
         let limits = self.store.limits();
@@ -468,7 +478,7 @@
             .set("laterChangesPerSecond", announced.write_rps)
             .set("laterValueKib", announced.value_kb)
             .set("laterLimitsHold", limits == announced);
-        self.statistics.figures(figures.set("stateService", state.build())).build()
+        self.latencies.metrics(figures.set("stateService", state.build())).build()
     }
 }
 
--- a/src/coordination/node/actions.rs
+++ b/src/coordination/node/actions.rs
@@ -2,32 +2,33 @@
 
 use super::*;
 
-impl Node {
-    pub(super) fn carry_out(&mut self) {
-        self.answer_held();
+impl Controller {
+    pub(super) fn perform_effects(&mut self) {
+        self.flush_decided_replies();
         let Some(leader) = &mut self.leader else { return };
         let epoch = leader.epoch();
         for action in leader.drain_effects() {
             match action {
-                Effect::Reply { reply: to, answer } => self.answer_waiting(to, answer),
+                Effect::Reply { reply: to, answer } => self.answer_pending(to, answer),
                 Effect::LookUpJob { to, job, if_absent: otherwise } => {
-                    if let Some(Waiting { reply, .. }) = self.waiting.remove(&to) {
-                        self.look_up(LookUp { reply, job, absent: otherwise, only_final: false });
+                    if let Some(PendingReply { reply, .. }) = self.pending_replies.remove(&to) {
+                        self.look_up(JobLookUp { reply, job, if_absent: otherwise, only_terminal: false });
                     }
                 }
-                Effect::ReadDependencies(submission) => self.read_needs(epoch, submission),
+                Effect::ReadDependencies(submission) => self.read_dependencies(epoch, submission),
                 Effect::Commit { operation: ticket, transaction } => {
-                    let (store, inner) = (self.store.clone(), self.inner.clone());
+                    let (store, inner) = (self.store.clone(), self.events.clone());
                     tokio::spawn(async move {
                         let result = store.commit(transaction).await;
-                        let _ = inner.send(Inner::Committed { epoch, ticket, result }).await;
+                        let _ =
+                            inner.send(InternalEvent::Committed { epoch, operation: ticket, result }).await;
                     });
                 }
                 Effect::CallCloud { ticket, call } => {
-                    let (cloud, inner) = (self.cloud.clone(), self.inner.clone());
+                    let (cloud, inner) = (self.cloud.clone(), self.events.clone());
                     tokio::spawn(async move {
                         let result = cloud.call(call).await;
-                        let _ = inner.send(Inner::CloudDone { epoch, ticket, result }).await;
+                        let _ = inner.send(InternalEvent::CloudDone { epoch, ticket, result }).await;
                     });
                 }
                 Effect::PushCommands {
@@ -37,11 +38,11 @@
                     commands: orders,
                 } => {
                     // Only a short cut: the same goes out with the next report.
-                    if self.directs >= self.sizes.directs {
+                    if self.pushes_in_flight >= self.capacity.pushes {
                         continue;
                     }
-                    self.directs += 1;
-                    let inner = self.inner.clone();
+                    self.pushes_in_flight += 1;
+                    let inner = self.events.clone();
                     let body = encode(&encode_pushed_commands(token, session, &orders));
                     let call = Call {
                         method: "POST",
@@ -52,10 +53,10 @@
                     let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
                     tokio::spawn(async move {
                         let _ = Prepared::alone(address, limits, call).run().await;
-                        let _ = inner.send(Inner::DirectDone).await;
+                        let _ = inner.send(InternalEvent::PushDone).await;
                     });
                 }
-                Effect::JobEvicted(status) => self.told.insert(status),
+                Effect::JobEvicted(status) => self.terminal_states.insert(status),
             }
         }
     }
--- a/src/coordination/node/handle.rs
+++ b/src/coordination/node/handle.rs
@@ -4,7 +4,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-use super::{Origin, Reply, ReportMessage, UserMessage};
+use super::{HeartbeatMessage, Reply, RequestOrigin, UserMessage};
 use crate::coordination::answers::Answer;
 use crate::protocol::cbor::decode;
 use crate::protocol::jobs::JobId;
@@ -15,35 +15,35 @@
 
 /// Speaks to the actor; answers HTTP requests and other controllers.
 #[derive(Clone)]
-pub struct NodeHandle {
-    pub(super) users: mpsc::Sender<UserMessage>,
-    pub(super) reports: mpsc::Sender<ReportMessage>,
+pub struct ControllerHandle {
+    pub(super) requests: mpsc::Sender<UserMessage>,
+    pub(super) heartbeats: mpsc::Sender<HeartbeatMessage>,
     pub(super) ready: watch::Receiver<bool>,
 }
 
-impl NodeHandle {
-    async fn user(&self, call: PeerCall, origin: Origin) -> Answer {
+impl ControllerHandle {
+    async fn request(&self, call: PeerCall, origin: RequestOrigin) -> Answer {
         self.ask(|reply| UserMessage::Call { call, reply, origin, arrived: Instant::now() }).await
     }
 
     async fn ask(&self, message: impl FnOnce(Reply) -> UserMessage) -> Answer {
         let (reply, answer) = oneshot::channel();
         // A full buffer holds nobody: the edge refuses at once.
-        if self.users.try_send(message(reply)).is_err() {
+        if self.requests.try_send(message(reply)).is_err() {
             return Answer::retry_later(429, "too many requests at once", 1);
         }
         answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", 1))
     }
 
-    async fn report(&self, body: Vec<u8>, relayed: bool) -> Answer {
+    async fn heartbeat(&self, body: Vec<u8>, relayed: bool) -> Answer {
         let report = match decode(&body).and_then(|value| Heartbeat::decode(&value)) {
             Ok(report) => report,
             Err(error) => return Answer::error(400, &error.to_string()),
         };
         let (reply, answer) = oneshot::channel();
         let body = (!relayed).then_some(body);
-        let message = ReportMessage { report, body, reply, arrived: Instant::now() };
-        if self.reports.try_send(message).is_err() {
+        let message = HeartbeatMessage { heartbeat: report, body, reply, arrived: Instant::now() };
+        if self.heartbeats.try_send(message).is_err() {
             return Answer::retry_later(503, "too many reports at once", 1);
         }
         answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", 1))
@@ -55,9 +55,9 @@
         let post = request.method == "POST";
         let get = request.method == "GET";
         match path {
-            "/agent/beat" if post => self.report(request.body, false).await,
+            "/agent/beat" if post => self.heartbeat(request.body, false).await,
             "/agent/beat" | "/api/jobs" if !post => Answer::error(405, "POST only"),
-            "/api/jobs" => self.user(PeerCall::Submit(request.body), Origin::User).await,
+            "/api/jobs" => self.request(PeerCall::Submit(request.body), RequestOrigin::User).await,
             "/status" if get => self.ask(|reply| UserMessage::Status { reply }).await,
             "/ready" if get => {
                 if *self.ready.borrow() {
@@ -78,8 +78,12 @@
                     return Answer::error(404, "no such job");
                 }
                 match (withdraw, post, get) {
-                    (true, true, _) => self.user(PeerCall::Cancel(id.to_owned()), Origin::User).await,
-                    (false, _, true) => self.user(PeerCall::Poll(id.to_owned()), Origin::User).await,
+                    (true, true, _) => {
+                        self.request(PeerCall::Cancel(id.to_owned()), RequestOrigin::User).await
+                    }
+                    (false, _, true) => {
+                        self.request(PeerCall::Poll(id.to_owned()), RequestOrigin::User).await
+                    }
                     _ => Answer::error(405, "method not allowed here"),
                 }
             }
@@ -87,7 +91,7 @@
     }
 }
 
-impl Handler for NodeHandle {
+impl Handler for ControllerHandle {
     async fn handle(&self, request: Request) -> Response {
         let answer = self.route(request).await.checked_at_sending(Instant::now());
         let Answer { status, body, retry_after_s, .. } = answer;
@@ -95,12 +99,12 @@
     }
 }
 
-impl PeerHandler for NodeHandle {
+impl PeerHandler for ControllerHandle {
     async fn handle(&self, call: PeerCall, relay: bool) -> PeerReply {
-        let origin = if relay { Origin::Relay } else { Origin::Peer };
+        let origin = if relay { RequestOrigin::Relay } else { RequestOrigin::Peer };
         let answer = match call {
-            PeerCall::Heartbeat(body) => self.report(body, true).await,
-            call => self.user(call, origin).await,
+            PeerCall::Heartbeat(body) => self.heartbeat(body, true).await,
+            call => self.request(call, origin).await,
         };
         answer.into_reply(Instant::now())
     }
--- a/src/coordination/node/reading.rs
+++ b/src/coordination/node/reading.rs
@@ -3,9 +3,9 @@
 
 use super::*;
 
-impl Node {
-    pub(super) fn load(&self, epoch: u64) {
-        let (store, inner) = (self.store.clone(), self.inner.clone());
+impl Controller {
+    pub(super) fn read_snapshot(&self, epoch: u64) {
+        let (store, inner) = (self.store.clone(), self.events.clone());
         let value_kb = self.config.settings.cluster.state.value_kb;
         let pause = self.config.tuning.lease / 20;
         tokio::spawn(async move {
@@ -15,7 +15,7 @@
                 // would spend the allowance that renewals need.
                 tokio::time::sleep(pause).await;
             }
-            let _ = inner.send(Inner::Loaded { epoch, loaded }).await;
+            let _ = inner.send(InternalEvent::SnapshotRead { epoch, snapshot: loaded }).await;
         });
     }
 
@@ -24,20 +24,20 @@
     /// the rows of the living.
     pub(super) fn reconcile(&mut self, now: Instant) {
         let Some(leader) = self.leader.as_ref().filter(|l| l.holds_lease(now)) else { return };
-        if self.walking || now < self.walk_at + self.config.tuning.reconcile {
+        if self.reconcile_in_flight || now < self.reconciled_at + self.config.tuning.reconcile {
             return;
         }
-        (self.walking, self.walk_at) = (true, now);
-        let (store, inner, epoch) = (self.store.clone(), self.inner.clone(), leader.epoch());
-        let (from, value_kb) = (self.walk_from.clone(), self.config.settings.cluster.state.value_kb);
-        let unreadable = leader.unreadable_after(&self.read_again_from, loading::ROWS_PER_ROUND);
-        self.read_again_from = unreadable.last().cloned().unwrap_or_default();
+        (self.reconcile_in_flight, self.reconciled_at) = (true, now);
+        let (store, inner, epoch) = (self.store.clone(), self.events.clone(), leader.epoch());
+        let (from, value_kb) = (self.reconcile_cursor.clone(), self.config.settings.cluster.state.value_kb);
+        let unreadable = leader.unreadable_after(&self.reread_cursor, loading::ROWS_PER_ROUND);
+        self.reread_cursor = unreadable.last().cloned().unwrap_or_default();
         tokio::spawn(async move {
             let (next, restored) =
                 reconcile_page(&store, epoch, &from, value_kb).await.unwrap_or((from, Snapshot::default()));
-            let _ = inner.send(Inner::Reconciled { epoch, from: next, restored }).await;
+            let _ = inner.send(InternalEvent::Reconciled { epoch, from: next, restored }).await;
             if let Ok(restored) = loading::reread_unreadable(&store, unreadable, value_kb).await {
-                let _ = inner.send(Inner::ReadAgain { epoch, restored }).await;
+                let _ = inner.send(InternalEvent::UnreadableReread { epoch, restored }).await;
             }
         });
     }
--- a/src/coordination/node/reports.rs
+++ b/src/coordination/node/reports.rs
@@ -5,8 +5,8 @@
 
 use super::*;
 
-impl Node {
-    pub(super) fn take_report(&mut self, message: ReportMessage) {
+impl Controller {
+    pub(super) fn handle_heartbeat(&mut self, message: HeartbeatMessage) {
         let now = Instant::now();
         // Its worker has left: a start in the answer would be lost, and an answer
         // counted as one would only put off the proof that the machine is gone.
@@ -14,7 +14,7 @@
             return;
         }
         let reply = match &mut self.leader {
-            Some(leader) => leader.handle_heartbeat(now, &message.report),
+            Some(leader) => leader.handle_heartbeat(now, &message.heartbeat),
             None => HeartbeatReply::Redirect,
         };
         let answer = match reply {
@@ -23,46 +23,46 @@
                 let direct = message.body.is_some();
                 if direct
                     && orders.is_empty()
-                    && self.leader.as_ref().is_some_and(|l| l.may_defer_reply(&message.report))
+                    && self.leader.as_ref().is_some_and(|l| l.may_defer_reply(&message.heartbeat))
                 {
-                    return self.hold(now, message);
+                    return self.defer_reply(now, message);
                 }
-                worker_answer(self.leader.as_ref(), token, &orders)
+                heartbeat_answer(self.leader.as_ref(), token, &orders)
             }
-            HeartbeatReply::Redirect => return self.send_elsewhere(now, message),
+            HeartbeatReply::Redirect => return self.redirect_or_relay(now, message),
         };
         let _ = message.reply.send(answer);
-        self.statistics.report(message.arrived);
+        self.latencies.record_heartbeat(message.arrived);
     }
 
-    fn hold(&mut self, now: Instant, message: ReportMessage) {
-        if let Some(earlier) = self.held.defer(now, message.report, message.reply) {
-            let _ = earlier.reply.send(elsewhere(None));
+    fn defer_reply(&mut self, now: Instant, message: HeartbeatMessage) {
+        if let Some(earlier) = self.deferred_replies.defer(now, message.heartbeat, message.reply) {
+            let _ = earlier.reply.send(redirect_answer(None));
         }
     }
 
     /// Sends the held answers whose time is over, as the leader decides them now.
-    pub(super) fn end_holds(&mut self) {
+    pub(super) fn flush_expired_replies(&mut self) {
         let now = Instant::now();
         let Some(leader) = &mut self.leader else { return };
-        for DeferredReply { heartbeat: report, reply, .. } in self.held.expired(now) {
+        for DeferredReply { heartbeat: report, reply, .. } in self.deferred_replies.expired(now) {
             let decided = leader.decide_deferred_reply(now, &report);
-            let _ = reply.send(held_answer(leader, decided));
+            let _ = reply.send(deferred_answer(leader, decided));
         }
     }
 
     /// Sends the held answers for which there are orders now.
-    pub(super) fn answer_held(&mut self) {
+    pub(super) fn flush_decided_replies(&mut self) {
         let now = Instant::now();
         let Some(leader) = &mut self.leader else { return };
-        for machine in leader.deferred_replies_to_decide(self.held.machines()) {
-            let Some(held) = self.held.get(&machine) else { continue };
+        for machine in leader.deferred_replies_to_decide(self.deferred_replies.machines()) {
+            let Some(held) = self.deferred_replies.get(&machine) else { continue };
             let decided = leader.decide_deferred_reply(now, &held.heartbeat);
             if matches!(&decided, HeartbeatReply::Commands { commands, .. } if commands.is_empty()) {
                 continue;
             }
-            if let Some(held) = self.held.remove(&machine) {
-                let _ = held.reply.send(held_answer(leader, decided));
+            if let Some(held) = self.deferred_replies.remove(&machine) {
+                let _ = held.reply.send(deferred_answer(leader, decided));
             }
         }
     }
@@ -71,60 +71,61 @@
     /// reach it, as in a cut between two zones, and its report is handed on.
     /// The leader's answer, under its token and lease, goes back unchanged; an
     /// answer that takes too long the worker drops, as it would any other.
-    pub(super) fn send_elsewhere(&mut self, now: Instant, message: ReportMessage) {
-        let ReportMessage { report, body, reply, arrived } = message;
+    pub(super) fn redirect_or_relay(&mut self, now: Instant, message: HeartbeatMessage) {
+        let HeartbeatMessage { heartbeat: report, body, reply, arrived } = message;
         let (leader, epoch) = match self.other_leader(now) {
             Some((leader, epoch)) => (Some(leader.to_owned()), epoch),
             None => (None, 0),
         };
-        let way = leader.as_ref().filter(|name| self.peers.reachable(now, name));
+        let way = leader.as_ref().filter(|name| self.peers.is_reachable(now, name));
         let link = way.and_then(|name| self.links.get(name)).cloned();
         let (Some(leader), Some(link), Some(body)) = (leader, link, body) else {
             // Nobody to name, or nobody that could be reached from here.
-            let _ = reply.send(elsewhere(None));
+            let _ = reply.send(redirect_answer(None));
             return;
         };
-        let named = match self.detours.judge(now, &report.machine, report.fencing_token == epoch) {
-            Detour::Redirect => Some(leader.as_str()),
+        let named = match self.worker_redirects.decide(now, &report.machine, report.fencing_token == epoch) {
+            RedirectDecision::Redirect => Some(leader.as_str()),
             // More than can be handed on at once: it asks again, here or there,
             // rather than wait for one that does not answer it.
-            Detour::Relay if self.relaying >= self.sizes.relays => None,
-            Detour::Relay => {
+            RedirectDecision::Relay if self.relays_in_flight >= self.capacity.relays => None,
+            RedirectDecision::Relay => {
                 return self.relay(link, leader, body, reply);
             }
         };
-        let _ = reply.send(elsewhere(named));
-        self.statistics.report(arrived);
+        let _ = reply.send(redirect_answer(named));
+        self.latencies.record_heartbeat(arrived);
     }
 
     fn relay(&mut self, link: PeerLink, leader: String, body: Vec<u8>, reply: oneshot::Sender<Answer>) {
-        self.relaying += 1;
-        let inner = self.inner.clone();
+        self.relays_in_flight += 1;
+        let inner = self.events.clone();
         tokio::spawn(async move {
             let asked = Instant::now();
-            let relayed = link.call(PeerCall::Heartbeat(body), false, POLL_PATIENCE).await;
+            let relayed = link.call(PeerCall::Heartbeat(body), false, POLL_TIMEOUT).await;
             let silent = relayed.is_none().then_some(leader);
-            let answer = relayed.map_or_else(|| elsewhere(None), |reply| relayed_answer(reply, asked));
+            let answer =
+                relayed.map_or_else(|| redirect_answer(None), |reply| relayed_heartbeat_answer(reply, asked));
             let _ = reply.send(answer);
-            let _ = inner.send(Inner::Relayed { silent }).await;
+            let _ = inner.send(InternalEvent::Relayed { timed_out_peer: silent }).await;
         });
     }
 }
 
 /// Sends a worker to the leader, or, with nobody to name, to the next controller.
-pub(super) fn elsewhere(leader: Option<&str>) -> Answer {
+pub(super) fn redirect_answer(leader: Option<&str>) -> Answer {
     Answer::new(421, &encode_redirect(leader))
 }
 
 /// A leader's answer to a report, with the time until which it may leave.
-fn worker_answer(leader: Option<&Leader>, token: u64, orders: &[Command]) -> Answer {
+fn heartbeat_answer(leader: Option<&Leader>, token: u64, orders: &[Command]) -> Answer {
     let basis = leader.map(|leader| leader.heartbeat_reply_validity(orders));
     Answer { validity: basis, ..Answer::new(200, &encode_heartbeat_reply(token, orders)) }
 }
 
 /// The leader's answer to a report that was handed on. It may leave for as long as the
 /// leader said, counted from when it was asked; a leader of a build before that did not say.
-fn relayed_answer(reply: PeerReply, asked: Instant) -> Answer {
+fn relayed_heartbeat_answer(reply: PeerReply, asked: Instant) -> Answer {
     let PeerReply { status, body, lease, .. } = reply;
     let basis = lease.map(|lease| Validity { epoch: lease.epoch, valid_until: asked + lease.remaining });
     Answer { status, body, retry_after_s: None, job_status: None, validity: basis }
@@ -132,11 +133,11 @@
 
 /// The answer to a report that was held: a worker that is sent away tries the next
 /// controller by itself.
-fn held_answer(leader: &Leader, reply: HeartbeatReply) -> Answer {
+fn deferred_answer(leader: &Leader, reply: HeartbeatReply) -> Answer {
     match reply {
         HeartbeatReply::Commands { fencing_token: token, commands: orders } => {
-            worker_answer(Some(leader), token, &orders)
+            heartbeat_answer(Some(leader), token, &orders)
         }
-        HeartbeatReply::Redirect => elsewhere(None),
+        HeartbeatReply::Redirect => redirect_answer(None),
     }
 }
--- a/src/coordination/node/tests.rs
+++ b/src/coordination/node/tests.rs
@@ -26,7 +26,7 @@
     }
 }
 
-async fn rig() -> (Node, Inputs, NodeHandle) {
+async fn rig() -> (Controller, Inputs, ControllerHandle) {
     let stand_in = StandIn::start(&[]).await;
     let mut settings = crate::settings::tests::sample();
     let second = settings.peers[0].clone();
@@ -37,16 +37,16 @@
     let (leads, _) = watch::channel(false);
     let (_roles_in, roles) = mpsc::channel(1);
     let (abandoned, _) = watch::channel(0);
-    Node::new(config, store(stand_in.address(), 12), cloud, leads, term, abandoned, roles)
+    Controller::new(config, store(stand_in.address(), 12), cloud, leads, term, abandoned, roles)
 }
 
 /// The edge refuses at once: nobody is held while the buffer is full.
 #[tokio::test]
 async fn a_full_buffer_refuses_at_once_with_a_time_to_come_back() {
     let (node, _inputs, handle) = rig().await;
-    for _ in 0..node.sizes.users {
+    for _ in 0..node.capacity.queued_requests {
         let (reply, _) = oneshot::channel();
-        assert!(handle.users.try_send(UserMessage::Status { reply }).is_ok());
+        assert!(handle.requests.try_send(UserMessage::Status { reply }).is_ok());
     }
     let answer = handle.route(request("GET", "/api/jobs/job-1", b"")).await;
     assert_eq!((answer.status, answer.retry_after_s), (429, Some(1)));
@@ -73,19 +73,19 @@
 async fn calls_go_round_a_cut_through_one_other_controller() {
     let (mut node, _inputs, _handle) = rig().await;
     let now = Instant::now();
-    let ways = |node: &Node, origin| -> Vec<(String, bool)> {
-        node.ways(now, origin).into_iter().map(|(name, _, relay)| (name, relay)).collect()
+    let ways = |node: &Controller, origin| -> Vec<(String, bool)> {
+        node.routes_to_leader(now, origin).into_iter().map(|(name, _, relay)| (name, relay)).collect()
     };
-    assert_eq!(ways(&node, Origin::User), [], "no leader is known");
+    assert_eq!(ways(&node, RequestOrigin::User), [], "no leader is known");
     node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let (direct, relayed) = (("c-1".to_owned(), false), ("c-2".to_owned(), true));
-    assert_eq!(ways(&node, Origin::User), [direct.clone(), relayed.clone()]);
-    node.peers.silent(now, "c-1");
-    assert_eq!(ways(&node, Origin::User), [relayed], "without waiting for the cut one again");
-    assert_eq!(ways(&node, Origin::Relay), std::slice::from_ref(&direct));
-    assert_eq!(ways(&node, Origin::Peer), []);
-    node.peers.silent(now, "c-2");
-    assert_eq!(ways(&node, Origin::User), [direct], "what else is there to try");
+    assert_eq!(ways(&node, RequestOrigin::User), [direct.clone(), relayed.clone()]);
+    node.peers.record_timeout(now, "c-1");
+    assert_eq!(ways(&node, RequestOrigin::User), [relayed], "without waiting for the cut one again");
+    assert_eq!(ways(&node, RequestOrigin::Relay), std::slice::from_ref(&direct));
+    assert_eq!(ways(&node, RequestOrigin::Peer), []);
+    node.peers.record_timeout(now, "c-2");
+    assert_eq!(ways(&node, RequestOrigin::User), [direct], "what else is there to try");
 }
 
 /// Controllers that refuse each other: a follower that cannot reach the leader
@@ -94,19 +94,19 @@
 #[tokio::test]
 async fn a_follower_that_cannot_reach_the_leader_is_not_ready() {
     let (mut node, _inputs, _handle) = rig().await;
-    node.take_role(Role::Follower { leader: "c-1".into(), epoch: 7 });
+    node.handle_role(Role::Follower { leader: "c-1".into(), epoch: 7 });
     node.tick();
     assert!(*node.ready.borrow());
-    node.take_inner(Inner::LeaderReached(false));
+    node.handle_event(InternalEvent::LeaderReached(false));
     node.tick();
     assert!(*node.ready.borrow(), "a leader that has just died is followed by another soon");
-    node.unreached = Instant::now().checked_sub(node.config.tuning.lease);
+    node.leader_unreachable_since = Instant::now().checked_sub(node.config.tuning.lease);
     node.tick();
     assert!(!*node.ready.borrow());
-    node.peer_answered(Instant::now(), "c-2", Some(PeerState::Free));
+    node.handle_peer_answer(Instant::now(), "c-2", Some(PeerState::Idle));
     node.tick();
     assert!(!*node.ready.borrow(), "another that can be reached is of no use by itself");
-    node.peer_answered(Instant::now(), "c-1", Some(PeerState::Leads(7)));
+    node.handle_peer_answer(Instant::now(), "c-1", Some(PeerState::Leading(7)));
     node.tick();
     assert!(*node.ready.borrow());
 }
@@ -122,9 +122,9 @@
     node.role = Role::Leader { epoch: 40, lease_expiry: now };
     node.tick();
     assert!(!*node.ready.borrow(), "it never was ready, and leads no more");
-    node.peer_answered(now, "c-1", Some(PeerState::Leads(39)));
+    node.handle_peer_answer(now, "c-1", Some(PeerState::Leading(39)));
     assert!(node.leader.is_some(), "an earlier epoch is no news");
-    node.peer_answered(now, "c-1", Some(PeerState::Leads(41)));
+    node.handle_peer_answer(now, "c-1", Some(PeerState::Leading(41)));
     assert!(node.leader.is_none());
     assert_eq!(node.other_leader(now), Some(("c-1", 41)));
     node.tick();
@@ -138,9 +138,14 @@
     let (mut node, _inputs, _handle) = rig().await;
     node.role = Role::Follower { leader: "c-1".into(), epoch: 7 };
     let report = report(1);
-    let send = |node: &mut Node, body: Option<Vec<u8>>| {
+    let send = |node: &mut Controller, body: Option<Vec<u8>>| {
         let (reply, answer) = oneshot::channel();
-        node.take_report(ReportMessage { report: report.clone(), body, reply, arrived: Instant::now() });
+        node.handle_heartbeat(HeartbeatMessage {
+            heartbeat: report.clone(),
+            body,
+            reply,
+            arrived: Instant::now(),
+        });
         answer
     };
     let named = |answer: Answer| {
@@ -152,9 +157,9 @@
     assert_eq!(named(first), (421, Some("c-1".into())));
     let handed_on = send(&mut node, None).await.expect("answered at once");
     assert_eq!(named(handed_on), (421, None));
-    assert_eq!(node.relaying, 0);
+    assert_eq!(node.relays_in_flight, 0);
     let _again = send(&mut node, Some(Vec::new()));
-    assert_eq!(node.relaying, 1, "it came back");
+    assert_eq!(node.relays_in_flight, 1, "it came back");
     // One that was with the leader until now is not sent back there first.
     let stayed = Heartbeat {
         machine: crate::protocol::workers::MachineId::parse("vm-2").expect("valid"),
@@ -163,15 +168,15 @@
     };
     let (reply, _answer) = oneshot::channel();
     let body = Some(Vec::new());
-    node.take_report(ReportMessage { report: stayed, body, reply, arrived: Instant::now() });
-    assert_eq!(node.relaying, 2, "at once");
+    node.handle_heartbeat(HeartbeatMessage { heartbeat: stayed, body, reply, arrived: Instant::now() });
+    assert_eq!(node.relays_in_flight, 2, "at once");
     // What cannot be reached from here is not named either.
-    node.peers.silent(Instant::now(), "c-1");
+    node.peers.record_timeout(Instant::now(), "c-1");
     let lost = send(&mut node, Some(Vec::new())).await.expect("answered at once");
     assert_eq!(named(lost), (421, None));
     // A new leader: the way to it may be open.
-    node.peers.answered(Instant::now(), "c-1", Some(PeerState::Free));
-    node.take_role(Role::Follower { leader: "c-2".into(), epoch: 7 });
+    node.peers.record_answer(Instant::now(), "c-1", Some(PeerState::Idle));
+    node.handle_role(Role::Follower { leader: "c-2".into(), epoch: 7 });
     let next = send(&mut node, Some(Vec::new())).await.expect("answered");
     assert_eq!(named(next), (421, Some("c-2".into())));
 }
@@ -188,12 +193,12 @@
     for (waited, answered) in [(Duration::ZERO, true), (HEARTBEAT_REPLY_TIMEOUT, false)] {
         let (reply, answer) = oneshot::channel();
         let arrived = now.checked_sub(waited).expect("a clock that has run for a while");
-        node.take_report(ReportMessage { report: report(1), body: None, reply, arrived });
+        node.handle_heartbeat(HeartbeatMessage { heartbeat: report(1), body: None, reply, arrived });
         assert_eq!(answer.await.is_ok(), answered);
     }
 }
 
-async fn put_record(node: &Node, key: String, value: ciborium::value::Value) {
+async fn put_record(node: &Controller, key: String, value: ciborium::value::Value) {
     let change = crate::protocol::state::Change::Put { key, value, lease: None };
     let mut write = crate::storage::stand_in::put(0, "unused", 0);
     (write.conditions, write.changes) = (Vec::new(), vec![change]);
@@ -201,17 +206,17 @@
 }
 
 /// A user's call, with whatever the actor tells itself until it is answered.
-async fn ask(node: &mut Node, inputs: &mut Inputs, call: PeerCall) -> Answer {
+async fn ask(node: &mut Controller, inputs: &mut Inputs, call: PeerCall) -> Answer {
     let (reply, answer) = oneshot::channel();
-    node.take_user(call, reply, Origin::User);
-    node.carry_out();
+    node.handle_request(call, reply, RequestOrigin::User);
+    node.perform_effects();
     tokio::pin!(answer);
     loop {
         tokio::select! {
             answer = &mut answer => return answer.expect("answered"),
-            Some(inner) = inputs.inner.recv() => node.take_inner(inner),
+            Some(inner) = inputs.events.recv() => node.handle_event(inner),
         }
-        node.carry_out();
+        node.perform_effects();
     }
 }
 
@@ -282,7 +287,7 @@
                 false => drop(handle.route(request("POST", "/agent/beat", &body)).await),
             }
         });
-        let message = inputs.reports.recv().await.expect("a report");
+        let message = inputs.heartbeats.recv().await.expect("a report");
         assert_eq!(message.body.is_none(), handed_on);
     }
 }
@@ -324,7 +329,7 @@
 
 /// A leader that has a job of one task, whose final write is under way: sent, its
 /// outcome not heard. `settles`: the task has ended; otherwise its user has called it off.
-fn leading_with_a_final_write_under_way(node: &mut Node, spec: &JobSpec, settles: bool) {
+fn leading_with_a_final_write_under_way(node: &mut Controller, spec: &JobSpec, settles: bool) {
     let now = Instant::now();
     let record = JobRecord { started_high_water: 1, ..JobRecord::new(spec.clone(), 0) };
     let job = JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() };
@@ -382,14 +387,19 @@
     let job = JobId::parse("job-1").expect("valid");
     let status = |standing| JobStatus { id: job.clone(), state: standing, done: 0, running: 0 };
     let lease = RemainingLease { epoch: 7, remaining: Duration::from_secs(3) };
-    let forwarded = |node: &mut Node, standing, lease| {
+    let forwarded = |node: &mut Controller, standing, lease| {
         let (reply, answer) = oneshot::channel();
         let call = PeerCall::Poll("job-1".into());
-        let request = UserRequest { call, job: job.clone(), reply, origin: Origin::User };
+        let request = UserRequest { call, job: job.clone(), reply, origin: RequestOrigin::User };
         let body = encode(&status(standing).encode());
         let answered = PeerReply { status: 200, body, retry_after_s: None, lease };
         let peer = "c-1".to_owned();
-        node.forwarded(ForwardedReply { request, peer, asked: Instant::now(), answer: answered });
+        node.handle_forwarded_reply(ForwardedReply {
+            request,
+            peer,
+            forwarded_at: Instant::now(),
+            peer_reply: answered,
+        });
         answer
     };
     let first = forwarded(&mut node, JobState::Running, Some(lease)).await.expect("answered");
@@ -404,19 +414,24 @@
     // So with a record that was read before.
     let (reply, answer) = oneshot::channel();
     let absent = Answer::error(404, "no such job");
-    let look_up = LookUp { reply, job: job.clone(), absent, only_final: false };
-    node.lookups += 1;
-    node.looked_up(look_up, Instant::now(), RecordRead::Found(status(JobState::Queued)));
+    let look_up = JobLookUp { reply, job: job.clone(), if_absent: absent, only_terminal: false };
+    node.lookups_in_flight += 1;
+    node.handle_job_looked_up(look_up, Instant::now(), RecordRead::Found(status(JobState::Queued)));
     assert_eq!(standing_of(&answer.await.expect("answered")), "cancelled");
     // And with a cancellation that another controller answers with something else.
     let (reply, answer) = oneshot::channel();
     let other = JobId::parse("job-2").expect("valid");
     let call = PeerCall::Cancel("job-2".into());
-    let request = UserRequest { call, job: other.clone(), reply, origin: Origin::User };
+    let request = UserRequest { call, job: other.clone(), reply, origin: RequestOrigin::User };
     let queued = JobStatus { id: other, state: JobState::Queued, done: 0, running: 0 };
     let answered =
         PeerReply { status: 200, body: encode(&queued.encode()), retry_after_s: None, lease: Some(lease) };
-    node.forwarded(ForwardedReply { request, peer: "c-1".into(), asked: Instant::now(), answer: answered });
+    node.handle_forwarded_reply(ForwardedReply {
+        request,
+        peer: "c-1".into(),
+        forwarded_at: Instant::now(),
+        peer_reply: answered,
+    });
     assert_eq!(answer.await.expect("answered").status, 503);
 }
 
@@ -440,7 +455,7 @@
             PeerHandler::handle(&to_peer, PeerCall::Poll("job-1".into()), false).await
         });
         for _ in 0..2 {
-            let Some(UserMessage::Call { reply, .. }) = inputs.users.recv().await else {
+            let Some(UserMessage::Call { reply, .. }) = inputs.requests.recv().await else {
                 panic!("no request")
             };
             assert!(reply.send(Answer::job_state(200, told.clone(), basis)).is_ok());
@@ -467,7 +482,7 @@
 }
 
 /// A leader of epoch 40, for a second, with a machine and, if so, a task to start on it.
-fn leading_for_a_second(node: &mut Node, starts: bool) {
+fn leading_for_a_second(node: &mut Controller, starts: bool) {
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     let jobs = if starts { vec![loaded_job(spec)] } else { Vec::new() };
     let rentals = vec![rented("vm-1", true)];
@@ -504,8 +519,8 @@
                     }
                 }
             });
-            let message = inputs.reports.recv().await.expect("a report");
-            node.take_report(message);
+            let message = inputs.heartbeats.recv().await.expect("a report");
+            node.handle_heartbeat(message);
             tokio::time::advance(held_up).await;
             assert_eq!(answered.await.expect("answered"), status, "{starts} {held_up:?} {handed_on}");
         }
@@ -517,12 +532,12 @@
 #[tokio::test]
 async fn no_leader_begins_twice_in_an_epoch() {
     let (mut node, _inputs, _handle) = rig().await;
-    let mut given_up = node.abandoned.subscribe();
+    let mut given_up = node.resigned_epoch.subscribe();
     node.role = Role::Leader { epoch: 40, lease_expiry: Instant::now() + Duration::from_secs(9) };
     for begun in [true, false] {
         node.leader = None;
-        node.take_inner(Inner::Loaded { epoch: 40, loaded: Some(Snapshot::default()) });
+        node.handle_event(InternalEvent::SnapshotRead { epoch: 40, snapshot: Some(Snapshot::default()) });
         assert_eq!(node.leader.is_some(), begun);
     }
-    assert_eq!((node.violations, *given_up.borrow_and_update()), (1, 40));
+    assert_eq!((node.invariant_violations, *given_up.borrow_and_update()), (1, 40));
 }
--- a/src/coordination/node/user_requests.rs
+++ b/src/coordination/node/user_requests.rs
@@ -11,11 +11,11 @@
     pub(super) call: PeerCall,
     pub(super) job: JobId,
     pub(super) reply: Reply,
-    pub(super) origin: Origin,
+    pub(super) origin: RequestOrigin,
 }
 
 /// A request that waits for an answer of the leader's state machine.
-pub(super) struct Waiting {
+pub(super) struct PendingReply {
     pub(super) reply: Reply,
     pub(super) job: JobId,
     pub(super) since: Instant,
@@ -30,13 +30,13 @@
 }
 
 /// A read of a job's record for a user.
-pub(super) struct LookUp {
+pub(super) struct JobLookUp {
     pub(super) reply: Reply,
     pub(super) job: JobId,
     /// The answer if there is no record.
-    pub(super) absent: Answer,
+    pub(super) if_absent: Answer,
     /// Only a final state answers the request.
-    pub(super) only_final: bool,
+    pub(super) only_terminal: bool,
 }
 
 /// A reply of another controller to a request that was handed on to it.
@@ -44,12 +44,12 @@
     pub(super) request: UserRequest,
     pub(super) peer: String,
     /// When the request was handed on.
-    pub(super) asked: Instant,
-    pub(super) answer: PeerReply,
+    pub(super) forwarded_at: Instant,
+    pub(super) peer_reply: PeerReply,
 }
 
-impl Node {
-    pub(super) fn take_user(&mut self, call: PeerCall, reply: Reply, origin: Origin) {
+impl Controller {
+    pub(super) fn handle_request(&mut self, call: PeerCall, reply: Reply, origin: RequestOrigin) {
         let now = Instant::now();
         let (job, spec) = match &call {
             PeerCall::Poll(id) | PeerCall::Cancel(id) => match JobId::parse(id) {
@@ -58,27 +58,27 @@
             },
             PeerCall::Submit(body) => match decode(body).and_then(|value| JobSpec::decode(&value)) {
                 Ok(spec) => (spec.id.clone(), Some(spec)),
-                Err(error) => return drop(reply.send(refuse_malformed(&error))),
+                Err(error) => return drop(reply.send(malformed_answer(&error))),
             },
-            PeerCall::LeaderQuery => return drop(reply.send(self.leading(now))),
+            PeerCall::LeaderQuery => return drop(reply.send(self.answer_leader_query(now))),
             // Reports have a buffer of their own.
             PeerCall::Heartbeat(_) => return drop(reply.send(Answer::error(400, "a report"))),
         };
         // What is final stays so, whoever leads.
-        if let Some(status) = self.told.get(&job) {
+        if let Some(status) = self.terminal_states.get(&job) {
             return drop(reply.send(Answer::terminal_state(status.clone())));
         }
         let request = UserRequest { call, job, reply, origin };
         match (&request.call, spec) {
-            _ if !self.leads(now) => self.pass_on(request),
+            _ if !self.serves_as_leader(now) => self.forward_to_leader(request),
             (_, Some(spec)) => self.submit(now, spec, request),
-            (PeerCall::Cancel(_), _) => self.withdraw(now, request),
+            (PeerCall::Cancel(_), _) => self.cancel(now, request),
             _ => self.poll(now, request),
         }
     }
 
     fn submit(&mut self, now: Instant, spec: JobSpec, request: UserRequest) {
-        let to = self.keep(request.reply, request.job, now);
+        let to = self.register_pending_reply(request.reply, request.job, now);
         if let Some(leader) = &mut self.leader {
             leader.submit(now, wall_ms(), to, spec);
         }
@@ -86,13 +86,13 @@
 
     /// Whether users' requests go to the state machine here. A leader past its lease
     /// answers little; one that leads now, all.
-    fn leads(&self, now: Instant) -> bool {
+    fn serves_as_leader(&self, now: Instant) -> bool {
         let lapsed = self.leader.as_ref().is_some_and(|l| !l.holds_lease(now));
-        self.leader.is_some() && !(lapsed && self.peers.leading(now).is_some())
+        self.leader.is_some() && !(lapsed && self.peers.known_leader(now).is_some())
     }
 
     /// Says to another controller whether this one leads.
-    fn leading(&self, now: Instant) -> Answer {
+    fn answer_leader_query(&self, now: Instant) -> Answer {
         match self.leader.as_ref().filter(|l| l.holds_lease(now)).map(Leader::epoch) {
             Some(epoch) => Answer::new(200, &MapBuilder::new().set("epoch", epoch).build()),
             // Without a picture no worker gets a 200 from here, and a picture comes
@@ -104,83 +104,84 @@
     fn poll(&mut self, now: Instant, request: UserRequest) {
         let UserRequest { job, reply, .. } = request;
         match self.leader.as_ref().and_then(|leader| leader.poll(now, &job)) {
-            Some(answer) => self.tell(reply, &job, answer),
+            Some(answer) => self.answer_about_job(reply, &job, answer),
             None => self.look_up_or_refuse(reply, job),
         }
     }
 
-    fn withdraw(&mut self, now: Instant, request: UserRequest) {
+    fn cancel(&mut self, now: Instant, request: UserRequest) {
         let UserRequest { job, reply, .. } = request;
-        let to = self.keep(reply, job.clone(), now);
+        let to = self.register_pending_reply(reply, job.clone(), now);
         let known = self.leader.as_mut().is_some_and(|l| l.cancel(now, to, &job));
-        if !known && let Some(Waiting { reply, job, .. }) = self.waiting.remove(&to) {
+        if !known && let Some(PendingReply { reply, job, .. }) = self.pending_replies.remove(&to) {
             let absent = Answer::error(404, "no such job");
-            self.look_up(LookUp { reply, job, absent, only_final: true });
+            self.look_up(JobLookUp { reply, job, if_absent: absent, only_terminal: true });
         }
     }
 
-    fn keep(&mut self, reply: Reply, job: JobId, now: Instant) -> ReplyId {
-        self.next_reply += 1;
-        let to = ReplyId(self.next_reply);
-        self.waiting.insert(to, Waiting { reply, job, since: now });
+    fn register_pending_reply(&mut self, reply: Reply, job: JobId, now: Instant) -> ReplyId {
+        self.last_reply += 1;
+        let to = ReplyId(self.last_reply);
+        self.pending_replies.insert(to, PendingReply { reply, job, since: now });
         to
     }
 
     /// Answers a request that waits for the state machine, unless it was answered before.
-    pub(super) fn answer_waiting(&mut self, to: ReplyId, answer: Answer) {
-        if let Some(Waiting { reply, job, .. }) = self.waiting.remove(&to) {
-            self.tell(reply, &job, answer);
+    pub(super) fn answer_pending(&mut self, to: ReplyId, answer: Answer) {
+        if let Some(PendingReply { reply, job, .. }) = self.pending_replies.remove(&to) {
+            self.answer_about_job(reply, &job, answer);
         }
     }
 
     /// The one place through which every answer about a job goes: a final state that
     /// was told before, or learnt from a record, wins over whatever was decided since
     /// the request came.
-    pub(super) fn tell(&mut self, reply: Reply, job: &JobId, answer: Answer) {
-        let _ = reply.send(self.told.resolve(job, answer));
+    pub(super) fn answer_about_job(&mut self, reply: Reply, job: &JobId, answer: Answer) {
+        let _ = reply.send(self.terminal_states.resolve(job, answer));
     }
 
     /// Hands a user's request to the leader, past a cut through another controller if
     /// need be. A poll that it cannot answer is answered from the record.
-    fn pass_on(&mut self, request: UserRequest) {
-        let ways = self.ways(Instant::now(), request.origin);
+    fn forward_to_leader(&mut self, request: UserRequest) {
+        let ways = self.routes_to_leader(Instant::now(), request.origin);
         if ways.is_empty() {
-            return self.without_leader(request, "no leader at the moment");
+            return self.answer_without_leader(request, "no leader at the moment");
         }
-        let (inner, unreached) = (self.inner.clone(), self.unreached.is_some());
-        let patience = POLL_PATIENCE / ways.len() as u32;
+        let (inner, unreached) = (self.events.clone(), self.leader_unreachable_since.is_some());
+        let patience = POLL_TIMEOUT / ways.len() as u32;
         tokio::spawn(async move {
             for (peer, link, relay) in ways {
                 let asked = Instant::now();
                 if let Some(answer) = link.call(request.call.clone(), relay, patience).await {
-                    let reply = ForwardedReply { request, peer, asked, answer };
-                    let _ = inner.send(Inner::Forwarded(Box::new(reply))).await;
+                    let reply = ForwardedReply { request, peer, forwarded_at: asked, peer_reply: answer };
+                    let _ = inner.send(InternalEvent::Forwarded(Box::new(reply))).await;
                     if unreached {
-                        let _ = inner.send(Inner::LeaderReached(true)).await;
+                        let _ = inner.send(InternalEvent::LeaderReached(true)).await;
                     }
                     return;
                 }
-                let _ = inner.send(Inner::PeerSilent { peer }).await;
+                let _ = inner.send(InternalEvent::PeerTimedOut { peer }).await;
             }
-            let _ = inner.send(Inner::LeaderReached(false)).await;
-            let _ = inner.send(Inner::Unanswered(request)).await;
+            let _ = inner.send(InternalEvent::LeaderReached(false)).await;
+            let _ = inner.send(InternalEvent::LeaderUnreachable(request)).await;
         });
     }
 
     /// No way led to the leader: a poll of a user is answered from the record.
-    pub(super) fn without_leader(&mut self, request: UserRequest, reason: &str) {
+    pub(super) fn answer_without_leader(&mut self, request: UserRequest, reason: &str) {
         let UserRequest { call, job, reply, origin } = request;
         match call {
-            PeerCall::Poll(_) if origin == Origin::User => self.look_up_or_refuse(reply, job),
-            _ => self.tell(reply, &job, Answer::retry_later(503, reason, 1)),
+            PeerCall::Poll(_) if origin == RequestOrigin::User => self.look_up_or_refuse(reply, job),
+            _ => self.answer_about_job(reply, &job, Answer::retry_later(503, reason, 1)),
         }
     }
 
     /// Another controller's reply, as far as it may be told.
-    pub(super) fn forwarded(&mut self, forwarded: ForwardedReply) {
-        let ForwardedReply { request, peer, asked, answer } = forwarded;
+    pub(super) fn handle_forwarded_reply(&mut self, forwarded: ForwardedReply) {
+        let ForwardedReply { request, peer, forwarded_at: asked, peer_reply: answer } = forwarded;
         let UserRequest { call, job, reply, .. } = request;
-        let usable = answers::from_peer_reply(answer, &job, asked, asked + PATIENCE, self.newest_epoch());
+        let usable =
+            answers::from_peer_reply(answer, &job, asked, asked + REQUEST_TIMEOUT, self.newest_epoch());
         let withdraws = matches!(call, PeerCall::Cancel(_));
         let usable = usable.and_then(|answer| match withdraws && answer.validity.is_some() {
             true => Err(UnusableReply::NotTerminal),
@@ -190,7 +191,7 @@
             tracing::error!(%job, %peer, %error, "another controller's reply is not passed on");
             Answer::retry_later(503, "try again", 1)
         });
-        self.tell(reply, &job, answer);
+        self.answer_about_job(reply, &job, answer);
     }
 
     /// The highest epoch that this controller has heard of.
@@ -199,17 +200,22 @@
             Role::Follower { epoch, .. } | Role::Leader { epoch, .. } => *epoch,
             Role::Leaderless => 0,
         };
-        by_role.max(self.peers.leading(Instant::now()).map_or(0, |(_, epoch)| epoch))
+        by_role.max(self.peers.known_leader(Instant::now()).map_or(0, |(_, epoch)| epoch))
     }
 
     /// The ways to the leader, the best first, at most two. `true`: through a
     /// controller that is to hand the call on.
-    pub(super) fn ways(&self, now: Instant, origin: Origin) -> Vec<(String, PeerLink, bool)> {
-        let leader = self.other_leader(now).filter(|_| origin != Origin::Peer);
+    pub(super) fn routes_to_leader(
+        &self,
+        now: Instant,
+        origin: RequestOrigin,
+    ) -> Vec<(String, PeerLink, bool)> {
+        let leader = self.other_leader(now).filter(|_| origin != RequestOrigin::Peer);
         let Some((leader, _)) = leader else { return Vec::new() };
         let mut names = Vec::new();
-        let reachable = self.peers.reachable(now, leader);
-        let relays = if origin == Origin::User { self.peers.relays(now, leader) } else { Vec::new() };
+        let reachable = self.peers.is_reachable(now, leader);
+        let relays =
+            if origin == RequestOrigin::User { self.peers.relay_candidates(now, leader) } else { Vec::new() };
         // Unless there is no other way, one that has just failed is not tried.
         if reachable || relays.is_empty() {
             names.push((leader.to_owned(), false));
@@ -226,47 +232,47 @@
     /// Answers from the record, which alone decides what was ever accepted.
     fn look_up_or_refuse(&mut self, reply: Reply, job: JobId) {
         let absent = Answer::error(404, "no such job");
-        self.look_up(LookUp { reply, job, absent, only_final: false });
+        self.look_up(JobLookUp { reply, job, if_absent: absent, only_terminal: false });
     }
 
-    pub(super) fn look_up(&mut self, look_up: LookUp) {
-        if self.lookups >= self.sizes.lookups {
+    pub(super) fn look_up(&mut self, look_up: JobLookUp) {
+        if self.lookups_in_flight >= self.capacity.lookups {
             let busy = Answer::retry_later(503, "too many requests at once", 1);
-            return self.tell(look_up.reply, &look_up.job, busy);
+            return self.answer_about_job(look_up.reply, &look_up.job, busy);
         }
-        self.lookups += 1;
-        let (store, inner) = (self.store.clone(), self.inner.clone());
+        self.lookups_in_flight += 1;
+        let (store, inner) = (self.store.clone(), self.events.clone());
         tokio::spawn(async move {
             let started = Instant::now();
             let read = read_status(&store, &look_up.job).await;
-            let _ = inner.send(Inner::LookedUp { look_up, started, read }).await;
+            let _ = inner.send(InternalEvent::JobLookedUp { look_up, started, read }).await;
         });
     }
 
     /// Reads the records of jobs that a submission names.
-    pub(super) fn read_needs(&mut self, epoch: u64, submission: Box<UncheckedSubmission>) {
-        if self.lookups >= self.sizes.lookups {
+    pub(super) fn read_dependencies(&mut self, epoch: u64, submission: Box<UncheckedSubmission>) {
+        if self.lookups_in_flight >= self.capacity.lookups {
             let busy = Answer::retry_later(503, "too many requests at once", 1);
-            return self.answer_waiting(submission.reply, busy);
+            return self.answer_pending(submission.reply, busy);
         }
-        self.lookups += 1;
-        let (store, inner) = (self.store.clone(), self.inner.clone());
+        self.lookups_in_flight += 1;
+        let (store, inner) = (self.store.clone(), self.events.clone());
         tokio::spawn(async move {
             let read = loading::read_dependency_states(&store, submission.unread.clone());
-            let read = tokio::time::timeout(PATIENCE, read).await;
+            let read = tokio::time::timeout(REQUEST_TIMEOUT, read).await;
             let states = read.ok().and_then(Result::ok);
-            let _ = inner.send(Inner::NeedsRead { epoch, submission, states }).await;
+            let _ = inner.send(InternalEvent::DependenciesRead { epoch, submission, states }).await;
         });
     }
 
     /// The records of jobs that a submission names were read.
-    pub(super) fn needs_read(
+    pub(super) fn handle_dependencies_read(
         &mut self,
         epoch: u64,
         submission: UncheckedSubmission,
         states: Option<DependencyStates>,
     ) {
-        self.lookups -= 1;
+        self.lookups_in_flight -= 1;
         let now = Instant::now();
         let UncheckedSubmission { reply: to, spec, known: mut read, .. } = submission;
         match (states, self.leader.as_mut().filter(|leader| leader.epoch() == epoch)) {
@@ -274,15 +280,15 @@
                 read.extend(states);
                 leader.submit_with_dependency_states(now, wall_ms(), to, spec, read);
             }
-            _ => self.answer_waiting(to, Answer::retry_later(503, "awaited jobs cannot be looked up now", 1)),
+            _ => self.answer_pending(to, Answer::retry_later(503, "awaited jobs cannot be looked up now", 1)),
         }
     }
 
     /// A record was read. One that is final tells all. Beside one that is not, the
     /// leader's picture may have become final since, and knows what runs.
-    pub(super) fn looked_up(&mut self, look_up: LookUp, started: Instant, read: RecordRead) {
-        self.lookups -= 1;
-        let LookUp { reply, job, absent, only_final } = look_up;
+    pub(super) fn handle_job_looked_up(&mut self, look_up: JobLookUp, started: Instant, read: RecordRead) {
+        self.lookups_in_flight -= 1;
+        let JobLookUp { reply, job, if_absent: absent, only_terminal: only_final } = look_up;
         let answer = match read {
             RecordRead::Absent => absent,
             RecordRead::Unreadable => Answer::retry_later(503, "unreadable record", 5),
@@ -292,21 +298,21 @@
             RecordRead::Found(status) => {
                 let leader = self.leader.as_ref();
                 let picture = leader.and_then(|l| l.status_from_memory(Instant::now(), &job));
-                let basis = Validity { epoch: 0, valid_until: started + POLL_PATIENCE };
+                let basis = Validity { epoch: 0, valid_until: started + POLL_TIMEOUT };
                 picture.unwrap_or_else(|| Answer::job_state(200, status, basis))
             }
         };
-        self.tell(reply, &job, answer);
+        self.answer_about_job(reply, &job, answer);
     }
 }
 
 /// Records of needs that are read for one answer at most; with more of them to look at,
 /// the user is told to come back.
-const NEEDS_READ: usize = 64;
+const MAX_DEPENDENCIES_READ: usize = 64;
 
 /// What the records say of a job, within the time that its user waits.
 async fn read_status(store: &Store, job: &JobId) -> RecordRead {
-    let read = tokio::time::timeout(POLL_PATIENCE, status_by_records(store, job)).await;
+    let read = tokio::time::timeout(POLL_TIMEOUT, status_by_records(store, job)).await;
     match read {
         Ok(Ok(Some(status))) => RecordRead::Found(status),
         Ok(Ok(None)) => RecordRead::Absent,
@@ -323,13 +329,13 @@
     let Some(record) = loading::read_record(store, class, job).await? else { return Ok(None) };
     let mut status = record.status();
     if !status.state.is_terminal()
-        && loading::is_cancelled_by_dependencies(store, class, &record, NEEDS_READ).await?
+        && loading::is_cancelled_by_dependencies(store, class, &record, MAX_DEPENDENCIES_READ).await?
     {
         status.state = JobState::Cancelled;
     }
     Ok(Some(status))
 }
 
-fn refuse_malformed(error: &Malformed) -> Answer {
+fn malformed_answer(error: &Malformed) -> Answer {
     Answer::error(400, &error.to_string())
 }
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -6,7 +6,7 @@
 use crate::protocol::workers::encode_heartbeat_reply;
 
 fn violations(rig: &Rig) -> u64 {
-    let figures = rig.leader.figures(MapBuilder::new()).build();
+    let figures = rig.leader.metrics(MapBuilder::new()).build();
     Fields::of(&figures).and_then(|f| f.count("invariantsViolated")).expect("a figure")
 }
 
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -35,7 +35,7 @@
         let electing = election::run(election, store.clone(), address, roles_in, given_up);
         let running = tokio::spawn(c.stalls.clone().run(electing));
         let config = Arc::new(Config { settings, tuning });
-        let (node, inputs, handle) = Node::new(config, store, cloud, leads, term, abandoned, roles);
+        let (node, inputs, handle) = Controller::new(config, store, cloud, leads, term, abandoned, roles);
         let acting = tokio::spawn(c.stalls.clone().run(node.run(inputs)));
         c.tasks = vec![running.abort_handle(), acting.abort_handle()];
         c.handle = Some(handle);
@@ -93,7 +93,7 @@
                 let [_, _, from, other] = v4.ip().octets();
                 let (from, other) = (usize::from(from), usize::from(other));
                 let alive = self.controllers[from].incarnation + 1000 == to.port();
-                let apart = |c: &Controller| now < c.alone_until;
+                let apart = |c: &SimulatedController| now < c.alone_until;
                 if now < self.peers_refuse_until {
                     return;
                 }
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -30,7 +30,7 @@
 use super::super::cloud as cloud_actor;
 use super::super::config::Config;
 use super::super::election::{self, Election};
-use super::super::node::{Node, NodeHandle};
+use super::super::node::{Controller, ControllerHandle};
 use super::{placing, sample};
 use crate::maps::HashMap;
 use crate::policy;
@@ -60,9 +60,9 @@
     Duration::from_secs_f64(s)
 }
 
-struct Controller {
+struct SimulatedController {
     incarnation: u16,
-    handle: Option<NodeHandle>,
+    handle: Option<ControllerHandle>,
     tasks: Vec<AbortHandle>,
     back_at: Option<Instant>,
     refused_until: Instant,
@@ -298,7 +298,7 @@
     cloud_down_until: Instant,
     rentals: HashMap<String, Vec<String>>,
     next_machine: usize,
-    controllers: Vec<Controller>,
+    controllers: Vec<SimulatedController>,
     machines: BTreeMap<String, Worker>,
     late_reports: (f64, Instant),
     cancel_at_end: (f64, Instant),
@@ -381,7 +381,7 @@
             settings.cluster.objectives.push(placing::prompt_aim(&settings.cluster.workers));
         }
         faults.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let controller = || Controller {
+        let controller = || SimulatedController {
             incarnation: 0,
             handle: None,
             tasks: Vec::new(),
