--- a/src/cli.rs
+++ b/src/cli.rs
@@ -25,7 +25,7 @@
 use crate::settings::{Settings, State, StateLimits};
 use crate::storage::records::LEADER;
 use crate::storage::service;
-use crate::transport::client::{Call, Prepared};
+use crate::transport::client::{Call, PreparedCall};
 use crate::transport::codec::Limits;
 use crate::transport::{peer, server};
 
@@ -191,7 +191,7 @@
             Finding::Suspect(reason) => format!("{reason}; left alone"),
         };
         let repaired = match epoch.and_then(|epoch| examined.repair(epoch)) {
-            Some(transaction) => store.commit(transaction).await.is_ok(),
+            Some(transaction) => store.compare_and_swap(transaction).await.is_ok(),
             None => false,
         };
         open += u32::from(!repaired);
@@ -213,13 +213,13 @@
 }
 
 /// Gives the audit's lease back, so that controllers need not wait for its end.
-async fn release(store: &service::Store) {
-    if let Ok(Some(entry)) = store.get(service::Class::Renewal, LEADER).await
+async fn release(store: &service::KvClient) {
+    if let Ok(Some(entry)) = store.get(service::RequestClass::Renewal, LEADER).await
         && let Some(lease) = entry.lease
     {
         let target = format!("/leases/{lease}");
         let call = Call { method: "DELETE", target, body: Vec::new(), deadline: store.deadline() };
-        let _ = store.raw(service::Class::Renewal, call).await;
+        let _ = store.send_raw(service::RequestClass::Renewal, call).await;
     }
 }
 
@@ -231,7 +231,7 @@
         deadline: settings.cluster.workers.report(),
     };
     let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
-    let (answer, _) = Prepared::alone(settings.listen, limits, call).run().await;
+    let (answer, _) = PreparedCall::without_pool(settings.listen, limits, call).run().await;
     let answer = answer.map_err(|error| format!("{}: {error}", settings.listen))?;
     match decode(&answer.body) {
         Ok(value) if answer.status == 200 => {
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -3,9 +3,9 @@
 use crate::protocol::jobs::{JobId, JobState};
 use crate::settings::NextState;
 use crate::storage::records::{JobRecord, archived_row_key, encode_row, job_record_key, live_row_key};
-use crate::storage::stand_in::{StandIn, store};
+use crate::storage::stand_in::{FakeKvServer, store};
 
-fn config(world: &StandIn) -> Config {
+fn config(world: &FakeKvServer) -> Config {
     let mut settings = crate::settings::tests::sample();
     settings.services.state = world.address();
     settings.cluster.state.rps = 10_000.0;
@@ -13,7 +13,7 @@
     Config { settings, tuning: crate::policy::tests::tuning() }
 }
 
-async fn audited(world: &StandIn, repair: bool) -> (String, Result<ExitCode, String>) {
+async fn audited(world: &FakeKvServer, repair: bool) -> (String, Result<ExitCode, String>) {
     let mut out = Vec::new();
     let result = audit(config(world), repair, &mut out).await;
     (String::from_utf8(out).expect("text"), result)
@@ -24,8 +24,8 @@
 }
 
 /// One job behind, one stranded, one sound, and a row without a record.
-async fn damaged() -> StandIn {
-    let world = StandIn::start(&[]).await;
+async fn damaged() -> FakeKvServer {
+    let world = FakeKvServer::start(&[]).await;
     let id = |text: &str| JobId::parse(text).expect("valid");
     for (n, (name, settled, live, over)) in [
         ("job-1", true, true, None),
@@ -63,7 +63,11 @@
     assert!(succeeded(&result), "{out}");
     assert_eq!(out, "3 jobs, 0 inconsistent\n");
     let store = store(world.address(), 12);
-    assert_eq!(store.get(service::Class::Rest, LEADER).await, Ok(None), "the lease is given back");
+    assert_eq!(
+        store.get(service::RequestClass::Background, LEADER).await,
+        Ok(None),
+        "the lease is given back"
+    );
 }
 
 #[tokio::test]
@@ -85,7 +89,7 @@
 /// A job that waits for one that nobody knows would wait for ever; layouts are counted.
 #[tokio::test]
 async fn audit_shows_needs_and_layouts() {
-    let world = StandIn::start(&[]).await;
+    let world = FakeKvServer::start(&[]).await;
     let id = |text: &str| JobId::parse(text).expect("valid");
     for (n, (name, need, block_tasks)) in
         [("job-1", None, Some(6)), ("job-2", Some("job-1"), None), ("job-3", Some("job-404"), None)]
--- a/src/coordination/cloud.rs
+++ b/src/coordination/cloud.rs
@@ -13,7 +13,7 @@
     decode_provisioned, encode_delete,
 };
 use crate::protocol::workers::MachineId;
-use crate::storage::pacing::{Bucket, Complaints};
+use crate::storage::pacing::{LogThrottle, TokenBucket};
 use crate::transport::client::{Call, ClientError, Connection, Pool};
 use crate::transport::codec::{Limits, Response};
 
@@ -78,11 +78,11 @@
     let (done, mut finished) = mpsc::channel::<(Option<Connection>, Option<Option<u16>>)>(IN_FLIGHT);
     tokio::spawn(async move {
         // Others may have spent before a takeover: half a burst to begin with.
-        let mut bucket = Bucket::new(rate * 0.9, (rate * 0.9).max(1.0), Instant::now());
+        let mut bucket = TokenBucket::new(rate * 0.9, (rate * 0.9).max(1.0), Instant::now());
         let mut pool = Pool::new(address, LIMITS, IN_FLIGHT);
         let mut waiting: VecDeque<Request> = VecDeque::new();
         let mut in_flight = 0;
-        let mut complaints = Complaints::default();
+        let mut complaints = LogThrottle::default();
         loop {
             let now = Instant::now();
             let mut wait = Duration::from_secs(3600);
@@ -125,7 +125,7 @@
                     in_flight -= 1;
                     pool.put_back(connection);
                     if let Some(status) = failed
-                        && let Some(times) = complaints.due(Instant::now())
+                        && let Some(times) = complaints.should_log(Instant::now())
                     {
                         tracing::error!(times, ?status, "the cloud did not carry out a request");
                     }
--- a/src/coordination/election.rs
+++ b/src/coordination/election.rs
@@ -12,10 +12,11 @@
 
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode};
 use crate::protocol::state::{
-    Change, Condition, Entry, decode_committed, decode_lease, decode_watch, encode_commit, encode_lease,
+    Change, Compare, Entry, decode_commit_revision, decode_lease, decode_watch, encode_compare_and_swap,
+    encode_lease,
 };
 use crate::storage::records::LEADER;
-use crate::storage::service::{Class, Store, marked};
+use crate::storage::service::{KvClient, RequestClass, with_write_marker};
 use crate::transport::client::{Call, ClientError};
 
 /// Part of the lease given up against drift, timer steps and late wake-ups.
@@ -323,7 +324,7 @@
 /// Runs the election for as long as somebody listens.
 pub async fn run(
     mut election: Election,
-    store: Store,
+    store: KvClient,
     address: String,
     roles: mpsc::Sender<Role>,
     abandoned: watch::Receiver<u64>,
@@ -353,13 +354,13 @@
     }
 }
 
-async fn run_step(election: &mut Election, store: &Store, address: &str, step: Step) {
+async fn run_step(election: &mut Election, store: &KvClient, address: &str, step: Step) {
     let deadline = store.deadline();
     let call = |method, target: String, body| Call { method, target, body, deadline };
     match step {
         Step::Wait { until } => tokio::time::sleep_until(until).await,
         Step::ReadLeader => {
-            let found = match store.get(Class::Renewal, LEADER).await {
+            let found = match store.get(RequestClass::Renewal, LEADER).await {
                 Ok(Some(entry)) => decode_leader_record(&entry).map(Some).ok_or(()),
                 Ok(None) => Ok(None),
                 Err(_) => Err(()),
@@ -371,43 +372,47 @@
             let sent = Instant::now();
             let ttl_ms = u64::try_from(election.ttl.as_millis()).unwrap_or(u64::MAX);
             let body = encode(&encode_lease(ttl_ms));
-            let made = match store.raw(Class::Renewal, call("POST", "/leases".into(), body)).await {
+            let made = match store.send_raw(RequestClass::Renewal, call("POST", "/leases".into(), body)).await
+            {
                 Ok(r) if r.status == 200 => decode(&r.body).ok().and_then(|v| decode_lease(&v).ok()),
                 _ => None,
             };
             election.on_lease_granted(Instant::now(), sent, made);
         }
         Step::Acquire { lease } => {
-            let value = marked(
+            let value = with_write_marker(
                 MapBuilder::new().set("name", election.name.as_str()).set("address", address),
                 &election.incarnation,
             );
-            let vacant = Condition { key: LEADER.into(), version: 0 };
+            let vacant = Compare { key: LEADER.into(), version: 0 };
             let change = Change::Put { key: LEADER.into(), value, lease: Some(lease) };
-            let body = encode(&encode_commit([&vacant], [&change]));
-            let outcome = match store.raw(Class::Renewal, call("POST", "/commit".into(), body)).await {
-                Ok(r) => match r.status {
-                    200 => match decode(&r.body).ok().and_then(|v| decode_committed(&v).ok()) {
-                        Some(epoch) => AcquireOutcome::Won { epoch },
-                        None => AcquireOutcome::Unknown,
+            let body = encode(&encode_compare_and_swap([&vacant], [&change]));
+            let outcome =
+                match store.send_raw(RequestClass::Renewal, call("POST", "/commit".into(), body)).await {
+                    Ok(r) => match r.status {
+                        200 => match decode(&r.body).ok().and_then(|v| decode_commit_revision(&v).ok()) {
+                            Some(epoch) => AcquireOutcome::Won { epoch },
+                            None => AcquireOutcome::Unknown,
+                        },
+                        409 => AcquireOutcome::Lost,
+                        400 => AcquireOutcome::LeaseExpired,
+                        _ => AcquireOutcome::Unknown,
                     },
-                    409 => AcquireOutcome::Lost,
-                    400 => AcquireOutcome::LeaseExpired,
-                    _ => AcquireOutcome::Unknown,
-                },
-                Err(_) => AcquireOutcome::Unknown,
-            };
+                    Err(_) => AcquireOutcome::Unknown,
+                };
             election.on_acquire(Instant::now(), outcome);
         }
         Step::RevokeLease { lease } => {
-            let answer = store.raw(Class::Renewal, call("DELETE", format!("/leases/{lease}"), vec![])).await;
+            let answer = store
+                .send_raw(RequestClass::Renewal, call("DELETE", format!("/leases/{lease}"), vec![]))
+                .await;
             let ended = answer.is_ok_and(|r| r.status == 200 || r.status == 404);
             election.on_lease_revoked(Instant::now(), lease, ended);
         }
         Step::Renew { lease } => {
             let sent = Instant::now();
             let call = call("POST", format!("/leases/{lease}/extend"), vec![]);
-            let outcome = match store.raw(Class::Renewal, call).await {
+            let outcome = match store.send_raw(RequestClass::Renewal, call).await {
                 Ok(r) if r.status == 200 => RenewOutcome::Renewed,
                 Ok(r) if r.status == 404 => RenewOutcome::LeaseExpired,
                 _ => RenewOutcome::Failed,
@@ -422,7 +427,7 @@
                 body: Vec::new(),
                 deadline: wait * 2 + deadline,
             };
-            let outcome = match store.raw(Class::Renewal, call).await {
+            let outcome = match store.send_raw(RequestClass::Renewal, call).await {
                 Ok(r) if r.status == 200 => {
                     decode(&r.body).ok().and_then(|v| decode_watch(&v).ok()).map(drop).ok_or(())
                 }
@@ -432,7 +437,7 @@
                 Err(_) => Ok(()),
             };
             election.on_watch(Instant::now(), outcome);
-            let found = match store.get(Class::Renewal, LEADER).await {
+            let found = match store.get(RequestClass::Renewal, LEADER).await {
                 Ok(Some(entry)) => decode_leader_record(&entry).map(Some).ok_or(()),
                 Ok(None) => Ok(None),
                 Err(_) => Err(()),
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet.rs
@@ -17,10 +17,10 @@
 use crate::protocol::cloud::{
     MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST, MachineType, NodePoolRequest, encode_catalog,
 };
-use crate::protocol::state::{Change, Condition};
+use crate::protocol::state::{Change, Compare};
 use crate::protocol::workers::MachineId;
 use crate::storage::records::{CATALOG, NodePoolRecord};
-use crate::storage::service::Class;
+use crate::storage::service::RequestClass;
 
 /// The cloud bills at least this much of a machine.
 const MIN_BILLED: Duration = Duration::from_secs(60);
@@ -107,9 +107,14 @@
             return;
         }
         note.write_in_flight = true;
-        let condition = Condition { key: key.to_owned(), version: note.version };
+        let condition = Compare { key: key.to_owned(), version: note.version };
         let change = Change::Put { key: key.to_owned(), value, lease: None };
-        self.commit(PendingOperation::WriteSingleton(key), Class::Rest, vec![condition], vec![change]);
+        self.commit(
+            PendingOperation::WriteSingleton(key),
+            RequestClass::Background,
+            vec![condition],
+            vec![change],
+        );
     }
 
     /// A machine type's number; one that no machine has, if it is not known.
--- a/src/coordination/intake.rs
+++ b/src/coordination/intake.rs
@@ -11,10 +11,10 @@
 use super::pipelines::{DependencyCheck, DependencyStates};
 use crate::protocol::cbor::json_size;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
-use crate::protocol::state::{Change, Condition};
+use crate::protocol::state::{Change, Compare};
 use crate::settings::State;
 use crate::storage::records::{JobRecord, block_size, encode_row, job_record_key, live_row_key};
-use crate::storage::service::{Class, StoreError};
+use crate::storage::service::{KvError, RequestClass};
 
 /// Bytes that a value has beside what is encoded here.
 const VALUE_OVERHEAD_BYTES: usize = 128;
@@ -110,8 +110,8 @@
             record.started_high_water = record.spec.tasks;
         }
         let conditions = vec![
-            Condition { key: job_record_key(&job), version: 0 },
-            Condition { key: live_row_key(&job), version: 0 },
+            Compare { key: job_record_key(&job), version: 0 },
+            Compare { key: live_row_key(&job), version: 0 },
         ];
         let changes = vec![
             Change::Put { key: job_record_key(&job), value: record.encode(state.value_kb), lease: None },
@@ -119,7 +119,7 @@
         ];
         self.add_to_dependency_graph(&record.spec, now, awaited, fate);
         self.pending_admissions.insert(job.clone(), PendingAdmission { record, waiters: vec![to] });
-        self.commit(PendingOperation::AdmitJob(job), Class::Accept, conditions, changes);
+        self.commit(PendingOperation::AdmitJob(job), RequestClass::Admission, conditions, changes);
     }
 
     /// Refuses a job that can never run, unless it was accepted earlier: a retry is never
@@ -145,7 +145,7 @@
         &mut self,
         now: Instant,
         job: JobId,
-        result: Result<u64, StoreError>,
+        result: Result<u64, KvError>,
     ) {
         let Some(PendingAdmission { record, waiters: waiting }) = self.pending_admissions.remove(&job) else {
             return;
@@ -165,14 +165,14 @@
                 }
             }
             // It was accepted earlier and is over: the record tells.
-            Err(StoreError::Conflict) => {
+            Err(KvError::Conflict) => {
                 self.retract_admission(&job);
                 for to in waiting {
                     let otherwise = Answer::retry_later(503, "try again", 1);
                     self.effects.push(Effect::LookUpJob { to, job: job.clone(), if_absent: otherwise });
                 }
             }
-            Err(StoreError::Rejected) => {
+            Err(KvError::Rejected) => {
                 self.retract_admission(&job);
                 for to in waiting {
                     self.reject_unless_admitted(to, job.clone(), "its description is too large for a record");
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -35,11 +35,11 @@
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
-use crate::protocol::state::{Change, Condition};
+use crate::protocol::state::{Change, Compare};
 use crate::protocol::workers::{Command, MachineId};
 use crate::settings::StateLimits;
 use crate::storage::records::{CATALOG, JobRecord, LEARNED_STATISTICS, node_pool_key};
-use crate::storage::service::{Class, StoreError, Transaction};
+use crate::storage::service::{KvError, RequestClass, Transaction};
 
 /// What is to be done outside.
 #[derive(Debug, Clone, PartialEq)]
@@ -395,12 +395,12 @@
     pub(super) fn commit(
         &mut self,
         ticket: PendingOperation,
-        class: Class,
-        conditions: Vec<Condition>,
+        class: RequestClass,
+        conditions: Vec<Compare>,
         changes: Vec<Change>,
     ) {
         let ticket = self.begin_operation(ticket);
-        let transaction = Transaction { class, epoch: self.epoch, conditions, changes };
+        let transaction = Transaction { class, epoch: self.epoch, compares: conditions, changes };
         self.effects.push(Effect::Commit { operation: ticket, transaction });
     }
 
@@ -425,8 +425,8 @@
     }
 
     /// A transaction has ended.
-    pub fn handle_commit_result(&mut self, now: Instant, ticket: u64, result: Result<u64, StoreError>) {
-        if result == Err(StoreError::Fenced) {
+    pub fn handle_commit_result(&mut self, now: Instant, ticket: u64, result: Result<u64, KvError>) {
+        if result == Err(KvError::Fenced) {
             // Another leads, or will: nothing of this picture may be used.
             self.is_fenced = true;
         }
@@ -481,7 +481,7 @@
         rental.write_in_flight = true;
         rental.rewrite_needed = false;
         let key = node_pool_key(name);
-        let conditions = vec![Condition { key: key.clone(), version: rental.version }];
+        let conditions = vec![Compare { key: key.clone(), version: rental.version }];
         let empty = rental.record.machines.as_ref().is_some_and(Vec::is_empty);
         let change = if empty {
             Change::Delete { key }
@@ -492,7 +492,7 @@
         // there before anything was asked for are what the first jobs wait for:
         // their records do not queue behind a crowd of acceptances.
         let found = rental.version == 0 && rental.record.machines.is_some();
-        let class = if found { Class::Accept } else { Class::Settle };
+        let class = if found { RequestClass::Admission } else { RequestClass::Completion };
         self.commit(PendingOperation::WriteNodePool(name.to_owned()), class, conditions, vec![change]);
     }
 
--- a/src/coordination/loading.rs
+++ b/src/coordination/loading.rs
@@ -15,7 +15,7 @@
     ARCHIVED_ROWS, CATALOG, JobRecord, LEARNED_STATISTICS, LIVE_ROWS, LearnedStatistics, NODE_POOLS,
     NodePoolRecord, job_record_key, live_row_key,
 };
-use crate::storage::service::{Class, Store, StoreError};
+use crate::storage::service::{KvClient, KvError, RequestClass};
 
 /// Rows compared with their records in one round.
 pub const ROWS_PER_ROUND: usize = 8;
@@ -23,11 +23,11 @@
 /// One round of the reconciler: where to go on, and the jobs that a repair
 /// brought back among the living.
 pub async fn reconcile_page(
-    store: &Store,
+    store: &KvClient,
     epoch: u64,
     from: &str,
     value_kb: f64,
-) -> Result<(String, Snapshot), StoreError> {
+) -> Result<(String, Snapshot), KvError> {
     let (jobs, next) = reconciler::page_of_jobs(store, ARCHIVED_ROWS, from, ROWS_PER_ROUND).await?;
     let mut restored = Snapshot::default();
     for job in &jobs {
@@ -37,7 +37,7 @@
         }
         if let Some(repair) = examined.repair(epoch) {
             tracing::error!(%job, finding = ?examined.finding, "a row differs from its record; repairing it");
-            let live_version = store.commit(repair).await?;
+            let live_version = store.compare_and_swap(repair).await?;
             if examined.finding == Finding::Stranded {
                 match read_job(store, job, live_version, value_kb).await? {
                     JobReadOutcome::Loaded(loaded) => restored.jobs.push(*loaded),
@@ -54,19 +54,19 @@
 /// Reads once more what could not be read before: records and fleet records that are
 /// readable by now, or gone.
 pub async fn reread_unreadable(
-    store: &Store,
+    store: &KvClient,
     keys: Vec<String>,
     value_kb: f64,
-) -> Result<Snapshot, StoreError> {
+) -> Result<Snapshot, KvError> {
     let mut found = Snapshot::default();
     for key in keys {
         if key.starts_with(NODE_POOLS) {
-            match store.get(Class::Rest, &key).await? {
+            match store.get(RequestClass::Background, &key).await? {
                 Some(entry) => add_node_pool(&mut found, &key, &entry.value, entry.version),
                 None => found.deleted_keys.push(key),
             }
         } else if let Some(job) = UnreadableRecords::job_of(&key) {
-            match store.get(Class::Rest, &live_row_key(&job)).await? {
+            match store.get(RequestClass::Background, &live_row_key(&job)).await? {
                 Some(row) => match read_job(store, &job, row.version, value_kb).await? {
                     JobReadOutcome::Loaded(loaded) => found.jobs.push(*loaded),
                     JobReadOutcome::Unreadable(reason) => found.unreadable.add_job(&job, reason),
@@ -88,17 +88,17 @@
 }
 
 /// Reads all unfinished work and the fleet.
-pub async fn read_snapshot(store: &Store, value_kb: f64) -> Result<Snapshot, StoreError> {
+pub async fn read_snapshot(store: &KvClient, value_kb: f64) -> Result<Snapshot, KvError> {
     let mut loaded = Snapshot::default();
     for entry in store.scan(NODE_POOLS).await? {
         add_node_pool(&mut loaded, &entry.key, &entry.value, entry.version);
     }
-    if let Some(entry) = store.get(Class::Rest, CATALOG).await?
+    if let Some(entry) = store.get(RequestClass::Background, CATALOG).await?
         && let Ok(types) = decode_catalog(&entry.value)
     {
         loaded.catalog = Some((types, entry.version));
     }
-    if let Some(entry) = store.get(Class::Rest, LEARNED_STATISTICS).await? {
+    if let Some(entry) = store.get(RequestClass::Background, LEARNED_STATISTICS).await? {
         // Unreadable, it is written anew; its version is still needed for that.
         let experience = LearnedStatistics::decode(&entry.value).unwrap_or_default();
         loaded.statistics = Some((experience, entry.version));
@@ -112,11 +112,11 @@
         let store = store.clone();
         reads.spawn(async move {
             let read = read_job(&store, &job, row.version, value_kb).await?;
-            Ok::<_, StoreError>((job, read))
+            Ok::<_, KvError>((job, read))
         });
     }
     while let Some(read) = reads.join_next().await {
-        match read.map_err(|_| StoreError::Unavailable)?? {
+        match read.map_err(|_| KvError::Unavailable)?? {
             (_, JobReadOutcome::Loaded(loaded_job)) => loaded.jobs.push(*loaded_job),
             (job, JobReadOutcome::Unreadable(reason)) => loaded.unreadable.add_job(&job, reason),
         }
@@ -126,7 +126,7 @@
 }
 
 /// What the records say of the jobs that these await and that are not among them.
-async fn read_dependencies_of(store: &Store, jobs: &[JobSnapshot]) -> Result<DependencyStates, StoreError> {
+async fn read_dependencies_of(store: &KvClient, jobs: &[JobSnapshot]) -> Result<DependencyStates, KvError> {
     let among: HashSet<&JobId> = jobs.iter().map(|job| &job.record.spec.id).collect();
     let waiting = jobs.iter().map(|job| &job.record).filter(|record| record.may_wait_for_dependencies());
     let needs: HashSet<JobId> = waiting
@@ -139,14 +139,14 @@
 
 /// Reads what the records say of jobs that others await. One that cannot be used is no
 /// reason to know nothing of the others.
-pub async fn read_dependency_states(store: &Store, jobs: Vec<JobId>) -> Result<DependencyStates, StoreError> {
+pub async fn read_dependency_states(store: &KvClient, jobs: Vec<JobId>) -> Result<DependencyStates, KvError> {
     let mut reads = JoinSet::new();
     for job in jobs {
         let store = store.clone();
         reads.spawn(async move {
-            let state = match read_record(&store, Class::Accept, &job).await {
+            let state = match read_record(&store, RequestClass::Admission, &job).await {
                 Ok(record) => DependencyState::of(record.as_ref()),
-                Err(StoreError::Rejected) => DependencyState::Unreadable,
+                Err(KvError::Rejected) => DependencyState::Unreadable,
                 Err(error) => return Err(error),
             };
             Ok((state, job))
@@ -154,7 +154,7 @@
     }
     let mut states = DependencyStates::default();
     while let Some(read) = reads.join_next().await {
-        let (state, job) = read.map_err(|_| StoreError::Unavailable)??;
+        let (state, job) = read.map_err(|_| KvError::Unavailable)??;
         states.insert(job, state);
     }
     Ok(states)
@@ -162,11 +162,15 @@
 
 /// A job's record; `None` if it was never accepted. From one that cannot be read nothing
 /// follows; the leader logs it once.
-pub async fn read_record(store: &Store, class: Class, job: &JobId) -> Result<Option<JobRecord>, StoreError> {
+pub async fn read_record(
+    store: &KvClient,
+    class: RequestClass,
+    job: &JobId,
+) -> Result<Option<JobRecord>, KvError> {
     let Some(entry) = store.get(class, &job_record_key(job)).await? else { return Ok(None) };
     decode_record(job, &entry.value).map(Some).map_err(|reason| {
         tracing::debug!(%job, reason, "unreadable record");
-        StoreError::Rejected
+        KvError::Rejected
     })
 }
 
@@ -182,11 +186,11 @@
 /// Whether a job that has not begun is cancelled with one that it needs, directly or not,
 /// by the records alone. At most so many of them are read.
 pub async fn is_cancelled_by_dependencies(
-    store: &Store,
-    class: Class,
+    store: &KvClient,
+    class: RequestClass,
     record: &JobRecord,
     most: usize,
-) -> Result<bool, StoreError> {
+) -> Result<bool, KvError> {
     let mut seen: HashSet<JobId> = HashSet::default();
     let mut unread: Vec<JobId> =
         if record.may_wait_for_dependencies() { record.spec.dependencies.clone() } else { Vec::new() };
@@ -195,7 +199,7 @@
             continue;
         }
         if seen.len() > most {
-            return Err(StoreError::Unavailable);
+            return Err(KvError::Unavailable);
         }
         let Some(record) = read_record(store, class, &need).await? else { continue };
         if record.terminal_state() == Some(JobState::Cancelled) {
@@ -217,12 +221,12 @@
 
 /// Reads one unfinished job.
 async fn read_job(
-    store: &Store,
+    store: &KvClient,
     job: &JobId,
     live_version: u64,
     value_kb: f64,
-) -> Result<JobReadOutcome, StoreError> {
-    let Some(entry) = store.get(Class::Accept, &job_record_key(job)).await? else {
+) -> Result<JobReadOutcome, KvError> {
+    let Some(entry) = store.get(RequestClass::Admission, &job_record_key(job)).await? else {
         return Ok(JobReadOutcome::Unreadable("a row without a record".into()));
     };
     let mut record = match decode_record(job, &entry.value) {
@@ -232,7 +236,7 @@
     let mut block_versions = Vec::new();
     let layout = record.layout(value_kb);
     for block in 0..layout.blocks(record.spec.tasks) {
-        let found = store.get(Class::Accept, &layout.block_key(&record.spec.id, block)).await?;
+        let found = store.get(RequestClass::Admission, &layout.block_key(&record.spec.id, block)).await?;
         block_versions.push(found.as_ref().map_or(0, |b| b.version));
         if let Some(Err(error)) = found.map(|b| record.add_block(&b.value)) {
             // Which of its tasks are done is not known, and no done task may start again.
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -37,8 +37,8 @@
     HEARTBEAT_REPLY_TIMEOUT, Heartbeat, encode_heartbeat_reply, encode_pushed_commands, encode_redirect,
 };
 use crate::protocol::{BODY_LIMIT, HEAD_LIMIT};
-use crate::storage::service::{Class, Store, StoreError};
-use crate::transport::client::{Call, Prepared};
+use crate::storage::service::{KvClient, KvError, RequestClass};
+use crate::transport::client::{Call, PreparedCall};
 use crate::transport::codec::Limits;
 use crate::transport::peer::{PeerCall, PeerLink, PeerReply};
 
@@ -86,7 +86,7 @@
     Committed {
         epoch: u64,
         operation: u64,
-        result: Result<u64, StoreError>,
+        result: Result<u64, KvError>,
     },
     CloudDone {
         epoch: u64,
@@ -140,7 +140,7 @@
 /// Everything the actor owns.
 pub struct Controller {
     config: Arc<Config>,
-    store: Store,
+    store: KvClient,
     cloud: Cloud,
     links: HashMap<String, PeerLink>,
     peers: Peers,
@@ -191,7 +191,7 @@
 impl Controller {
     pub fn new(
         config: Arc<Config>,
-        store: Store,
+        store: KvClient,
         cloud: Cloud,
         leads: watch::Sender<bool>,
         term: watch::Sender<Instant>,
--- a/src/coordination/node/actions.rs
+++ b/src/coordination/node/actions.rs
@@ -19,7 +19,7 @@
                 Effect::Commit { operation: ticket, transaction } => {
                     let (store, inner) = (self.store.clone(), self.events.clone());
                     tokio::spawn(async move {
-                        let result = store.commit(transaction).await;
+                        let result = store.compare_and_swap(transaction).await;
                         let _ =
                             inner.send(InternalEvent::Committed { epoch, operation: ticket, result }).await;
                     });
@@ -52,7 +52,7 @@
                     };
                     let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
                     tokio::spawn(async move {
-                        let _ = Prepared::alone(address, limits, call).run().await;
+                        let _ = PreparedCall::without_pool(address, limits, call).run().await;
                         let _ = inner.send(InternalEvent::PushDone).await;
                     });
                 }
--- a/src/coordination/node/tests.rs
+++ b/src/coordination/node/tests.rs
@@ -3,7 +3,7 @@
 use crate::coordination::tests::{catalog, loaded_job, rented};
 use crate::protocol::jobs::JobState;
 use crate::storage::records::{JobRecord, job_record_key};
-use crate::storage::stand_in::{StandIn, store};
+use crate::storage::stand_in::{FakeKvServer, store};
 use crate::transport::codec::Request;
 use crate::transport::peer::{PeerHandler, RemainingLease};
 
@@ -27,7 +27,7 @@
 }
 
 async fn rig() -> (Controller, Inputs, ControllerHandle) {
-    let stand_in = StandIn::start(&[]).await;
+    let stand_in = FakeKvServer::start(&[]).await;
     let mut settings = crate::settings::tests::sample();
     let second = settings.peers[0].clone();
     settings.peers.push(crate::settings::Peer { name: "c-2".into(), ..second });
@@ -201,8 +201,8 @@
 async fn put_record(node: &Controller, key: String, value: ciborium::value::Value) {
     let change = crate::protocol::state::Change::Put { key, value, lease: None };
     let mut write = crate::storage::stand_in::put(0, "unused", 0);
-    (write.conditions, write.changes) = (Vec::new(), vec![change]);
-    assert!(node.store.commit(write).await.is_ok());
+    (write.compares, write.changes) = (Vec::new(), vec![change]);
+    assert!(node.store.compare_and_swap(write).await.is_ok());
 }
 
 /// A user's call, with whatever the actor tells itself until it is answered.
--- a/src/coordination/node/user_requests.rs
+++ b/src/coordination/node/user_requests.rs
@@ -311,12 +311,12 @@
 const MAX_DEPENDENCIES_READ: usize = 64;
 
 /// What the records say of a job, within the time that its user waits.
-async fn read_status(store: &Store, job: &JobId) -> RecordRead {
+async fn read_status(store: &KvClient, job: &JobId) -> RecordRead {
     let read = tokio::time::timeout(POLL_TIMEOUT, status_by_records(store, job)).await;
     match read {
         Ok(Ok(Some(status))) => RecordRead::Found(status),
         Ok(Ok(None)) => RecordRead::Absent,
-        Ok(Err(StoreError::Rejected)) => RecordRead::Unreadable,
+        Ok(Err(KvError::Rejected)) => RecordRead::Unreadable,
         _ => RecordRead::Unavailable,
     }
 }
@@ -324,8 +324,8 @@
 /// A job's state by its record and, while it waits for others, by theirs: a job whose need
 /// is cancelled is so too, whether or not a leader has come to write that yet. Else it
 /// would be told cancelled by the leader and queued from here.
-async fn status_by_records(store: &Store, job: &JobId) -> Result<Option<JobStatus>, StoreError> {
-    let class = Class::Settle;
+async fn status_by_records(store: &KvClient, job: &JobId) -> Result<Option<JobStatus>, KvError> {
+    let class = RequestClass::Completion;
     let Some(record) = loading::read_record(store, class, job).await? else { return Ok(None) };
     let mut status = record.status();
     if !status.state.is_terminal()
--- a/src/coordination/reconciler.rs
+++ b/src/coordination/reconciler.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 
 use crate::protocol::jobs::{JobId, JobState};
-use crate::protocol::state::{Change, Condition};
+use crate::protocol::state::{Change, Compare};
 use crate::storage::records::{
     ARCHIVED_ROWS, JOB_RECORDS, JobRecord, LIVE_ROWS, NODE_POOLS, NodePoolRecord, archived_row_key,
     decode_row, encode_row, job_record_key, live_row_key,
 };
-use crate::storage::service::{Class, Store, StoreError, Transaction};
+use crate::storage::service::{KvClient, KvError, RequestClass, Transaction};
 
 /// What the store holds of one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -74,9 +74,9 @@
     /// are as they were read.
     pub fn repair(&self, epoch: u64) -> Option<Transaction> {
         let conditions = vec![
-            Condition { key: job_record_key(&self.job), version: self.record_version },
-            Condition { key: live_row_key(&self.job), version: self.live_version },
-            Condition { key: archived_row_key(&self.job), version: self.archived_version },
+            Compare { key: job_record_key(&self.job), version: self.record_version },
+            Compare { key: live_row_key(&self.job), version: self.live_version },
+            Compare { key: archived_row_key(&self.job), version: self.archived_version },
         ];
         let put = |key: String, standing| Change::Put { key, value: encode_row(standing), lease: None };
         let mut changes = Vec::new();
@@ -95,7 +95,7 @@
             }
             Finding::Consistent | Finding::Suspect(_) => return None,
         }
-        Some(Transaction { class: Class::Rest, epoch, conditions, changes })
+        Some(Transaction { class: RequestClass::Background, epoch, compares: conditions, changes })
     }
 }
 
@@ -104,10 +104,10 @@
 /// The rows are read before the record: a row is only ever written after the
 /// record that it follows, so a row that is ahead of a record read later is
 /// damage and not a write under way.
-pub async fn examine(store: &Store, job: &JobId) -> Result<Examined, StoreError> {
-    let over = store.get(Class::Rest, &archived_row_key(job)).await?;
-    let live = store.get(Class::Rest, &live_row_key(job)).await?;
-    let record = store.get(Class::Rest, &job_record_key(job)).await?;
+pub async fn examine(store: &KvClient, job: &JobId) -> Result<Examined, KvError> {
+    let over = store.get(RequestClass::Background, &archived_row_key(job)).await?;
+    let live = store.get(RequestClass::Background, &live_row_key(job)).await?;
+    let record = store.get(RequestClass::Background, &job_record_key(job)).await?;
     let version = |entry: &Option<crate::protocol::state::Entry>| entry.as_ref().map_or(0, |e| e.version);
     let unreadable = Finding::Suspect("an unreadable record or row");
     let over_row = over.as_ref().map(|e| decode_row(&e.value));
@@ -142,9 +142,9 @@
 }
 
 /// Whether a job waits for one that has no record, and so for ever.
-async fn has_missing_dependency(store: &Store, record: &JobRecord) -> Result<bool, StoreError> {
+async fn has_missing_dependency(store: &KvClient, record: &JobRecord) -> Result<bool, KvError> {
     for need in &record.spec.dependencies {
-        if store.get(Class::Rest, &job_record_key(need)).await?.is_none() {
+        if store.get(RequestClass::Background, &job_record_key(need)).await?.is_none() {
             return Ok(true);
         }
     }
@@ -153,12 +153,12 @@
 
 /// The jobs named by one page of keys with a prefix, and where to go on.
 pub async fn page_of_jobs(
-    store: &Store,
+    store: &KvClient,
     prefix: &str,
     from: &str,
     most: usize,
-) -> Result<(Vec<JobId>, Option<String>), StoreError> {
-    let page = store.page(prefix, from, most).await?;
+) -> Result<(Vec<JobId>, Option<String>), KvError> {
+    let page = store.read_page(prefix, from, most).await?;
     let next = page.more.then(|| page.entries.last().map(|e| e.key.clone())).flatten();
     let jobs = page.entries.iter().filter_map(|e| JobId::parse(e.key.strip_prefix(prefix)?)).collect();
     Ok((jobs, next))
@@ -166,14 +166,14 @@
 
 /// The keys of fleet records that cannot be used: whether their machines hold tasks is not
 /// known, and a takeover waits for them.
-pub async fn unreadable_node_pools(store: &Store) -> Result<Vec<String>, StoreError> {
+pub async fn unreadable_node_pools(store: &KvClient) -> Result<Vec<String>, KvError> {
     let entries = store.scan(NODE_POOLS).await?;
     let unreadable = entries.into_iter().filter(|entry| NodePoolRecord::decode(&entry.value).is_err());
     Ok(unreadable.map(|entry| entry.key).collect())
 }
 
 /// Every job that a record or a row names.
-pub async fn all_jobs(store: &Store) -> Result<BTreeSet<JobId>, StoreError> {
+pub async fn all_jobs(store: &KvClient) -> Result<BTreeSet<JobId>, KvError> {
     let mut found = BTreeSet::new();
     for prefix in [JOB_RECORDS, LIVE_ROWS, ARCHIVED_ROWS] {
         let mut from = String::new();
--- a/src/coordination/reconciler/tests.rs
+++ b/src/coordination/reconciler/tests.rs
@@ -14,7 +14,7 @@
     };
     let stranded = examined(Finding::Stranded, 0, 9).repair(40).expect("sound");
     assert_eq!(stranded.epoch, 40);
-    let versions: Vec<u64> = stranded.conditions.iter().map(|c| c.version).collect();
+    let versions: Vec<u64> = stranded.compares.iter().map(|c| c.version).collect();
     assert_eq!(versions, [7, 0, 9]);
     let keys: Vec<&str> = stranded.changes.iter().map(Change::key).collect();
     assert_eq!(keys, ["live/job-1", "over/job-1"]);
--- a/src/coordination/record_writing.rs
+++ b/src/coordination/record_writing.rs
@@ -15,12 +15,12 @@
 use super::leader::{Effect, Leader, PendingOperation};
 use super::model::{BlockConversion, Job, RecordWriteInFlight, WriteScope};
 use crate::protocol::jobs::{JobId, JobState};
-use crate::protocol::state::{Change, Condition};
+use crate::protocol::state::{Change, Compare};
 use crate::settings::State;
 use crate::storage::records::{
     JobRecord, Layout, archived_row_key, block_size, encode_row, job_record_key, live_row_key,
 };
-use crate::storage::service::{Class, StoreError};
+use crate::storage::service::{KvError, RequestClass};
 
 /// The part of the state service's allowance that is for done tasks.
 const PROGRESS_WRITE_SHARE: f64 = 0.4;
@@ -31,8 +31,8 @@
 
 /// One write of a job's record, to be committed.
 struct RecordWrite {
-    class: Class,
-    conditions: Vec<Condition>,
+    class: RequestClass,
+    conditions: Vec<Compare>,
     changes: Vec<Change>,
     in_flight: RecordWriteInFlight,
 }
@@ -58,23 +58,23 @@
     let most = state.within_both().txn_ops.saturating_sub(1).max(1);
     let blocks: Vec<u32> = job.dirty_blocks.iter().copied().take(most).collect();
     job.dirty_blocks.retain(|block| !blocks.contains(block));
-    let mut conditions = vec![Condition { key: job_record_key(&id), version: job.record_version }];
+    let mut conditions = vec![Compare { key: job_record_key(&id), version: job.record_version }];
     let mut changes = vec![put(job_record_key(&id), record.encode(value_kb))];
     for &block in &blocks {
         let key = layout.block_key(&id, block);
         let version = job.block_versions.get(block as usize).copied().unwrap_or(0);
-        conditions.push(Condition { key: key.clone(), version });
+        conditions.push(Compare { key: key.clone(), version });
         changes.push(put(key, record.encode_block(block, value_kb)));
     }
     let class = match (record.cancelled, record.completed) {
         // What follows from another's cancellation is told already: users wait for the
         // write of the one, not for those of the others.
-        (true, _) if job.cancelled_by_dependency => Class::Settle,
-        (true, _) => Class::Cancel,
-        (_, true) => Class::Settle,
+        (true, _) if job.cancelled_by_dependency => RequestClass::Completion,
+        (true, _) => RequestClass::Cancellation,
+        (_, true) => RequestClass::Completion,
         // Its tasks wait for nothing but this.
-        _ if record.started_high_water > job.committed_high_water => Class::Settle,
-        _ => Class::Progress,
+        _ if record.started_high_water > job.committed_high_water => RequestClass::Completion,
+        _ => RequestClass::Progress,
     };
     let done = if job.dirty_blocks.is_empty() || record.completed {
         record.done.clone()
@@ -93,11 +93,11 @@
 /// A final record without its done tasks, which nobody needs any more.
 fn terminal_write(job: &Job, record: JobRecord) -> RecordWrite {
     let key = job_record_key(&record.spec.id);
-    let conditions = vec![Condition { key: key.clone(), version: job.record_version }];
+    let conditions = vec![Compare { key: key.clone(), version: job.record_version }];
     let changes = vec![put(key, record.encode_without_done_tasks())];
     let done = record.done.clone();
     let written = RecordWriteInFlight::new(&record, done, WriteScope::WithoutDoneTasks);
-    RecordWrite { class: Class::Cancel, conditions, changes, in_flight: written }
+    RecordWrite { class: RequestClass::Cancellation, conditions, changes, in_flight: written }
 }
 
 /// The next blocks of a conversion, or the record that names them once all are written.
@@ -113,7 +113,7 @@
     record.done = conversion.done.clone();
     record.block_tasks = Some(conversion.block_tasks);
     let layout = Layout::NamedBlocks(conversion.block_tasks);
-    let conditions = vec![Condition { key: job_record_key(&id), version: job.record_version }];
+    let conditions = vec![Compare { key: job_record_key(&id), version: job.record_version }];
     let from = conversion.versions.len() as u32;
     let most = state.within_both().txn_ops as u32;
     let until = layout.blocks(record.spec.tasks).min(from.saturating_add(most));
@@ -121,12 +121,12 @@
     if from == until {
         let changes = vec![put(job_record_key(&id), record.encode(state.value_kb))];
         let written = RecordWriteInFlight::new(&record, done, WriteScope::SwitchLayout);
-        return RecordWrite { class: Class::Progress, conditions, changes, in_flight: written };
+        return RecordWrite { class: RequestClass::Progress, conditions, changes, in_flight: written };
     }
     let block = |n| put(layout.block_key(&id, n), record.encode_block(n, state.value_kb));
     let changes = (from..until).map(block).collect();
     let written = RecordWriteInFlight::new(&record, done, WriteScope::NewBlocks { count: until - from });
-    RecordWrite { class: Class::Progress, conditions, changes, in_flight: written }
+    RecordWrite { class: RequestClass::Progress, conditions, changes, in_flight: written }
 }
 
 impl Leader {
@@ -242,18 +242,13 @@
     }
 
     /// A write of a job's record has ended.
-    pub(super) fn handle_record_written(
-        &mut self,
-        now: Instant,
-        job: JobId,
-        result: Result<u64, StoreError>,
-    ) {
+    pub(super) fn handle_record_written(&mut self, now: Instant, job: JobId, result: Result<u64, KvError>) {
         let Some(j) = self.jobs.get_mut(&job) else { return };
         let Some(written) = j.write_in_flight.take() else { return };
         match result {
             Ok(version) => self.apply_committed_write(now, &job, written, version),
-            Err(StoreError::Fenced) => {}
-            Err(StoreError::Rejected) => self.handle_record_rejected(now, &job, written),
+            Err(KvError::Fenced) => {}
+            Err(KvError::Rejected) => self.handle_record_rejected(now, &job, written),
             Err(error) => {
                 // Somebody else wrote under our epoch: it cannot be mended by going on.
                 tracing::error!(%job, ?error, "a job's record cannot be written; giving up the epoch");
@@ -412,20 +407,20 @@
         }
         self.archives_in_flight += 1;
         let conditions = vec![
-            Condition { key: live_row_key(job), version: j.live_row_version },
-            Condition { key: archived_row_key(job), version: 0 },
+            Compare { key: live_row_key(job), version: j.live_row_version },
+            Compare { key: archived_row_key(job), version: 0 },
         ];
         let changes =
             vec![put(archived_row_key(job), encode_row(standing)), Change::Delete { key: live_row_key(job) }];
-        self.commit(PendingOperation::ArchiveRow(job.clone()), Class::Rest, conditions, changes);
+        self.commit(PendingOperation::ArchiveRow(job.clone()), RequestClass::Background, conditions, changes);
     }
 
     /// A row has followed its record: the job leaves memory.
-    pub(super) fn handle_row_archived(&mut self, job: JobId, result: Result<u64, StoreError>) {
+    pub(super) fn handle_row_archived(&mut self, job: JobId, result: Result<u64, KvError>) {
         self.archives_in_flight = self.archives_in_flight.saturating_sub(1);
         match result {
             Ok(_) => {}
-            Err(StoreError::Fenced) => return,
+            Err(KvError::Fenced) => return,
             Err(error) => {
                 tracing::error!(%job, ?error, "a row differs from what was read; `audit` tells more")
             }
--- a/src/coordination/renting.rs
+++ b/src/coordination/renting.rs
@@ -14,7 +14,7 @@
 use crate::protocol::cloud::{MachineType, NodePoolRequest};
 use crate::protocol::workers::MachineId;
 use crate::storage::records::NodePoolRecord;
-use crate::storage::service::StoreError;
+use crate::storage::service::KvError;
 
 /// What the cloud rents out: a machine type in a zone, as a spot machine or not.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -317,13 +317,13 @@
         &mut self,
         now: Instant,
         name: String,
-        result: Result<u64, StoreError>,
+        result: Result<u64, KvError>,
     ) {
         let Some(rental) = self.node_pools.get_mut(&name) else { return };
         rental.write_in_flight = false;
         match result {
             Ok(version) => rental.version = version,
-            Err(StoreError::Fenced) => return,
+            Err(KvError::Fenced) => return,
             Err(error) => {
                 tracing::error!(rental = %name, ?error, "a fleet record cannot be written");
                 rental.write_in_flight = true;
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -10,7 +10,7 @@
     let mut rig = Rig::with_machines(&["vm-1"]);
     let to = rig.submit(sample("job-1", "red", 1, 1.0));
     assert_eq!(rig.commits[0].1.epoch, EPOCH);
-    rig.fail_commit(StoreError::Fenced);
+    rig.fail_commit(KvError::Fenced);
     assert_eq!(rig.answer(to).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
     assert!(rig.leader.is_fenced());
     // Nothing of the stale epoch gets out any more.
@@ -36,7 +36,7 @@
 /// try without an answer: nothing is told from it, and memory is not used any more.
 #[test]
 fn a_refused_final_write_ends_the_epoch_and_nothing_is_told_from_it() {
-    for error in [StoreError::Fenced, StoreError::Conflict] {
+    for error in [KvError::Fenced, KvError::Conflict] {
         for withdrawn in [true, false] {
             let (mut rig, to) = with_a_final_write_under_way(withdrawn);
             assert_eq!(rig.standing("job-1"), None, "the record decides while it is under way");
@@ -58,19 +58,19 @@
     for withdrawn in [true, false] {
         let (mut rig, to) = with_a_final_write_under_way(withdrawn);
         let whole = json_size(&only_put(&rig));
-        rig.fail_commit(StoreError::Rejected);
+        rig.fail_commit(KvError::Rejected);
         let verdict = only_put(&rig);
         assert!(json_size(&verdict) < whole);
         let record = JobRecord::decode(&verdict).expect("readable");
         assert_eq!((record.cancelled, record.completed), (withdrawn, !withdrawn));
-        rig.fail_commit(StoreError::Rejected);
+        rig.fail_commit(KvError::Rejected);
         assert!(rig.commits.is_empty(), "not repeated without end");
         assert_eq!((rig.standing("job-1"), to.and_then(|to| rig.answer(to))), (None, None));
         assert!(!rig.leader.is_fenced());
         rig.pass(31.0);
         assert_eq!(only_put(&rig), verdict);
         // The first try was carried out after all.
-        rig.fail_commit(StoreError::Conflict);
+        rig.fail_commit(KvError::Conflict);
         assert!(rig.leader.is_fenced());
         assert_eq!((rig.standing("job-1"), to.and_then(|to| rig.answer(to))), (None, None));
     }
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -43,7 +43,7 @@
 use crate::storage::records::{
     JobRecord, NODE_POOLS, NodePoolRecord, archived_row_key, job_record_key, live_row_key,
 };
-use crate::storage::service::{Class, StoreError, Transaction};
+use crate::storage::service::{KvError, RequestClass, Transaction};
 
 const EPOCH: u64 = 40;
 const MS: u64 = 1_000_000;
@@ -185,7 +185,7 @@
         all
     }
 
-    fn fail_commit(&mut self, error: StoreError) {
+    fn fail_commit(&mut self, error: KvError) {
         let (ticket, _) = self.commits.remove(0);
         self.leader.handle_commit_result(self.now, ticket, Err(error));
         self.collect();
--- a/src/coordination/tests/pipelines.rs
+++ b/src/coordination/tests/pipelines.rs
@@ -213,7 +213,8 @@
     let to = rig.withdraw("job-1");
     assert_eq!(rig.standings(&["job-1", "job-2", "job-4"]), [None; 3], "the records decide");
     let late = rig.submit(awaiting("job-7", &["job-4", "job-5"]));
-    let at = rig.commits.iter().position(|(_, t)| t.class == Class::Cancel).expect("it is written");
+    let at =
+        rig.commits.iter().position(|(_, t)| t.class == RequestClass::Cancellation).expect("it is written");
     let (ticket, _) = rig.commits.remove(at);
     rig.leader.handle_commit_result(rig.now, ticket, Ok(999));
     rig.collect();
@@ -347,7 +348,7 @@
             rig.commit_all();
         }),
         ("refused, and brought back by the reconciler", |rig| {
-            rig.fail_commit(StoreError::Conflict);
+            rig.fail_commit(KvError::Conflict);
             let restored =
                 Snapshot { jobs: vec![unbegun(awaiting("job-2", &["job-1"]))], ..Snapshot::default() };
             rig.leader.restore_snapshot(rig.now, MS, restored);
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 use crate::protocol::cbor::{encode, json_size};
-use crate::protocol::state::{decode_committed, decode_entry, encode_commit};
-use crate::storage::stand_in::StoreState;
+use crate::protocol::state::{decode_commit_revision, decode_entry, encode_compare_and_swap};
+use crate::storage::stand_in::InMemoryKv;
 use crate::transport::codec::Request;
 
 #[test]
@@ -59,7 +59,7 @@
     let mut rig = Rig::with_machines(&["vm-1"]);
     rig.submit(sample("job-1", "red", 1, 1.0));
     // The record exists: it was accepted before.
-    rig.fail_commit(StoreError::Conflict);
+    rig.fail_commit(KvError::Conflict);
     assert_eq!(rig.lookups.len(), 1);
     // What could not be accepted today may have been accepted earlier.
     rig.submit(sample("job-2", "nobody", 1, 1.0));
@@ -137,7 +137,7 @@
         rig.beat(name, 5, EPOCH, std::iter::once(listed(ended, DONE)).chain(rest).collect());
     }
     rig.commits.clear();
-    let records = |rig: &Rig| rig.commits.iter().filter(|(_, t)| t.class == Class::Progress).count();
+    let records = |rig: &Rig| rig.commits.iter().filter(|(_, t)| t.class == RequestClass::Progress).count();
     let allowance = rig.config.settings.cluster.state.write_rps;
     rig.pass(1.0);
     let first = records(&rig);
@@ -155,17 +155,17 @@
 }
 
 /// Asks the stand-in of the state service to carry a transaction out.
-fn carry_out(state: &mut StoreState, transaction: &Transaction) -> Result<u64, StoreError> {
-    let body = encode(&encode_commit(&transaction.conditions, &transaction.changes));
+fn carry_out(state: &mut InMemoryKv, transaction: &Transaction) -> Result<u64, KvError> {
+    let body = encode(&encode_compare_and_swap(&transaction.compares, &transaction.changes));
     let request = Request { method: "POST".into(), target: "/commit".into(), body, close: false };
     match state.answer(&request) {
-        Some((200, body)) => Ok(decode_committed(&body).expect("a revision")),
-        Some((400, _)) => Err(StoreError::Rejected),
-        other => panic!("{:?}: {other:?}", transaction.conditions),
+        Some((200, body)) => Ok(decode_commit_revision(&body).expect("a revision")),
+        Some((400, _)) => Err(KvError::Rejected),
+        other => panic!("{:?}: {other:?}", transaction.compares),
     }
 }
 
-fn read(state: &mut StoreState, key: &str) -> Option<Value> {
+fn read(state: &mut InMemoryKv, key: &str) -> Option<Value> {
     let target = format!("/keys/{key}");
     let request = Request { method: "GET".into(), target, body: Vec::new(), close: false };
     let (status, body) = state.answer(&request).expect("answered");
@@ -173,7 +173,7 @@
 }
 
 /// The done tasks as a new leader reads them.
-fn done_by_records(state: &mut StoreState, job: &str) -> Vec<u32> {
+fn done_by_records(state: &mut InMemoryKv, job: &str) -> Vec<u32> {
     let value = read(state, &format!("rec/{job}")).expect("a record");
     let mut record = JobRecord::decode(&value).expect("readable");
     let layout = record.layout(8.0);
@@ -199,7 +199,7 @@
         Change::Delete { .. } => 0,
     };
     for tasks in [20_000, 60_000] {
-        let mut state = StoreState::with_pages_of(500);
+        let mut state = InMemoryKv::with_pages_of(500);
         let mut job = loaded_job(sample("job-1", "red", tasks, 1.0));
         let recorded: Vec<u32> = (0..tasks).step_by(2).collect();
         recorded.iter().for_each(|task| assert!(job.record.done.insert(*task)));
@@ -210,7 +210,8 @@
         let changes: Vec<Change> = blocks.chain([put("rec/job-1".into(), job.record.encode(8.0))]).collect();
         let before = changes.iter().map(size).max();
         assert!(before > Some(limits.value_bytes()), "{before:?}");
-        let written = Transaction { class: Class::Rest, epoch: EPOCH, conditions: Vec::new(), changes };
+        let written =
+            Transaction { class: RequestClass::Background, epoch: EPOCH, compares: Vec::new(), changes };
         job.record_version = carry_out(&mut state, &written).expect("no limits yet");
         job.block_versions = vec![job.record_version; layout.blocks(tasks) as usize];
         state.limit(limits);
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -178,7 +178,7 @@
             Fault::LimitsFall => {
                 let limits = self.settings.cluster.state.announced();
                 self.state.limit(limits);
-                self.allowance = Some(Bucket::new(limits.write_rps, limits.write_rps, now));
+                self.allowance = Some(TokenBucket::new(limits.write_rps, limits.write_rps, now));
             }
             Fault::ZoneCut { lasts } => {
                 self.zone_cut_until = until(lasts);
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -38,7 +38,7 @@
 use crate::protocol::cloud::{MachineType, encode_catalog};
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
 use crate::settings::{self, Settings};
-use crate::storage::pacing::Bucket;
+use crate::storage::pacing::TokenBucket;
 use crate::storage::service;
 use crate::storage::stand_in;
 use crate::transport::client::{Call, ClientError};
@@ -280,11 +280,11 @@
     settings: Settings,
     asks: mpsc::UnboundedReceiver<Ask>,
     events: JoinSet<Event>,
-    state: stand_in::StoreState,
+    state: stand_in::InMemoryKv,
     renewed: BTreeMap<u64, Instant>,
     outage_until: Instant,
     /// What is left of the changes that the state service takes, once its limits have fallen.
-    allowance: Option<Bucket>,
+    allowance: Option<TokenBucket>,
     late_writes: (f64, Instant),
     lost_answers: (f64, Instant),
     doubled_writes: (f64, Instant),
@@ -398,7 +398,7 @@
             settings,
             asks,
             events: JoinSet::new(),
-            state: stand_in::StoreState::with_pages_of(shape.page),
+            state: stand_in::InMemoryKv::with_pages_of(shape.page),
             renewed: BTreeMap::new(),
             outage_until: begin,
             allowance: None,
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -8,7 +8,7 @@
 use crate::protocol::cbor::MapBuilder;
 use crate::protocol::cloud::encode_catalog;
 use crate::storage::records::{CATALOG, encode_row, node_pool_key};
-use crate::storage::stand_in::{StandIn, store};
+use crate::storage::stand_in::{FakeKvServer, store};
 
 /// A value that no build writes.
 fn damaged() -> Value {
@@ -17,7 +17,7 @@
 
 /// The state service as an earlier leader has left it.
 async fn left_behind(entries: Vec<(String, Value)>) -> Snapshot {
-    let stand_in = StandIn::start(&[]).await;
+    let stand_in = FakeKvServer::start(&[]).await;
     stand_in.seed(CATALOG, encode_catalog(&catalog()), 2).await;
     for (key, value) in entries {
         stand_in.seed(&key, value, 5).await;
@@ -116,7 +116,7 @@
         ..Snapshot::default()
     });
     rig.submit(stranded.clone());
-    rig.fail_commit(StoreError::Conflict);
+    rig.fail_commit(KvError::Conflict);
     let restored = Snapshot { jobs: vec![unbegun(stranded)], ..Snapshot::default() };
     rig.leader.restore_snapshot(rig.now, MS, restored);
     rig.collect();
@@ -165,7 +165,7 @@
     assert!(!orders.iter().any(|order| matches!(order, Command::Reap { .. })), "{orders:?}");
     // Its user is told to come back; it is not accepted once more.
     rig.submit(sample("job-1", "red", 2, 1.0));
-    rig.fail_commit(StoreError::Conflict);
+    rig.fail_commit(KvError::Conflict);
     assert_eq!(rig.lookups.pop().map(|(_, otherwise)| otherwise.status), Some(503));
     // Read at last, it goes on.
     let mut readable = loaded_job(sample("job-1", "red", 2, 1.0));
@@ -195,7 +195,7 @@
 /// The reconciler reads a damaged record again, and takes the job in once it decodes.
 #[tokio::test]
 async fn what_became_readable_is_taken_in() {
-    let stand_in = StandIn::start(&[]).await;
+    let stand_in = FakeKvServer::start(&[]).await;
     let store = store(stand_in.address(), 12);
     let record = JobRecord::new(sample("job-1", "red", 1, 1.0), MS);
     let (rental, _) = rented("vm-2", true);
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -41,13 +41,13 @@
 
 /// A key must have this version; 0 means that it does not exist.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Condition {
+pub struct Compare {
     pub key: String,
     pub version: u64,
 }
 
-pub fn encode_commit<'a>(
-    conditions: impl IntoIterator<Item = &'a Condition>,
+pub fn encode_compare_and_swap<'a>(
+    conditions: impl IntoIterator<Item = &'a Compare>,
     changes: impl IntoIterator<Item = &'a Change>,
 ) -> Value {
     let conditions = conditions
@@ -58,12 +58,12 @@
     MapBuilder::new().set("if", Value::Array(conditions)).set("apply", Value::Array(changes)).build()
 }
 
-pub fn decode_committed(value: &Value) -> Result<u64, Malformed> {
+pub fn decode_commit_revision(value: &Value) -> Result<u64, Malformed> {
     Fields::of(value)?.count("ledger")
 }
 
 /// The keys whose condition failed.
-pub fn decode_refused(value: &Value) -> Result<Vec<String>, Malformed> {
+pub fn decode_failed_compares(value: &Value) -> Result<Vec<String>, Malformed> {
     let failed = Fields::of(value)?.opt_texts("failed")?.ok_or(Malformed::Missing("failed"))?;
     if failed.is_empty() { Err(Malformed::Invalid("failed")) } else { Ok(failed) }
 }
--- a/src/storage/service/actor.rs
+++ b/src/storage/service/actor.rs
@@ -8,16 +8,18 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-use super::{CLASSES, Class, MARK, Pending, Raw, Request, Store, StoreError};
+use super::{
+    HttpResult, KvClient, KvError, PendingTransaction, REQUEST_CLASSES, Request, RequestClass, WRITE_MARKER,
+};
 use crate::maps::HashSet;
 use crate::protocol::cbor::{Fields, decode, encode};
 use crate::protocol::state::{
-    Change, Condition, decode_committed, decode_entry, decode_refused, encode_commit,
+    Change, Compare, decode_commit_revision, decode_entry, decode_failed_compares, encode_compare_and_swap,
 };
 use crate::settings::{State, StateLimits};
-use crate::storage::pacing::{Bucket, Complaints};
+use crate::storage::pacing::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
-use crate::transport::client::{Call, ClientError, Connection, Pool, Prepared};
+use crate::transport::client::{Call, ClientError, Connection, Pool, PreparedCall};
 use crate::transport::codec::Limits;
 
 /// Bytes of one transaction, counted with some room below the service's 64 KiB.
@@ -27,29 +29,29 @@
 /// Requests under way at once.
 const IN_FLIGHT: usize = 8;
 
-enum Done {
-    Raw { reply: oneshot::Sender<Raw>, result: Raw, connection: Option<Connection>, long: bool },
-    Commit { items: Vec<Pending>, result: Raw, connection: Option<Connection> },
-    Verified { item: Pending, result: Raw, connection: Option<Connection> },
+enum Finished {
+    Raw { reply: oneshot::Sender<HttpResult>, result: HttpResult, connection: Option<Connection>, long: bool },
+    Commit { items: Vec<PendingTransaction>, result: HttpResult, connection: Option<Connection> },
+    Verified { item: PendingTransaction, result: HttpResult, connection: Option<Connection> },
 }
 
 struct Actor {
     pool: Pool,
-    queues: [VecDeque<Request>; CLASSES],
-    requests: Bucket,
-    writes: Bucket,
+    queues: [VecDeque<Request>; REQUEST_CLASSES],
+    requests: TokenBucket,
+    writes: TokenBucket,
     in_flight: usize,
     /// Most changes in one transaction, before and after the limits change.
     txn_ops: usize,
-    share: Share,
+    share: RateShare,
     /// The limits that will hold at some time, and those that hold as far as is known.
     announced: StateLimits,
-    in_force: watch::Sender<StateLimits>,
+    limits_in_force: watch::Sender<StateLimits>,
     deadline: Duration,
     /// After a refusal nothing but renewals is sent until then.
     pause_until: Instant,
-    complaints: Complaints,
-    done: mpsc::Sender<Done>,
+    log_throttle: LogThrottle,
+    done: mpsc::Sender<Finished>,
 }
 
 /// This controller's part of the service's allowance. One in `RATIO` of the
@@ -57,38 +59,38 @@
 const FOLLOWER_RATIO: f64 = 0.07;
 
 /// A little below the allowance, as the service's clock is not ours.
-const PACE_RATIO: f64 = 0.92;
+const RATE_RATIO: f64 = 0.92;
 /// Part of a second's allowance that may be spent at once.
 const BURST_RATIO: f64 = 0.8;
 
 /// The part of the burst that each class leaves to those before it.
-const RESERVED_PARTS: [f64; CLASSES] = [0.0, 0.0, 0.0, 0.6, 0.8, 0.8];
+const RESERVED_PARTS: [f64; REQUEST_CLASSES] = [0.0, 0.0, 0.0, 0.6, 0.8, 0.8];
 
 /// Changes that a class leaves in an allowance with such a burst for those before it. What
 /// nobody waits for would otherwise use all of it up as it comes, and each acceptance would
 /// wait until the allowance has refilled by what it takes.
 pub(super) fn write_reserve(class: usize, burst: f64) -> f64 {
-    let least = if class == Class::Renewal as usize { 0.0 } else { 1.0 };
+    let least = if class == RequestClass::Renewal as usize { 0.0 } else { 1.0 };
     (burst * RESERVED_PARTS[class]).max(least)
 }
 
 /// The part of the service's allowance that this controller takes.
 #[derive(Debug, Clone, Copy)]
-struct Share {
+struct RateShare {
     controllers: u32,
     leading: bool,
 }
 
-impl Share {
+impl RateShare {
     fn ratio(self) -> f64 {
         let others = f64::from(self.controllers.max(1) - 1).min(8.0);
         let ratio = if self.leading { 1.0 - FOLLOWER_RATIO * others } else { FOLLOWER_RATIO };
-        ratio * PACE_RATIO
+        ratio * RATE_RATIO
     }
 
-    fn bucket(self, rate: f64) -> Bucket {
+    fn token_bucket(self, rate: f64) -> TokenBucket {
         let rate = rate * self.ratio();
-        Bucket::new(rate, (rate * BURST_RATIO).max(4.0), Instant::now())
+        TokenBucket::new(rate, (rate * BURST_RATIO).max(4.0), Instant::now())
     }
 }
 
@@ -99,25 +101,25 @@
     controllers: u32,
     deadline: Duration,
     mut leads: tokio::sync::watch::Receiver<bool>,
-) -> Store {
+) -> KvClient {
     let (requests, mut inbox) = mpsc::channel(256);
     let (done, mut finished) = mpsc::channel(64);
-    let share = Share { controllers, leading: false };
+    let share = RateShare { controllers, leading: false };
     let present = state.present();
     let (in_force, limits) = watch::channel(present);
     let mut actor = Actor {
         pool: Pool::new(address, LIMITS, IN_FLIGHT),
         queues: Default::default(),
-        requests: share.bucket(present.rps),
-        writes: share.bucket(present.write_rps),
+        requests: share.token_bucket(present.rps),
+        writes: share.token_bucket(present.write_rps),
         in_flight: 0,
         txn_ops: state.within_both().txn_ops,
         share,
         announced: state.announced(),
-        in_force,
+        limits_in_force: in_force,
         deadline,
         pause_until: Instant::now(),
-        complaints: Complaints::default(),
+        log_throttle: LogThrottle::default(),
         done,
     };
     tokio::spawn(async move {
@@ -129,9 +131,9 @@
                 changed = leads.changed() => {
                     if changed.is_err() { return }
                     let leading = *leads.borrow_and_update();
-                    actor.take_share(Share { controllers, leading });
+                    actor.set_share(RateShare { controllers, leading });
                 }
-                Some(done) = finished.recv() => actor.finished(done),
+                Some(done) = finished.recv() => actor.handle_finished(done),
                 request = inbox.recv(), if actor.queued() < 512 => match request {
                     Some(request) => actor.enqueue(request),
                     None => return,
@@ -140,11 +142,11 @@
             }
         }
     });
-    Store { requests, deadline, limits }
+    KvClient { requests, deadline, limits }
 }
 
 impl Request {
-    fn class(&self) -> Class {
+    fn class(&self) -> RequestClass {
         match self {
             Request::Raw { class, .. } => *class,
             Request::Commit(pending) => pending.transaction.class,
@@ -157,33 +159,33 @@
         self.queues.iter().map(VecDeque::len).sum()
     }
 
-    fn take_share(&mut self, share: Share) {
-        let limits = *self.in_force.borrow();
+    fn set_share(&mut self, share: RateShare) {
+        let limits = *self.limits_in_force.borrow();
         self.share = share;
-        self.requests = share.bucket(limits.rps);
-        self.writes = share.bucket(limits.write_rps);
+        self.requests = share.token_bucket(limits.rps);
+        self.writes = share.token_bucket(limits.write_rps);
     }
 
     /// A refusal of what the present limits allow is the only notice that the announced
     /// ones have come into force. They stay.
-    fn note_refusal(&mut self, status: u16) {
+    fn record_refusal(&mut self, status: u16) {
         let refused = matches!(status, 400 | 429);
-        if !refused || *self.in_force.borrow() == self.announced {
+        if !refused || *self.limits_in_force.borrow() == self.announced {
             return;
         }
         tracing::info!(status, limits = ?self.announced, "the state service's announced limits hold now");
-        self.in_force.send_replace(self.announced);
-        self.take_share(self.share);
+        self.limits_in_force.send_replace(self.announced);
+        self.set_share(self.share);
         // What was allowed until now may be spent already.
-        self.requests.empty();
-        self.writes.empty();
+        self.requests.drain();
+        self.writes.drain();
     }
 
     fn enqueue(&mut self, request: Request) {
         self.queues[request.class() as usize].push_back(request);
     }
 
-    fn enqueue_first(&mut self, pending: Pending) {
+    fn enqueue_first(&mut self, pending: PendingTransaction) {
         self.queues[pending.transaction.class as usize].push_front(Request::Commit(Box::new(pending)));
     }
 
@@ -191,7 +193,7 @@
     fn dispatch(&mut self, now: Instant) -> Option<Duration> {
         loop {
             let class = self.queues.iter().position(|queue| !queue.is_empty())?;
-            let renewal = class == Class::Renewal as usize;
+            let renewal = class == RequestClass::Renewal as usize;
             // Renewals may use every place and all of the allowance; the rest
             // leaves some, so that a backlog cannot cost the lease.
             if !renewal && self.in_flight >= IN_FLIGHT - 2 {
@@ -224,15 +226,19 @@
         }
     }
 
-    fn send_raw(&mut self, call: Call, reply: oneshot::Sender<Raw>) {
+    fn send_raw(&mut self, call: Call, reply: oneshot::Sender<HttpResult>) {
         // A watch waits for long and must not take a place from others.
         let long = call.deadline > self.deadline * 2;
         self.in_flight += usize::from(!long);
         let prepared = self.pool.prepare(call);
-        self.spawn(prepared, move |result, connection| Done::Raw { reply, result, connection, long });
+        self.spawn(prepared, move |result, connection| Finished::Raw { reply, result, connection, long });
     }
 
-    fn spawn(&self, prepared: Prepared, wrap: impl FnOnce(Raw, Option<Connection>) -> Done + Send + 'static) {
+    fn spawn(
+        &self,
+        prepared: PreparedCall,
+        wrap: impl FnOnce(HttpResult, Option<Connection>) -> Finished + Send + 'static,
+    ) {
         let done = self.done.clone();
         tokio::spawn(async move {
             let (result, connection) = prepared.run().await;
@@ -241,23 +247,23 @@
     }
 
     /// Packs further changes of the same epoch beside the first.
-    fn send_commit(&mut self, now: Instant, first: Pending) {
+    fn send_commit(&mut self, now: Instant, first: PendingTransaction) {
         let epoch = first.transaction.epoch;
         let (mut ops, mut conditions, mut bytes) =
-            (first.transaction.changes.len(), first.transaction.conditions.len() + 1, first.size);
+            (first.transaction.changes.len(), first.transaction.compares.len() + 1, first.size);
         let mut items = vec![first];
-        if !items[0].alone {
-            let reserves: [f64; CLASSES] =
+        if !items[0].unbatched {
+            let reserves: [f64; REQUEST_CLASSES] =
                 std::array::from_fn(|class| write_reserve(class, self.writes.burst()));
             for (queue, reserve) in self.queues.iter_mut().zip(reserves) {
                 let mut rest = VecDeque::new();
                 while let Some(request) = queue.pop_front() {
                     match request {
                         Request::Commit(next)
-                            if !next.alone
+                            if !next.unbatched
                                 && next.transaction.epoch == epoch
                                 && ops + next.transaction.changes.len() <= self.txn_ops
-                                && conditions + next.transaction.conditions.len() <= self.txn_ops * 4
+                                && conditions + next.transaction.compares.len() <= self.txn_ops * 4
                                 && bytes + next.size <= COMMIT_BYTES
                                 && self.writes.allows(
                                     now,
@@ -266,7 +272,7 @@
                                 ) =>
                         {
                             ops += next.transaction.changes.len();
-                            conditions += next.transaction.conditions.len();
+                            conditions += next.transaction.compares.len();
                             bytes += next.size;
                             items.push(*next);
                         }
@@ -278,112 +284,112 @@
         }
         self.writes.spend(ops as f64);
         self.in_flight += 1;
-        let fence = Condition { key: LEADER.to_owned(), version: epoch };
-        let body = encode_commit(
-            std::iter::once(&fence).chain(items.iter().flat_map(|i| &i.transaction.conditions)),
+        let fence = Compare { key: LEADER.to_owned(), version: epoch };
+        let body = encode_compare_and_swap(
+            std::iter::once(&fence).chain(items.iter().flat_map(|i| &i.transaction.compares)),
             items.iter().flat_map(|i| &i.transaction.changes),
         );
         let call =
             Call { method: "POST", target: "/commit".into(), body: encode(&body), deadline: self.deadline };
         let prepared = self.pool.prepare(call);
-        self.spawn(prepared, move |result, connection| Done::Commit { items, result, connection });
+        self.spawn(prepared, move |result, connection| Finished::Commit { items, result, connection });
     }
 
-    fn finished(&mut self, done: Done) {
+    fn handle_finished(&mut self, done: Finished) {
         match done {
-            Done::Raw { reply, result, connection, long } => {
+            Finished::Raw { reply, result, connection, long } => {
                 self.in_flight -= usize::from(!long);
                 if let Ok(response) = &result
                     && response.status == 429
                 {
-                    self.note_refusal(429);
+                    self.record_refusal(429);
                 }
                 self.pool.put_back(connection);
                 let _ = reply.send(result);
             }
-            Done::Commit { items, result, connection } => {
+            Finished::Commit { items, result, connection } => {
                 self.in_flight -= 1;
                 self.pool.put_back(connection);
-                self.settle(items, result);
+                self.finish_transaction(items, result);
             }
-            Done::Verified { item, result, connection } => {
+            Finished::Verified { item, result, connection } => {
                 self.in_flight -= 1;
                 self.pool.put_back(connection);
-                self.verified(item, result);
+                self.finish_read_back(item, result);
             }
         }
     }
 
-    fn settle(&mut self, items: Vec<Pending>, result: Raw) {
+    fn finish_transaction(&mut self, items: Vec<PendingTransaction>, result: HttpResult) {
         if let Ok(response) = &result {
-            self.note_refusal(response.status);
+            self.record_refusal(response.status);
         }
-        match commit_outcome(&result) {
-            Outcome::Done(revision) => {
+        match transaction_outcome(&result) {
+            Outcome::Committed(revision) => {
                 for item in items {
                     let _ = item.reply.send(Ok(revision));
                 }
             }
-            Outcome::Refused(failed) if failed.contains(LEADER) => {
+            Outcome::Conflicted(failed) if failed.contains(LEADER) => {
                 for item in items {
-                    let _ = item.reply.send(Err(StoreError::Fenced));
+                    let _ = item.reply.send(Err(KvError::Fenced));
                 }
             }
-            Outcome::Refused(failed) => {
+            Outcome::Conflicted(failed) => {
                 for mut item in items {
-                    let hit = item.transaction.conditions.iter().any(|c| failed.contains(&c.key));
-                    item.alone = true;
-                    match (hit, item.unknown) {
+                    let hit = item.transaction.compares.iter().any(|c| failed.contains(&c.key));
+                    item.unbatched = true;
+                    match (hit, item.outcome_unknown) {
                         (false, _) => self.enqueue_first(item),
-                        (true, false) => drop(item.reply.send(Err(StoreError::Conflict))),
+                        (true, false) => drop(item.reply.send(Err(KvError::Conflict))),
                         // Perhaps our own earlier try: look whose write it is.
-                        (true, true) => self.verify(item),
+                        (true, true) => self.read_back(item),
                     }
                 }
             }
             Outcome::Rejected if items.len() == 1 => {
                 tracing::error!("the state service refuses a transaction as malformed");
                 for item in items {
-                    let _ = item.reply.send(Err(StoreError::Rejected));
+                    let _ = item.reply.send(Err(KvError::Rejected));
                 }
             }
             outcome => {
                 let unknown = matches!(outcome, Outcome::Unknown);
-                if let Some(times) = self.complaints.due(Instant::now()) {
+                if let Some(times) = self.log_throttle.should_log(Instant::now()) {
                     let status = result.as_ref().map(|r| r.status).ok();
                     tracing::error!(times, ?status, unknown, "the state service did not carry out a write");
                 }
                 self.pause_until = Instant::now() + self.deadline / 10;
                 // Pushed to the front one by one, so back to front.
                 for mut item in items.into_iter().rev() {
-                    item.unknown |= unknown;
-                    item.alone |= unknown || matches!(outcome, Outcome::Rejected);
+                    item.outcome_unknown |= unknown;
+                    item.unbatched |= unknown || matches!(outcome, Outcome::Rejected);
                     self.enqueue_first(item);
                 }
             }
         }
     }
 
-    fn verify(&mut self, item: Pending) {
+    fn read_back(&mut self, item: PendingTransaction) {
         self.in_flight += 1;
         let key = item.transaction.changes.first().map(|c| c.key().to_owned()).unwrap_or_default();
         let call =
             Call { method: "GET", target: format!("/keys/{key}"), body: Vec::new(), deadline: self.deadline };
         let prepared = self.pool.prepare(call);
-        self.spawn(prepared, move |result, connection| Done::Verified { item, result, connection });
+        self.spawn(prepared, move |result, connection| Finished::Verified { item, result, connection });
     }
 
-    fn verified(&mut self, item: Pending, result: Raw) {
+    fn finish_read_back(&mut self, item: PendingTransaction, result: HttpResult) {
         let key = item.transaction.changes.first().map(Change::key);
         let verdict = match (&result, item.transaction.changes.first()) {
             (Ok(r), Some(Change::Delete { .. })) if r.status == 404 => Some(Ok(0)),
-            (Ok(r), _) if r.status == 404 => Some(Err(StoreError::Conflict)),
+            (Ok(r), _) if r.status == 404 => Some(Err(KvError::Conflict)),
             (Ok(r), _) if r.status == 200 => {
                 // An answer about another key is no answer.
                 let entry = decode(&r.body).ok().and_then(|value| decode_entry(&value).ok());
                 entry.filter(|entry| Some(entry.key.as_str()) == key).map(|entry| {
-                    let ours = mark_of(&entry.value) == Some(item.mark.as_str());
-                    if ours { Ok(entry.version) } else { Err(StoreError::Conflict) }
+                    let ours = write_marker_of(&entry.value) == Some(item.write_marker.as_str());
+                    if ours { Ok(entry.version) } else { Err(KvError::Conflict) }
                 })
             }
             _ => None,
@@ -399,39 +405,40 @@
 }
 
 /// The mark that [`Store::commit`] put into a value.
-fn mark_of(value: &Value) -> Option<&str> {
-    Fields::of(value).ok()?.opt_text(MARK).ok()?
+fn write_marker_of(value: &Value) -> Option<&str> {
+    Fields::of(value).ok()?.opt_text(WRITE_MARKER).ok()?
 }
 
 #[derive(Debug, PartialEq)]
 enum Outcome {
-    Done(u64),
-    Refused(HashSet<String>),
+    Committed(u64),
+    Conflicted(HashSet<String>),
     Rejected,
     /// Certainly not carried out.
-    NotDone,
+    NotApplied,
     /// Carried out, or not, or yet to be.
     Unknown,
 }
 
-fn commit_outcome(result: &Raw) -> Outcome {
+fn transaction_outcome(result: &HttpResult) -> Outcome {
     match result {
         Ok(response) => {
             let body = decode(&response.body);
             match response.status {
-                200 => {
-                    body.ok().and_then(|b| decode_committed(&b).ok()).map_or(Outcome::Unknown, Outcome::Done)
-                }
+                200 => body
+                    .ok()
+                    .and_then(|b| decode_commit_revision(&b).ok())
+                    .map_or(Outcome::Unknown, Outcome::Committed),
                 409 => body
                     .ok()
-                    .and_then(|b| decode_refused(&b).ok())
-                    .map_or(Outcome::Unknown, |failed| Outcome::Refused(failed.into_iter().collect())),
+                    .and_then(|b| decode_failed_compares(&b).ok())
+                    .map_or(Outcome::Unknown, |failed| Outcome::Conflicted(failed.into_iter().collect())),
                 400 => Outcome::Rejected,
-                429 | 503 => Outcome::NotDone,
+                429 | 503 => Outcome::NotApplied,
                 _ => Outcome::Unknown,
             }
         }
-        Err(ClientError::NotSent) => Outcome::NotDone,
+        Err(ClientError::NotSent) => Outcome::NotApplied,
         Err(_) => Outcome::Unknown,
     }
 }
--- a/src/storage/service/tests.rs
+++ b/src/storage/service/tests.rs
@@ -3,12 +3,12 @@
 use super::actor::write_reserve;
 use super::*;
 use crate::settings::{NextState, State};
-use crate::storage::pacing::{Bucket, Complaints};
+use crate::storage::pacing::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
-use crate::storage::stand_in::{Script, StandIn, limits, put, store, store_within};
+use crate::storage::stand_in::{FakeKvServer, Script, limits, put, store, store_within};
 
-async fn rig(script: &[Script]) -> (Store, StandIn) {
-    let stand_in = StandIn::start(script).await;
+async fn rig(script: &[Script]) -> (KvClient, FakeKvServer) {
+    let stand_in = FakeKvServer::start(script).await;
     stand_in.seed(LEADER, Value::Null, 7).await;
     (store(stand_in.address(), 4), stand_in)
 }
@@ -16,10 +16,10 @@
 #[tokio::test]
 async fn a_stale_epoch_changes_nothing() {
     let (store, _stand_in) = rig(&[]).await;
-    assert_eq!(store.commit(put(6, "a", 0)).await, Err(StoreError::Fenced));
-    assert_eq!(store.get(Class::Accept, "a").await, Ok(None));
-    assert_eq!(store.commit(put(7, "a", 0)).await, Ok(8));
-    assert_eq!(store.commit(put(7, "a", 0)).await, Err(StoreError::Conflict));
+    assert_eq!(store.compare_and_swap(put(6, "a", 0)).await, Err(KvError::Fenced));
+    assert_eq!(store.get(RequestClass::Admission, "a").await, Ok(None));
+    assert_eq!(store.compare_and_swap(put(7, "a", 0)).await, Ok(8));
+    assert_eq!(store.compare_and_swap(put(7, "a", 0)).await, Err(KvError::Conflict));
 }
 
 /// The outcome is unknown to the client; the retry must neither fail nor
@@ -28,8 +28,8 @@
 async fn an_unknown_outcome_is_settled_before_it_is_reported() {
     for script in [Script::LoseAnswer, Script::Delay, Script::Refuse] {
         let (store, _stand_in) = rig(&[script]).await;
-        let version = store.commit(put(7, "a", 0)).await.expect("carried out");
-        let entry = store.get(Class::Accept, "a").await.expect("served").expect("there");
+        let version = store.compare_and_swap(put(7, "a", 0)).await.expect("carried out");
+        let entry = store.get(RequestClass::Admission, "a").await.expect("served").expect("there");
         assert_eq!(entry.version, version, "{script:?}");
         assert_eq!(version, 8, "written once: {script:?}");
     }
@@ -41,7 +41,7 @@
     let mut tasks = tokio::task::JoinSet::new();
     for n in 0..10 {
         let store = store.clone();
-        tasks.spawn(async move { store.commit(put(7, &format!("k{n}"), 0)).await });
+        tasks.spawn(async move { store.compare_and_swap(put(7, &format!("k{n}"), 0)).await });
     }
     while let Some(result) = tasks.join_next().await {
         assert!(result.expect("no panic").is_ok());
@@ -56,11 +56,11 @@
 #[test]
 fn acceptances_find_an_allowance_beside_a_stream_of_other_writes() {
     let mut now = Instant::now();
-    let mut writes = Bucket::new(12.0, 9.6, now);
+    let mut writes = TokenBucket::new(12.0, 9.6, now);
     let mut written = 0;
     for _ in 0..1000 {
         now += Duration::from_millis(10);
-        for class in [Class::Settle, Class::Progress] {
+        for class in [RequestClass::Completion, RequestClass::Progress] {
             while writes.allows(now, 1.0, write_reserve(class as usize, writes.burst())) {
                 writes.spend(1.0);
                 written += 1;
@@ -68,7 +68,7 @@
         }
     }
     assert!(written > 110, "nothing of the pace is lost: {written}");
-    assert!(writes.allows(now, 4.0, write_reserve(Class::Accept as usize, writes.burst())));
+    assert!(writes.allows(now, 4.0, write_reserve(RequestClass::Admission as usize, writes.burst())));
 }
 
 /// The only notice of the limits that come is a refusal of what was allowed until then.
@@ -83,15 +83,18 @@
         let changes = vec![Change::Put { key: key.into(), value, lease: None }];
         Transaction { changes, ..put(7, key, 0) }
     };
-    assert!(store.commit(large("a")).await.is_ok());
+    assert!(store.compare_and_swap(large("a")).await.is_ok());
     assert_eq!(store.limits(), state.present());
     stand_in.limit(state.announced()).await;
-    assert!(store.get(Class::Accept, "a").await.is_ok_and(|entry| entry.is_some()), "still readable");
+    assert!(
+        store.get(RequestClass::Admission, "a").await.is_ok_and(|entry| entry.is_some()),
+        "still readable"
+    );
     let mut tasks = tokio::task::JoinSet::new();
     for n in 0..6 {
         let (store, large) = (store.clone(), large(&format!("k{n}")));
         let transaction = if n == 3 { large } else { put(7, &format!("k{n}"), 0) };
-        tasks.spawn(async move { (n, store.commit(transaction).await) });
+        tasks.spawn(async move { (n, store.compare_and_swap(transaction).await) });
     }
     while let Some(result) = tasks.join_next().await {
         let (n, result) = result.expect("no panic");
@@ -114,16 +117,16 @@
 #[test]
 fn complaints_are_counted_and_said_once_in_a_while() {
     let now = Instant::now();
-    let mut complaints = Complaints::default();
-    assert_eq!(complaints.due(now), Some(1));
-    assert_eq!(complaints.due(now + Duration::from_secs(1)), None);
-    assert_eq!(complaints.due(now + Duration::from_secs(6)), Some(2));
+    let mut complaints = LogThrottle::default();
+    assert_eq!(complaints.should_log(now), Some(1));
+    assert_eq!(complaints.should_log(now + Duration::from_secs(1)), None);
+    assert_eq!(complaints.should_log(now + Duration::from_secs(6)), Some(2));
 }
 
 #[test]
 fn renewals_may_spend_what_others_must_leave() {
     let now = Instant::now();
-    let mut bucket = Bucket::new(10.0, 10.0, now);
+    let mut bucket = TokenBucket::new(10.0, 10.0, now);
     assert!(bucket.allows(now, 8.0, 2.0));
     bucket.spend(8.0);
     assert!(!bucket.allows(now, 1.0, 2.0));
--- a/src/storage/stand_in.rs
+++ b/src/storage/stand_in.rs
@@ -8,9 +8,9 @@
 use ciborium::value::Value;
 use tokio::sync::{mpsc, oneshot};
 
-use super::service::{self, Class, Store, Transaction};
+use super::service::{self, KvClient, RequestClass, Transaction};
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode, json_size, texts};
-use crate::protocol::state::{Change, Condition};
+use crate::protocol::state::{Change, Compare};
 use crate::settings::{State, StateLimits};
 use crate::transport::codec::{Limits, Request, Response};
 use crate::transport::server::{Handler, ServerOptions, serve};
@@ -36,7 +36,7 @@
 /// The data and what may be done to it; a test on a clock of its own drives it
 /// directly.
 #[derive(Default)]
-pub struct StoreState {
+pub struct InMemoryKv {
     entries: BTreeMap<String, Stored>,
     revision: u64,
     /// Leases given out, with their life in milliseconds.
@@ -62,12 +62,12 @@
 
 /// Speaks to the stand-in; it ends with the test's runtime.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct FakeKvServer {
     asks: mpsc::Sender<Ask>,
     address: SocketAddr,
 }
 
-impl Handler for StandIn {
+impl Handler for FakeKvServer {
     async fn handle(&self, request: Request) -> Response {
         let (reply, answer) = oneshot::channel();
         let _ = self.asks.send(Ask::Http(request, reply)).await;
@@ -79,10 +79,10 @@
     }
 }
 
-impl StandIn {
+impl FakeKvServer {
     pub async fn start(script: &[Script]) -> Self {
         let (asks, mut asked) = mpsc::channel(16);
-        let mut state = StoreState { script: script.iter().copied().collect(), ..StoreState::default() };
+        let mut state = InMemoryKv { script: script.iter().copied().collect(), ..InMemoryKv::default() };
         tokio::spawn(async move {
             while let Some(ask) = asked.recv().await {
                 match ask {
@@ -107,7 +107,7 @@
         let patience = Duration::from_secs(30);
         let limits = Limits { head: 8192, body: 1 << 20 };
         let options = ServerOptions { limits, connections: 16, idle: patience, patience };
-        let stand_in = StandIn { asks, address };
+        let stand_in = FakeKvServer { asks, address };
         tokio::spawn(serve(listener, options, stand_in.clone()));
         stand_in
     }
@@ -133,10 +133,10 @@
     }
 }
 
-impl StoreState {
+impl InMemoryKv {
     /// A page never holds more keys than this, whatever is asked for.
     pub fn with_pages_of(most: usize) -> Self {
-        StoreState { page: Some(most), ..StoreState::default() }
+        InMemoryKv { page: Some(most), ..InMemoryKv::default() }
     }
 
     /// From now on values and transactions beyond these limits are refused.
@@ -295,7 +295,7 @@
 }
 
 /// The real actor, against the stand-in.
-pub fn store(address: SocketAddr, txn_ops: usize) -> Store {
+pub fn store(address: SocketAddr, txn_ops: usize) -> KvClient {
     store_within(address, limits(txn_ops))
 }
 
@@ -305,7 +305,7 @@
 }
 
 /// The real actor under these limits, against the stand-in.
-pub fn store_within(address: SocketAddr, limits: State) -> Store {
+pub fn store_within(address: SocketAddr, limits: State) -> KvClient {
     let (leads, leading) = tokio::sync::watch::channel(true);
     // The actor would stop if this end were dropped.
     std::mem::forget(leads);
@@ -315,9 +315,9 @@
 /// One put, on condition that the key has this version.
 pub fn put(epoch: u64, key: &str, version: u64) -> Transaction {
     Transaction {
-        class: Class::Accept,
+        class: RequestClass::Admission,
         epoch,
-        conditions: vec![Condition { key: key.into(), version }],
+        compares: vec![Compare { key: key.into(), version }],
         changes: vec![Change::Put { key: key.into(), value: MapBuilder::new().build(), lease: None }],
     }
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -48,12 +48,12 @@
     address: SocketAddr,
     limits: Limits,
     idle: Vec<Connection>,
-    keep: usize,
+    max_idle: usize,
 }
 
 /// One prepared request: to be run in a task of its own.
 #[derive(Debug)]
-pub struct Prepared {
+pub struct PreparedCall {
     address: SocketAddr,
     limits: Limits,
     connection: Option<Connection>,
@@ -62,26 +62,26 @@
 
 impl Pool {
     pub fn new(address: SocketAddr, limits: Limits, keep: usize) -> Self {
-        Pool { address, limits, idle: Vec::new(), keep }
+        Pool { address, limits, idle: Vec::new(), max_idle: keep }
     }
 
-    pub fn prepare(&mut self, call: Call) -> Prepared {
-        Prepared { address: self.address, limits: self.limits, connection: self.idle.pop(), call }
+    pub fn prepare(&mut self, call: Call) -> PreparedCall {
+        PreparedCall { address: self.address, limits: self.limits, connection: self.idle.pop(), call }
     }
 
     pub fn put_back(&mut self, connection: Option<Connection>) {
         if let Some(connection) = connection
-            && self.idle.len() < self.keep
+            && self.idle.len() < self.max_idle
         {
             self.idle.push(connection);
         }
     }
 }
 
-impl Prepared {
+impl PreparedCall {
     /// A request outside any pool, on a connection of its own.
-    pub fn alone(address: SocketAddr, limits: Limits, call: Call) -> Self {
-        Prepared { address, limits, connection: None, call }
+    pub fn without_pool(address: SocketAddr, limits: Limits, call: Call) -> Self {
+        PreparedCall { address, limits, connection: None, call }
     }
 
     /// Sends the request; returns the connection if it can be used again.
@@ -94,7 +94,7 @@
     }
 
     async fn exchange(self) -> (Result<Response, ClientError>, Option<Connection>) {
-        let Prepared { address, limits, connection, call } = self;
+        let PreparedCall { address, limits, connection, call } = self;
         #[cfg(test)]
         if let Some(result) = super::scripted::http(address, &call).await {
             return (result, None);
@@ -103,7 +103,7 @@
         // A kept connection may have been closed meanwhile. A GET changes
         // nothing and is simply sent again; for others the outcome counts as
         // unknown and is the caller's to settle.
-        if let Some(mut kept) = connection.filter(Connection::is_quiet) {
+        if let Some(mut kept) = connection.filter(Connection::is_clean) {
             match kept.send(&bytes).await {
                 Err(ClientError::Lost(_)) if call.method == "GET" => {}
                 outcome => return finish(outcome, kept),
@@ -130,7 +130,7 @@
 impl Connection {
     /// Whether nothing has come since the last answer. What has, a second copy of it or
     /// a word of farewell, would be taken for the answer to the next request.
-    fn is_quiet(&self) -> bool {
+    fn is_clean(&self) -> bool {
         let mut byte = [0u8; 1];
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use shedtally::protocol::cbor::{Fields, decode};
-use shedtally::transport::client::{Call, Prepared};
+use shedtally::transport::client::{Call, PreparedCall};
 use shedtally::transport::codec::Limits;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -287,7 +287,9 @@
                     deadline: FIGURES_EVERY,
                 };
                 let limits = Limits { head: 8192, body: 64 * 1024 };
-                let Ok(answer) = Prepared::alone(*address, limits, call).run().await.0 else { continue };
+                let Ok(answer) = PreparedCall::without_pool(*address, limits, call).run().await.0 else {
+                    continue;
+                };
                 let Ok(body) = decode(&answer.body) else { continue };
                 let Ok(fields) = Fields::of(&body) else { continue };
                 for figure in ["invariantsViolated", "epochsReused"] {
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shedtally::protocol::cbor::{Fields, MapBuilder, decode, encode};
-use shedtally::transport::client::{Call, Prepared};
+use shedtally::transport::client::{Call, PreparedCall};
 use shedtally::transport::codec::{Limits, Response};
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -179,7 +179,7 @@
 }
 
 async fn send(to: SocketAddr, call: Call) -> Option<Response> {
-    Prepared::alone(to, HTTP_LIMITS, call).run().await.0.ok()
+    PreparedCall::without_pool(to, HTTP_LIMITS, call).run().await.0.ok()
 }
 
 /// What must be refused, and questions about what nobody submitted.
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shedtally::protocol::cbor::{Fields, MapBuilder, decode, encode};
-use shedtally::transport::client::{Call, Prepared};
+use shedtally::transport::client::{Call, PreparedCall};
 use shedtally::transport::codec::{Limits, Request, Response};
 use shedtally::transport::server::{Handler, ServerOptions, serve};
 use tokio::net::TcpListener;
@@ -517,5 +517,5 @@
 
 async fn send(to: SocketAddr, body: Vec<u8>) -> Option<Response> {
     let call = Call { method: "POST", target: "/agent/beat".into(), body, deadline: ANSWER_WITHIN };
-    Prepared::alone(to, HTTP_LIMITS, call).run().await.0.ok()
+    PreparedCall::without_pool(to, HTTP_LIMITS, call).run().await.0.ok()
 }
