--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant as Clock};
 
-use shedtally::coordination::agents::HeartbeatReply;
 use shedtally::coordination::config::Config;
+use shedtally::coordination::jobs::job::ReplyId;
 use shedtally::coordination::leader::{Effect, Leader};
-use shedtally::coordination::model::ReplyId;
-use shedtally::coordination::takeover::Snapshot;
+use shedtally::coordination::recovery::failover::Snapshot;
+use shedtally::coordination::workers::heartbeats::HeartbeatReply;
 use shedtally::policy::Tuning;
 use shedtally::protocol::cloud::{MachineType, NodePoolRequest};
 use shedtally::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -14,17 +14,17 @@
 use tracing_subscriber::layer::{Layer, SubscriberExt};
 use tracing_subscriber::util::SubscriberInitExt;
 
-use crate::coordination::cloud;
 use crate::coordination::config::Config;
+use crate::coordination::controller::Controller;
 use crate::coordination::election::{self, Election, Role};
-use crate::coordination::node::Controller;
-use crate::coordination::reconciler::{self, Finding};
+use crate::coordination::fleet::cloud;
+use crate::coordination::recovery::reconciler::{self, Finding};
 use crate::policy::Tuning;
 use crate::protocol::cbor::decode;
 use crate::protocol::{BODY_LIMIT, HEAD_LIMIT};
 use crate::settings::{Settings, State, StateLimits};
+use crate::storage::kv;
 use crate::storage::records::LEADER;
-use crate::storage::service;
 use crate::transport::client::{Call, PreparedCall};
 use crate::transport::codec::Limits;
 use crate::transport::{peer, server};
@@ -159,7 +159,7 @@
     let ttl = config.tuning.lease;
     let (_leads, leading) = watch::channel(false);
     let store =
-        service::start(config.settings.services.state, cluster.state.clone(), cluster.size, ttl / 3, leading);
+        kv::start(config.settings.services.state, cluster.state.clone(), cluster.size, ttl / 3, leading);
     let epoch = if repair {
         let name = format!("audit-{:08x}", rand::random::<u32>());
         let (roles_in, mut roles) = mpsc::channel(4);
@@ -213,13 +213,13 @@
 }
 
 /// Gives the audit's lease back, so that controllers need not wait for its end.
-async fn release(store: &service::KvClient) {
-    if let Ok(Some(entry)) = store.get(service::RequestClass::Renewal, LEADER).await
+async fn release(store: &kv::KvClient) {
+    if let Ok(Some(entry)) = store.get(kv::RequestClass::Renewal, LEADER).await
         && let Some(lease) = entry.lease
     {
         let target = format!("/leases/{lease}");
         let call = Call { method: "DELETE", target, body: Vec::new(), deadline: store.deadline() };
-        let _ = store.send_raw(service::RequestClass::Renewal, call).await;
+        let _ = store.send_raw(kv::RequestClass::Renewal, call).await;
     }
 }
 
@@ -293,8 +293,7 @@
     let cluster = &settings.cluster;
     let ttl = config.tuning.lease;
     let (leads, leading) = watch::channel(false);
-    let store =
-        service::start(settings.services.state, cluster.state.clone(), cluster.size, ttl / 6, leading);
+    let store = kv::start(settings.services.state, cluster.state.clone(), cluster.size, ttl / 6, leading);
     let (term, until) = watch::channel(tokio::time::Instant::now());
     let cloud = cloud::start(settings.services.cloud, cluster.cloud.rps, Duration::from_secs(4), until);
     let incarnation = format!("{:016x}", rand::random::<u64>());
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -2,8 +2,8 @@
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::jobs::{JobId, JobState};
 use crate::settings::NextState;
+use crate::storage::in_memory_kv::{FakeKvServer, store};
 use crate::storage::records::{JobRecord, archived_row_key, encode_row, job_record_key, live_row_key};
-use crate::storage::stand_in::{FakeKvServer, store};
 
 fn config(world: &FakeKvServer) -> Config {
     let mut settings = crate::settings::tests::sample();
@@ -63,11 +63,7 @@
     assert!(succeeded(&result), "{out}");
     assert_eq!(out, "3 jobs, 0 inconsistent\n");
     let store = store(world.address(), 12);
-    assert_eq!(
-        store.get(service::RequestClass::Background, LEADER).await,
-        Ok(None),
-        "the lease is given back"
-    );
+    assert_eq!(store.get(kv::RequestClass::Background, LEADER).await, Ok(None), "the lease is given back");
 }
 
 #[tokio::test]
--- a/src/coordination/authority.rs
+++ b/src/coordination/authority/mod.rs
@@ -4,15 +4,17 @@
 //! What it returns only it can make: a start order comes from a [`StartPermit`], a request
 //! to the cloud that changes anything takes a [`LeadPermit`], and an answer to a worker
 //! carries the [`Basis`] until which it may leave, which is looked at once more at the last
-//! step ([`super::answers::Answer::at_sending`]). A path without the check does not compile.
+//! step ([`crate::coordination::authority::answers::Answer::at_sending`]). A path without the check does not compile.
 //!
 //! Writes of the store take no permit: each carries the epoch as a condition, which the
 //! state service itself compares.
 
+pub mod answers;
+
 use thiserror::Error;
 use tokio::time::Instant;
 
-use super::answers::Validity;
+use crate::coordination::authority::answers::Validity;
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::Command;
 
--- a/src/coordination/sizes.rs
+++ b/src/coordination/controller/capacity.rs
@@ -10,27 +10,27 @@
 /// that the settings give: they grow with the fleet, and so does what comes
 /// together.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct CapacityLimits {
+pub(crate) struct CapacityLimits {
     /// Requests of users waiting for the actor; more are refused at once.
-    pub(super) queued_requests: usize,
+    pub(crate) queued_requests: usize,
     /// Reports waiting for the actor.
-    pub(super) queued_heartbeats: usize,
+    pub(crate) queued_heartbeats: usize,
     /// Reads for users under way.
-    pub(super) lookups: usize,
+    pub(crate) lookups: usize,
     /// Orders being sent straight to workers.
-    pub(super) pushes: usize,
+    pub(crate) pushes: usize,
     /// Workers' reports being handed on to the leader.
-    pub(super) relays: usize,
+    pub(crate) relays: usize,
     /// Final standings kept in memory: they never change.
-    pub(super) terminal_states: usize,
+    pub(crate) terminal_states: usize,
     /// Machines of which something is remembered that is not in the picture: those that
     /// were deleted, and workers that were sent to the leader. Every machine of a fleet
     /// has a connection to some controller, so a fleet is not larger than this.
-    pub(super) machines: usize,
+    pub(crate) machines: usize,
 }
 
 impl CapacityLimits {
-    pub(super) fn new(quota: &Quota) -> Self {
+    pub(crate) fn new(quota: &Quota) -> Self {
         let part = |ratio: usize, least: usize| (quota.max_connections / ratio).max(least);
         CapacityLimits {
             queued_requests: part(12, 32),
--- a/src/coordination/node/handle.rs
+++ b/src/coordination/controller/handle.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use super::{HeartbeatMessage, Reply, RequestOrigin, UserMessage};
-use crate::coordination::answers::Answer;
+use crate::coordination::authority::answers::Answer;
 use crate::protocol::cbor::decode;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::Heartbeat;
--- a/src/coordination/node.rs
+++ b/src/coordination/controller/mod.rs
@@ -2,12 +2,15 @@
 //! other controllers send, and feeds the leader's state machine while this
 //! controller leads.
 
-mod actions;
+pub mod capacity;
+mod effects;
 mod handle;
-mod peer_questions;
-mod reading;
-mod reports;
-mod user_requests;
+mod heartbeats;
+pub mod latencies;
+mod peer_queries;
+pub mod peers;
+mod requests;
+mod store_reads;
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -15,21 +18,21 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, MissedTickBehavior};
 
-use super::agents::HeartbeatReply;
-use super::answers::{self, Answer, TerminalStates, UnusableReply, Validity};
-use super::authority::Violation;
-use super::cloud::{Cloud, CloudResult};
-use super::config::Config;
-use super::election::Role;
-use super::held_reports::{DeferredReplies, DeferredReply};
-use super::leader::{Effect, Leader, UncheckedSubmission};
-use super::loading::{self, read_snapshot, reconcile_page};
-use super::model::ReplyId;
-use super::peers::{PeerState, Peers, RedirectDecision, WorkerRedirects};
-use super::pipelines::DependencyStates;
-use super::sizes::CapacityLimits;
-use super::statistics::LatencyHistograms;
-use super::takeover::Snapshot;
+use crate::coordination::authority::Violation;
+use crate::coordination::authority::answers::{self, Answer, TerminalStates, UnusableReply, Validity};
+use crate::coordination::config::Config;
+use crate::coordination::controller::capacity::CapacityLimits;
+use crate::coordination::controller::latencies::LatencyHistograms;
+use crate::coordination::controller::peers::{PeerState, Peers, RedirectDecision, WorkerRedirects};
+use crate::coordination::election::Role;
+use crate::coordination::fleet::cloud::{Cloud, CloudResult};
+use crate::coordination::jobs::dag::DependencyStates;
+use crate::coordination::jobs::job::ReplyId;
+use crate::coordination::leader::{Effect, Leader, UncheckedSubmission};
+use crate::coordination::recovery::failover::Snapshot;
+use crate::coordination::recovery::snapshot::{self, read_snapshot, reconcile_page};
+use crate::coordination::workers::deferred_replies::{DeferredReplies, DeferredReply};
+use crate::coordination::workers::heartbeats::HeartbeatReply;
 use crate::maps::HashMap;
 use crate::protocol::cbor::{Fields, Malformed, MapBuilder, decode, encode};
 use crate::protocol::jobs::{JobId, JobSpec, JobStatus};
@@ -37,7 +40,7 @@
     HEARTBEAT_REPLY_TIMEOUT, Heartbeat, encode_heartbeat_reply, encode_pushed_commands, encode_redirect,
 };
 use crate::protocol::{BODY_LIMIT, HEAD_LIMIT};
-use crate::storage::service::{KvClient, KvError, RequestClass};
+use crate::storage::kv::{KvClient, KvError, RequestClass};
 use crate::transport::client::{Call, PreparedCall};
 use crate::transport::codec::Limits;
 use crate::transport::peer::{PeerCall, PeerLink, PeerReply};
@@ -50,7 +53,7 @@
 const TICK: Duration = Duration::from_millis(200);
 
 pub use handle::ControllerHandle;
-use user_requests::{ForwardedReply, JobLookUp, PendingReply, RecordRead, UserRequest};
+use requests::{ForwardedReply, JobLookUp, PendingReply, RecordRead, UserRequest};
 
 type Reply = oneshot::Sender<Answer>;
 
@@ -317,7 +320,7 @@
             self.answer_about_job(waiting.reply, &waiting.job, answer);
         }
         for held in self.deferred_replies.drain() {
-            let _ = held.reply.send(reports::redirect_answer(None));
+            let _ = held.reply.send(heartbeats::redirect_answer(None));
         }
     }
 
--- a/src/coordination/node/user_requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -258,7 +258,7 @@
         self.lookups_in_flight += 1;
         let (store, inner) = (self.store.clone(), self.events.clone());
         tokio::spawn(async move {
-            let read = loading::read_dependency_states(&store, submission.unread.clone());
+            let read = snapshot::read_dependency_states(&store, submission.unread.clone());
             let read = tokio::time::timeout(REQUEST_TIMEOUT, read).await;
             let states = read.ok().and_then(Result::ok);
             let _ = inner.send(InternalEvent::DependenciesRead { epoch, submission, states }).await;
@@ -326,10 +326,10 @@
 /// would be told cancelled by the leader and queued from here.
 async fn status_by_records(store: &KvClient, job: &JobId) -> Result<Option<JobStatus>, KvError> {
     let class = RequestClass::Completion;
-    let Some(record) = loading::read_record(store, class, job).await? else { return Ok(None) };
+    let Some(record) = snapshot::read_record(store, class, job).await? else { return Ok(None) };
     let mut status = record.status();
     if !status.state.is_terminal()
-        && loading::is_cancelled_by_dependencies(store, class, &record, MAX_DEPENDENCIES_READ).await?
+        && snapshot::is_cancelled_by_dependencies(store, class, &record, MAX_DEPENDENCIES_READ).await?
     {
         status.state = JobState::Cancelled;
     }
--- a/src/coordination/node/reading.rs
+++ b/src/coordination/controller/store_reads.rs
@@ -30,13 +30,13 @@
         (self.reconcile_in_flight, self.reconciled_at) = (true, now);
         let (store, inner, epoch) = (self.store.clone(), self.events.clone(), leader.epoch());
         let (from, value_kb) = (self.reconcile_cursor.clone(), self.config.settings.cluster.state.value_kb);
-        let unreadable = leader.unreadable_after(&self.reread_cursor, loading::ROWS_PER_ROUND);
+        let unreadable = leader.unreadable_after(&self.reread_cursor, snapshot::ROWS_PER_ROUND);
         self.reread_cursor = unreadable.last().cloned().unwrap_or_default();
         tokio::spawn(async move {
             let (next, restored) =
                 reconcile_page(&store, epoch, &from, value_kb).await.unwrap_or((from, Snapshot::default()));
             let _ = inner.send(InternalEvent::Reconciled { epoch, from: next, restored }).await;
-            if let Ok(restored) = loading::reread_unreadable(&store, unreadable, value_kb).await {
+            if let Ok(restored) = snapshot::reread_unreadable(&store, unreadable, value_kb).await {
                 let _ = inner.send(InternalEvent::UnreadableReread { epoch, restored }).await;
             }
         });
--- a/src/coordination/node/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
-use crate::coordination::takeover::JobSnapshot;
+use crate::coordination::recovery::failover::JobSnapshot;
 use crate::coordination::tests::{catalog, loaded_job, rented};
 use crate::protocol::jobs::JobState;
+use crate::storage::in_memory_kv::{FakeKvServer, store};
 use crate::storage::records::{JobRecord, job_record_key};
-use crate::storage::stand_in::{FakeKvServer, store};
 use crate::transport::codec::Request;
 use crate::transport::peer::{PeerHandler, RemainingLease};
 
@@ -32,7 +32,8 @@
     let second = settings.peers[0].clone();
     settings.peers.push(crate::settings::Peer { name: "c-2".into(), ..second });
     let (term, until) = watch::channel(Instant::now());
-    let cloud = super::super::cloud::start(stand_in.address(), 1.0, Duration::from_secs(1), until);
+    let cloud =
+        crate::coordination::fleet::cloud::start(stand_in.address(), 1.0, Duration::from_secs(1), until);
     let config = Arc::new(Config { settings, tuning: crate::policy::tests::tuning() });
     let (leads, _) = watch::channel(false);
     let (_roles_in, roles) = mpsc::channel(1);
@@ -199,8 +200,8 @@
 }
 
 async fn put_record(node: &Controller, key: String, value: ciborium::value::Value) {
-    let change = crate::protocol::state::Change::Put { key, value, lease: None };
-    let mut write = crate::storage::stand_in::put(0, "unused", 0);
+    let change = crate::protocol::kv::Change::Put { key, value, lease: None };
+    let mut write = crate::storage::in_memory_kv::put(0, "unused", 0);
     (write.compares, write.changes) = (Vec::new(), vec![change]);
     assert!(node.store.compare_and_swap(write).await.is_ok());
 }
--- a/src/coordination/election.rs
+++ b/src/coordination/election/mod.rs
@@ -11,12 +11,12 @@
 use tokio::time::Instant;
 
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode};
-use crate::protocol::state::{
+use crate::protocol::kv::{
     Change, Compare, Entry, decode_commit_revision, decode_lease, decode_watch, encode_compare_and_swap,
     encode_lease,
 };
+use crate::storage::kv::{KvClient, RequestClass, with_write_marker};
 use crate::storage::records::LEADER;
-use crate::storage::service::{KvClient, RequestClass, with_write_marker};
 use crate::transport::client::{Call, ClientError};
 
 /// Part of the lease given up against drift, timer steps and late wake-ups.
--- a/src/coordination/cloud.rs
+++ b/src/coordination/fleet/cloud.rs
@@ -13,7 +13,7 @@
     decode_provisioned, encode_delete,
 };
 use crate::protocol::workers::MachineId;
-use crate::storage::pacing::{LogThrottle, TokenBucket};
+use crate::storage::rate_limit::{LogThrottle, TokenBucket};
 use crate::transport::client::{Call, ClientError, Connection, Pool};
 use crate::transport::codec::{Limits, Response};
 
--- a/src/coordination/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -5,22 +5,22 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::model::Resources;
-use super::renting::InstanceOffer;
+use crate::coordination::fleet::scale_out::InstanceOffer;
+use crate::coordination::jobs::job::Resources;
+use crate::coordination::leader::Leader;
 use crate::protocol::jobs::{JobId, JobSpec};
 use crate::storage::records::{DemandStatistics, LEARNED_STATISTICS, LearnedStatistics};
 
 /// Jobs that may use the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(super) struct DemandGroup {
-    pub(super) machine_types: Vec<usize>,
-    pub(super) zone: Option<String>,
-    pub(super) spot: bool,
-    pub(super) gpus: bool,
+pub(crate) struct DemandGroup {
+    pub(crate) machine_types: Vec<usize>,
+    pub(crate) zone: Option<String>,
+    pub(crate) spot: bool,
+    pub(crate) gpus: bool,
     /// Its jobs may wait for as long as machines take to boot: nothing is kept
     /// ready for them beyond their usual demand.
-    pub(super) delay_tolerant: bool,
+    pub(crate) delay_tolerant: bool,
 }
 
 /// Demand of one group over time, in CPUs (or GPUs, for jobs that need them).
@@ -31,22 +31,22 @@
 /// stays; and so would, for as long as they said, the owners' estimates that
 /// turned out too high. What is over is no demand, whatever was expected of it.
 #[derive(Debug, Clone)]
-pub(super) struct Demand {
+pub(crate) struct Demand {
     /// Work that would be running now.
-    pub(super) offered_load: f64,
-    pub(super) mean: f64,
+    pub(crate) offered_load: f64,
+    pub(crate) mean: f64,
     /// Mean size of a job, and of its square: large jobs come in one piece.
     mean_size: f64,
     mean_square_size: f64,
     job_count: f64,
     measured_since: Instant,
     sampled_at: Instant,
-    pub(super) active: f64,
-    pub(super) pending: f64,
+    pub(crate) active: f64,
+    pub(crate) pending: f64,
     /// Since when there has been no work at all.
-    pub(super) idle_since: Option<Instant>,
+    pub(crate) idle_since: Option<Instant>,
     /// What works off all that waits in time.
-    pub(super) backlog_rate: f64,
+    pub(crate) backlog_rate: f64,
     /// How long its jobs may wait for their first aim; nothing for those that may
     /// not wait while machines boot.
     max_delay: Duration,
@@ -55,7 +55,7 @@
 
 impl DemandGroup {
     /// Whether its jobs may use such machines.
-    pub(super) fn allows(&self, offer: &InstanceOffer) -> bool {
+    pub(crate) fn allows(&self, offer: &InstanceOffer) -> bool {
         self.machine_types.contains(&offer.machine_type)
             && self.zone.as_ref().is_none_or(|zone| *zone == offer.zone)
             && (self.spot || !offer.spot)
@@ -106,13 +106,13 @@
     /// The standard deviation of work that comes in jobs of such sizes at
     /// random times: the square root of the mean times the size of the job
     /// that a unit of work typically belongs to.
-    pub(super) fn standard_deviation(&self) -> f64 {
+    pub(crate) fn standard_deviation(&self) -> f64 {
         if self.mean_size <= 0.0 { 0.0 } else { (self.mean * self.mean_square_size / self.mean_size).sqrt() }
     }
 }
 
 impl Leader {
-    pub(super) fn measure_demand(&mut self, now: Instant) {
+    pub(crate) fn measure_demand(&mut self, now: Instant) {
         for demand in self.demand.values_mut() {
             (demand.offered_load, demand.active, demand.pending, demand.backlog_rate) = (0.0, 0.0, 0.0, 0.0);
         }
@@ -195,7 +195,7 @@
 
     /// What a later leader could not find out by itself: demand so far and how
     /// estimates have turned out.
-    pub(super) fn save_statistics(&mut self, now: Instant) {
+    pub(crate) fn save_statistics(&mut self, now: Instant) {
         let groups = self.demand.iter().map(|(key, demand)| {
             let types =
                 key.machine_types.iter().filter_map(|&t| self.catalog.get(t)).map(|k| k.name.as_str());
@@ -220,7 +220,7 @@
     }
 
     /// Takes over what an earlier leader had learnt.
-    pub(super) fn restore_statistics(&mut self, now: Instant, experience: LearnedStatistics) {
+    pub(crate) fn restore_statistics(&mut self, now: Instant, experience: LearnedStatistics) {
         self.runtime_ratios = experience.runtime_ratios.into_iter().collect();
         for group in experience.groups {
             let types = group.types.iter().map(|name| self.catalog.iter().position(|k| k.name == *name));
@@ -245,16 +245,16 @@
 
     /// How often a spot machine is lost, per second of its life: what was seen,
     /// beside one loss in one machine's hour to begin with.
-    pub(super) fn spot_loss_rate(&self) -> f64 {
+    pub(crate) fn spot_loss_rate(&self) -> f64 {
         (self.spot_losses + 1.0) / (self.spot_seconds + 3600.0)
     }
 
-    pub(super) fn longest_boot(&self) -> Duration {
+    pub(crate) fn longest_boot(&self) -> Duration {
         Duration::from_secs_f64(self.catalog.iter().map(|k| k.boot_s).fold(1.0, f64::max))
     }
 
     /// Units of a group's work that a machine type takes.
-    pub(super) fn capacity_units(&self, kind: usize, demand: &Demand, gpus: bool) -> f64 {
+    pub(crate) fn capacity_units(&self, kind: usize, demand: &Demand, gpus: bool) -> f64 {
         let Some(kind) = self.catalog.get(kind) else { return 0.0 };
         let tasks = f64::from(demand.task_shape.times_in(&Resources::of_type(kind)).min(10_000));
         tasks * if gpus { demand.task_shape.gpus } else { demand.task_shape.cpus }
--- a/src/coordination/machine_list.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -5,26 +5,26 @@
 
 use tokio::time::Instant;
 
-use super::leader::{CloudQuery, Leader};
-use super::machines::Phase;
+use crate::coordination::fleet::machine::Phase;
+use crate::coordination::leader::{CloudQuery, Leader};
 use crate::maps::HashSet;
 use crate::protocol::cloud::{InventoryPage, ListedState};
 use crate::protocol::workers::MachineId;
 
 /// One reading of the machine list, page by page.
 #[derive(Debug)]
-pub(super) struct InventoryScan {
-    pub(super) started_at: Instant,
-    pub(super) seen: HashSet<MachineId>,
+pub(crate) struct InventoryScan {
+    pub(crate) started_at: Instant,
+    pub(crate) seen: HashSet<MachineId>,
 }
 
 impl Leader {
     /// How old the machine list usually is.
-    pub(super) fn inventory_lag(&self) -> Duration {
+    pub(crate) fn inventory_lag(&self) -> Duration {
         Duration::from_secs_f64(self.config.settings.cluster.cloud.list_lag_s.max(1.0))
     }
 
-    pub(super) fn handle_inventory_page(&mut self, now: Instant, page: InventoryPage) {
+    pub(crate) fn handle_inventory_page(&mut self, now: Instant, page: InventoryPage) {
         let Some(mut round) = self.inventory_scan.take() else { return };
         let mut failed = Vec::new();
         // A list as old as the takeover may still show what an earlier leader
@@ -74,7 +74,7 @@
 
     /// A machine that was listed and is no more is gone, unless the list is
     /// older than an earlier one. Its deletion proves it, and costs nothing.
-    pub(super) fn delete_unlisted(&mut self, now: Instant, round: &InventoryScan) {
+    pub(crate) fn delete_unlisted(&mut self, now: Instant, round: &InventoryScan) {
         let cluster = &self.config.settings.cluster;
         let lag = Duration::from_secs_f64(cluster.cloud.list_lag_s);
         let quiet = cluster.workers.report().mul_f64(1.5);
--- a/src/coordination/machines.rs
+++ b/src/coordination/fleet/machine.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-use super::leader::Effect;
-use super::model::{Resources, Slot, SlotKey};
+use crate::coordination::jobs::job::{Resources, Slot, SlotKey};
+use crate::coordination::leader::Effect;
 use crate::maps::HashMap;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet/registry.rs
@@ -7,20 +7,20 @@
 use ciborium::value::Value;
 use tokio::time::Instant;
 
-use super::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
-use super::leader::{CloudQuery, Leader, PendingOperation};
-use super::machine_list::InventoryScan;
-use super::machines::{Machine, NodePool, Phase};
-use super::model::Resources;
+use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
+use crate::coordination::fleet::inventory::InventoryScan;
+use crate::coordination::fleet::machine::{Machine, NodePool, Phase};
+use crate::coordination::jobs::job::Resources;
+use crate::coordination::leader::{CloudQuery, Leader, PendingOperation};
 use crate::maps::HashSet;
 use crate::protocol::cbor::json_size;
 use crate::protocol::cloud::{
     MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST, MachineType, NodePoolRequest, encode_catalog,
 };
-use crate::protocol::state::{Change, Compare};
+use crate::protocol::kv::{Change, Compare};
 use crate::protocol::workers::MachineId;
+use crate::storage::kv::RequestClass;
 use crate::storage::records::{CATALOG, NodePoolRecord};
-use crate::storage::service::RequestClass;
 
 /// The cloud bills at least this much of a machine.
 const MIN_BILLED: Duration = Duration::from_secs(60);
@@ -28,11 +28,11 @@
 const CLOUD_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 impl Leader {
-    pub(super) fn request_catalog(&mut self) {
+    pub(crate) fn request_catalog(&mut self) {
         self.read_cloud(CloudQuery::Catalog);
     }
 
-    pub(super) fn apply_cloud_result(&mut self, now: Instant, ticket: PendingOperation, result: CloudResult) {
+    pub(crate) fn apply_cloud_result(&mut self, now: Instant, ticket: PendingOperation, result: CloudResult) {
         if result == Err(CloudError::Failed) {
             self.cloud_failed_at = Some(now);
         }
@@ -64,7 +64,7 @@
     }
 
     /// Types keep their place, so that machines can refer to them by number.
-    pub(super) fn update_catalog(&mut self, now: Instant, types: Vec<MachineType>) {
+    pub(crate) fn update_catalog(&mut self, now: Instant, types: Vec<MachineType>) {
         self.catalog_read_at = Some(now);
         let first = self.catalog.is_empty();
         // Kept in the store, so that a takeover while the cloud is down can
@@ -86,7 +86,7 @@
     }
 
     /// Enters all recorded machines, once their types are known.
-    pub(super) fn register_all_machines(&mut self, now: Instant) {
+    pub(crate) fn register_all_machines(&mut self, now: Instant) {
         let rentals: Vec<String> = self.node_pools.keys().cloned().collect();
         for name in rentals {
             self.register_pool_machines(now, &name);
@@ -100,7 +100,7 @@
 
     /// Writes one of the notes that leaders keep for the next, unless its last
     /// write is still under way or it does not fit.
-    pub(super) fn write_singleton(&mut self, key: &'static str, value: Value) {
+    pub(crate) fn write_singleton(&mut self, key: &'static str, value: Value) {
         let limit = self.config.settings.cluster.state.within_both().value_bytes();
         let note = self.singleton_keys.entry(key).or_default();
         if note.write_in_flight || json_size(&value) + 64 > limit {
@@ -118,12 +118,12 @@
     }
 
     /// A machine type's number; one that no machine has, if it is not known.
-    pub(super) fn machine_type_index(&self, name: &str) -> usize {
+    pub(crate) fn machine_type_index(&self, name: &str) -> usize {
         self.catalog.iter().position(|k| k.name == name).unwrap_or(usize::MAX)
     }
 
     /// Enters the machines of a fleet record into the picture.
-    pub(super) fn register_pool_machines(&mut self, now: Instant, name: &str) {
+    pub(crate) fn register_pool_machines(&mut self, now: Instant, name: &str) {
         let Some(rental) = self.node_pools.get(name) else { return };
         let request = rental.record.request.clone();
         let used = rental.record.machines_used.clone();
@@ -188,7 +188,7 @@
     /// A machine that no record knows: entered first, then used or returned. Those
     /// that show up together share a record and its write; many do where machines
     /// were up before the first controller was.
-    pub(super) fn record_unregistered(
+    pub(crate) fn record_unregistered(
         &mut self,
         now: Instant,
         id: &MachineId,
@@ -215,7 +215,7 @@
     /// Enters the machines that were not expected, each kind in one record. No
     /// record has named them, so nothing was ever started on them; the record says
     /// at once that they are used, which saves the write before their first start.
-    pub(super) fn register_unregistered(&mut self, now: Instant) {
+    pub(crate) fn register_unregistered(&mut self, now: Instant) {
         let wait = self.config.settings.cluster.workers.report() / 4;
         if self.unregistered_since.is_none_or(|since| now < since + wait) {
             return;
@@ -262,7 +262,7 @@
 
     /// Most machines in one rental: so many that its record, which names each of them twice,
     /// fits into a value under both sets of limits.
-    pub(super) fn max_machines_per_pool(&self, longest_name: Option<usize>) -> u32 {
+    pub(crate) fn max_machines_per_pool(&self, longest_name: Option<usize>) -> u32 {
         /// What surrounds a name in a list, and what the record has beside the two lists.
         const AROUND_NAME: usize = 3;
         const BESIDE_LISTS: usize = 512;
@@ -275,7 +275,7 @@
         u32::try_from(fits).unwrap_or(MAX_MACHINES_PER_REQUEST).clamp(1, MAX_MACHINES_PER_REQUEST)
     }
 
-    pub(super) fn handle_machines_deleted(&mut self, now: Instant, machines: &[MachineId]) {
+    pub(crate) fn handle_machines_deleted(&mut self, now: Instant, machines: &[MachineId]) {
         for id in machines {
             // The answer proves that the machine and all on it are gone.
             self.clear_slots(now, id);
@@ -300,7 +300,7 @@
     }
 
     /// Has machines deleted, unless this leader may not decide that any more.
-    pub(super) fn delete_machines(&mut self, now: Instant, machines: Vec<MachineId>) {
+    pub(crate) fn delete_machines(&mut self, now: Instant, machines: Vec<MachineId>) {
         let Ok(permit) = self.term().leader_permit(now) else { return };
         for chunk in machines.chunks(MAX_MACHINES_PER_DELETION) {
             for id in chunk {
@@ -318,12 +318,12 @@
     }
 
     /// Whether the cloud has failed a moment ago.
-    pub(super) fn cloud_is_down(&self, now: Instant) -> bool {
+    pub(crate) fn cloud_is_down(&self, now: Instant) -> bool {
         self.cloud_failed_at.is_some_and(|at| now < at + Duration::from_secs(10))
     }
 
     /// Once a second.
-    pub(super) fn autoscale(&mut self, now: Instant) {
+    pub(crate) fn autoscale(&mut self, now: Instant) {
         let lag = self.inventory_lag();
         let catalog_age = if self.catalog.is_empty() { Duration::from_secs(1) } else { lag * 10 };
         let asked = self.pending_operations.values().any(|t| matches!(t, PendingOperation::ReadCatalog));
--- a/src/coordination/renting.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -6,22 +6,22 @@
 
 use tokio::time::Instant;
 
-use super::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
-use super::demand::{Demand, DemandGroup};
-use super::leader::{Leader, PendingOperation};
-use super::machines::{NodePool, Phase};
+use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
+use crate::coordination::fleet::demand::{Demand, DemandGroup};
+use crate::coordination::fleet::machine::{NodePool, Phase};
+use crate::coordination::leader::{Leader, PendingOperation};
 use crate::maps::HashSet;
 use crate::protocol::cloud::{MachineType, NodePoolRequest};
 use crate::protocol::workers::MachineId;
+use crate::storage::kv::KvError;
 use crate::storage::records::NodePoolRecord;
-use crate::storage::service::KvError;
 
 /// What the cloud rents out: a machine type in a zone, as a spot machine or not.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) struct InstanceOffer {
-    pub(super) machine_type: usize,
-    pub(super) zone: String,
-    pub(super) spot: bool,
+pub(crate) struct InstanceOffer {
+    pub(crate) machine_type: usize,
+    pub(crate) zone: String,
+    pub(crate) spot: bool,
 }
 
 /// A number of machines to be rented.
@@ -45,7 +45,7 @@
 
 /// When an offer may be tried again after a refusal.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Backoff {
+pub(crate) struct Backoff {
     until: Instant,
     wait: Duration,
 }
@@ -58,7 +58,7 @@
 impl Leader {
     /// Covers every group's need with machines, the cheapest first, and rents
     /// what is missing. Returns the machines that are wanted.
-    pub(super) fn scale_out(&mut self, now: Instant) -> HashSet<MachineId> {
+    pub(crate) fn scale_out(&mut self, now: Instant) -> HashSet<MachineId> {
         let mut groups: Vec<(DemandGroup, Demand)> =
             self.demand.iter().map(|(k, d)| (k.clone(), d.clone())).collect();
         // Those with the fewest choices first.
@@ -128,7 +128,7 @@
     }
 
     /// The price of a CPU, by which machines are compared.
-    pub(super) fn price_per_cpu(&self, kind: usize, spot: bool) -> f64 {
+    pub(crate) fn price_per_cpu(&self, kind: usize, spot: bool) -> f64 {
         self.catalog.get(kind).map_or(f64::MAX, |kind| self.weighted_price(kind, spot) / kind.cpus.max(1.0))
     }
 
@@ -313,7 +313,7 @@
         self.write_node_pool(&name);
     }
 
-    pub(super) fn handle_node_pool_written(
+    pub(crate) fn handle_node_pool_written(
         &mut self,
         now: Instant,
         name: String,
@@ -349,7 +349,7 @@
         }
     }
 
-    pub(super) fn provision_node_pool(&mut self, now: Instant, name: &str) {
+    pub(crate) fn provision_node_pool(&mut self, now: Instant, name: &str) {
         let Ok(permit) = self.term().leader_permit(now) else { return };
         let Some(rental) = self.node_pools.get_mut(name) else { return };
         if rental.request_in_flight || rental.version == 0 {
@@ -365,7 +365,7 @@
         );
     }
 
-    pub(super) fn handle_node_pool_provisioned(&mut self, now: Instant, name: &str, result: CloudResult) {
+    pub(crate) fn handle_node_pool_provisioned(&mut self, now: Instant, name: &str, result: CloudResult) {
         let Some(rental) = self.node_pools.get_mut(name) else { return };
         rental.request_in_flight = false;
         rental.requested_at = now;
--- a/src/coordination/intake.rs
+++ b/src/coordination/jobs/admission.rs
@@ -4,17 +4,17 @@
 
 use tokio::time::Instant;
 
-use super::answers::Answer;
-use super::dependencies::Cancellation;
-use super::leader::{Effect, Leader, PendingAdmission, PendingOperation, UncheckedSubmission};
-use super::model::{Job, ReplyId, Resources};
-use super::pipelines::{DependencyCheck, DependencyStates};
+use crate::coordination::authority::answers::Answer;
+use crate::coordination::jobs::dag::{DependencyCheck, DependencyStates};
+use crate::coordination::jobs::dependency_graph::Cancellation;
+use crate::coordination::jobs::job::{Job, ReplyId, Resources};
+use crate::coordination::leader::{Effect, Leader, PendingAdmission, PendingOperation, UncheckedSubmission};
 use crate::protocol::cbor::json_size;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
-use crate::protocol::state::{Change, Compare};
+use crate::protocol::kv::{Change, Compare};
 use crate::settings::State;
+use crate::storage::kv::{KvError, RequestClass};
 use crate::storage::records::{JobRecord, block_size, encode_row, job_record_key, live_row_key};
-use crate::storage::service::{KvError, RequestClass};
 
 /// Bytes that a value has beside what is encoded here.
 const VALUE_OVERHEAD_BYTES: usize = 128;
@@ -141,7 +141,7 @@
         if total.fits(&limit) { None } else { Some("needs more than the team's limit") }
     }
 
-    pub(super) fn handle_admission_written(
+    pub(crate) fn handle_admission_written(
         &mut self,
         now: Instant,
         job: JobId,
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/jobs/dag.rs
@@ -3,17 +3,17 @@
 //!
 //! A job is released only once the settle of its last need is committed, so that every
 //! later leader comes to the same verdict. Who depends on whom is the business of
-//! [`super::dependencies`].
+//! [`crate::coordination::jobs::dependency_graph`].
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::authority::Violation;
-use super::dependencies::{Cancellation, NewDependent, Urgency};
-use super::leader::Leader;
-use super::model::Job;
+use crate::coordination::authority::Violation;
+use crate::coordination::jobs::dependency_graph::{Cancellation, NewDependent, Urgency};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::leader::Leader;
 use crate::maps::HashMap;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
 use crate::storage::records::JobRecord;
@@ -54,7 +54,7 @@
 
 /// The needs of a submission as far as they can be judged now.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum DependencyCheck {
+pub(crate) enum DependencyCheck {
     /// Known: those that are not over, and whether one is cancelled.
     Known { unmet: BTreeSet<JobId>, cancellation: Cancellation },
     /// These are not in the picture: their records decide.
@@ -68,7 +68,7 @@
 impl Leader {
     /// Judges the jobs that a submission names, with what was read of those that are not
     /// in the picture.
-    pub(super) fn check_dependencies(&self, spec: &JobSpec, read: &DependencyStates) -> DependencyCheck {
+    pub(crate) fn check_dependencies(&self, spec: &JobSpec, read: &DependencyStates) -> DependencyCheck {
         if spec.dependencies.contains(&spec.id) {
             return DependencyCheck::Infeasible("a job cannot await itself");
         }
@@ -109,7 +109,7 @@
     }
 
     /// Enters a job's needs, if it has any, into the graph.
-    pub(super) fn add_to_dependency_graph(
+    pub(crate) fn add_to_dependency_graph(
         &mut self,
         spec: &JobSpec,
         submitted: Instant,
@@ -139,7 +139,7 @@
     }
 
     /// A job is done, and that is committed: those that waited only for it may start.
-    pub(super) fn mark_dependents_ready(&mut self, now: Instant, job: &JobId) {
+    pub(crate) fn mark_dependents_ready(&mut self, now: Instant, job: &JobId) {
         let now_ms = self.wall_ms(now);
         for released in self.dependencies.complete(job) {
             let Some(j) = self.jobs.get_mut(&released) else { continue };
@@ -156,14 +156,14 @@
 
     /// A job is cancelled, and that is committed: so are those that need it, whatever
     /// becomes of the writes of their own records. None of them has ever started.
-    pub(super) fn cancel_dependents(&mut self, now: Instant, job: &JobId) {
+    pub(crate) fn cancel_dependents(&mut self, now: Instant, job: &JobId) {
         for dependent in self.dependencies.cancel(job) {
             self.cancel_by_dependency(now, &dependent);
         }
     }
 
     /// Cancels a job since one that it needs is cancelled.
-    pub(super) fn cancel_by_dependency(&mut self, now: Instant, job: &JobId) {
+    pub(crate) fn cancel_by_dependency(&mut self, now: Instant, job: &JobId) {
         // One that is being accepted is cancelled as soon as it is.
         let Some(j) = self.jobs.get_mut(job) else { return };
         if j.record.terminal_state().is_some() {
@@ -178,7 +178,7 @@
 
     /// Enters what a new leader has read of a job's needs. Those that are neither over nor
     /// in the picture are waited for: they cannot be judged.
-    pub(super) fn restore_dependencies(
+    pub(crate) fn restore_dependencies(
         &mut self,
         now: Instant,
         now_ms: u64,
@@ -216,7 +216,7 @@
     }
 
     /// Finishes what an earlier leader has left: jobs whose needs are cancelled.
-    pub(super) fn cancel_restored_dependents(&mut self, now: Instant) {
+    pub(crate) fn cancel_restored_dependents(&mut self, now: Instant) {
         let doomed = |job: &&Job| self.dependencies.cancellation(job.id()) == Cancellation::Cancelled;
         let doomed: Vec<JobId> = self.jobs.values().filter(doomed).map(|job| job.id().clone()).collect();
         for job in doomed {
--- a/src/coordination/record_writing.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -10,17 +10,17 @@
 
 use tokio::time::Instant;
 
-use super::answers::Answer;
-use super::authority::Violation;
-use super::leader::{Effect, Leader, PendingOperation};
-use super::model::{BlockConversion, Job, RecordWriteInFlight, WriteScope};
+use crate::coordination::authority::Violation;
+use crate::coordination::authority::answers::Answer;
+use crate::coordination::jobs::job::{BlockConversion, Job, RecordWriteInFlight, WriteScope};
+use crate::coordination::leader::{Effect, Leader, PendingOperation};
 use crate::protocol::jobs::{JobId, JobState};
-use crate::protocol::state::{Change, Compare};
+use crate::protocol::kv::{Change, Compare};
 use crate::settings::State;
+use crate::storage::kv::{KvError, RequestClass};
 use crate::storage::records::{
     JobRecord, Layout, archived_row_key, block_size, encode_row, job_record_key, live_row_key,
 };
-use crate::storage::service::{KvError, RequestClass};
 
 /// The part of the state service's allowance that is for done tasks.
 const PROGRESS_WRITE_SHARE: f64 = 0.4;
@@ -131,7 +131,7 @@
 
 impl Leader {
     /// A task has ended well: noted, and written with the next batch.
-    pub(super) fn mark_task_done(&mut self, now: Instant, job: &JobId, task: u32) {
+    pub(crate) fn mark_task_done(&mut self, now: Instant, job: &JobId, task: u32) {
         let value_kb = self.config.settings.cluster.state.value_kb;
         let Some(j) = self.jobs.get_mut(job) else { return };
         if j.record.terminal_state().is_some() || j.is_service() || !j.record.done.insert(task) {
@@ -162,7 +162,7 @@
     /// allowance goes. What users wait for, acceptances and settles, is never to
     /// queue behind done tasks: with more to write than may be, those gather for
     /// longer, and go out in fewer, larger batches.
-    pub(super) fn flush_dirty_records(&mut self, now: Instant) {
+    pub(crate) fn flush_dirty_records(&mut self, now: Instant) {
         let passed = now.saturating_duration_since(self.flushed_at).as_secs_f64().min(1.0);
         self.flushed_at = now;
         let most = (self.state_limits.write_rps * PROGRESS_WRITE_SHARE * passed).ceil().max(1.0) as usize;
@@ -197,7 +197,7 @@
 
     /// Has the record say that all the job's tasks may have begun, or of a very
     /// large one the next few thousand, before the first of them starts.
-    pub(super) fn raise_started_high_water(&mut self, now: Instant, job: &JobId) {
+    pub(crate) fn raise_started_high_water(&mut self, now: Instant, job: &JobId) {
         const AT_ONCE: u32 = 4096;
         let Some(j) = self.jobs.get_mut(job) else { return };
         // That one has begun says that its needs are done.
@@ -213,7 +213,7 @@
 
     /// Writes a job's record, one write at a time: what changes meanwhile is
     /// written when this one has ended.
-    pub(super) fn write_record(&mut self, now: Instant, job: &JobId) {
+    pub(crate) fn write_record(&mut self, now: Instant, job: &JobId) {
         let now_ms = self.wall_ms(now);
         let config = self.config.clone();
         let state = &config.settings.cluster.state;
@@ -242,7 +242,7 @@
     }
 
     /// A write of a job's record has ended.
-    pub(super) fn handle_record_written(&mut self, now: Instant, job: JobId, result: Result<u64, KvError>) {
+    pub(crate) fn handle_record_written(&mut self, now: Instant, job: JobId, result: Result<u64, KvError>) {
         let Some(j) = self.jobs.get_mut(&job) else { return };
         let Some(written) = j.write_in_flight.take() else { return };
         match result {
@@ -326,7 +326,7 @@
     }
 
     /// Tells a job's final state to those who have asked to cancel it.
-    pub(super) fn answer_cancel_waiters(&mut self, job: &JobId) {
+    pub(crate) fn answer_cancel_waiters(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
         let waiting = std::mem::take(&mut j.cancel_waiters);
         let status = j.status();
@@ -366,7 +366,7 @@
     /// Once a job is over and nothing of it is on a machine, its row follows
     /// the record. Until then it stays among the live, so that a new leader
     /// knows what its tasks take.
-    pub(super) fn try_archive(&mut self, job: &JobId) {
+    pub(crate) fn try_archive(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
         if j.record.terminal_state().is_none() || j.slot_count > 0 || j.write_in_flight.is_some() {
             return;
@@ -416,7 +416,7 @@
     }
 
     /// A row has followed its record: the job leaves memory.
-    pub(super) fn handle_row_archived(&mut self, job: JobId, result: Result<u64, KvError>) {
+    pub(crate) fn handle_row_archived(&mut self, job: JobId, result: Result<u64, KvError>) {
         self.archives_in_flight = self.archives_in_flight.saturating_sub(1);
         match result {
             Ok(_) => {}
--- a/src/coordination/figures.rs
+++ b/src/coordination/leader/metrics.rs
@@ -1,8 +1,8 @@
 //! The leader's figures, for operators and for the log.
 
-use super::leader::Leader;
-use super::machines::Phase;
-use super::model::Job;
+use crate::coordination::fleet::machine::Phase;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::leader::Leader;
 use crate::protocol::cbor::MapBuilder;
 
 impl Leader {
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader/mod.rs
@@ -5,7 +5,9 @@
 //! `pipelines`), workers (`agents`, `stopping`, `slots`), placing (`scheduler`, `urgency`,
 //! `preemption`), machines (`fleet`, `renting`), records (`record_writing`), what an
 //! earlier leader has left (`takeover`). What it may do at all is decided in
-//! [`super::authority`].
+//! [`crate::coordination::authority`].
+
+mod metrics;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,30 +18,30 @@
 use rand::rngs::SmallRng;
 use tokio::time::Instant;
 
-use super::answers::{Answer, Validity};
-use super::authority::{LeaderPermit, LeadershipTerm, Violation};
-use super::cloud::{CloudCall, CloudResult};
-use super::config::Config;
-use super::demand::{Demand, DemandGroup};
-use super::dependencies::DependencyGraph;
-use super::machine_list::InventoryScan;
-use super::machines::{Machine, NodePool};
-use super::model::{Job, ReplyId, Resources, TeamQuota};
-use super::pipelines::DependencyStates;
-use super::renting::{Backoff, InstanceOffer};
-use super::scheduler::QueuedJob;
-use super::sizes::CapacityLimits;
-use super::takeover::Snapshot;
-use super::unreadable::UnreadableRecords;
-use super::urgency::LatencySensitiveTask;
+use crate::coordination::authority::answers::{Answer, Validity};
+use crate::coordination::authority::{LeaderPermit, LeadershipTerm, Violation};
+use crate::coordination::config::Config;
+use crate::coordination::controller::capacity::CapacityLimits;
+use crate::coordination::fleet::cloud::{CloudCall, CloudResult};
+use crate::coordination::fleet::demand::{Demand, DemandGroup};
+use crate::coordination::fleet::inventory::InventoryScan;
+use crate::coordination::fleet::machine::{Machine, NodePool};
+use crate::coordination::fleet::scale_out::{Backoff, InstanceOffer};
+use crate::coordination::jobs::dag::DependencyStates;
+use crate::coordination::jobs::dependency_graph::DependencyGraph;
+use crate::coordination::jobs::job::{Job, ReplyId, Resources, TeamQuota};
+use crate::coordination::recovery::failover::Snapshot;
+use crate::coordination::recovery::unreadable::UnreadableRecords;
+use crate::coordination::scheduling::placement::QueuedJob;
+use crate::coordination::scheduling::slack::LatencySensitiveTask;
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
-use crate::protocol::state::{Change, Compare};
+use crate::protocol::kv::{Change, Compare};
 use crate::protocol::workers::{Command, MachineId};
 use crate::settings::StateLimits;
+use crate::storage::kv::{KvError, RequestClass, Transaction};
 use crate::storage::records::{CATALOG, JobRecord, LEARNED_STATISTICS, node_pool_key};
-use crate::storage::service::{KvError, RequestClass, Transaction};
 
 /// What is to be done outside.
 #[derive(Debug, Clone, PartialEq)]
@@ -87,7 +89,7 @@
 
 /// What a commit or a call was for.
 #[derive(Debug)]
-pub(super) enum PendingOperation {
+pub(crate) enum PendingOperation {
     AdmitJob(JobId),
     WriteJobRecord(JobId),
     ArchiveRow(JobId),
@@ -101,7 +103,7 @@
 
 /// What is asked of the cloud without changing anything.
 #[derive(Debug)]
-pub(super) enum CloudQuery {
+pub(crate) enum CloudQuery {
     Catalog,
     /// A page of the machine list, after that name.
     Machines {
@@ -111,107 +113,107 @@
 
 /// A key that leaders keep for the next, and the state of its writing.
 #[derive(Debug, Default)]
-pub(super) struct SingletonKey {
+pub(crate) struct SingletonKey {
     pub version: u64,
     pub write_in_flight: bool,
 }
 
 #[derive(Debug)]
-pub(super) struct PendingAdmission {
+pub(crate) struct PendingAdmission {
     pub record: JobRecord,
     pub waiters: Vec<ReplyId>,
 }
 
 pub struct Leader {
-    pub(super) config: Arc<Config>,
-    pub(super) epoch: u64,
-    pub(super) lease_expiry: Instant,
+    pub(crate) config: Arc<Config>,
+    pub(crate) epoch: u64,
+    pub(crate) lease_expiry: Instant,
     /// Since when this leader has answered reports without a break.
-    pub(super) replying_since: Instant,
-    pub(super) snapshot_at: Instant,
+    pub(crate) replying_since: Instant,
+    pub(crate) snapshot_at: Instant,
     /// Since when no earlier leader can have answered a worker.
-    pub(super) post_lease_graces_over_at: Option<Instant>,
-    pub(super) jobs: HashMap<JobId, Job>,
-    pub(super) dependencies: DependencyGraph,
+    pub(crate) post_lease_graces_over_at: Option<Instant>,
+    pub(crate) jobs: HashMap<JobId, Job>,
+    pub(crate) dependencies: DependencyGraph,
     /// The state service's limits as far as is known.
-    pub(super) state_limits: StateLimits,
+    pub(crate) state_limits: StateLimits,
     /// The time of day at a moment of the steady clock.
     wall_clock: (Instant, u64),
-    pub(super) pending_admissions: HashMap<JobId, PendingAdmission>,
-    pub(super) teams: Vec<TeamQuota>,
-    pub(super) team_index: HashMap<String, usize>,
-    pub(super) machines: BTreeMap<MachineId, Machine>,
-    pub(super) node_pools: BTreeMap<String, NodePool>,
+    pub(crate) pending_admissions: HashMap<JobId, PendingAdmission>,
+    pub(crate) teams: Vec<TeamQuota>,
+    pub(crate) team_index: HashMap<String, usize>,
+    pub(crate) machines: BTreeMap<MachineId, Machine>,
+    pub(crate) node_pools: BTreeMap<String, NodePool>,
     /// Machines that no record names, to be entered together: type, zone, spot.
-    pub(super) unregistered: BTreeMap<MachineId, (String, String, bool)>,
-    pub(super) unregistered_since: Option<Instant>,
-    pub(super) tombstones: HashSet<MachineId>,
-    pub(super) tombstone_order: VecDeque<MachineId>,
+    pub(crate) unregistered: BTreeMap<MachineId, (String, String, bool)>,
+    pub(crate) unregistered_since: Option<Instant>,
+    pub(crate) tombstones: HashSet<MachineId>,
+    pub(crate) tombstone_order: VecDeque<MachineId>,
     /// Deleted machines remembered, against late reports of theirs.
-    pub(super) max_tombstones: usize,
-    pub(super) catalog: Vec<MachineType>,
-    pub(super) catalog_read_at: Option<Instant>,
-    pub(super) singleton_keys: HashMap<&'static str, SingletonKey>,
-    pub(super) statistics_saved_at: Instant,
-    pub(super) demand: HashMap<DemandGroup, Demand>,
+    pub(crate) max_tombstones: usize,
+    pub(crate) catalog: Vec<MachineType>,
+    pub(crate) catalog_read_at: Option<Instant>,
+    pub(crate) singleton_keys: HashMap<&'static str, SingletonKey>,
+    pub(crate) statistics_saved_at: Instant,
+    pub(crate) demand: HashMap<DemandGroup, Demand>,
     /// Measured run time against the owners' estimates, by class.
-    pub(super) runtime_ratios: HashMap<String, f64>,
-    pub(super) spot_losses: f64,
-    pub(super) spot_seconds: f64,
-    pub(super) backoff: HashMap<InstanceOffer, Backoff>,
+    pub(crate) runtime_ratios: HashMap<String, f64>,
+    pub(crate) spot_losses: f64,
+    pub(crate) spot_seconds: f64,
+    pub(crate) backoff: HashMap<InstanceOffer, Backoff>,
     /// Since when all but a few machines have been heard in time.
-    pub(super) mostly_live_since: Option<Instant>,
-    pub(super) inventory_scan: Option<InventoryScan>,
-    pub(super) inventory_read_at: Option<Instant>,
-    pub(super) cloud_failed_at: Option<Instant>,
-    pub(super) queue: Vec<QueuedJob>,
-    pub(super) queue_ordered_at: Option<Instant>,
+    pub(crate) mostly_live_since: Option<Instant>,
+    pub(crate) inventory_scan: Option<InventoryScan>,
+    pub(crate) inventory_read_at: Option<Instant>,
+    pub(crate) cloud_failed_at: Option<Instant>,
+    pub(crate) queue: Vec<QueuedJob>,
+    pub(crate) queue_ordered_at: Option<Instant>,
     /// The least that any task in it takes: with less room, no job need be looked
     /// at.
-    pub(super) min_task_cpus: f64,
+    pub(crate) min_task_cpus: f64,
     /// Machines that had room when the queue was last ordered.
-    pub(super) candidates: Vec<MachineId>,
+    pub(crate) candidates: Vec<MachineId>,
     /// All the room of machines that may hold unknown tasks, counted then.
-    pub(super) unreconciled_capacity: Resources,
+    pub(crate) unreconciled_capacity: Resources,
     /// Machines kept clear for jobs that must begin.
-    pub(super) reservations: HashMap<JobId, MachineId>,
-    pub(super) pending_operations: HashMap<u64, PendingOperation>,
-    pub(super) last_operation: u64,
+    pub(crate) reservations: HashMap<JobId, MachineId>,
+    pub(crate) pending_operations: HashMap<u64, PendingOperation>,
+    pub(crate) last_operation: u64,
     /// Jobs with done tasks to be written, the longest waiting first.
-    pub(super) dirty_jobs: VecDeque<(Instant, JobId)>,
+    pub(crate) dirty_jobs: VecDeque<(Instant, JobId)>,
     /// Records that the service refuses in every size, and when to try them again.
-    pub(super) rejected_records: Vec<(Instant, JobId)>,
+    pub(crate) rejected_records: Vec<(Instant, JobId)>,
     /// When the writing of done tasks was last gone about.
-    pub(super) flushed_at: Instant,
+    pub(crate) flushed_at: Instant,
     /// Jobs whose rows are to follow their records, and moves under way.
-    pub(super) archive_queue: VecDeque<JobId>,
-    pub(super) archives_in_flight: usize,
-    pub(super) last_attempt: u32,
-    pub(super) last_node_pool: u32,
-    pub(super) next_slow_tick: Instant,
-    pub(super) failover_complete: bool,
-    pub(super) unreadable: UnreadableRecords,
+    pub(crate) archive_queue: VecDeque<JobId>,
+    pub(crate) archives_in_flight: usize,
+    pub(crate) last_attempt: u32,
+    pub(crate) last_node_pool: u32,
+    pub(crate) next_slow_tick: Instant,
+    pub(crate) failover_complete: bool,
+    pub(crate) unreadable: UnreadableRecords,
     /// Machines that no readable record names may hold tasks.
-    pub(super) unlisted_machines_possible: bool,
+    pub(crate) unlisted_machines_possible: bool,
     /// When a machine that is not in the picture was last answered while that was so.
-    pub(super) unlisted_replied_at: Option<Instant>,
+    pub(crate) unlisted_replied_at: Option<Instant>,
     /// Tasks reported under this epoch's token whose job is not in the picture.
-    pub(super) orphan_tasks: u64,
+    pub(crate) orphan_tasks: u64,
     /// Acts that were refused since they would have broken what must always hold.
-    pub(super) invariant_violations: u64,
+    pub(crate) invariant_violations: u64,
     /// A machine that was not known when that was last looked at: while it is not, there
     /// is nothing to look for.
-    pub(super) unreconciled_machine: Option<MachineId>,
-    pub(super) submissions_refused: u64,
+    pub(crate) unreconciled_machine: Option<MachineId>,
+    pub(crate) submissions_refused: u64,
     /// Classes of jobs that are to start within less than a report interval.
-    pub(super) latency_sensitive_classes: HashMap<String, LatencySensitiveTask>,
+    pub(crate) latency_sensitive_classes: HashMap<String, LatencySensitiveTask>,
     /// Work that is to start promptly has come to wait.
-    pub(super) latency_sensitive_work: bool,
+    pub(crate) latency_sensitive_work: bool,
     /// Machines for which there is an order that should not wait.
-    pub(super) machines_with_commands: Vec<MachineId>,
-    pub(super) effects: Vec<Effect>,
-    pub(super) rng: SmallRng,
-    pub(super) is_fenced: bool,
+    pub(crate) machines_with_commands: Vec<MachineId>,
+    pub(crate) effects: Vec<Effect>,
+    pub(crate) rng: SmallRng,
+    pub(crate) is_fenced: bool,
 }
 
 impl Leader {
@@ -319,7 +321,7 @@
     }
 
     /// The time of day.
-    pub(super) fn wall_ms(&self, now: Instant) -> u64 {
+    pub(crate) fn wall_ms(&self, now: Instant) -> u64 {
         let (then, then_ms) = self.wall_clock;
         let passed = now.saturating_duration_since(then).as_millis();
         then_ms.saturating_add(u64::try_from(passed).unwrap_or(u64::MAX))
@@ -339,7 +341,7 @@
     }
 
     /// How this leader stands to its epoch.
-    pub(super) fn term(&self) -> LeadershipTerm {
+    pub(crate) fn term(&self) -> LeadershipTerm {
         LeadershipTerm {
             epoch: self.epoch,
             lease_expiry: self.lease_expiry,
@@ -359,13 +361,13 @@
     }
 
     /// Notes that an act was refused which would have broken what must always hold.
-    pub(super) fn record_violation(&mut self, violation: Violation, job: &JobId) {
+    pub(crate) fn record_violation(&mut self, violation: Violation, job: &JobId) {
         self.invariant_violations += 1;
         tracing::error!(epoch = self.epoch, %job, %violation, "an invariant would have been violated");
     }
 
     /// What answers decided now rest on.
-    pub(super) fn validity(&self) -> Validity {
+    pub(crate) fn validity(&self) -> Validity {
         Validity { epoch: self.epoch, valid_until: self.lease_expiry }
     }
 
@@ -382,17 +384,17 @@
         self.epoch
     }
 
-    pub(super) fn reply(&mut self, to: ReplyId, answer: Answer) {
+    pub(crate) fn reply(&mut self, to: ReplyId, answer: Answer) {
         self.effects.push(Effect::Reply { reply: to, answer });
     }
 
-    pub(super) fn begin_operation(&mut self, ticket: PendingOperation) -> u64 {
+    pub(crate) fn begin_operation(&mut self, ticket: PendingOperation) -> u64 {
         self.last_operation += 1;
         self.pending_operations.insert(self.last_operation, ticket);
         self.last_operation
     }
 
-    pub(super) fn commit(
+    pub(crate) fn commit(
         &mut self,
         ticket: PendingOperation,
         class: RequestClass,
@@ -405,12 +407,12 @@
     }
 
     /// Asks the cloud to rent or to delete machines.
-    pub(super) fn change_cloud(&mut self, _permit: LeaderPermit, ticket: PendingOperation, call: CloudCall) {
+    pub(crate) fn change_cloud(&mut self, _permit: LeaderPermit, ticket: PendingOperation, call: CloudCall) {
         self.call_cloud(ticket, call);
     }
 
     /// Asks the cloud for its machine types or its list, which changes nothing.
-    pub(super) fn read_cloud(&mut self, query: CloudQuery) {
+    pub(crate) fn read_cloud(&mut self, query: CloudQuery) {
         match query {
             CloudQuery::Catalog => self.call_cloud(PendingOperation::ReadCatalog, CloudCall::Catalog),
             CloudQuery::Machines { from } => {
@@ -472,7 +474,7 @@
     }
 
     /// Writes a fleet record, one write at a time.
-    pub(super) fn write_node_pool(&mut self, name: &str) {
+    pub(crate) fn write_node_pool(&mut self, name: &str) {
         let Some(rental) = self.node_pools.get_mut(name) else { return };
         if rental.write_in_flight {
             rental.rewrite_needed = true;
@@ -497,7 +499,7 @@
     }
 
     /// A new job as the store now has it.
-    pub(super) fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
+    pub(crate) fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
         let waits = !record.spec.dependencies.is_empty() && !self.dependencies.is_ready(&record.spec.id);
         let layout = record.layout(self.config.settings.cluster.state.value_kb);
         let count = layout.blocks(record.spec.tasks);
@@ -512,7 +514,7 @@
     }
 
     /// Machine types on which a task can run.
-    pub(super) fn feasible_types(&self, spec: &JobSpec) -> Vec<usize> {
+    pub(crate) fn feasible_types(&self, spec: &JobSpec) -> Vec<usize> {
         let need = Resources::of(spec);
         (0..self.catalog.len())
             .filter(|&at| {
@@ -526,12 +528,12 @@
 
     /// How long a task is expected to run: the owner's estimate, corrected by
     /// how the estimates of its class have turned out.
-    pub(super) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
+    pub(crate) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
         let ratio = self.runtime_ratios.get(&spec.class).copied().unwrap_or(1.0);
         (spec.estimated_run_s * ratio).min(1e6)
     }
 
-    pub(super) fn record_run(&mut self, job: &JobId, seconds: f64) {
+    pub(crate) fn record_run(&mut self, job: &JobId, seconds: f64) {
         const CLASSES: usize = 256;
         let Some(job) = self.jobs.get_mut(job) else { return };
         job.record_run(seconds);
--- a/src/coordination/takeover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -8,11 +8,11 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::machines::{Machine, NodePool, Phase};
-use super::model::{Job, Resources};
-use super::pipelines::DependencyStates;
-use super::unreadable::UnreadableRecords;
+use crate::coordination::fleet::machine::{Machine, NodePool, Phase};
+use crate::coordination::jobs::dag::DependencyStates;
+use crate::coordination::jobs::job::{Job, Resources};
+use crate::coordination::leader::Leader;
+use crate::coordination::recovery::unreadable::UnreadableRecords;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
@@ -56,14 +56,14 @@
     }
 
     /// When a machine that this epoch has never answered has lost its lease.
-    pub(super) fn unreplied_lease_expiry(&self) -> Instant {
+    pub(crate) fn unreplied_lease_expiry(&self) -> Instant {
         let lapse_window = self.snapshot_at + self.config.failover_lease_timeout();
         self.post_lease_graces_over_at
             .map_or(lapse_window, |at| lapse_window.min(at + self.config.worker_lease_timeout()))
     }
 
     /// What is on the machine is known from now on.
-    pub(super) fn mark_machine_reconciled(&mut self, machine: &MachineId) {
+    pub(crate) fn mark_machine_reconciled(&mut self, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine).filter(|m| !m.reconciled) else { return };
         m.reconciled = true;
         tracing::debug!(epoch = self.epoch, %machine, tasks = m.slots.len(), "what is on the machine is known");
@@ -79,7 +79,7 @@
     ///
     /// Machines become known in about the order of the walk or in any other; it goes on
     /// where it stopped, so that a takeover's reports do not each walk the whole fleet.
-    pub(super) fn all_machines_reconciled(&mut self) -> bool {
+    pub(crate) fn all_machines_reconciled(&mut self) -> bool {
         let is_unknown = |m: &&Machine| m.use_recorded && !m.reconciled;
         let from = self.unreconciled_machine.take();
         let rest = from.and_then(|from| self.machines.range(from..).map(|(_, m)| m).find(is_unknown));
@@ -89,7 +89,7 @@
     }
 
     /// Notes when all that was on machines before is known; what waited for it goes on.
-    pub(super) fn check_failover_complete(&mut self) {
+    pub(crate) fn check_failover_complete(&mut self) {
         if self.failover_complete
             || self.unlisted_machines_possible
             || self.catalog.is_empty()
@@ -151,7 +151,7 @@
     }
 
     /// Takes in jobs as they were read, all of them before what they wait for.
-    pub(super) fn restore_jobs(
+    pub(crate) fn restore_jobs(
         &mut self,
         now: Instant,
         now_ms: u64,
@@ -183,7 +183,7 @@
     /// Whether a machine that is not in the picture may be answered while a fleet record
     /// cannot be read. Each answer may keep alive tasks that nobody counts, so they end
     /// after a lease: by then a live machine has been entered.
-    pub(super) fn may_reply_to_unlisted(&mut self, now: Instant) -> bool {
+    pub(crate) fn may_reply_to_unlisted(&mut self, now: Instant) -> bool {
         let lease = self.config.settings.cluster.workers.lease();
         let may = now < self.snapshot_at + lease;
         if may {
@@ -194,7 +194,7 @@
 
     /// Machines whose fleet record cannot be read, and that have not been heard, have lost
     /// their leases by now.
-    pub(super) fn expire_unlisted_machines(&mut self, now: Instant) {
+    pub(crate) fn expire_unlisted_machines(&mut self, now: Instant) {
         let answered = self.unlisted_replied_at.map(|at| at + self.config.worker_lease_timeout());
         if !self.unlisted_machines_possible
             || now < self.unreplied_lease_expiry()
@@ -210,7 +210,7 @@
 
     /// A machine that has not been answered for its whole lease, and a margin,
     /// has killed all its tasks.
-    pub(super) fn expire_silent_machines(&mut self, now: Instant) {
+    pub(crate) fn expire_silent_machines(&mut self, now: Instant) {
         let proof = self.config.worker_lease_timeout();
         let unheard = self.unreplied_lease_expiry();
         let silent: Vec<MachineId> = self
--- a/src/coordination/reconciler.rs
+++ b/src/coordination/recovery/reconciler.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeSet;
 
 use crate::protocol::jobs::{JobId, JobState};
-use crate::protocol::state::{Change, Compare};
+use crate::protocol::kv::{Change, Compare};
+use crate::storage::kv::{KvClient, KvError, RequestClass, Transaction};
 use crate::storage::records::{
     ARCHIVED_ROWS, JOB_RECORDS, JobRecord, LIVE_ROWS, NODE_POOLS, NodePoolRecord, archived_row_key,
     decode_row, encode_row, job_record_key, live_row_key,
 };
-use crate::storage::service::{KvClient, KvError, RequestClass, Transaction};
 
 /// What the store holds of one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -108,7 +108,7 @@
     let over = store.get(RequestClass::Background, &archived_row_key(job)).await?;
     let live = store.get(RequestClass::Background, &live_row_key(job)).await?;
     let record = store.get(RequestClass::Background, &job_record_key(job)).await?;
-    let version = |entry: &Option<crate::protocol::state::Entry>| entry.as_ref().map_or(0, |e| e.version);
+    let version = |entry: &Option<crate::protocol::kv::Entry>| entry.as_ref().map_or(0, |e| e.version);
     let unreadable = Finding::Suspect("an unreadable record or row");
     let over_row = over.as_ref().map(|e| decode_row(&e.value));
     let decoded = record.as_ref().map(|e| JobRecord::decode(&e.value));
--- a/src/coordination/loading.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -4,18 +4,18 @@
 use ciborium::value::Value;
 use tokio::task::JoinSet;
 
-use super::pipelines::{DependencyState, DependencyStates};
-use super::reconciler::{self, Finding};
-use super::takeover::{JobSnapshot, Snapshot};
-use super::unreadable::UnreadableRecords;
+use crate::coordination::jobs::dag::{DependencyState, DependencyStates};
+use crate::coordination::recovery::failover::{JobSnapshot, Snapshot};
+use crate::coordination::recovery::reconciler::{self, Finding};
+use crate::coordination::recovery::unreadable::UnreadableRecords;
 use crate::maps::HashSet;
 use crate::protocol::cloud::decode_catalog;
 use crate::protocol::jobs::{JobId, JobState};
+use crate::storage::kv::{KvClient, KvError, RequestClass};
 use crate::storage::records::{
     ARCHIVED_ROWS, CATALOG, JobRecord, LEARNED_STATISTICS, LIVE_ROWS, LearnedStatistics, NODE_POOLS,
     NodePoolRecord, job_record_key, live_row_key,
 };
-use crate::storage::service::{KvClient, KvError, RequestClass};
 
 /// Rows compared with their records in one round.
 pub const ROWS_PER_ROUND: usize = 8;
--- a/src/coordination/consolidation.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -8,9 +8,9 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::machines::Machine;
-use super::model::{Resources, SlotKey, SlotState};
+use crate::coordination::fleet::machine::Machine;
+use crate::coordination::jobs::job::{Resources, SlotKey, SlotState};
+use crate::coordination::leader::Leader;
 use crate::maps::HashMap;
 use crate::protocol::workers::MachineId;
 
@@ -19,7 +19,7 @@
 
 impl Leader {
     /// Chooses at most one machine to empty, once all replicas moved before run again.
-    pub(super) fn rebalance(&mut self, now: Instant) {
+    pub(crate) fn rebalance(&mut self, now: Instant) {
         let steady = self.failover_complete && !self.cloud_is_down(now) && self.mostly_live_since.is_some();
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             machine.draining = steady && !machine.needed;
--- a/src/coordination/scheduler.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -9,22 +9,22 @@
 
 use tokio::time::Instant;
 
-use super::authority::{StartEvidence, Violation};
-use super::leader::Leader;
-use super::machines::Machine;
-use super::model::{Job, Resources, SlotKey, SlotState};
+use crate::coordination::authority::{StartEvidence, Violation};
+use crate::coordination::fleet::machine::Machine;
+use crate::coordination::jobs::job::{Job, Resources, SlotKey, SlotState};
+use crate::coordination::leader::Leader;
 use crate::protocol::jobs::{JobId, JobSpec, Priority, TaskId};
 use crate::protocol::workers::{Command, MachineId};
 
 /// A waiting job's place in the queue.
 #[derive(Debug, Clone)]
-pub(super) struct QueuedJob {
-    pub(super) job: JobId,
+pub(crate) struct QueuedJob {
+    pub(crate) job: JobId,
     /// Must begin before anything else does.
     starved: bool,
-    pub(super) guaranteed: bool,
-    pub(super) priority: Priority,
-    pub(super) latest_start: Instant,
+    pub(crate) guaranteed: bool,
+    pub(crate) priority: Priority,
+    pub(crate) latest_start: Instant,
     /// What a task takes, and whether it may go to spot machines: most of the
     /// queue is passed over for a machine by these alone.
     task_resources: Resources,
@@ -46,7 +46,7 @@
 impl Leader {
     /// Orders the waiting jobs: guarantees first, then priority, then the time
     /// by which a job must start to be done when it is due, or its age.
-    pub(super) fn order_queue(&mut self, now: Instant) {
+    pub(crate) fn order_queue(&mut self, now: Instant) {
         let fresh_enough = self.config.settings.cluster.workers.report() / 12;
         if self.queue_ordered_at.is_some_and(|at| now < at + fresh_enough) {
             return;
@@ -121,7 +121,7 @@
     }
 
     /// How long the machine is expected to fetch the image of the job.
-    pub(super) fn image_fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
+    pub(crate) fn image_fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
         match self.catalog.get(machine.machine_type) {
             Some(kind) if kind.fetch_gb_per_s > 0.0 && !machine.has_image(&spec.image) => {
                 spec.image_gb / kind.fetch_gb_per_s
@@ -131,7 +131,7 @@
     }
 
     /// Starts tasks on a machine that has just reported.
-    pub(super) fn place_tasks(
+    pub(crate) fn place_tasks(
         &mut self,
         now: Instant,
         machine: &MachineId,
@@ -361,7 +361,7 @@
     }
 
     /// Whether a task of a new job could start now.
-    pub(super) fn could_start_now(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn could_start_now(&self, spec: &JobSpec) -> bool {
         let need = Resources::of(spec);
         self.machines
             .values()
@@ -369,7 +369,7 @@
     }
 
     /// Whether the job allows the machine: its type, its zone, spot or not.
-    pub(super) fn allows_machine(&self, spec: &JobSpec, machine: &Machine) -> bool {
+    pub(crate) fn allows_machine(&self, spec: &JobSpec, machine: &Machine) -> bool {
         (spec.spot || !machine.spot)
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && self
@@ -381,7 +381,7 @@
     /// Has the records of the jobs whose turn comes next say that they begin,
     /// so that no start waits for the write. Those behind them stay free for a
     /// next leader to start at once.
-    pub(super) fn record_upcoming_starts(&mut self, now: Instant) {
+    pub(crate) fn record_upcoming_starts(&mut self, now: Instant) {
         self.order_queue(now);
         // Room that is there, and what comes free until the next round.
         let kinds = |m: &Machine| self.catalog.get(m.machine_type).map_or(0.0, |k| k.cpus);
@@ -403,7 +403,7 @@
     }
 
     /// What the rules demand of a machine for the job's next task.
-    pub(super) fn passes_filters(&self, job: &Job, machine: &Machine) -> bool {
+    pub(crate) fn passes_filters(&self, job: &Job, machine: &Machine) -> bool {
         let spec = job.spec();
         if !machine.is_schedulable()
             || !Resources::of(spec).fits(&machine.free)
@@ -432,7 +432,7 @@
         true
     }
 
-    pub(super) fn is_within_quota(&self, job: &Job) -> bool {
+    pub(crate) fn is_within_quota(&self, job: &Job) -> bool {
         let Some(team) = job.team.and_then(|t| self.teams.get(t)) else { return false };
         let mut used = team.used;
         // What is on unheard machines, or is of unknown jobs, may all be this team's.
--- a/src/coordination/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -3,9 +3,9 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::model::{Job, Resources, SlotKey, SlotState, TeamQuota};
-use super::scheduler::QueuedJob;
+use crate::coordination::jobs::job::{Job, Resources, SlotKey, SlotState, TeamQuota};
+use crate::coordination::leader::Leader;
+use crate::coordination::scheduling::placement::QueuedJob;
 use crate::maps::HashMap;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
@@ -13,7 +13,7 @@
 impl Leader {
     /// Frees room for work within its guarantee from work beyond another's,
     /// and for work of higher priority from lower. Only tasks that lose little.
-    pub(super) fn preempt(&mut self, now: Instant) {
+    pub(crate) fn preempt(&mut self, now: Instant) {
         if !self.failover_complete
             || self.config.tuning.preempt_loss_s.max(self.config.tuning.preempt_lower_loss_s) <= 0.0
         {
--- a/src/coordination/urgency.rs
+++ b/src/coordination/scheduling/slack.rs
@@ -6,16 +6,16 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::machines::Machine;
-use super::model::{Job, Resources};
+use crate::coordination::fleet::machine::Machine;
+use crate::coordination::jobs::job::{Job, Resources};
+use crate::coordination::leader::Leader;
 use crate::maps::HashMap;
 use crate::protocol::jobs::{JobId, JobSpec, Priority};
 use crate::settings::Objective;
 
 /// What a task of a class that is to start promptly takes.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LatencySensitiveTask {
+pub(crate) struct LatencySensitiveTask {
     task_resources: Resources,
     allows_spot: bool,
 }
@@ -24,7 +24,7 @@
     /// When a job's tasks must start for the next of the users' aims that can
     /// still be met. With all of them missed it goes behind those for whom
     /// haste still helps, by a boot time, and then by age.
-    pub(super) fn latest_start(&self, job: &Job, now: Instant) -> Instant {
+    pub(crate) fn latest_start(&self, job: &Job, now: Instant) -> Instant {
         let next = self.objective_start_times(job, now).filter(|&at| at > now).min();
         next.unwrap_or_else(|| {
             let age = now.saturating_duration_since(job.waiting_since(now));
@@ -33,7 +33,7 @@
     }
 
     /// A job's own priority, or that of a job that needs it.
-    pub(super) fn priority(&self, job: &Job) -> Priority {
+    pub(crate) fn priority(&self, job: &Job) -> Priority {
         let own = job.spec().priority;
         self.dependencies.inherited(job.id()).map_or(own, |inherited| own.max(inherited.priority))
     }
@@ -52,7 +52,7 @@
 
     /// How long after its release a job's tasks should have started, by the users' aims
     /// for its class.
-    pub(super) fn start_limits_after_ready<'a>(
+    pub(crate) fn start_limits_after_ready<'a>(
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = Duration> + 'a {
@@ -67,7 +67,7 @@
 
     /// How long after its submission a job's tasks should have started to meet its
     /// deadline, and the multiples of it that the users aim at.
-    pub(super) fn start_limits_by_deadline<'a>(
+    pub(crate) fn start_limits_by_deadline<'a>(
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = Duration> + 'a {
@@ -96,7 +96,7 @@
             .filter(move |&within| within > 0.0 && within < report)
     }
 
-    pub(super) fn is_latency_sensitive(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn is_latency_sensitive(&self, spec: &JobSpec) -> bool {
         self.latency_objectives(spec).next().is_some()
     }
 
@@ -104,7 +104,7 @@
     /// that is shorter than a report interval. No machine that reports later could be
     /// expected to meet it; but one that would have to fetch the image first may miss
     /// it as surely, and then is compared with the others like any other.
-    pub(super) fn meets_latency_objective(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
+    pub(crate) fn meets_latency_objective(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
         let waited = now.saturating_duration_since(job.waiting_since(now)).as_secs_f64();
         let fetch = self.image_fetch_s(job.spec(), machine);
         if job.is_service() && !job.placements.is_empty() && fetch <= 0.0 {
@@ -116,7 +116,7 @@
 
     /// Notes what a job takes whose class is to start promptly: others like it are
     /// likely to come.
-    pub(super) fn record_latency_sensitive_class(&mut self, spec: &JobSpec) {
+    pub(crate) fn record_latency_sensitive_class(&mut self, spec: &JobSpec) {
         const CLASSES: usize = 64;
         let known = self.latency_sensitive_classes.contains_key(&spec.class);
         if self.is_latency_sensitive(spec) && (known || self.latency_sensitive_classes.len() < CLASSES) {
@@ -126,7 +126,7 @@
     }
 
     /// Whether jobs that are to start promptly may use room on the machine.
-    pub(super) fn expects_latency_sensitive_start(&self, machine: &Machine) -> bool {
+    pub(crate) fn expects_latency_sensitive_start(&self, machine: &Machine) -> bool {
         machine.has_usable_capacity()
             && self
                 .latency_sensitive_classes
@@ -138,7 +138,7 @@
     /// begin, and has not begun. However urgent other work is, a first task of
     /// it goes before: else a stream of more urgent, or smaller, work could
     /// keep it out for ever.
-    pub(super) fn is_starved(&self, job: &Job, now: Instant) -> bool {
+    pub(crate) fn is_starved(&self, job: &Job, now: Instant) -> bool {
         job.placements.is_empty()
             && job.record.done.is_empty()
             && now >= job.waiting_since(now) + self.config.tuning.begin_within / 2
@@ -146,7 +146,7 @@
 
     /// Jobs that fit into their team's guarantee together with the team's
     /// earlier unfinished jobs, with what they may still take.
-    pub(super) fn within_guarantees(&self) -> HashMap<JobId, Resources> {
+    pub(crate) fn within_guarantees(&self) -> HashMap<JobId, Resources> {
         let mut by_team: HashMap<usize, Vec<&Job>> = HashMap::default();
         for job in self.jobs.values().filter(|j| j.is_startable() && !j.waits_for_dependencies()) {
             if let Some(team) = job.team.filter(|&t| self.teams[t].guaranteed != Resources::default()) {
--- a/src/coordination/tests/pipelines.rs
+++ b/src/coordination/tests/dag.rs
@@ -1,8 +1,8 @@
 //! Jobs that wait for others: when they start, what is cancelled with what, and what their
 //! users are told.
 
-use super::super::pipelines::{DependencyState, DependencyStates};
 use super::*;
+use crate::coordination::jobs::dag::{DependencyState, DependencyStates};
 
 /// A job of one task that awaits others.
 fn awaiting(job: &str, needs: &[&str]) -> JobSpec {
--- a/src/coordination/tests/decision_trace.rs
+++ b/src/coordination/tests/decision_trace.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use super::monotonic_answers;
-use super::sequences::{self, FIRST, SEEDS};
+use super::random_faults::{self, FIRST, SEEDS};
 
 /// The file to which the traces are written.
 const TRACE: &str = "SHEDTALLY_TRACE";
@@ -19,7 +19,7 @@
 
 /// The traces of one seed: random overlapping faults, and the search of users' answers.
 fn traces_of(seed: u64) -> String {
-    let faults = sequences::traced(seed).into_lines();
+    let faults = random_faults::traced(seed).into_lines();
     let answers = monotonic_answers::traced(seed).into_lines();
     let mut lines = String::new();
     for (name, trace) in [("faults", faults), ("answers", answers)] {
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_seed_gives_the_same_trace_again() {
-    let (first, second) = (sequences::traced(3).into_lines(), sequences::traced(3).into_lines());
+    let (first, second) = (random_faults::traced(3).into_lines(), random_faults::traced(3).into_lines());
     assert!(first.lines().count() > 1000, "hardly anything was sent");
     assert!(first == second, "the same seed decided otherwise");
 }
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -2,20 +2,20 @@
 //! that only moves when told.
 
 mod cancellation;
+mod dag;
 mod decision_trace;
+mod failover;
 mod fleet_size;
+mod heartbeats;
 mod invariants;
 mod lease;
 mod monotonic_answers;
 mod overlapping_faults;
-mod pipelines;
-mod placing;
+mod placement;
+mod random_faults;
 mod records;
-mod renting;
-mod reports;
-mod sequences;
+mod scale_out;
 mod simulation;
-mod takeover;
 mod unreadable;
 
 use std::sync::Arc;
@@ -23,27 +23,27 @@
 
 use tokio::time::Instant;
 
-use super::agents::HeartbeatReply;
-use super::answers::Answer;
-use super::cloud::{CloudCall, CloudError, CloudReply};
-use super::config::Config;
-use super::leader::{Effect, Leader, UncheckedSubmission};
-use super::model::ReplyId;
-use super::takeover::{JobSnapshot, Snapshot};
+use crate::coordination::authority::answers::Answer;
+use crate::coordination::config::Config;
+use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply};
+use crate::coordination::jobs::job::ReplyId;
+use crate::coordination::leader::{Effect, Leader, UncheckedSubmission};
+use crate::coordination::recovery::failover::{JobSnapshot, Snapshot};
+use crate::coordination::workers::heartbeats::HeartbeatReply;
 use crate::policy;
 use crate::protocol::cbor::{Fields, decode};
 use crate::protocol::cloud::{InventoryPage, ListedMachine, ListedState, MachineType, NodePoolRequest};
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState, Priority, TaskId};
-use crate::protocol::state::Change;
+use crate::protocol::kv::Change;
 use crate::protocol::workers::{
     Command, ExitCause, HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId, TaskState, TaskStatus,
 };
 use crate::settings;
+use crate::storage::kv::{KvError, RequestClass, Transaction};
 use crate::storage::records::{
     JobRecord, NODE_POOLS, NodePoolRecord, archived_row_key, job_record_key, live_row_key,
 };
-use crate::storage::service::{KvError, RequestClass, Transaction};
 
 const EPOCH: u64 = 40;
 const MS: u64 = 1_000_000;
--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::sequences::{in_simulated_time, number};
+use super::random_faults::{in_simulated_time, number};
 use super::simulation::{Fault, Shape, Simulation, Trace};
 
 /// How many seeds are played; a longer search sets this variable.
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -2,7 +2,7 @@
 //! cluster: no rule may break, and it is shown that the meeting took place. The
 //! table in `docs/design.md` has the argument for each.
 
-use super::sequences::in_simulated_time;
+use super::random_faults::in_simulated_time;
 use super::simulation::{Fault, Shape, Simulation};
 
 use Fault::*;
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 use crate::protocol::cbor::{encode, json_size};
-use crate::protocol::state::{decode_commit_revision, decode_entry, encode_compare_and_swap};
-use crate::storage::stand_in::InMemoryKv;
+use crate::protocol::kv::{decode_commit_revision, decode_entry, encode_compare_and_swap};
+use crate::storage::in_memory_kv::InMemoryKv;
 use crate::transport::codec::Request;
 
 #[test]
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -27,20 +27,20 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::Instant;
 
-use super::super::cloud as cloud_actor;
-use super::super::config::Config;
-use super::super::election::{self, Election};
-use super::super::node::{Controller, ControllerHandle};
-use super::{placing, sample};
+use super::{placement, sample};
+use crate::coordination::config::Config;
+use crate::coordination::controller::{Controller, ControllerHandle};
+use crate::coordination::election::{self, Election};
+use crate::coordination::fleet::cloud as cloud_client;
 use crate::maps::HashMap;
 use crate::policy;
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode, texts};
 use crate::protocol::cloud::{MachineType, encode_catalog};
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
 use crate::settings::{self, Settings};
-use crate::storage::pacing::TokenBucket;
-use crate::storage::service;
-use crate::storage::stand_in;
+use crate::storage::in_memory_kv;
+use crate::storage::kv;
+use crate::storage::rate_limit::TokenBucket;
 use crate::transport::client::{Call, ClientError};
 use crate::transport::codec::{Request, Response};
 use crate::transport::peer::{PeerHandler, PeerReply};
@@ -280,7 +280,7 @@
     settings: Settings,
     asks: mpsc::UnboundedReceiver<Ask>,
     events: JoinSet<Event>,
-    state: stand_in::InMemoryKv,
+    state: in_memory_kv::InMemoryKv,
     renewed: BTreeMap<u64, Instant>,
     outage_until: Instant,
     /// What is left of the changes that the state service takes, once its limits have fallen.
@@ -378,7 +378,7 @@
         settings.cluster.workers.cancel_s = 45.0;
         if seed % 4 >= 2 {
             // Answers to reports are held for prompt starts.
-            settings.cluster.objectives.push(placing::prompt_aim(&settings.cluster.workers));
+            settings.cluster.objectives.push(placement::prompt_aim(&settings.cluster.workers));
         }
         faults.sort_by(|a, b| a.0.total_cmp(&b.0));
         let controller = || SimulatedController {
@@ -398,7 +398,7 @@
             settings,
             asks,
             events: JoinSet::new(),
-            state: stand_in::InMemoryKv::with_pages_of(shape.page),
+            state: in_memory_kv::InMemoryKv::with_pages_of(shape.page),
             renewed: BTreeMap::new(),
             outage_until: begin,
             allowance: None,
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -3,12 +3,12 @@
 
 use ciborium::value::Value;
 
-use super::super::loading;
 use super::*;
+use crate::coordination::recovery::snapshot;
 use crate::protocol::cbor::MapBuilder;
 use crate::protocol::cloud::encode_catalog;
+use crate::storage::in_memory_kv::{FakeKvServer, store};
 use crate::storage::records::{CATALOG, encode_row, node_pool_key};
-use crate::storage::stand_in::{FakeKvServer, store};
 
 /// A value that no build writes.
 fn damaged() -> Value {
@@ -22,7 +22,7 @@
     for (key, value) in entries {
         stand_in.seed(&key, value, 5).await;
     }
-    loading::read_snapshot(&store(stand_in.address(), 12), 8.0).await.expect("the state service answers")
+    snapshot::read_snapshot(&store(stand_in.address(), 12), 8.0).await.expect("the state service answers")
 }
 
 /// A new leader with what it has read.
@@ -108,7 +108,7 @@
     let (record, version) = rented("vm-1", true);
     let mut rig = leading(Snapshot {
         jobs: vec![unbegun(dependent)],
-        dependency_states: [(id("job-1"), super::super::pipelines::DependencyState::Unfinished)]
+        dependency_states: [(id("job-1"), crate::coordination::jobs::dag::DependencyState::Unfinished)]
             .into_iter()
             .collect(),
         node_pools: vec![(record, version)],
@@ -204,13 +204,13 @@
     for key in &keys {
         stand_in.seed(key, damaged(), 5).await;
     }
-    let still = loading::reread_unreadable(&store, keys.clone(), 8.0).await.expect("served");
+    let still = snapshot::reread_unreadable(&store, keys.clone(), 8.0).await.expect("served");
     assert_eq!((still.jobs.len(), still.node_pools.len(), still.unreadable.len()), (0, 0, 2));
-    let mut rig = leading(loading::read_snapshot(&store, 8.0).await.expect("served"));
+    let mut rig = leading(snapshot::read_snapshot(&store, 8.0).await.expect("served"));
     assert_eq!(rig.leader.unreadable_after("", 8).len(), 2);
     stand_in.seed(&keys[0], record.encode(8.0), 6).await;
     stand_in.seed(&keys[1], rental.encode(), 7).await;
-    let found = loading::reread_unreadable(&store, keys, 8.0).await.expect("served");
+    let found = snapshot::reread_unreadable(&store, keys, 8.0).await.expect("served");
     rig.leader.restore_snapshot(rig.now, MS, found);
     assert!(rig.leader.unreadable.is_empty());
     assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
--- a/src/coordination/stopping.rs
+++ b/src/coordination/workers/commands.rs
@@ -3,16 +3,16 @@
 
 use tokio::time::Instant;
 
-use super::agents::MAX_COMMANDS;
-use super::leader::Leader;
-use super::machines::{Machine, Phase};
-use super::model::{SlotKey, SlotState};
+use crate::coordination::fleet::machine::{Machine, Phase};
+use crate::coordination::jobs::job::{SlotKey, SlotState};
+use crate::coordination::leader::Leader;
+use crate::coordination::workers::heartbeats::MAX_COMMANDS;
 use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
 
 impl Leader {
     /// Has a task stopped: at once, and again with every report until it is gone.
-    pub(super) fn stop_task(&mut self, now: Instant, machine: &MachineId, key: &SlotKey, grace_s: f64) {
+    pub(crate) fn stop_task(&mut self, now: Instant, machine: &MachineId, key: &SlotKey, grace_s: f64) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let Some(slot) = m.slots.get_mut(key) else { return };
         if slot.stop_grace_s.is_some_and(|before| before <= grace_s) {
@@ -26,7 +26,7 @@
     }
 
     /// The job is over: whatever runs of it is of no use.
-    pub(super) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
+    pub(crate) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
         let Some(j) = self.jobs.get(job) else { return };
         let all_counted = j.placements.len() as u32 == j.slot_count;
         let found: Vec<(MachineId, SlotKey)> = if all_counted {
@@ -49,7 +49,7 @@
     /// no controller may still be reached. In a lapse as well, since nothing is
     /// decided by it. A machine that has not been heard since, late in the time that
     /// a cancellation has, is deleted: the answer is the proof.
-    pub(super) fn resend_stops(&mut self, now: Instant) {
+    pub(crate) fn resend_stops(&mut self, now: Instant) {
         if self.is_fenced() || !self.jobs.values().any(|j| j.cancelled_at.is_some() && j.slot_count > 0) {
             return;
         }
@@ -87,7 +87,7 @@
     /// Whether the report shows that stops of a cancelled job have no effect, so
     /// late that the worker must now lose its lease for it. Counted from the
     /// cancellation, not from stops that were missed.
-    pub(super) fn ignores_its_stops(&self, now: Instant, report: &Heartbeat) -> bool {
+    pub(crate) fn ignores_its_stops(&self, now: Instant, report: &Heartbeat) -> bool {
         let patience = self.config.cancelled_task_reply_window();
         let since = |job: &JobId| self.jobs.get(job).and_then(|j| j.cancelled_at);
         report.tasks.iter().any(|t| {
@@ -100,7 +100,7 @@
     /// cannot be saved may still finish in time; what will not is stopped at once,
     /// since its work is lost anyway, and it starts elsewhere that much sooner
     /// than once the machine has been taken and is known to be gone.
-    pub(super) fn stop_for_preemption_notice(&mut self, now: Instant, machine: &MachineId) {
+    pub(crate) fn stop_for_preemption_notice(&mut self, now: Instant, machine: &MachineId) {
         let Some(m) = self.machines.get(machine) else { return };
         let Some(taken_at) = m.preempted_at else { return };
         let left = taken_at.saturating_duration_since(now).as_secs_f64();
--- a/src/coordination/held_reports.rs
+++ b/src/coordination/workers/deferred_replies.rs
@@ -14,7 +14,7 @@
 
 use tokio::time::Instant;
 
-use super::config::Config;
+use crate::coordination::config::Config;
 use crate::maps::HashMap;
 use crate::protocol::workers::{HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId};
 
--- a/src/coordination/silence.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -4,8 +4,8 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::machines::{Machine, Phase};
+use crate::coordination::fleet::machine::{Machine, Phase};
+use crate::coordination::leader::Leader;
 use crate::maps::HashMap;
 
 /// Which machines have fallen silent, and whether that can be believed.
@@ -19,7 +19,7 @@
 /// few must not make the others seem dead. If nobody is heard at all, nothing
 /// follows. Where all but a few have been heard for a while, a missed report is
 /// enough: what was lost starts elsewhere the sooner.
-pub(super) struct FailureDetector {
+pub(crate) struct FailureDetector {
     now: Instant,
     /// Since when this leader could have heard anybody.
     listening_since: Instant,
@@ -38,12 +38,12 @@
     }
 
     /// Nothing is to be expected of it for now.
-    pub(super) fn is_suspected(&self, m: &Machine) -> bool {
+    pub(crate) fn is_suspected(&self, m: &Machine) -> bool {
         self.any_live && self.is_overdue_by(m, self.suspicion_timeout)
     }
 
     /// It is not coming back: to be returned.
-    pub(super) fn is_dead(&self, m: &Machine) -> bool {
+    pub(crate) fn is_dead(&self, m: &Machine) -> bool {
         let (up, heard) = self.zones.get(&m.zone).copied().unwrap_or_default();
         self.is_suspected(m) && (is_majority(heard, up) || self.is_overdue_by(m, self.lease))
     }
@@ -63,7 +63,7 @@
         report.mul_f64(1.6).max(silence * 2 / 3).min(silence)
     }
 
-    pub(super) fn failure_detector(&self, now: Instant) -> FailureDetector {
+    pub(crate) fn failure_detector(&self, now: Instant) -> FailureDetector {
         let (overdue, lease) = (self.heartbeat_timeout(), self.config.settings.cluster.workers.lease());
         let mut found = FailureDetector {
             now,
@@ -90,7 +90,7 @@
     }
 
     /// Notes since when all but a few machines have been heard in time.
-    pub(super) fn record_liveness(&mut self, now: Instant) {
+    pub(crate) fn record_liveness(&mut self, now: Instant) {
         let (silence, overdue) = (self.failure_detector(now), self.heartbeat_timeout());
         let up = self.machines.values().filter(|m| m.phase == Phase::Up);
         let late = up.clone().filter(|m| silence.is_overdue_by(m, overdue)).count();
--- a/src/coordination/agents.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -8,16 +8,16 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::machines::Phase;
-use super::model::{SlotKey, SlotState};
+use crate::coordination::fleet::machine::Phase;
+use crate::coordination::jobs::job::{SlotKey, SlotState};
+use crate::coordination::leader::Leader;
 use crate::maps::HashSet;
 use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
 
 /// Most orders in one answer; more follow with the next report. Keeps the
 /// answer well below its size limit.
-pub(super) const MAX_COMMANDS: usize = 200;
+pub(crate) const MAX_COMMANDS: usize = 200;
 /// Failures on one machine, from several jobs, that condemn it.
 const FAILURES_TO_CORDON: usize = 3;
 /// Machines on which one job must have failed to slow it down.
@@ -280,7 +280,7 @@
     /// An outage of the state service lapses every lease of ours, and would
     /// take the workers' along if it lasted. Kept alive, they finish what they
     /// have. Nothing is decided here; and whoever leads next waits for silent
-    /// machines that much longer, see [`super::config::Config::takeover_proof`].
+    /// machines that much longer, see [`crate::coordination::config::Config::takeover_proof`].
     fn handle_heartbeat_after_lease(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
         let until = self.lease_expiry + self.config.post_lease_grace();
         if self.ignores_its_stops(now, report) {
--- a/src/coordination/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -2,12 +2,12 @@
 
 use tokio::time::Instant;
 
-use super::leader::Leader;
-use super::model::{Resources, Slot, SlotKey, SlotState};
+use crate::coordination::jobs::job::{Resources, Slot, SlotKey, SlotState};
+use crate::coordination::leader::Leader;
 use crate::protocol::workers::MachineId;
 
 impl Leader {
-    pub(super) fn add_slot(
+    pub(crate) fn add_slot(
         &mut self,
         now: Instant,
         machine: &MachineId,
@@ -45,7 +45,7 @@
     }
 
     /// The task is provably not on the machine any more.
-    pub(super) fn remove_slot(&mut self, now: Instant, machine: &MachineId, key: &SlotKey) {
+    pub(crate) fn remove_slot(&mut self, now: Instant, machine: &MachineId, key: &SlotKey) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let Some(slot) = m.slots.remove(key) else { return };
         m.free.add(&slot.resources);
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn clear_slots(&mut self, now: Instant, machine: &MachineId) {
+    pub(crate) fn clear_slots(&mut self, now: Instant, machine: &MachineId) {
         let keys: Vec<SlotKey> =
             self.machines.get(machine).map(|m| m.slots.keys().cloned().collect()).unwrap_or_default();
         for key in keys {
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -4,7 +4,7 @@
 pub mod cbor;
 pub mod cloud;
 pub mod jobs;
-pub mod state;
+pub mod kv;
 pub mod workers;
 
 /// Largest body exchanged with users and workers.
--- a/src/storage/stand_in.rs
+++ b/src/storage/in_memory_kv.rs
@@ -8,9 +8,9 @@
 use ciborium::value::Value;
 use tokio::sync::{mpsc, oneshot};
 
-use super::service::{self, KvClient, RequestClass, Transaction};
+use super::kv::{self, KvClient, RequestClass, Transaction};
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode, json_size, texts};
-use crate::protocol::state::{Change, Compare};
+use crate::protocol::kv::{Change, Compare};
 use crate::settings::{State, StateLimits};
 use crate::transport::codec::{Limits, Request, Response};
 use crate::transport::server::{Handler, ServerOptions, serve};
@@ -309,7 +309,7 @@
     let (leads, leading) = tokio::sync::watch::channel(true);
     // The actor would stop if this end were dropped.
     std::mem::forget(leads);
-    service::start(address, limits, 1, Duration::from_millis(50), leading)
+    kv::start(address, limits, 1, Duration::from_millis(50), leading)
 }
 
 /// One put, on condition that the key has this version.
--- a/src/storage/service.rs
+++ b/src/storage/kv.rs
@@ -14,7 +14,7 @@
 pub use actor::start;
 
 use crate::protocol::cbor::{MapBuilder, decode, json_size};
-use crate::protocol::state::{Change, Compare, Entry, Page, decode_entry, decode_page};
+use crate::protocol::kv::{Change, Compare, Entry, Page, decode_entry, decode_page};
 use crate::settings::StateLimits;
 use crate::transport::client::{Call, ClientError};
 use crate::transport::codec::Response;
--- a/src/storage/service/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -13,11 +13,11 @@
 };
 use crate::maps::HashSet;
 use crate::protocol::cbor::{Fields, decode, encode};
-use crate::protocol::state::{
+use crate::protocol::kv::{
     Change, Compare, decode_commit_revision, decode_entry, decode_failed_compares, encode_compare_and_swap,
 };
 use crate::settings::{State, StateLimits};
-use crate::storage::pacing::{LogThrottle, TokenBucket};
+use crate::storage::rate_limit::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
 use crate::transport::client::{Call, ClientError, Connection, Pool, PreparedCall};
 use crate::transport::codec::Limits;
--- a/src/storage/service/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -3,9 +3,9 @@
 use super::actor::write_reserve;
 use super::*;
 use crate::settings::{NextState, State};
-use crate::storage::pacing::{LogThrottle, TokenBucket};
+use crate::storage::in_memory_kv::{FakeKvServer, Script, limits, put, store, store_within};
+use crate::storage::rate_limit::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
-use crate::storage::stand_in::{FakeKvServer, Script, limits, put, store, store_within};
 
 async fn rig(script: &[Script]) -> (KvClient, FakeKvServer) {
     let stand_in = FakeKvServer::start(script).await;
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -2,9 +2,9 @@
 //! there.
 
 pub mod done_set;
-pub mod pacing;
+pub mod kv;
+pub mod rate_limit;
 pub mod records;
-pub mod service;
 
 #[cfg(test)]
-pub mod stand_in;
+pub mod in_memory_kv;
--- a/src/storage/records/production_tests.rs
+++ b/src/storage/records/production_tests.rs
@@ -91,7 +91,7 @@
     assert_eq!((experience.groups[0].mean, experience.runtime_ratios[0].1), (2.5, 1.25));
     let status = JobStatus::decode(&written!("status")).expect("readable");
     assert_eq!((status.state, status.done, status.running), (JobState::Running, 3, 13));
-    let leader = crate::protocol::state::Entry {
+    let leader = crate::protocol::kv::Entry {
         key: LEADER.into(),
         value: written!("leader"),
         version: 7,
