--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -10,8 +10,8 @@
 
 use shedtally::coordination::config::Config;
 use shedtally::coordination::jobs::job::ReplyId;
-use shedtally::coordination::leader::{Effect, Leader};
-use shedtally::coordination::recovery::failover::Snapshot;
+use shedtally::coordination::leader::{Leader, effects::Effect};
+use shedtally::coordination::recovery::snapshot::Snapshot;
 use shedtally::coordination::workers::heartbeats::HeartbeatReply;
 use shedtally::policy::Tuning;
 use shedtally::protocol::cloud::{MachineType, NodePoolRequest};
@@ -137,7 +137,7 @@
             }
             for action in actions {
                 if let Effect::Commit { operation: ticket, .. } = action {
-                    self.leader.handle_commit_result(self.now, ticket, Ok(ticket + 100));
+                    self.leader.handle_commit_result(self.now, ticket, Ok(ticket.0 + 100));
                 }
             }
         }
--- a/src/coordination/authority/mod.rs
+++ b/src/coordination/authority/mod.rs
@@ -10,6 +10,9 @@
 //! state service itself compares.
 
 pub mod answers;
+pub(crate) mod attempts;
+
+use std::time::Duration;
 
 use thiserror::Error;
 use tokio::time::Instant;
@@ -18,16 +21,16 @@
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::Command;
 
-/// How a controller stands to its epoch.
+/// A controller's leadership in one epoch: the one owner of what may be done in its name.
 #[derive(Debug, Clone, Copy)]
 pub struct LeadershipTerm {
-    pub epoch: u64,
+    epoch: u64,
     /// The end of the lease, by the local clock and from the sending of the renewal.
-    pub lease_expiry: Instant,
-    /// Until when workers may be answered with nothing but stops of what is over.
-    pub grace_expiry: Instant,
-    /// Another leads, or will.
-    pub is_fenced: bool,
+    lease_expiry: Instant,
+    /// How long after the lease workers may be answered with nothing but stops.
+    post_lease_grace: Duration,
+    /// Another controller leads, or will: nothing of this epoch may be used any more.
+    is_fenced: bool,
 }
 
 /// What a start rests on.
@@ -84,13 +87,65 @@
 pub struct LeaderPermit(());
 
 impl LeadershipTerm {
+    /// A term whose lease has not been extended yet: nothing may be done in it.
+    pub fn new(epoch: u64, now: Instant, post_lease_grace: Duration) -> Self {
+        LeadershipTerm { epoch, lease_expiry: now, post_lease_grace, is_fenced: false }
+    }
+
+    /// The epoch, which is also the fencing token that workers see.
+    pub fn epoch(&self) -> u64 {
+        self.epoch
+    }
+
+    /// The end of the lease as far as is known.
+    pub fn lease_expiry(&self) -> Instant {
+        self.lease_expiry
+    }
+
+    /// The end of the time after the lease in which workers may be answered with nothing
+    /// but stops of terminal jobs.
+    pub fn grace_expiry(&self) -> Instant {
+        self.lease_expiry + self.post_lease_grace
+    }
+
+    /// Whether the epoch is over for certain.
+    pub fn is_fenced(&self) -> bool {
+        self.is_fenced
+    }
+
+    /// Ends the term for good.
+    pub fn fence(&mut self) {
+        self.is_fenced = true;
+    }
+
+    /// The lease was renewed.
+    pub fn extend(&mut self, lease_expiry: Instant) {
+        self.lease_expiry = lease_expiry;
+    }
+
     /// Whether anything may be decided in the epoch's name now.
+    pub fn holds_lease(&self, now: Instant) -> bool {
+        self.leader_permit(now).is_ok()
+    }
+
+    /// Until when an answer to a user that is not final may leave.
+    pub fn validity(&self) -> Validity {
+        Validity { epoch: self.epoch, valid_until: self.lease_expiry }
+    }
+
+    /// The right to decide in the epoch's name.
+    ///
+    /// # Errors
+    ///
+    /// The epoch is over, or its lease has expired.
     pub fn leader_permit(&self, now: Instant) -> Result<LeaderPermit, Refusal> {
-        match self {
-            LeadershipTerm { is_fenced: true, .. } => Err(Refusal::Fenced),
-            _ if now >= self.lease_expiry => Err(Refusal::LeaseExpired),
-            _ => Ok(LeaderPermit(())),
+        if self.is_fenced {
+            return Err(Refusal::Fenced);
+        }
+        if now >= self.lease_expiry {
+            return Err(Refusal::LeaseExpired);
         }
+        Ok(LeaderPermit(()))
     }
 
     /// Whether a task may start as this attempt.
@@ -122,7 +177,7 @@
     /// as a lapsed leader may give such answers.
     pub fn heartbeat_reply_validity(&self, orders: &[Command]) -> Validity {
         let decides = orders.iter().any(|order| !matches!(order, Command::Stop { .. }));
-        let until = if decides { self.lease_expiry } else { self.grace_expiry };
+        let until = if decides { self.lease_expiry } else { self.grace_expiry() };
         Validity { epoch: self.epoch, valid_until: until }
     }
 }
--- a/src/coordination/authority/tests.rs
+++ b/src/coordination/authority/tests.rs
@@ -5,13 +5,10 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn tenure(now: Instant) -> LeadershipTerm {
-    LeadershipTerm {
-        epoch: 7,
-        lease_expiry: now + SECOND * 3,
-        grace_expiry: now + SECOND * 10,
-        is_fenced: false,
-    }
+fn term(now: Instant) -> LeadershipTerm {
+    let mut term = LeadershipTerm::new(7, now, SECOND * 7);
+    term.extend(now + SECOND * 3);
+    term
 }
 
 fn task() -> TaskId {
@@ -33,20 +30,18 @@
 #[test]
 fn a_right_ends_with_the_lease_and_with_the_epoch() {
     let now = Instant::now();
-    assert!(tenure(now).leader_permit(now + SECOND * 2).is_ok());
-    assert_eq!(tenure(now).leader_permit(now + SECOND * 3).err(), Some(Refusal::LeaseExpired));
-    assert_eq!(
-        LeadershipTerm { is_fenced: true, ..tenure(now) }.leader_permit(now).err(),
-        Some(Refusal::Fenced)
-    );
+    assert!(term(now).leader_permit(now + SECOND * 2).is_ok());
+    assert_eq!(term(now).leader_permit(now + SECOND * 3).err(), Some(Refusal::LeaseExpired));
+    let mut fenced = term(now);
+    fenced.fence();
+    assert_eq!(fenced.leader_permit(now).err(), Some(Refusal::Fenced));
 }
 
 /// Each piece of evidence by itself: without it there is no start.
 #[test]
 fn a_start_needs_all_of_its_evidence() {
     let now = Instant::now();
-    let start =
-        |evidence, at| tenure(now).start_permit(at, task(), 5, evidence).map(StartPermit::into_command);
+    let start = |evidence, at| term(now).start_permit(at, task(), 5, evidence).map(StartPermit::into_command);
     assert_eq!(start(sound(), now), Ok(Command::Start { task: task(), attempt: 5 }));
     assert_eq!(start(sound(), now + SECOND * 3), Err(Refusal::LeaseExpired));
     for (evidence, refusal) in [
@@ -65,11 +60,11 @@
 #[test]
 fn an_answer_that_decides_something_holds_as_long_as_the_lease() {
     let now = Instant::now();
-    let tenure = tenure(now);
+    let term = term(now);
     let stop = Command::Stop { task: task(), attempt: 1, grace_s: 0.0 };
     let forget = Command::Reap { task: task(), attempt: 1 };
     let start = Command::Start { task: task(), attempt: 1 };
-    let until = |orders: &[Command]| tenure.heartbeat_reply_validity(orders).valid_until;
-    assert_eq!([until(&[]), until(std::slice::from_ref(&stop))], [tenure.grace_expiry; 2]);
-    assert_eq!([until(&[stop.clone(), start]), until(&[stop, forget])], [tenure.lease_expiry; 2]);
+    let until = |orders: &[Command]| term.heartbeat_reply_validity(orders).valid_until;
+    assert_eq!([until(&[]), until(std::slice::from_ref(&stop))], [term.grace_expiry(); 2]);
+    assert_eq!([until(&[stop.clone(), start]), until(&[stop, forget])], [term.lease_expiry(); 2]);
 }
--- a/src/coordination/controller/effects.rs
+++ b/src/coordination/controller/effects.rs
@@ -10,25 +10,24 @@
         for action in leader.drain_effects() {
             match action {
                 Effect::Reply { reply: to, answer } => self.answer_pending(to, answer),
-                Effect::LookUpJob { to, job, if_absent: otherwise } => {
+                Effect::LookUpJob { reply: to, job, if_absent: otherwise } => {
                     if let Some(PendingReply { reply, .. }) = self.pending_replies.remove(&to) {
                         self.look_up(JobLookUp { reply, job, if_absent: otherwise, only_terminal: false });
                     }
                 }
                 Effect::ReadDependencies(submission) => self.read_dependencies(epoch, submission),
-                Effect::Commit { operation: ticket, transaction } => {
+                Effect::Commit { operation, transaction } => {
                     let (store, inner) = (self.store.clone(), self.events.clone());
                     tokio::spawn(async move {
                         let result = store.compare_and_swap(transaction).await;
-                        let _ =
-                            inner.send(InternalEvent::Committed { epoch, operation: ticket, result }).await;
+                        let _ = inner.send(InternalEvent::Committed { epoch, operation, result }).await;
                     });
                 }
-                Effect::CallCloud { ticket, call } => {
+                Effect::CallCloud { operation, call } => {
                     let (cloud, inner) = (self.cloud.clone(), self.events.clone());
                     tokio::spawn(async move {
                         let result = cloud.call(call).await;
-                        let _ = inner.send(InternalEvent::CloudDone { epoch, ticket, result }).await;
+                        let _ = inner.send(InternalEvent::CloudDone { epoch, operation, result }).await;
                     });
                 }
                 Effect::PushCommands {
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -2,11 +2,11 @@
 //! other controllers send, and feeds the leader's state machine while this
 //! controller leads.
 
-pub mod capacity;
+pub(crate) mod capacity;
 mod effects;
 mod handle;
 mod heartbeats;
-pub mod latencies;
+mod latencies;
 mod peer_queries;
 pub mod peers;
 mod requests;
@@ -26,10 +26,11 @@
 use crate::coordination::controller::peers::{PeerState, Peers, RedirectDecision, WorkerRedirects};
 use crate::coordination::election::Role;
 use crate::coordination::fleet::cloud::{Cloud, CloudResult};
-use crate::coordination::jobs::dag::DependencyStates;
+use crate::coordination::jobs::dependency_state::DependencyStates;
 use crate::coordination::jobs::job::ReplyId;
-use crate::coordination::leader::{Effect, Leader, UncheckedSubmission};
-use crate::coordination::recovery::failover::Snapshot;
+use crate::coordination::leader::Leader;
+use crate::coordination::leader::effects::{Effect, OperationId, UncheckedSubmission};
+use crate::coordination::recovery::snapshot::Snapshot;
 use crate::coordination::recovery::snapshot::{self, read_snapshot, reconcile_page};
 use crate::coordination::workers::deferred_replies::{DeferredReplies, DeferredReply};
 use crate::coordination::workers::heartbeats::HeartbeatReply;
@@ -88,12 +89,12 @@
     },
     Committed {
         epoch: u64,
-        operation: u64,
+        operation: OperationId,
         result: Result<u64, KvError>,
     },
     CloudDone {
         epoch: u64,
-        ticket: u64,
+        operation: OperationId,
         result: CloudResult,
     },
     /// A job's record was read for a user.
@@ -356,18 +357,18 @@
                     None => self.read_snapshot(epoch),
                 }
             }
-            InternalEvent::Committed { epoch, operation: ticket, result } => {
+            InternalEvent::Committed { epoch, operation, result } => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.handle_commit_result(now, ticket, result);
+                    leader.handle_commit_result(now, operation, result);
                     if leader.is_fenced() {
                         let _ = self.resigned_epoch.send(epoch);
                         self.step_down();
                     }
                 }
             }
-            InternalEvent::CloudDone { epoch, ticket, result } => {
+            InternalEvent::CloudDone { epoch, operation, result } => {
                 if let Some(leader) = self.leader.as_mut().filter(|l| l.epoch() == epoch) {
-                    leader.handle_cloud_result(now, ticket, result);
+                    leader.handle_cloud_result(now, operation, result);
                 }
             }
             InternalEvent::JobLookedUp { look_up, started, read } => {
--- a/src/coordination/controller/peer_queries.rs
+++ b/src/coordination/controller/peer_queries.rs
@@ -34,7 +34,7 @@
         // need not cover a grace.
         let listed = self.links.len() + 1 >= self.config.settings.cluster.size as usize;
         if let Some(leader) = self.leader.as_mut().filter(|_| listed)
-            && let Some(at) = self.peers.all_idle_since(leader.snapshot_at)
+            && let Some(at) = self.peers.all_idle_since(leader.snapshot_at())
         {
             leader.record_post_lease_graces_over(at);
         }
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::coordination::recovery::failover::JobSnapshot;
+use crate::coordination::recovery::snapshot::JobSnapshot;
 use crate::coordination::tests::{catalog, loaded_job, rented};
 use crate::protocol::jobs::JobState;
 use crate::storage::in_memory_kv::{FakeKvServer, store};
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -1,22 +1,35 @@
-//! How much work there usually is, measured for each group of jobs that may use the
-//! same machines, and what of it later leaders are told.
+//! How much work there usually is, for each group of jobs that may use the same machines.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::coordination::fleet::scale_out::InstanceOffer;
-use crate::coordination::jobs::job::Resources;
-use crate::coordination::leader::Leader;
-use crate::protocol::jobs::{JobId, JobSpec};
-use crate::storage::records::{DemandStatistics, LEARNED_STATISTICS, LearnedStatistics};
+use crate::coordination::fleet::catalog::{Catalog, MachineTypeId};
+use crate::coordination::fleet::instance_offers::InstanceOffer;
+use crate::coordination::jobs::resources::Resources;
+use crate::maps::HashMap;
+use crate::protocol::cloud::MachineType;
+use crate::storage::records::DemandStatistics;
+
+/// Groups whose demand is stored for the next leader at most.
+const MAX_STORED_GROUPS: usize = 32;
+/// Below this mean, in units, a group without work is forgotten.
+const MIN_MEAN: f64 = 0.05;
+/// Tasks that count for one machine at most.
+const MAX_TASKS_PER_MACHINE: u32 = 10_000;
+/// The oldest measurement that is restored, in seconds.
+const MAX_AGE_S: f64 = 1e6;
 
 /// Jobs that may use the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct DemandGroup {
-    pub(crate) machine_types: Vec<usize>,
+    /// The types on which their tasks can run.
+    pub(crate) machine_types: Vec<MachineTypeId>,
+    /// The zone to which they are bound.
     pub(crate) zone: Option<String>,
+    /// Whether they may use spot machines.
     pub(crate) spot: bool,
+    /// Whether they need GPUs, which are then the unit of their demand instead of CPUs.
     pub(crate) gpus: bool,
     /// Its jobs may wait for as long as machines take to boot: nothing is kept
     /// ready for them beyond their usual demand.
@@ -34,6 +47,7 @@
 pub(crate) struct Demand {
     /// Work that would be running now.
     pub(crate) offered_load: f64,
+    /// The mean of that over time.
     pub(crate) mean: f64,
     /// Mean size of a job, and of its square: large jobs come in one piece.
     mean_size: f64,
@@ -41,7 +55,9 @@
     job_count: f64,
     measured_since: Instant,
     sampled_at: Instant,
+    /// Units that are on machines.
     pub(crate) active: f64,
+    /// Units that wait, within the limits of their teams.
     pub(crate) pending: f64,
     /// Since when there has been no work at all.
     pub(crate) idle_since: Option<Instant>,
@@ -111,152 +127,137 @@
     }
 }
 
-impl Leader {
-    pub(crate) fn measure_demand(&mut self, now: Instant) {
-        for demand in self.demand.values_mut() {
-            (demand.offered_load, demand.active, demand.pending, demand.backlog_rate) = (0.0, 0.0, 0.0, 0.0);
-        }
-        let start_delay = self.config.settings.cluster.workers.report().mul_f64(0.5);
-        let ids: Vec<JobId> = self
-            .jobs
-            .values()
-            .filter(|j| j.is_startable() && !j.waits_for_dependencies())
-            .map(|j| j.id().clone())
-            .collect();
-        for id in ids {
-            let Some(job) = self.jobs.get(&id) else { continue };
-            let spec = job.spec();
-            let Some(team) = job.team.and_then(|t| self.teams.get(t)) else { continue };
-            let gpus = spec.gpus > 0.0;
-            let unit = if gpus { spec.gpus } else { spec.cpus };
-            let limit = if gpus { team.limit.gpus } else { team.limit.cpus };
-            let patience = self.max_start_delay(spec);
-            let patient = patience > self.longest_boot().mul_f64(1.5);
-            let types = self.feasible_types(spec);
-            let key = DemandGroup {
-                machine_types: types,
-                zone: spec.zone.clone(),
-                spot: spec.spot,
-                gpus,
-                delay_tolerant: patient,
-            };
-            let shape = Resources::of(spec);
-            let run = self.expected_run_s(spec);
-            let active = unit * job.placements.len() as f64;
-            let pending = unit * f64::from(job.pending());
-            // What waits is to be worked off while, or soon after, what is rented
-            // for it boots, since more would come up to find nothing to do; and
-            // over a longer time if the job's aims leave it.
-            let boot = self.longest_boot();
-            let due = self.latest_start(job, now) + Duration::from_secs_f64(run);
-            let time = due.saturating_duration_since(now).clamp(boot * 2, boot * 4);
-            // What a team asks beyond its limit cannot run at once.
-            let offered = job.offered_load.unwrap_or_else(|| (unit * f64::from(job.unfinished())).min(limit));
-            let arriving = job.offered_load.is_none();
-            let ideal_end = job.waiting_since(now) + Duration::from_secs_f64(run) + start_delay;
-            let runs_ideally = job.is_service() || now < ideal_end;
-            let demand = self.demand.entry(key).or_insert_with(|| Demand::new(now));
-            demand.max_delay = if patient { patience } else { Duration::ZERO };
-            demand.active += active;
-            demand.pending += pending.min(limit);
-            demand.backlog_rate += pending * run / time.as_secs_f64();
-            demand.offered_load += if runs_ideally { offered } else { 0.0 };
-            if arriving {
-                demand.record_arrival(offered);
-                let weight = (offered / (offered + demand.mean_size * 4.0)).clamp(0.0, 1.0);
-                let blend = |old: f64, new: f64| if old > 0.0 { old + (new - old) * weight } else { new };
-                demand.task_shape = Resources {
-                    cpus: blend(demand.task_shape.cpus, shape.cpus),
-                    gpus: blend(demand.task_shape.gpus, shape.gpus),
-                    memory_gb: blend(demand.task_shape.memory_gb, shape.memory_gb),
-                };
-                if let Some(job) = self.jobs.get_mut(&id) {
-                    job.offered_load = Some(offered);
-                }
-            }
+/// What one job adds to the demand of its group.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct JobLoad {
+    /// Units on machines.
+    pub(crate) active: f64,
+    /// Units that wait.
+    pub(crate) pending: f64,
+    /// The most units that its team may use.
+    pub(crate) limit: f64,
+    /// Units that would work off in time what waits.
+    pub(crate) backlog_rate: f64,
+    /// Units that it asked for at once.
+    pub(crate) offered: f64,
+    /// It is measured for the first time.
+    pub(crate) is_new: bool,
+    /// It would still run, had every task started at once.
+    pub(crate) would_be_running: bool,
+    /// How long its group's jobs may wait; nothing if they may not wait for boots.
+    pub(crate) max_delay: Duration,
+    /// What one task takes.
+    pub(crate) task: Resources,
+}
+
+impl Demand {
+    fn add(&mut self, load: &JobLoad) {
+        self.max_delay = load.max_delay;
+        self.active += load.active;
+        self.pending += load.pending.min(load.limit);
+        self.backlog_rate += load.backlog_rate;
+        self.offered_load += if load.would_be_running { load.offered } else { 0.0 };
+        if load.is_new {
+            self.record_arrival(load.offered);
+            self.blend_task_shape(load);
         }
-        let memory = self.longest_boot().mul_f64(self.config.tuning.memory_ratio);
-        let longest = self.config.tuning.begin_within;
-        for demand in self.demand.values_mut() {
-            // Work that may wait evens out by itself for that long: machines that come
-            // and go with each of its jobs would spend their time on booting.
-            demand.sample(now, memory.max(demand.max_delay.min(longest)));
+    }
+
+    /// Moves the typical task towards that of a new job, the more the larger the job is.
+    fn blend_task_shape(&mut self, load: &JobLoad) {
+        let weight = (load.offered / (load.offered + self.mean_size * 4.0)).clamp(0.0, 1.0);
+        let blend = |old: f64, new: f64| if old > 0.0 { old + (new - old) * weight } else { new };
+        self.task_shape = Resources {
+            cpus: blend(self.task_shape.cpus, load.task.cpus),
+            gpus: blend(self.task_shape.gpus, load.task.gpus),
+            memory_gb: blend(self.task_shape.memory_gb, load.task.memory_gb),
+        };
+    }
+
+    /// Units of the group's work that a machine of the type takes.
+    pub(crate) fn units_on(&self, kind: &MachineType, gpus: bool) -> f64 {
+        let tasks = self.task_shape.times_in(&Resources::of_type(kind)).min(MAX_TASKS_PER_MACHINE);
+        f64::from(tasks) * if gpus { self.task_shape.gpus } else { self.task_shape.cpus }
+    }
+}
+
+/// The measured demand of all groups.
+#[derive(Debug, Default)]
+pub(crate) struct DemandTable {
+    groups: HashMap<DemandGroup, Demand>,
+}
+
+impl DemandTable {
+    /// All groups and their demand.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (&DemandGroup, &Demand)> {
+        self.groups.iter()
+    }
+
+    /// A measurement begins: what is there now is counted anew.
+    pub(crate) fn begin_measurement(&mut self) {
+        for demand in self.groups.values_mut() {
+            (demand.offered_load, demand.active, demand.pending, demand.backlog_rate) = (0.0, 0.0, 0.0, 0.0);
         }
-        self.demand.retain(|_, d| d.mean > 0.05 || d.active + d.pending > 0.0);
     }
 
-    /// How long a job may wait for its first aim. The deadline of one that waits for others
-    /// says little of that: most of it may be over when the job is released.
-    fn max_start_delay(&self, spec: &JobSpec) -> Duration {
-        let after_release = self.start_limits_after_ready(spec).min();
-        let by_deadline = self.start_limits_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
-        after_release.into_iter().chain(by_deadline).min().unwrap_or_default()
+    /// Adds one job.
+    pub(crate) fn add(&mut self, now: Instant, group: DemandGroup, load: &JobLoad) {
+        self.groups.entry(group).or_insert_with(|| Demand::new(now)).add(load);
     }
 
-    /// What a later leader could not find out by itself: demand so far and how
-    /// estimates have turned out.
-    pub(crate) fn save_statistics(&mut self, now: Instant) {
-        let groups = self.demand.iter().map(|(key, demand)| {
-            let types =
-                key.machine_types.iter().filter_map(|&t| self.catalog.get(t)).map(|k| k.name.as_str());
-            DemandStatistics {
-                types: types.map(str::to_owned).collect(),
-                zone: key.zone.clone(),
-                spot: key.spot,
-                gpus: key.gpus,
-                delay_tolerant: key.delay_tolerant,
+    /// The measurement ends: it enters the means, which fade over `memory`. Work that may
+    /// wait evens out by itself while it does, for at most `max_delay`: machines that come
+    /// and go with each of its jobs would spend their time on booting.
+    pub(crate) fn end_measurement(&mut self, now: Instant, memory: Duration, max_delay: Duration) {
+        for demand in self.groups.values_mut() {
+            demand.sample(now, memory.max(demand.max_delay.min(max_delay)));
+        }
+        self.groups.retain(|_, demand| demand.mean > MIN_MEAN || demand.active + demand.pending > 0.0);
+    }
+
+    /// What is stored for the next leader, who could not find it out by itself.
+    pub(crate) fn to_stored(&self, now: Instant, catalog: &Catalog) -> Vec<DemandStatistics> {
+        let stored = self.groups.iter().take(MAX_STORED_GROUPS);
+        let name = |id: &MachineTypeId| catalog.get(*id).map(|kind| kind.name.clone());
+        stored
+            .map(|(group, demand)| DemandStatistics {
+                types: group.machine_types.iter().filter_map(name).collect(),
+                zone: group.zone.clone(),
+                spot: group.spot,
+                gpus: group.gpus,
+                delay_tolerant: group.delay_tolerant,
                 mean: demand.mean,
                 mean_size: demand.mean_size,
                 mean_square_size: demand.mean_square_size,
                 job_count: demand.job_count,
                 age_s: now.saturating_duration_since(demand.measured_since).as_secs_f64(),
-            }
-        });
-        let experience = LearnedStatistics {
-            groups: groups.take(32).collect(),
-            runtime_ratios: self.runtime_ratios.iter().take(64).map(|(c, r)| (c.clone(), *r)).collect(),
-        };
-        self.write_singleton(LEARNED_STATISTICS, experience.encode());
+            })
+            .collect()
     }
 
-    /// Takes over what an earlier leader had learnt.
-    pub(crate) fn restore_statistics(&mut self, now: Instant, experience: LearnedStatistics) {
-        self.runtime_ratios = experience.runtime_ratios.into_iter().collect();
-        for group in experience.groups {
-            let types = group.types.iter().map(|name| self.catalog.iter().position(|k| k.name == *name));
-            let Some(types) = types.collect::<Option<Vec<_>>>() else { continue };
+    /// Takes over what an earlier leader has stored; groups of types that are not known
+    /// are left out.
+    pub(crate) fn restore(&mut self, now: Instant, stored: Vec<DemandStatistics>, catalog: &Catalog) {
+        for group in stored {
+            let types = group.types.iter().map(|name| catalog.find(name));
+            let Some(machine_types) = types.collect::<Option<Vec<_>>>() else { continue };
+            let age = Duration::from_secs_f64(group.age_s.min(MAX_AGE_S));
+            let demand = Demand {
+                mean: group.mean,
+                mean_size: group.mean_size,
+                mean_square_size: group.mean_square_size,
+                job_count: group.job_count,
+                measured_since: now.checked_sub(age).unwrap_or(now),
+                ..Demand::new(now)
+            };
             let key = DemandGroup {
-                machine_types: types,
+                machine_types,
                 zone: group.zone,
                 spot: group.spot,
                 gpus: group.gpus,
                 delay_tolerant: group.delay_tolerant,
             };
-            let mut demand = Demand::new(now);
-            demand.mean = group.mean;
-            demand.mean_size = group.mean_size;
-            demand.mean_square_size = group.mean_square_size;
-            demand.job_count = group.job_count;
-            demand.measured_since =
-                now.checked_sub(Duration::from_secs_f64(group.age_s.min(1e6))).unwrap_or(now);
-            self.demand.insert(key, demand);
+            self.groups.insert(key, demand);
         }
     }
-
-    /// How often a spot machine is lost, per second of its life: what was seen,
-    /// beside one loss in one machine's hour to begin with.
-    pub(crate) fn spot_loss_rate(&self) -> f64 {
-        (self.spot_losses + 1.0) / (self.spot_seconds + 3600.0)
-    }
-
-    pub(crate) fn longest_boot(&self) -> Duration {
-        Duration::from_secs_f64(self.catalog.iter().map(|k| k.boot_s).fold(1.0, f64::max))
-    }
-
-    /// Units of a group's work that a machine type takes.
-    pub(crate) fn capacity_units(&self, kind: usize, demand: &Demand, gpus: bool) -> f64 {
-        let Some(kind) = self.catalog.get(kind) else { return 0.0 };
-        let tasks = f64::from(demand.task_shape.times_in(&Resources::of_type(kind)).min(10_000));
-        tasks * if gpus { demand.task_shape.gpus } else { demand.task_shape.cpus }
-    }
 }
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,101 +1,58 @@
-//! The cloud's list of machines. It lags, and one may be older than the one before:
-//! what it shows or leaves out is a reason to look closer, never a proof.
+//! The cloud's inventory of machines, read page by page. It lags, and one reading may be
+//! older than the one before.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::coordination::fleet::machine::Phase;
-use crate::coordination::leader::{CloudQuery, Leader};
 use crate::maps::HashSet;
-use crate::protocol::cloud::{InventoryPage, ListedState};
 use crate::protocol::workers::MachineId;
 
-/// One reading of the machine list, page by page.
+/// One reading of the inventory, page by page.
 #[derive(Debug)]
 pub(crate) struct InventoryScan {
+    /// When its first page was asked for.
     pub(crate) started_at: Instant,
+    /// The machines listed so far.
     pub(crate) seen: HashSet<MachineId>,
 }
 
-impl Leader {
-    /// How old the machine list usually is.
-    pub(crate) fn inventory_lag(&self) -> Duration {
-        Duration::from_secs_f64(self.config.settings.cluster.cloud.list_lag_s.max(1.0))
+/// The reading under way, and when the last one ended.
+#[derive(Debug, Default)]
+pub(crate) struct Inventory {
+    scan: Option<InventoryScan>,
+    read_at: Option<Instant>,
+}
+
+impl Inventory {
+    /// Whether a new reading is due: none is under way, and the last ended longer than
+    /// `interval` ago.
+    pub(crate) fn is_due(&self, now: Instant, interval: Duration) -> bool {
+        self.scan.is_none() && self.read_at.is_none_or(|at| now > at + interval)
+    }
+
+    /// A reading begins.
+    pub(crate) fn begin(&mut self, now: Instant) {
+        self.scan = Some(InventoryScan { started_at: now, seen: HashSet::default() });
+    }
+
+    /// Takes the reading under way, to add a page to it.
+    pub(crate) fn take_scan(&mut self) -> Option<InventoryScan> {
+        self.scan.take()
+    }
+
+    /// The reading goes on with the next page.
+    pub(crate) fn resume(&mut self, scan: InventoryScan) {
+        self.scan = Some(scan);
     }
 
-    pub(crate) fn handle_inventory_page(&mut self, now: Instant, page: InventoryPage) {
-        let Some(mut round) = self.inventory_scan.take() else { return };
-        let mut failed = Vec::new();
-        // A list as old as the takeover may still show what an earlier leader
-        // has deleted.
-        let young = round.started_at >= self.snapshot_at + self.inventory_lag() * 2;
-        for listed in &page.machines {
-            round.seen.insert(listed.machine.clone());
-            match self.machines.get_mut(&listed.machine) {
-                Some(m) => {
-                    m.was_listed = true;
-                    m.missed_listings = 0;
-                    if m.address.is_empty() {
-                        m.address.clone_from(&listed.address);
-                    }
-                    if listed.state == ListedState::Failed && m.phase != Phase::Deleting {
-                        failed.push(m.id.clone());
-                    }
-                }
-                None if !young => {}
-                None => {
-                    self.record_unregistered(
-                        now,
-                        &listed.machine,
-                        &listed.machine_type,
-                        &listed.zone,
-                        listed.spot,
-                    );
-                }
-            }
-        }
-        if !failed.is_empty() {
-            tracing::info!(count = failed.len(), "machines have stopped on their own");
-            self.delete_machines(now, failed);
-        }
-        match page.machines.last() {
-            Some(last) if page.more => {
-                let from = last.machine.as_str().to_owned();
-                self.inventory_scan = Some(round);
-                self.read_cloud(CloudQuery::Machines { from });
-            }
-            _ => {
-                self.inventory_read_at = Some(now);
-                self.delete_unlisted(now, &round);
-            }
-        }
+    /// A page could not be read: the reading begins anew when it is due.
+    pub(crate) fn abort(&mut self) {
+        self.scan = None;
     }
 
-    /// A machine that was listed and is no more is gone, unless the list is
-    /// older than an earlier one. Its deletion proves it, and costs nothing.
-    pub(crate) fn delete_unlisted(&mut self, now: Instant, round: &InventoryScan) {
-        let cluster = &self.config.settings.cluster;
-        let lag = Duration::from_secs_f64(cluster.cloud.list_lag_s);
-        let quiet = cluster.workers.report().mul_f64(1.5);
-        let loaded_at = self.snapshot_at;
-        let mut lost = Vec::new();
-        for m in self.machines.values_mut() {
-            if round.seen.contains(&m.id) || m.phase == Phase::Deleting {
-                continue;
-            }
-            let old_enough = m.was_listed || m.requested_at + lag * 4 < round.started_at;
-            let silent = m.heartbeat_at.unwrap_or(loaded_at) + quiet < now;
-            if old_enough && silent {
-                m.missed_listings += 1;
-                if m.missed_listings >= 2 {
-                    lost.push(m.id.clone());
-                }
-            }
-        }
-        if !lost.is_empty() {
-            tracing::info!(count = lost.len(), "machines are not listed any more");
-            self.delete_machines(now, lost);
-        }
+    /// The reading has ended with its last page.
+    pub(crate) fn complete(&mut self, now: Instant) {
+        self.read_at = Some(now);
     }
 }
--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -5,13 +5,14 @@
 
 use tokio::time::Instant;
 
-use crate::coordination::jobs::job::{Resources, Slot, SlotKey};
-use crate::coordination::leader::Effect;
+use crate::coordination::fleet::catalog::MachineTypeId;
+use crate::coordination::jobs::job::{Slot, SlotKey};
+use crate::coordination::jobs::resources::Resources;
+use crate::coordination::leader::effects::Effect;
 use crate::maps::HashMap;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobSpec};
 use crate::protocol::workers::{Command, MachineId};
-use crate::storage::records::NodePoolRecord;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
@@ -63,7 +64,7 @@
 #[derive(Debug)]
 pub struct Machine {
     pub id: MachineId,
-    pub machine_type: usize,
+    pub machine_type: MachineTypeId,
     pub zone: String,
     pub spot: bool,
     /// The fleet record it stands in.
@@ -162,28 +163,3 @@
             && self.preempted_at.is_none()
     }
 }
-
-/// A fleet record and the state of its writing.
-#[derive(Debug)]
-pub struct NodePool {
-    pub record: NodePoolRecord,
-    pub version: u64,
-    pub write_in_flight: bool,
-    pub rewrite_needed: bool,
-    /// The cloud is being asked.
-    pub request_in_flight: bool,
-    pub requested_at: Instant,
-}
-
-impl NodePool {
-    pub fn new(record: NodePoolRecord, version: u64, now: Instant) -> Self {
-        NodePool {
-            record,
-            version,
-            write_in_flight: false,
-            rewrite_needed: false,
-            request_in_flight: false,
-            requested_at: now,
-        }
-    }
-}
--- a/src/coordination/fleet/registry.rs
+++ b/src/coordination/fleet/registry.rs
@@ -1,50 +1,41 @@
 //! The machines of the fleet: their types, how they are entered, and when they are
 //! returned.
 
-use std::collections::BTreeMap;
 use std::time::Duration;
 
-use ciborium::value::Value;
 use tokio::time::Instant;
 
 use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
-use crate::coordination::fleet::inventory::InventoryScan;
-use crate::coordination::fleet::machine::{Machine, NodePool, Phase};
-use crate::coordination::jobs::job::Resources;
-use crate::coordination::leader::{CloudQuery, Leader, PendingOperation};
+use crate::coordination::fleet::cloud_health::CLOUD_RETRY_PAUSE;
+use crate::coordination::fleet::machine::{Machine, Phase};
+use crate::coordination::fleet::node_pool::NodePool;
+use crate::coordination::fleet::unregistered::PoolShape;
+use crate::coordination::leader::Leader;
+use crate::coordination::leader::effects::{CloudQuery, PendingOperation};
 use crate::maps::HashSet;
-use crate::protocol::cbor::json_size;
 use crate::protocol::cloud::{
     MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST, MachineType, NodePoolRequest, encode_catalog,
 };
-use crate::protocol::kv::{Change, Compare};
 use crate::protocol::workers::MachineId;
-use crate::storage::kv::RequestClass;
 use crate::storage::records::{CATALOG, NodePoolRecord};
 
 /// The cloud bills at least this much of a machine.
 const MIN_BILLED: Duration = Duration::from_secs(60);
-/// After the cloud has failed, what must be repeated waits this long.
-const CLOUD_RETRY_PAUSE: Duration = Duration::from_secs(2);
 
 impl Leader {
-    pub(crate) fn request_catalog(&mut self) {
-        self.read_cloud(CloudQuery::Catalog);
-    }
-
     pub(crate) fn apply_cloud_result(&mut self, now: Instant, ticket: PendingOperation, result: CloudResult) {
         if result == Err(CloudError::Failed) {
-            self.cloud_failed_at = Some(now);
+            self.cloud_health.record_failure(now);
         }
         match (ticket, result) {
             (PendingOperation::ReadCatalog, Ok(CloudReply::Catalog(types))) => {
                 self.update_catalog(now, types)
             }
-            (PendingOperation::ReadCatalog, _) => self.catalog_read_at = Some(now),
+            (PendingOperation::ReadCatalog, _) => self.catalog.record_failed_read(now),
             (PendingOperation::ListMachines, Ok(CloudReply::List(page))) => {
                 self.handle_inventory_page(now, page)
             }
-            (PendingOperation::ListMachines, _) => self.inventory_scan = None,
+            (PendingOperation::ListMachines, _) => self.inventory.abort(),
             (PendingOperation::ProvisionNodePool(name), result) => {
                 self.handle_node_pool_provisioned(now, &name, result)
             }
@@ -63,78 +54,39 @@
         }
     }
 
-    /// Types keep their place, so that machines can refer to them by number.
+    /// Takes over the cloud's machine types. They are kept in the store, so that a failover
+    /// while the cloud is down can tell what its machines are.
     pub(crate) fn update_catalog(&mut self, now: Instant, types: Vec<MachineType>) {
-        self.catalog_read_at = Some(now);
-        let first = self.catalog.is_empty();
-        // Kept in the store, so that a takeover while the cloud is down can
-        // tell what its machines are. Prices move; they are not worth a write.
-        let shape = |k: &MachineType| MachineType { price: 0.0, spot_price: 0.0, ..k.clone() };
-        let changed = types.iter().any(|t| !self.catalog.iter().any(|k| shape(k) == shape(t)));
-        for kind in types {
-            match self.catalog.iter_mut().find(|k| k.name == kind.name) {
-                Some(known) => *known = kind,
-                None => self.catalog.push(kind),
-            }
+        let change = self.catalog.update(now, types);
+        if change.has_changed {
+            self.write_singleton(CATALOG, encode_catalog(self.catalog.types()));
         }
-        if changed {
-            self.write_catalog();
-        }
-        if first && !self.catalog.is_empty() {
+        if change.is_first {
             self.register_all_machines(now);
         }
     }
 
     /// Enters all recorded machines, once their types are known.
     pub(crate) fn register_all_machines(&mut self, now: Instant) {
-        let rentals: Vec<String> = self.node_pools.keys().cloned().collect();
-        for name in rentals {
+        for name in self.node_pools.names() {
             self.register_pool_machines(now, &name);
         }
         self.check_failover_complete();
     }
 
-    fn write_catalog(&mut self) {
-        self.write_singleton(CATALOG, encode_catalog(&self.catalog));
-    }
-
-    /// Writes one of the notes that leaders keep for the next, unless its last
-    /// write is still under way or it does not fit.
-    pub(crate) fn write_singleton(&mut self, key: &'static str, value: Value) {
-        let limit = self.config.settings.cluster.state.within_both().value_bytes();
-        let note = self.singleton_keys.entry(key).or_default();
-        if note.write_in_flight || json_size(&value) + 64 > limit {
-            return;
-        }
-        note.write_in_flight = true;
-        let condition = Compare { key: key.to_owned(), version: note.version };
-        let change = Change::Put { key: key.to_owned(), value, lease: None };
-        self.commit(
-            PendingOperation::WriteSingleton(key),
-            RequestClass::Background,
-            vec![condition],
-            vec![change],
-        );
-    }
-
-    /// A machine type's number; one that no machine has, if it is not known.
-    pub(crate) fn machine_type_index(&self, name: &str) -> usize {
-        self.catalog.iter().position(|k| k.name == name).unwrap_or(usize::MAX)
-    }
-
     /// Enters the machines of a fleet record into the picture.
     pub(crate) fn register_pool_machines(&mut self, now: Instant, name: &str) {
         let Some(rental) = self.node_pools.get(name) else { return };
         let request = rental.record.request.clone();
         let used = rental.record.machines_used.clone();
         let ids = rental.record.machines.clone().unwrap_or_default();
-        let kind = self.machine_type_index(&request.machine_type);
+        let kind = self.catalog.id_of(&request.machine_type);
         // One that had tasks has booted and worked before this epoch: what is
         // billed at the least is behind it. Counted from each takeover anew, it
         // kept hundreds of idle machines where leaders followed one another.
         let worked = now.checked_sub(MIN_BILLED).unwrap_or(now);
         for id in ids {
-            if self.machines.contains_key(&id) || self.tombstones.contains(&id) {
+            if self.machines.contains(&id) || self.machines.is_deleted(&id) {
                 continue;
             }
             let was_used = used.contains(&id);
@@ -163,7 +115,7 @@
                 stops_pushed_at: None,
                 preempted_at: None,
                 slots: Default::default(),
-                free: self.catalog.get(kind).map(Resources::of_type).unwrap_or_default(),
+                free: self.catalog.resources(kind),
                 has_orphan_tasks: false,
                 images: Default::default(),
                 failures: Vec::new(),
@@ -177,10 +129,10 @@
                 unneeded_since: None,
                 draining: false,
             };
-            self.machines.insert(id, machine);
+            self.machines.insert(machine);
             if was_used {
                 // What unheard machines may hold is counted with the queue's order.
-                self.queue_ordered_at = None;
+                self.queue.invalidate();
             }
         }
     }
@@ -196,7 +148,7 @@
         zone: &str,
         spot: bool,
     ) {
-        if self.catalog.is_empty() || self.tombstones.contains(id) || self.unregistered.contains_key(id) {
+        if self.catalog.is_empty() || self.machines.is_deleted(id) || self.unregistered.contains(id) {
             return;
         }
         // It may be of a request whose answer is still on its way.
@@ -207,9 +159,8 @@
         if self.node_pools.values().any(asked) {
             return;
         }
-        let option = (kind.to_owned(), zone.to_owned(), spot);
-        self.unregistered.insert(id.clone(), option);
-        self.unregistered_since.get_or_insert(now);
+        let shape = PoolShape { machine_type: kind.to_owned(), zone: zone.to_owned(), spot };
+        self.unregistered.add(now, id.clone(), shape);
     }
 
     /// Enters the machines that were not expected, each kind in one record. No
@@ -217,21 +168,12 @@
     /// at once that they are used, which saves the write before their first start.
     pub(crate) fn register_unregistered(&mut self, now: Instant) {
         let wait = self.config.settings.cluster.workers.report() / 4;
-        if self.unregistered_since.is_none_or(|since| now < since + wait) {
-            return;
-        }
-        self.unregistered_since = None;
-        let mut groups: BTreeMap<(String, String, bool), Vec<MachineId>> = BTreeMap::new();
-        for (id, option) in std::mem::take(&mut self.unregistered) {
-            if !self.machines.contains_key(&id) && !self.tombstones.contains(&id) {
-                groups.entry(option).or_default().push(id);
-            }
-        }
-        for ((machine_type, zone, spot), ids) in groups {
+        for (shape, mut ids) in self.unregistered.take_due(now, wait) {
+            ids.retain(|id| !self.machines.contains(id) && !self.machines.is_deleted(id));
+            let PoolShape { machine_type, zone, spot } = shape;
             let most = self.max_machines_per_pool(ids.iter().map(|id| id.as_str().len()).max());
             for ids in ids.chunks(most as usize) {
-                self.last_node_pool += 1;
-                let name = format!("x-{}-{}", self.epoch, self.last_node_pool);
+                let name = self.node_pools.next_unregistered_name(self.epoch());
                 tracing::info!(count = ids.len(), %machine_type, %zone, spot, "machines that were not expected");
                 let request = NodePoolRequest {
                     name: name.clone(),
@@ -245,7 +187,7 @@
                     machines: Some(ids.to_vec()),
                     machines_used: Default::default(),
                 };
-                self.node_pools.insert(name.clone(), NodePool::new(record, 0, now));
+                self.node_pools.insert(NodePool::new(record, 0, now));
                 self.register_pool_machines(now, &name);
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
@@ -269,7 +211,7 @@
         /// No machine is known yet: longer than any name so far.
         const UNKNOWN_NAME: usize = 16;
         let value = self.config.settings.cluster.state.within_both().value_bytes();
-        let known = || self.machines.keys().next_back().map(|id| id.as_str().len());
+        let known = || self.machines.last_name().map(|id| id.as_str().len());
         let name = longest_name.or_else(known).unwrap_or(UNKNOWN_NAME);
         let fits = value.saturating_sub(BESIDE_LISTS) / (2 * (name + AROUND_NAME));
         u32::try_from(fits).unwrap_or(MAX_MACHINES_PER_REQUEST).clamp(1, MAX_MACHINES_PER_REQUEST)
@@ -279,15 +221,7 @@
         for id in machines {
             // The answer proves that the machine and all on it are gone.
             self.clear_slots(now, id);
-            let Some(m) = self.machines.remove(id) else { continue };
-            if self.tombstones.insert(id.clone()) {
-                self.tombstone_order.push_back(id.clone());
-            }
-            while self.tombstone_order.len() > self.max_tombstones {
-                if let Some(old) = self.tombstone_order.pop_front() {
-                    self.tombstones.remove(&old);
-                }
-            }
+            let Some(m) = self.machines.remove_deleted(id) else { continue };
             if let Some(rental) = self.node_pools.get_mut(&m.node_pool) {
                 if let Some(list) = &mut rental.record.machines {
                     list.retain(|other| other != id);
@@ -301,7 +235,7 @@
 
     /// Has machines deleted, unless this leader may not decide that any more.
     pub(crate) fn delete_machines(&mut self, now: Instant, machines: Vec<MachineId>) {
-        let Ok(permit) = self.term().leader_permit(now) else { return };
+        let Ok(permit) = self.term.leader_permit(now) else { return };
         for chunk in machines.chunks(MAX_MACHINES_PER_DELETION) {
             for id in chunk {
                 if let Some(m) = self.machines.get_mut(id) {
@@ -309,7 +243,7 @@
                     m.deletion_in_flight = true;
                 }
             }
-            self.change_cloud(
+            self.outbox.change_cloud(
                 permit,
                 PendingOperation::DeleteMachines(chunk.to_vec()),
                 CloudCall::Delete(chunk.to_vec()),
@@ -317,25 +251,19 @@
         }
     }
 
-    /// Whether the cloud has failed a moment ago.
-    pub(crate) fn cloud_is_down(&self, now: Instant) -> bool {
-        self.cloud_failed_at.is_some_and(|at| now < at + Duration::from_secs(10))
-    }
-
     /// Once a second.
     pub(crate) fn autoscale(&mut self, now: Instant) {
         let lag = self.inventory_lag();
         let catalog_age = if self.catalog.is_empty() { Duration::from_secs(1) } else { lag * 10 };
-        let asked = self.pending_operations.values().any(|t| matches!(t, PendingOperation::ReadCatalog));
-        if !asked && self.catalog_read_at.is_none_or(|at| now > at + catalog_age) {
-            self.request_catalog();
+        if !self.outbox.is_reading_catalog() && self.catalog.is_older_than(now, catalog_age) {
+            self.outbox.read_cloud(CloudQuery::Catalog);
         }
         if self.catalog.is_empty() {
             return;
         }
-        if self.inventory_scan.is_none() && self.inventory_read_at.is_none_or(|at| now > at + lag) {
-            self.inventory_scan = Some(InventoryScan { started_at: now, seen: HashSet::default() });
-            self.read_cloud(CloudQuery::Machines { from: String::new() });
+        if self.inventory.is_due(now, lag) {
+            self.inventory.begin(now);
+            self.outbox.read_cloud(CloudQuery::Machines { from: String::new() });
         }
         let unresolved: Vec<String> = self
             .node_pools
@@ -347,14 +275,15 @@
         for name in unresolved {
             self.provision_node_pool(now, &name);
         }
-        self.spot_seconds += self.machines.values().filter(|m| m.spot && m.phase == Phase::Up).count() as f64;
+        let spot_machines = self.machines.values().filter(|m| m.spot && m.phase == Phase::Up).count();
+        self.autoscaler.spot_losses.record_second(spot_machines);
         self.measure_demand(now);
-        let boot = self.longest_boot();
-        if now > self.statistics_saved_at + boot / 5 {
-            self.statistics_saved_at = now;
+        let boot = self.catalog.longest_boot();
+        if now > self.autoscaler.statistics_saved_at + boot / 5 {
+            self.autoscaler.statistics_saved_at = now;
             self.save_statistics(now);
         }
-        self.record_liveness(now);
+        self.liveness.record(now, &self.config, &self.machines);
         let wanted = self.scale_out(now);
         for m in self.machines.values_mut() {
             m.needed = wanted.contains(&m.id);
@@ -367,8 +296,8 @@
     /// Returns what is idle and not wanted, and what is of no use any more.
     fn scale_in(&mut self, now: Instant, wanted: &HashSet<MachineId>) {
         let tuning = &self.config.tuning;
-        let silence = self.failure_detector(now);
-        let cloud_down = self.cloud_is_down(now);
+        let silence = self.liveness.detector(now, &self.config, &self.machines);
+        let cloud_down = self.cloud_health.is_down(now);
         let mut back = Vec::new();
         for m in self.machines.values() {
             let boot =
@@ -390,14 +319,16 @@
             };
             if m.phase == Phase::Deleting {
                 // Perhaps not carried out: asked again, but not all the time.
-                let pause = self.cloud_failed_at.is_some_and(|at| now < at + CLOUD_RETRY_PAUSE);
+                let pause = self.cloud_health.is_pausing(now);
                 if !m.deletion_in_flight && !pause {
                     back.push(m.id.clone());
                 }
             } else if let Some(reason) = reason {
                 let lost = reason == "silent" || m.preempted_at.is_some();
-                self.spot_losses += f64::from(u8::from(m.spot && lost && m.phase == Phase::Up));
-                tracing::info!(epoch = self.epoch, machine = %m.id, reason, "returning");
+                if m.spot && lost && m.phase == Phase::Up {
+                    self.autoscaler.spot_losses.record_loss();
+                }
+                tracing::info!(epoch = self.term.epoch(), machine = %m.id, reason, "returning");
                 back.push(m.id.clone());
             }
         }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,34 +1,24 @@
-//! Renting machines: demand is covered with those that are there, the cheapest first,
-//! and what is missing is asked of the cloud. A rental is recorded before it is asked
-//! for, and asked again under its own name until it is answered.
-
-use std::time::Duration;
+//! Scaling out: demand is covered with the machines that are there, the cheapest first, and
+//! what is missing is asked of the cloud in new node pools.
 
 use tokio::time::Instant;
 
-use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
+use crate::coordination::fleet::catalog::MachineTypeId;
 use crate::coordination::fleet::demand::{Demand, DemandGroup};
-use crate::coordination::fleet::machine::{NodePool, Phase};
-use crate::coordination::leader::{Leader, PendingOperation};
+use crate::coordination::fleet::instance_offers::InstanceOffer;
+use crate::coordination::fleet::machine::Phase;
+use crate::coordination::leader::Leader;
 use crate::maps::HashSet;
-use crate::protocol::cloud::{MachineType, NodePoolRequest};
+use crate::protocol::cloud::MachineType;
 use crate::protocol::workers::MachineId;
-use crate::storage::kv::KvError;
-use crate::storage::records::NodePoolRecord;
-
-/// What the cloud rents out: a machine type in a zone, as a spot machine or not.
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct InstanceOffer {
-    pub(crate) machine_type: usize,
-    pub(crate) zone: String,
-    pub(crate) spot: bool,
-}
 
-/// A number of machines to be rented.
+/// A number of machines to be asked of the cloud.
 #[derive(Debug)]
-struct ScaleOutRequest {
-    offer: InstanceOffer,
-    count: u32,
+pub(crate) struct ScaleOutRequest {
+    /// What is asked for.
+    pub(crate) offer: InstanceOffer,
+    /// How many machines.
+    pub(crate) count: u32,
 }
 
 /// Machines that demand can count on, and how many of them no group has taken yet.
@@ -43,13 +33,6 @@
 /// Part of a machine that may be missing without renting another.
 const TOLERATED_SHORTFALL: f64 = 0.05;
 
-/// When an offer may be tried again after a refusal.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct Backoff {
-    until: Instant,
-    wait: Duration,
-}
-
 /// Whether so many of all are the exception, and to be believed.
 fn is_minority(count: usize, all: usize) -> bool {
     count * 2 <= all.max(1) || count <= 2
@@ -60,7 +43,7 @@
     /// what is missing. Returns the machines that are wanted.
     pub(crate) fn scale_out(&mut self, now: Instant) -> HashSet<MachineId> {
         let mut groups: Vec<(DemandGroup, Demand)> =
-            self.demand.iter().map(|(k, d)| (k.clone(), d.clone())).collect();
+            self.autoscaler.demand.iter().map(|(k, d)| (k.clone(), d.clone())).collect();
         // Those with the fewest choices first.
         groups.sort_by_key(|(k, _)| (k.machine_types.len(), k.zone.is_none(), k.spot, k.clone()));
         let mut present = self.present_supply(now);
@@ -84,7 +67,7 @@
     /// What does not hear us does no work, and goes back once it is empty; unless it is
     /// most of them, when the fault is more likely on this side.
     fn present_supply(&self, now: Instant) -> Vec<(MachineId, Supply)> {
-        let silence = self.failure_detector(now);
+        let silence = self.liveness.detector(now, &self.config, &self.machines);
         let doubted = self.machines.values().filter(|m| m.one_way_partitioned).count();
         let trust_doubt = is_minority(doubted, self.machines.len());
         let mut present: Vec<(MachineId, Supply)> = self
@@ -119,7 +102,7 @@
             .filter(|rental| rental.record.machines.is_none())
             .map(|rental| {
                 let request = &rental.record.request;
-                let kind = self.machine_type_index(&request.machine_type);
+                let kind = self.catalog.id_of(&request.machine_type);
                 let offer =
                     InstanceOffer { machine_type: kind, zone: request.zone.clone(), spot: request.spot };
                 Supply { offer, unclaimed: f64::from(request.count) }
@@ -128,7 +111,7 @@
     }
 
     /// The price of a CPU, by which machines are compared.
-    pub(crate) fn price_per_cpu(&self, kind: usize, spot: bool) -> f64 {
+    pub(crate) fn price_per_cpu(&self, kind: MachineTypeId, spot: bool) -> f64 {
         self.catalog.get(kind).map_or(f64::MAX, |kind| self.weighted_price(kind, spot) / kind.cpus.max(1.0))
     }
 
@@ -150,7 +133,7 @@
         let at_once = demand.active + demand.pending;
         // Nothing has come for as long as a machine takes to boot: what is kept warm
         // costs more than it saves.
-        let quiet = demand.idle_since.is_some_and(|since| now > since + self.longest_boot());
+        let quiet = demand.idle_since.is_some_and(|since| now > since + self.catalog.longest_boot());
         let need = if quiet { 0.0 } else { usual.max(backlog.min(at_once)) };
         tracing::debug!(
             spot = key.spot,
@@ -179,7 +162,7 @@
             if *need <= 0.0 {
                 break;
             }
-            let units = self.capacity_units(supply.offer.machine_type, demand, key.gpus);
+            let units = self.units_on(supply.offer.machine_type, demand, key);
             if supply.unclaimed <= 0.0 || units <= 0.0 || !key.allows(&supply.offer) {
                 continue;
             }
@@ -206,7 +189,7 @@
         coming: &mut [Supply],
     ) {
         for supply in coming {
-            let units = self.capacity_units(supply.offer.machine_type, demand, key.gpus);
+            let units = self.units_on(supply.offer.machine_type, demand, key);
             if *need + ordinary > 0.0 && units > 0.0 && key.allows(&supply.offer) {
                 let taken = ((*need + ordinary) / units).min(supply.unclaimed);
                 supply.unclaimed -= taken;
@@ -230,8 +213,7 @@
             let rentals = self.config.settings.cluster.cloud.rps.max(1.0) as usize;
             for _ in 0..rentals.saturating_sub(orders.len()).max(1) {
                 let Some(order) = self.choose_offer(now, key, demand, need, orders) else { break };
-                need -=
-                    f64::from(order.count) * self.capacity_units(order.offer.machine_type, demand, key.gpus);
+                need -= f64::from(order.count) * self.units_on(order.offer.machine_type, demand, key);
                 orders.push(order);
             }
         } else if key.spot && need + ordinary > 0.0 {
@@ -256,7 +238,7 @@
         let mut best: Option<(f64, usize, ScaleOutRequest)> = None;
         for &at in &key.machine_types {
             let kind = self.catalog.get(at)?;
-            let units = self.capacity_units(at, demand, key.gpus);
+            let units = self.units_on(at, demand, key);
             if units <= 0.0 {
                 continue;
             }
@@ -286,6 +268,11 @@
         best.map(|(_, _, order)| order)
     }
 
+    /// Units of a group's work that a machine of the type takes; none if it is not known.
+    fn units_on(&self, machine_type: MachineTypeId, demand: &Demand, group: &DemandGroup) -> f64 {
+        self.catalog.get(machine_type).map_or(0.0, |kind| demand.units_on(kind, group.gpus))
+    }
+
     /// Whether the offer is being asked for, or was refused a moment ago.
     fn is_unavailable(&self, now: Instant, offer: &InstanceOffer, chosen: &[ScaleOutRequest]) -> bool {
         chosen.iter().any(|order| order.offer == *offer)
@@ -296,104 +283,6 @@
                     && request.spot == offer.spot
                     && self.catalog.get(offer.machine_type).is_some_and(|k| k.name == request.machine_type)
             })
-            || self.backoff.get(offer).is_some_and(|b| now < b.until)
-    }
-
-    /// Records a rental; it is asked for once the record is written.
-    fn create_node_pool(&mut self, now: Instant, order: ScaleOutRequest) {
-        let ScaleOutRequest { offer: InstanceOffer { machine_type: kind, zone, spot }, count } = order;
-        let Some(machine_type) = self.catalog.get(kind).map(|k| k.name.clone()) else { return };
-        self.last_node_pool += 1;
-        // Epoch and counter: never used twice, by whichever controller.
-        let name = format!("{}-{}", self.epoch, self.last_node_pool);
-        tracing::info!(rental = %name, %machine_type, %zone, spot, count, "renting");
-        let request = NodePoolRequest { name: name.clone(), machine_type, zone, spot, count };
-        let record = NodePoolRecord { request, machines: None, machines_used: Default::default() };
-        self.node_pools.insert(name.clone(), NodePool::new(record, 0, now));
-        self.write_node_pool(&name);
-    }
-
-    pub(crate) fn handle_node_pool_written(
-        &mut self,
-        now: Instant,
-        name: String,
-        result: Result<u64, KvError>,
-    ) {
-        let Some(rental) = self.node_pools.get_mut(&name) else { return };
-        rental.write_in_flight = false;
-        match result {
-            Ok(version) => rental.version = version,
-            Err(KvError::Fenced) => return,
-            Err(error) => {
-                tracing::error!(rental = %name, ?error, "a fleet record cannot be written");
-                rental.write_in_flight = true;
-                return;
-            }
-        }
-        if rental.rewrite_needed {
-            // What was marked since is not recorded yet; wait for the next.
-            return self.write_node_pool(&name);
-        }
-        if rental.record.machines.as_ref().is_some_and(Vec::is_empty) {
-            self.node_pools.remove(&name);
-            return;
-        }
-        for id in rental.record.machines_used.clone() {
-            if let Some(m) = self.machines.get_mut(&id) {
-                m.use_recorded = true;
-                m.use_record_in_flight = false;
-            }
-        }
-        if self.node_pools.get(&name).is_some_and(|h| h.record.machines.is_none()) {
-            self.provision_node_pool(now, &name);
-        }
-    }
-
-    pub(crate) fn provision_node_pool(&mut self, now: Instant, name: &str) {
-        let Ok(permit) = self.term().leader_permit(now) else { return };
-        let Some(rental) = self.node_pools.get_mut(name) else { return };
-        if rental.request_in_flight || rental.version == 0 {
-            return;
-        }
-        rental.request_in_flight = true;
-        rental.requested_at = now;
-        let request = rental.record.request.clone();
-        self.change_cloud(
-            permit,
-            PendingOperation::ProvisionNodePool(name.to_owned()),
-            CloudCall::Provision(request),
-        );
-    }
-
-    pub(crate) fn handle_node_pool_provisioned(&mut self, now: Instant, name: &str, result: CloudResult) {
-        let Some(rental) = self.node_pools.get_mut(name) else { return };
-        rental.request_in_flight = false;
-        rental.requested_at = now;
-        let request = rental.record.request.clone();
-        let short = match result {
-            Ok(CloudReply::Provisioned(machines)) => {
-                let short = (machines.len() as u32) < request.count;
-                rental.record.machines = Some(machines);
-                short
-            }
-            Err(CloudError::NoCapacity | CloudError::Rejected) => {
-                rental.record.machines = Some(Vec::new());
-                true
-            }
-            // Unknown: the same request again, which then tells what it got.
-            _ => return,
-        };
-        let kind = self.machine_type_index(&request.machine_type);
-        let offer = InstanceOffer { machine_type: kind, zone: request.zone.clone(), spot: request.spot };
-        self.write_node_pool(name);
-        self.register_pool_machines(now, name);
-        if short {
-            let boot = self.catalog.get(kind).map_or(30.0, |k| k.boot_s).max(1.0);
-            let first = Duration::from_secs_f64(boot / 2.0);
-            let wait = self.backoff.get(&offer).map_or(first, |b| (b.wait * 2).min(first * 2));
-            self.backoff.insert(offer, Backoff { until: now + wait, wait });
-        } else {
-            self.backoff.remove(&offer);
-        }
+            || self.autoscaler.backoffs.is_backing_off(now, offer)
     }
 }
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -5,10 +5,14 @@
 use tokio::time::Instant;
 
 use crate::coordination::authority::answers::Answer;
-use crate::coordination::jobs::dag::{DependencyCheck, DependencyStates};
+use crate::coordination::jobs::admissions::PendingAdmission;
+use crate::coordination::jobs::dag::DependencyCheck;
 use crate::coordination::jobs::dependency_graph::Cancellation;
-use crate::coordination::jobs::job::{Job, ReplyId, Resources};
-use crate::coordination::leader::{Effect, Leader, PendingAdmission, PendingOperation, UncheckedSubmission};
+use crate::coordination::jobs::dependency_state::DependencyStates;
+use crate::coordination::jobs::job::{Job, ReplyId};
+use crate::coordination::jobs::resources::Resources;
+use crate::coordination::leader::Leader;
+use crate::coordination::leader::effects::{Effect, PendingOperation, UncheckedSubmission};
 use crate::protocol::cbor::json_size;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
 use crate::protocol::kv::{Change, Compare};
@@ -48,12 +52,12 @@
         if self.jobs.contains_key(&spec.id) {
             let Some(answer) = self.poll(now, &spec.id) else {
                 let otherwise = Answer::retry_later(503, "try again", 1);
-                return self.effects.push(Effect::LookUpJob { to, job: spec.id, if_absent: otherwise });
+                return self.outbox.push(Effect::LookUpJob { reply: to, job: spec.id, if_absent: otherwise });
             };
             return self.reply(to, answer);
         }
-        if let Some(creating) = self.pending_admissions.get_mut(&spec.id) {
-            return creating.waiters.push(to);
+        if let Some(admission) = self.admissions.get_mut(&spec.id) {
+            return admission.waiters.push(to);
         }
         if self.catalog.is_empty() {
             return self.reply(to, Answer::retry_later(503, "machine types not known yet", 1));
@@ -62,7 +66,7 @@
             DependencyCheck::Known { unmet: awaited, cancellation: fate } => (awaited, fate),
             DependencyCheck::Unread(unread) => {
                 let submission = UncheckedSubmission { reply: to, spec, unread, known: read };
-                return self.effects.push(Effect::ReadDependencies(Box::new(submission)));
+                return self.outbox.push(Effect::ReadDependencies(Box::new(submission)));
             }
             DependencyCheck::Undetermined(reason) => {
                 return self.reply(to, Answer::retry_later(503, reason, 1));
@@ -74,10 +78,10 @@
         }
         // Acceptances take two changes each. What could not be written within
         // a second or two is refused now rather than kept waiting.
-        let room = (self.state_limits.write_rps / 2.0).max(4.0) as usize;
+        let room = (self.record_writes.limits().write_rps / 2.0).max(4.0) as usize;
         let most_jobs = (self.config.settings.cluster.limits.memory_mb * 32.0) as usize;
-        if self.pending_admissions.len() >= room || self.jobs.len() >= most_jobs {
-            self.submissions_refused += 1;
+        if self.admissions.len() >= room || self.jobs.len() >= most_jobs {
+            self.admissions.record_refused();
             return self.reply(to, Answer::retry_later(429, "too many submissions at once", 2));
         }
         self.write_admission(now, now_ms, to, spec, awaited, fate);
@@ -118,7 +122,7 @@
             Change::Put { key: live_row_key(&job), value: encode_row(JobState::Queued), lease: None },
         ];
         self.add_to_dependency_graph(&record.spec, now, awaited, fate);
-        self.pending_admissions.insert(job.clone(), PendingAdmission { record, waiters: vec![to] });
+        self.admissions.begin(job.clone(), PendingAdmission { record, waiters: vec![to] });
         self.commit(PendingOperation::AdmitJob(job), RequestClass::Admission, conditions, changes);
     }
 
@@ -126,17 +130,17 @@
     /// judged anew.
     fn reject_unless_admitted(&mut self, to: ReplyId, job: JobId, reason: &str) {
         let otherwise = Answer::error(422, reason);
-        self.effects.push(Effect::LookUpJob { to, job, if_absent: otherwise });
+        self.outbox.push(Effect::LookUpJob { reply: to, job, if_absent: otherwise });
     }
 
     /// Why no machine will ever take the job.
     fn infeasibility(&self, spec: &JobSpec) -> Option<&'static str> {
-        let Some(&team) = self.team_index.get(&spec.team) else { return Some("unknown team") };
-        if self.feasible_types(spec).is_empty() {
+        let Some(team) = self.quotas.find(&spec.team) else { return Some("unknown team") };
+        if self.catalog.feasible_types(spec).is_empty() {
             return Some("a task fits no allowed machine type");
         }
         let tasks = if spec.kind == JobKind::Service { f64::from(spec.tasks) } else { 1.0 };
-        let limit = self.teams[team].limit;
+        let limit = self.quotas.get(team).limit;
         let total = Resources { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memory_gb: 0.0 };
         if total.fits(&limit) { None } else { Some("needs more than the team's limit") }
     }
@@ -147,12 +151,12 @@
         job: JobId,
         result: Result<u64, KvError>,
     ) {
-        let Some(PendingAdmission { record, waiters: waiting }) = self.pending_admissions.remove(&job) else {
+        let Some(PendingAdmission { record, waiters: waiting }) = self.admissions.end(&job) else {
             return;
         };
         match result {
             Ok(version) => {
-                let waited_ms = self.wall_ms(now).saturating_sub(record.submitted_ms);
+                let waited_ms = self.clock.at_ms(now).saturating_sub(record.submitted_ms);
                 tracing::debug!(%job, waited_ms, "accepted");
                 self.insert_job(now, record, version);
                 if self.dependencies.cancellation(&job) == Cancellation::Cancelled {
@@ -161,7 +165,7 @@
                 }
                 let Some(status) = self.jobs.get(&job).map(Job::status) else { return };
                 for to in waiting {
-                    self.reply(to, Answer::job_state(201, status.clone(), self.validity()));
+                    self.reply(to, Answer::job_state(201, status.clone(), self.term.validity()));
                 }
             }
             // It was accepted earlier and is over: the record tells.
@@ -169,7 +173,7 @@
                 self.retract_admission(&job);
                 for to in waiting {
                     let otherwise = Answer::retry_later(503, "try again", 1);
-                    self.effects.push(Effect::LookUpJob { to, job: job.clone(), if_absent: otherwise });
+                    self.outbox.push(Effect::LookUpJob { reply: to, job: job.clone(), if_absent: otherwise });
                 }
             }
             Err(KvError::Rejected) => {
@@ -187,6 +191,23 @@
         }
     }
 
+    /// A new job as the store now has it.
+    pub(crate) fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
+        let waits = !record.spec.dependencies.is_empty() && !self.dependencies.is_ready(&record.spec.id);
+        let layout = record.layout(self.config.settings.cluster.state.value_kb);
+        let count = layout.blocks(record.spec.tasks);
+        let mut job = Job::new(record, version, version, now, count);
+        job.team = self.quotas.find(&job.spec().team);
+        job.ready_at = (!waits).then_some(now);
+        job.cancelled_at = job.record.cancelled.then_some(now);
+        self.record_latency_sensitive_class(job.spec());
+        if !waits && self.is_latency_sensitive(job.spec()) {
+            self.latency_classes.announce_work();
+        }
+        self.jobs.insert(job.id().clone(), job);
+        self.queue.invalidate();
+    }
+
     /// An acceptance was not carried out now. A job that the reconciler has brought back
     /// meanwhile keeps its place in the graph.
     fn retract_admission(&mut self, job: &JobId) {
@@ -211,14 +232,14 @@
         // Without the lease another leader may know more; what is final is final in
         // any case.
         let usable = self.holds_lease(now) || job.status().state.is_terminal();
-        usable.then(|| Answer::job_state(200, job.status(), self.validity()))
+        usable.then(|| Answer::job_state(200, job.status(), self.term.validity()))
     }
 
     /// False if the job is not in the picture and the store must be asked.
     pub fn cancel(&mut self, now: Instant, to: ReplyId, job: &JobId) -> bool {
         let valid = self.holds_lease(now);
         let Some(j) = self.jobs.get_mut(job) else {
-            if self.pending_admissions.contains_key(job) {
+            if self.admissions.contains(job) {
                 self.reply(to, Answer::retry_later(503, "being accepted", 1));
                 return true;
             }
--- a/src/coordination/jobs/dag.rs
+++ b/src/coordination/jobs/dag.rs
@@ -12,45 +12,10 @@
 
 use crate::coordination::authority::Violation;
 use crate::coordination::jobs::dependency_graph::{Cancellation, NewDependent, Urgency};
+use crate::coordination::jobs::dependency_state::{DependencyState, DependencyStates};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::leader::Leader;
-use crate::maps::HashMap;
-use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
-use crate::storage::records::JobRecord;
-
-/// What the store says of a job that another one names.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DependencyState {
-    /// Never accepted.
-    Absent,
-    /// A service, which is never done.
-    Service,
-    /// Neither done nor cancelled.
-    Unfinished,
-    /// Done, at that time of day if the record says when.
-    Done {
-        at_ms: Option<u64>,
-    },
-    Cancelled,
-    /// There is a record, and it cannot be used: any of these may be.
-    Unreadable,
-}
-
-/// What was read of the jobs that others name.
-pub type DependencyStates = HashMap<JobId, DependencyState>;
-
-impl DependencyState {
-    /// What a job's record, if it has one, means for those that name it.
-    pub fn of(record: Option<&JobRecord>) -> Self {
-        let Some(record) = record else { return DependencyState::Absent };
-        match record.terminal_state() {
-            _ if record.spec.kind == JobKind::Service => DependencyState::Service,
-            Some(JobState::Done) => DependencyState::Done { at_ms: record.completed_ms },
-            Some(_) => DependencyState::Cancelled,
-            None => DependencyState::Unfinished,
-        }
-    }
-}
+use crate::protocol::jobs::{JobId, JobSpec};
 
 /// The needs of a submission as far as they can be judged now.
 #[derive(Debug, PartialEq, Eq)]
@@ -77,7 +42,7 @@
             let state = match self.jobs.get(need) {
                 Some(job) if job.cancelled_by_dependency => Some(DependencyState::Cancelled),
                 Some(job) => Some(DependencyState::of(Some(&job.record))),
-                None if self.pending_admissions.contains_key(need) => {
+                None if self.admissions.contains(need) => {
                     return DependencyCheck::Undetermined("an awaited job is being accepted");
                 }
                 None => read.get(need).copied(),
@@ -132,23 +97,25 @@
     /// How long a job is expected to take from its release to its settle: a report
     /// interval until its tasks start and their ends are heard, its image, and its run.
     fn expected_duration(&self, spec: &JobSpec) -> Duration {
-        let fetch_rate = self.catalog.iter().map(|kind| kind.fetch_gb_per_s).fold(0.0, f64::max);
+        let fetch_rate = self.catalog.types().iter().map(|kind| kind.fetch_gb_per_s).fold(0.0, f64::max);
         let fetch = if fetch_rate > 0.0 { spec.image_gb / fetch_rate } else { 0.0 };
-        let seconds = self.expected_run_s(spec) + fetch.min(1e4);
+        let seconds = self.run_estimates.expected_run_s(spec) + fetch.min(1e4);
         self.config.settings.cluster.workers.report() + Duration::from_secs_f64(seconds)
     }
 
     /// A job is done, and that is committed: those that waited only for it may start.
     pub(crate) fn mark_dependents_ready(&mut self, now: Instant, job: &JobId) {
-        let now_ms = self.wall_ms(now);
+        let now_ms = self.clock.at_ms(now);
         for released in self.dependencies.complete(job) {
             let Some(j) = self.jobs.get_mut(&released) else { continue };
             tracing::debug!(job = %released, "released");
             j.ready_at = Some(now);
             j.record.ready_ms = Some(now_ms);
             let spec = j.record.spec.clone();
-            self.latency_sensitive_work |= self.is_latency_sensitive(&spec);
-            self.queue_ordered_at = None;
+            if self.is_latency_sensitive(&spec) {
+                self.latency_classes.announce_work();
+            }
+            self.queue.invalidate();
             // Its first start is near, and needs this.
             self.raise_started_high_water(now, &released);
         }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -4,8 +4,9 @@
 
 use tokio::time::Instant;
 
+use crate::coordination::jobs::quota::QuotaId;
+use crate::coordination::jobs::resources::Resources;
 use crate::maps::HashMap;
-use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState, JobStatus};
 use crate::protocol::workers::MachineId;
 use crate::storage::done_set::DoneSet;
@@ -15,70 +16,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ReplyId(pub u64);
 
-/// Amounts that a task takes, or that a machine or team has.
-#[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Resources {
-    pub cpus: f64,
-    pub gpus: f64,
-    pub memory_gb: f64,
-}
-
-/// Sums of decimals are off by a little; this much is forgiven.
-const EPSILON: f64 = 1e-6;
-
-impl Resources {
-    /// More than anybody may use.
-    pub const UNBOUNDED: Resources =
-        Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY };
-
-    pub fn of(spec: &JobSpec) -> Self {
-        Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
-    }
-
-    pub fn of_type(kind: &MachineType) -> Self {
-        Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb }
-    }
-
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPSILON
-            && self.gpus <= room.gpus + EPSILON
-            && self.memory_gb <= room.memory_gb + EPSILON
-    }
-
-    /// How many such tasks the room takes.
-    pub fn times_in(&self, room: &Resources) -> u32 {
-        let part = |need: f64, have: f64| {
-            if need <= 0.0 { f64::from(u32::MAX) } else { ((have + EPSILON) / need).floor().max(0.0) }
-        };
-        part(self.cpus, room.cpus)
-            .min(part(self.gpus, room.gpus))
-            .min(part(self.memory_gb, room.memory_gb))
-            .min(f64::from(u32::MAX)) as u32
-    }
-
-    pub fn add(&mut self, other: &Resources) {
-        self.cpus += other.cpus;
-        self.gpus += other.gpus;
-        self.memory_gb += other.memory_gb;
-    }
-
-    pub fn sub(&mut self, other: &Resources) {
-        self.cpus -= other.cpus;
-        self.gpus -= other.gpus;
-        self.memory_gb -= other.memory_gb;
-    }
-}
-
-#[derive(Debug)]
-pub struct TeamQuota {
-    pub guaranteed: Resources,
-    /// Infinite where the settings give no limit.
-    pub limit: Resources,
-    /// Everything that may be on a machine: sent, fetching, running, saving,
-    /// unreachable.
-    pub used: Resources,
-}
-
 /// What a write of a job's record contains, to be taken over once committed.
 #[derive(Debug)]
 pub struct RecordWriteInFlight {
@@ -161,7 +98,7 @@
     pub cancelled_by_dependency: bool,
     /// When its cancellation was committed, or read by a new leader.
     pub cancelled_at: Option<Instant>,
-    pub team: Option<usize>,
+    pub team: Option<QuotaId>,
     pub submitted_at: Instant,
     /// When the last job that it needs was done, or its submission if that was later;
     /// `None` while it waits for others.
@@ -340,7 +277,7 @@
 pub enum SlotState {
     /// The start went out in the answer to the report with this number.
     StartSent {
-        seq: u64,
+        sequence: u64,
     },
     Fetching,
     Running,
@@ -353,7 +290,7 @@
     pub attempt: u64,
     pub state: SlotState,
     pub resources: Resources,
-    pub team: Option<usize>,
+    pub team: Option<QuotaId>,
     /// Since when it has been in this state.
     pub since: Instant,
     /// Seconds of grace with which it is to stop.
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,7 +1,12 @@
 //! Jobs: what users submit, how it is recorded, and which jobs wait for which.
 
 pub mod admission;
+pub mod admissions;
 pub mod dag;
 pub mod dependency_graph;
+pub mod dependency_state;
 pub mod job;
+pub mod quota;
 pub mod record_writes;
+pub mod resources;
+pub mod write_queue;
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -6,14 +6,14 @@
 //! own, over as many transactions as it takes, and one last transaction makes the record
 //! name them: until that one is carried out the old blocks hold, and from then on the new.
 
-use std::time::Duration;
-
 use tokio::time::Instant;
 
 use crate::coordination::authority::Violation;
 use crate::coordination::authority::answers::Answer;
 use crate::coordination::jobs::job::{BlockConversion, Job, RecordWriteInFlight, WriteScope};
-use crate::coordination::leader::{Effect, Leader, PendingOperation};
+use crate::coordination::jobs::write_queue::DirtyJob;
+use crate::coordination::leader::Leader;
+use crate::coordination::leader::effects::{Effect, PendingOperation};
 use crate::protocol::jobs::{JobId, JobState};
 use crate::protocol::kv::{Change, Compare};
 use crate::settings::State;
@@ -22,10 +22,6 @@
     JobRecord, Layout, archived_row_key, block_size, encode_row, job_record_key, live_row_key,
 };
 
-/// The part of the state service's allowance that is for done tasks.
-const PROGRESS_WRITE_SHARE: f64 = 0.4;
-/// A record that the service refuses in every size is tried again after this long.
-const REJECTED_RETRY_PAUSE: Duration = Duration::from_secs(30);
 /// Fewest tasks in a block: as many as one digit of a bitmap tells of.
 const MIN_BLOCK_TASKS: u32 = 6;
 
@@ -154,45 +150,45 @@
         let Some(j) = self.jobs.get_mut(job) else { return };
         if j.dirty_since.is_none() {
             j.dirty_since = Some(now);
-            self.dirty_jobs.push_back((now, job.clone()));
+            self.record_writes.push_dirty(now, job.clone());
         }
     }
 
-    /// Writes what has gathered long enough, as far as the state service's
-    /// allowance goes. What users wait for, acceptances and settles, is never to
-    /// queue behind done tasks: with more to write than may be, those gather for
-    /// longer, and go out in fewer, larger batches.
+    /// Writes what has gathered long enough, at the rate that the store leaves for it. What
+    /// users wait for, admissions and completions, is never to queue behind done tasks: with
+    /// more to write than may be, those gather for longer, and go out in fewer, larger
+    /// batches.
     pub(crate) fn flush_dirty_records(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.flushed_at).as_secs_f64().min(1.0);
-        self.flushed_at = now;
-        let most = (self.state_limits.write_rps * PROGRESS_WRITE_SHARE * passed).ceil().max(1.0) as usize;
-        let wait = self.config.tuning.batch;
-        let mut written = 0;
-        for _ in 0..self.dirty_jobs.len() {
-            let Some((since, job)) = self.dirty_jobs.front().cloned() else { break };
-            if written >= most || now < since + wait {
+        let max_writes = self.record_writes.begin_flush(now);
+        let delay = self.config.tuning.batch;
+        let mut writes = 0;
+        for _ in 0..self.record_writes.dirty_len() {
+            if writes >= max_writes {
                 break;
             }
-            self.dirty_jobs.pop_front();
-            // Another write may have taken it along.
-            let Some(j) = self.jobs.get(&job).filter(|j| j.dirty_since == Some(since)) else { continue };
-            if j.write_in_flight.is_some() {
-                self.dirty_jobs.push_back((since, job));
+            let Some(DirtyJob { since, job }) = self.record_writes.pop_due_dirty(now, delay) else { break };
+            // Another write may have taken its done tasks along.
+            let Some(entry) = self.jobs.get(&job).filter(|entry| entry.dirty_since == Some(since)) else {
+                continue;
+            };
+            if entry.write_in_flight.is_some() {
+                self.record_writes.push_dirty(since, job);
                 continue;
             }
-            written += 1;
+            writes += 1;
             self.write_record(now, &job);
         }
-        let (due, later) =
-            std::mem::take(&mut self.rejected_records).into_iter().partition(|(at, _)| now >= *at);
-        self.rejected_records = later;
-        for (_, job) in due {
-            if let Some(j) = self.jobs.get_mut(&job) {
-                j.record_rejected = false;
+        self.retry_rejected_records(now);
+        self.archive_queued_rows();
+    }
+
+    fn retry_rejected_records(&mut self, now: Instant) {
+        for job in self.record_writes.take_due_rejected(now) {
+            if let Some(entry) = self.jobs.get_mut(&job) {
+                entry.record_rejected = false;
             }
             self.write_record(now, &job);
         }
-        self.archive_queued_rows();
     }
 
     /// Has the record say that all the job's tasks may have begun, or of a very
@@ -214,7 +210,7 @@
     /// Writes a job's record, one write at a time: what changes meanwhile is
     /// written when this one has ended.
     pub(crate) fn write_record(&mut self, now: Instant, job: &JobId) {
-        let now_ms = self.wall_ms(now);
+        let now_ms = self.clock.at_ms(now);
         let config = self.config.clone();
         let state = &config.settings.cluster.state;
         let Some(j) = self.jobs.get_mut(job) else { return };
@@ -252,7 +248,7 @@
             Err(error) => {
                 // Somebody else wrote under our epoch: it cannot be mended by going on.
                 tracing::error!(%job, ?error, "a job's record cannot be written; giving up the epoch");
-                self.is_fenced = true;
+                self.term.fence();
             }
         }
     }
@@ -274,7 +270,9 @@
         }
         j.record_version = version;
         j.committed_done = written.done;
-        self.latency_sensitive_work |= written.started_high_water > j.committed_high_water;
+        if written.started_high_water > j.committed_high_water {
+            self.latency_classes.announce_work();
+        }
         j.committed_high_water = written.started_high_water;
         j.record.cancelled = written.cancelled;
         j.cancelled_at = written.cancelled.then_some(now);
@@ -315,7 +313,7 @@
 
     /// A job's final state is committed: it is told, and those that need the job follow.
     fn handle_job_terminated(&mut self, now: Instant, job: &JobId, standing: JobState) {
-        tracing::debug!(epoch = self.epoch, %job, standing = standing.as_str(), "job is over");
+        tracing::debug!(epoch = self.term.epoch(), %job, standing = standing.as_str(), "job is over");
         self.answer_cancel_waiters(job);
         match standing {
             JobState::Done => self.mark_dependents_ready(now, job),
@@ -355,7 +353,7 @@
         if is_final || smaller < MIN_BLOCK_TASKS {
             tracing::error!(%job, "the state service refuses a job's record in every size; trying again later");
             j.record_rejected = true;
-            self.rejected_records.push((now + REJECTED_RETRY_PAUSE, job.clone()));
+            self.record_writes.push_rejected(now, job.clone());
             return;
         }
         tracing::info!(%job, tasks = smaller, "a job's record is too large now; its done tasks move to blocks");
@@ -378,21 +376,18 @@
             return;
         }
         // While some machine has not been heard, a task may still be there.
-        if j.unreconciled_below > 0 && !self.failover_complete {
+        if j.unreconciled_below > 0 && !self.failover.is_complete() {
             return;
         }
         j.archiving = true;
-        self.archive_queue.push_back(job.clone());
+        self.record_writes.push_archive(job.clone());
         self.archive_queued_rows();
     }
 
-    /// Nobody waits for rows: few of their moves are under way at once, so that
-    /// the queue to the state service stays short for others.
+    /// Archives rows as long as few of their moves are in flight.
     fn archive_queued_rows(&mut self) {
-        let most = self.config.settings.cluster.state.within_both().txn_ops;
-        while self.archives_in_flight < most
-            && let Some(job) = self.archive_queue.pop_front()
-        {
+        let max_in_flight = self.config.settings.cluster.state.within_both().txn_ops;
+        while let Some(job) = self.record_writes.pop_archive(max_in_flight) {
             self.archive_row(&job);
         }
     }
@@ -405,7 +400,7 @@
             j.archiving = false;
             return;
         }
-        self.archives_in_flight += 1;
+        self.record_writes.archive_started();
         let conditions = vec![
             Compare { key: live_row_key(job), version: j.live_row_version },
             Compare { key: archived_row_key(job), version: 0 },
@@ -417,7 +412,7 @@
 
     /// A row has followed its record: the job leaves memory.
     pub(crate) fn handle_row_archived(&mut self, job: JobId, result: Result<u64, KvError>) {
-        self.archives_in_flight = self.archives_in_flight.saturating_sub(1);
+        self.record_writes.archive_ended();
         match result {
             Ok(_) => {}
             Err(KvError::Fenced) => return,
@@ -438,10 +433,10 @@
 
     /// A job that is over, with nothing on any machine, leaves memory.
     fn evict_job(&mut self, job: &JobId) {
-        self.reservations.remove(job);
+        self.queue.release_reservation(job);
         self.dependencies.remove(job);
         if let Some(j) = self.jobs.remove(job) {
-            self.effects.push(Effect::JobEvicted(j.status()));
+            self.outbox.push(Effect::JobEvicted(j.status()));
         }
     }
 }
--- a/src/coordination/leader/metrics.rs
+++ b/src/coordination/leader/metrics.rs
@@ -19,7 +19,7 @@
     pub fn metrics(&self, figures: MapBuilder) -> MapBuilder {
         let (pending, active, booting) = self.task_counts();
         figures
-            .set("epoch", self.epoch)
+            .set("epoch", self.term.epoch())
             .set("jobs", self.jobs.len() as u64)
             .set(
                 "jobsWaitingForOthers",
@@ -34,11 +34,11 @@
             .set("machines", self.machines.len() as u64)
             .set("machinesBooting", booting as u64)
             .set("machinesDoubted", self.machines.values().filter(|m| m.one_way_partitioned).count() as u64)
-            .set("accountedFor", self.failover_complete)
-            .set("submissionsRefused", self.submissions_refused)
-            .set("recordsUnreadable", self.unreadable.len() as u64)
-            .set("tasksOfUnknownJobs", self.orphan_tasks)
-            .set("invariantsViolated", self.invariant_violations)
+            .set("accountedFor", self.failover.is_complete())
+            .set("submissionsRefused", self.admissions.refused())
+            .set("recordsUnreadable", self.failover.unreadable().len() as u64)
+            .set("tasksOfUnknownJobs", self.counters.orphan_tasks)
+            .set("invariantsViolated", self.counters.invariant_violations)
     }
 
     /// For the log.
@@ -57,10 +57,10 @@
         let [[used, there], [spot_used, spot_there]] = cpus;
         format!(
             "epoch {} jobs {} pending {pending} active {active} machines {} spot {spot} booting {booting} idle {idle} cpus {used:.0} of {there:.0} spot cpus {spot_used:.0} of {spot_there:.0} recovered {}",
-            self.epoch,
+            self.term.epoch(),
             self.jobs.len(),
             self.machines.len(),
-            self.failover_complete
+            self.failover.is_complete()
         )
     }
 }
--- /dev/null
+++ b/src/coordination/leader/wall_clock.rs
@@ -0,0 +1,23 @@
+//! The time of day, derived from the monotonic clock.
+
+use tokio::time::Instant;
+
+/// Translates moments of the monotonic clock into the time of day, from one pair of both.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct WallClock {
+    reference: Instant,
+    reference_ms: u64,
+}
+
+impl WallClock {
+    /// `now_ms`: the time of day at `now`, in milliseconds since the epoch of Unix.
+    pub(crate) fn new(now: Instant, now_ms: u64) -> Self {
+        WallClock { reference: now, reference_ms: now_ms }
+    }
+
+    /// The time of day in milliseconds since the epoch of Unix.
+    pub(crate) fn at_ms(&self, now: Instant) -> u64 {
+        let passed = now.saturating_duration_since(self.reference).as_millis();
+        self.reference_ms.saturating_add(u64::try_from(passed).unwrap_or(u64::MAX))
+    }
+}
--- a/src/coordination/recovery/snapshot.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -4,12 +4,11 @@
 use ciborium::value::Value;
 use tokio::task::JoinSet;
 
-use crate::coordination::jobs::dag::{DependencyState, DependencyStates};
-use crate::coordination::recovery::failover::{JobSnapshot, Snapshot};
+use crate::coordination::jobs::dependency_state::{DependencyState, DependencyStates};
 use crate::coordination::recovery::reconciler::{self, Finding};
 use crate::coordination::recovery::unreadable::UnreadableRecords;
 use crate::maps::HashSet;
-use crate::protocol::cloud::decode_catalog;
+use crate::protocol::cloud::{MachineType, decode_catalog};
 use crate::protocol::jobs::{JobId, JobState};
 use crate::storage::kv::{KvClient, KvError, RequestClass};
 use crate::storage::records::{
@@ -17,6 +16,29 @@
     NodePoolRecord, job_record_key, live_row_key,
 };
 
+/// What a new leader reads from the store.
+#[derive(Debug, Default)]
+pub struct Snapshot {
+    pub jobs: Vec<JobSnapshot>,
+    /// What was read of jobs that those await and that are not among them.
+    pub dependency_states: DependencyStates,
+    pub node_pools: Vec<(NodePoolRecord, u64)>,
+    pub catalog: Option<(Vec<MachineType>, u64)>,
+    pub statistics: Option<(LearnedStatistics, u64)>,
+    /// What is there and cannot be read.
+    pub unreadable: UnreadableRecords,
+    /// Keys that could not be read before, and are no more.
+    pub deleted_keys: Vec<String>,
+}
+
+#[derive(Debug)]
+pub struct JobSnapshot {
+    pub record: JobRecord,
+    pub record_version: u64,
+    pub live_row_version: u64,
+    pub block_versions: Vec<u64>,
+}
+
 /// Rows compared with their records in one round.
 pub const ROWS_PER_ROUND: usize = 8;
 
--- a/src/coordination/scheduling/descheduler.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -9,7 +9,8 @@
 use tokio::time::Instant;
 
 use crate::coordination::fleet::machine::Machine;
-use crate::coordination::jobs::job::{Resources, SlotKey, SlotState};
+use crate::coordination::jobs::job::{SlotKey, SlotState};
+use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::maps::HashMap;
 use crate::protocol::workers::MachineId;
@@ -20,7 +21,8 @@
 impl Leader {
     /// Chooses at most one machine to empty, once all replicas moved before run again.
     pub(crate) fn rebalance(&mut self, now: Instant) {
-        let steady = self.failover_complete && !self.cloud_is_down(now) && self.mostly_live_since.is_some();
+        let steady =
+            self.failover.is_complete() && !self.cloud_health.is_down(now) && self.liveness.is_mostly_live();
         for machine in self.machines.values_mut().filter(|m| m.draining) {
             machine.draining = steady && !machine.needed;
         }
@@ -53,7 +55,7 @@
 
     fn may_drain(&self, now: Instant, machine: &Machine) -> bool {
         let settled = self.config.settings.cluster.workers.report() * MIN_HEARTBEATS_BEFORE_MOVE;
-        let boot = self.longest_boot();
+        let boot = self.catalog.longest_boot();
         machine.has_usable_capacity()
             && machine.unneeded_since.is_some_and(|since| now >= since + boot / 2)
             && !machine.slots.is_empty()
--- /dev/null
+++ b/src/coordination/scheduling/run_estimates.rs
@@ -0,0 +1,53 @@
+//! How long tasks are expected to run.
+
+use crate::maps::HashMap;
+use crate::protocol::jobs::JobSpec;
+
+/// Classes whose ratio is remembered at most.
+const MAX_CLASSES: usize = 256;
+/// Classes whose ratio is stored for the next leader at most.
+const MAX_STORED_CLASSES: usize = 64;
+/// The part of the way that one run moves its class's ratio.
+const SMOOTHING: f64 = 0.02;
+/// Bounds of one run's ratio of measured to estimated time.
+const RATIO_BOUNDS: (f64, f64) = (0.05, 20.0);
+/// The longest run expected of any task, in seconds.
+const MAX_RUN_S: f64 = 1e6;
+
+/// Measured run times against the owners' estimates, by class.
+#[derive(Debug, Default)]
+pub(crate) struct RunEstimates {
+    ratios: HashMap<String, f64>,
+}
+
+impl RunEstimates {
+    /// Takes over what an earlier leader has learned.
+    pub(crate) fn restore(&mut self, ratios: Vec<(String, f64)>) {
+        self.ratios = ratios.into_iter().collect();
+    }
+
+    /// What is stored for the next leader.
+    pub(crate) fn to_stored(&self) -> Vec<(String, f64)> {
+        let stored = self.ratios.iter().take(MAX_STORED_CLASSES);
+        stored.map(|(class, ratio)| (class.clone(), *ratio)).collect()
+    }
+
+    /// How long a task of the job is expected to run, in seconds: the owner's estimate,
+    /// corrected by how the estimates of its class have turned out.
+    pub(crate) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
+        let ratio = self.ratios.get(&spec.class).copied().unwrap_or(1.0);
+        (spec.estimated_run_s * ratio).min(MAX_RUN_S)
+    }
+
+    /// Learns from a task that has run for so many seconds.
+    pub(crate) fn record(&mut self, spec: &JobSpec, run_s: f64) {
+        let is_full = self.ratios.len() >= MAX_CLASSES && !self.ratios.contains_key(&spec.class);
+        if spec.estimated_run_s <= 0.0 || is_full {
+            return;
+        }
+        let (least, most) = RATIO_BOUNDS;
+        let measured = (run_s / spec.estimated_run_s).clamp(least, most);
+        let ratio = self.ratios.entry(spec.class.clone()).or_insert(1.0);
+        *ratio += (measured - *ratio) * SMOOTHING;
+    }
+}
--- a/src/coordination/scheduling/slack.rs
+++ b/src/coordination/scheduling/slack.rs
@@ -7,19 +7,15 @@
 use tokio::time::Instant;
 
 use crate::coordination::fleet::machine::Machine;
-use crate::coordination::jobs::job::{Job, Resources};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::quota::QuotaId;
+use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
+use crate::coordination::scheduling::latency::LatencySensitiveTask;
 use crate::maps::HashMap;
 use crate::protocol::jobs::{JobId, JobSpec, Priority};
 use crate::settings::Objective;
 
-/// What a task of a class that is to start promptly takes.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct LatencySensitiveTask {
-    task_resources: Resources,
-    allows_spot: bool,
-}
-
 impl Leader {
     /// When a job's tasks must start for the next of the users' aims that can
     /// still be met. With all of them missed it goes behind those for whom
@@ -28,7 +24,7 @@
         let next = self.objective_start_times(job, now).filter(|&at| at > now).min();
         next.unwrap_or_else(|| {
             let age = now.saturating_duration_since(job.waiting_since(now));
-            now + self.longest_boot().mul_f64(1.0 / (1.0 + age.as_secs_f64() / 600.0))
+            now + self.catalog.longest_boot().mul_f64(1.0 / (1.0 + age.as_secs_f64() / 600.0))
         })
     }
 
@@ -42,7 +38,7 @@
     /// by its deadline and by those of the jobs that need it.
     fn objective_start_times<'a>(&'a self, job: &'a Job, now: Instant) -> impl Iterator<Item = Instant> + 'a {
         let (spec, released) = (job.spec(), job.waiting_since(now));
-        let run = Duration::from_secs_f64(self.expected_run_s(spec));
+        let run = Duration::from_secs_f64(self.run_estimates.expected_run_s(spec));
         let after_release = self.start_limits_after_ready(spec).map(move |after| released + after);
         let by_deadline = self.start_limits_by_deadline(spec).map(move |after| job.submitted_at + after);
         let inherited = self.dependencies.inherited(job.id()).and_then(|urgency| urgency.finish_by);
@@ -56,7 +52,7 @@
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = Duration> + 'a {
-        let run = self.expected_run_s(spec);
+        let run = self.run_estimates.expected_run_s(spec);
         let aims = self.objectives_for(spec).filter_map(move |aim| match (aim.kind.as_str(), aim.within_s) {
             ("wait", Some(within)) => Some(within),
             ("finished", Some(within)) => Some(within - run),
@@ -71,7 +67,7 @@
         &'a self,
         spec: &'a JobSpec,
     ) -> impl Iterator<Item = Duration> + 'a {
-        let run = self.expected_run_s(spec);
+        let run = self.run_estimates.expected_run_s(spec);
         let aims = self.objectives_for(spec).filter(|aim| aim.kind == "deadline");
         let times = aims.map(|aim| aim.times.unwrap_or(1.0)).chain(std::iter::once(1.0));
         let deadline = spec.deadline_s;
@@ -114,24 +110,17 @@
         self.latency_objectives(job.spec()).any(|within| waited + fetch < within)
     }
 
-    /// Notes what a job takes whose class is to start promptly: others like it are
-    /// likely to come.
+    /// Notes what a task of a latency-sensitive job takes: others like it are likely to come.
     pub(crate) fn record_latency_sensitive_class(&mut self, spec: &JobSpec) {
-        const CLASSES: usize = 64;
-        let known = self.latency_sensitive_classes.contains_key(&spec.class);
-        if self.is_latency_sensitive(spec) && (known || self.latency_sensitive_classes.len() < CLASSES) {
-            let need = LatencySensitiveTask { task_resources: Resources::of(spec), allows_spot: spec.spot };
-            self.latency_sensitive_classes.insert(spec.class.clone(), need);
+        if self.is_latency_sensitive(spec) {
+            let task = LatencySensitiveTask { resources: Resources::of(spec), allows_spot: spec.spot };
+            self.latency_classes.record(&spec.class, task);
         }
     }
 
-    /// Whether jobs that are to start promptly may use room on the machine.
+    /// Whether latency-sensitive jobs may use room on the machine.
     pub(crate) fn expects_latency_sensitive_start(&self, machine: &Machine) -> bool {
-        machine.has_usable_capacity()
-            && self
-                .latency_sensitive_classes
-                .values()
-                .any(|need| need.task_resources.fits(&machine.free) && (need.allows_spot || !machine.spot))
+        machine.has_usable_capacity() && self.latency_classes.could_use(&machine.free, machine.spot)
     }
 
     /// Whether a job has waited for half the time within which every job must
@@ -147,16 +136,16 @@
     /// Jobs that fit into their team's guarantee together with the team's
     /// earlier unfinished jobs, with what they may still take.
     pub(crate) fn within_guarantees(&self) -> HashMap<JobId, Resources> {
-        let mut by_team: HashMap<usize, Vec<&Job>> = HashMap::default();
+        let mut by_team: HashMap<QuotaId, Vec<&Job>> = HashMap::default();
         for job in self.jobs.values().filter(|j| j.is_startable() && !j.waits_for_dependencies()) {
-            if let Some(team) = job.team.filter(|&t| self.teams[t].guaranteed != Resources::default()) {
+            if let Some(team) = job.team.filter(|&t| self.quotas.get(t).guaranteed != Resources::default()) {
                 by_team.entry(team).or_default().push(job);
             }
         }
         let mut found = HashMap::default();
         for (team, mut jobs) in by_team {
             jobs.sort_by_key(|j| (j.ready_at, j.id().clone()));
-            let guaranteed = self.teams[team].guaranteed;
+            let guaranteed = self.quotas.get(team).guaranteed;
             let mut total = Resources::default();
             for job in jobs {
                 let tasks = f64::from(job.unfinished());
--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -144,7 +144,7 @@
     }
     assert!(last > cancelled_at, "a stop or two is tried first");
     assert!(last + rig.config.worker_lease_timeout() <= cancelled_at + workers.cancellation());
-    assert!(rig.leader.machines[&machine("vm-1")].slots.is_empty(), "proven gone");
+    assert!(rig.known_machine("vm-1").slots.is_empty(), "proven gone");
 }
 
 /// A direct stop can be lost, and a machine may reach no controller while it can
--- a/src/coordination/tests/dag.rs
+++ b/src/coordination/tests/dag.rs
@@ -2,7 +2,7 @@
 //! users are told.
 
 use super::*;
-use crate::coordination::jobs::dag::{DependencyState, DependencyStates};
+use crate::coordination::jobs::dependency_state::{DependencyState, DependencyStates};
 
 /// A job of one task that awaits others.
 fn awaiting(job: &str, needs: &[&str]) -> JobSpec {
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -18,7 +18,7 @@
     let proof = rig.config.failover_lease_timeout().as_secs_f64();
     let running = listed(&starts(&orders)[0], TaskState::Running);
     let mut seq = 8;
-    while rig.now + Duration::from_secs(3) < rig.leader.snapshot_at + Duration::from_secs_f64(proof) {
+    while rig.now + Duration::from_secs(3) < rig.leader.snapshot_at() + Duration::from_secs_f64(proof) {
         rig.pass(2.0);
         assert_eq!(rig.beat("vm-1", seq, EPOCH, vec![running.clone()]), vec![]);
         seq += 1;
@@ -117,24 +117,24 @@
     // nobody waits for it.
     rig.report("vm-9", 4, 70, EPOCH - 1, copied.clone());
     rig.report("vm-9", 4, 71, EPOCH - 1, copied.clone());
-    assert!(!rig.leader.machines.contains_key(&machine("vm-9")));
+    assert!(!rig.leader.machines.contains(&machine("vm-9")));
     // Of a machine that has died meanwhile: no sign of life, nothing taken,
     // and the same copy puts its proof off only once.
     let first = rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone());
     assert_eq!(first, HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] });
-    let answered = rig.leader.machines[&machine("vm-1")].replied_at;
+    let answered = rig.known_machine("vm-1").replied_at;
     rig.pass(3.0);
     assert_eq!(rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
     assert_eq!(rig.report("vm-1", 1, 49, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
-    let m = &rig.leader.machines[&machine("vm-1")];
+    let m = rig.known_machine("vm-1");
     assert_eq!((m.replied_at, m.heartbeat_at, m.slots.len()), (answered, None, 0));
     assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
     // Once it has shown the token, copies from before it change nothing.
     rig.beat("vm-1", 51, EPOCH, copied.clone());
     rig.accept(sample("job-2", "blue", 1, 1.0));
-    let held = rig.leader.machines[&machine("vm-1")].slots.len();
+    let held = rig.known_machine("vm-1").slots.len();
     assert_eq!(rig.report("vm-1", 1, 60, EPOCH - 1, vec![]), HeartbeatReply::Redirect);
-    assert_eq!(rig.leader.machines[&machine("vm-1")].slots.len(), held);
+    assert_eq!(rig.known_machine("vm-1").slots.len(), held);
 }
 
 #[test]
@@ -151,7 +151,7 @@
         rig.collect();
         rig.pass(1.0);
         // Still listed when every list must be younger, it is there.
-        assert_eq!(rig.leader.machines.contains_key(&machine("vm-9")), entered);
+        assert_eq!(rig.leader.machines.contains(&machine("vm-9")), entered);
     }
 }
 
@@ -165,7 +165,7 @@
         rig.report("vm-1", 2, 1, 0, vec![]),
         HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] }
     );
-    assert_eq!(rig.leader.machines[&machine("vm-1")].slots.len(), 1, "still only a hint");
+    assert_eq!(rig.known_machine("vm-1").slots.len(), 1, "still only a hint");
     let again = rig.report("vm-1", 2, 2, EPOCH, vec![]);
     assert!(
         matches!(&again, HeartbeatReply::Commands { commands, .. } if starts(commands).len() == 1),
@@ -209,7 +209,7 @@
         assert_eq!(rig.beat("vm-1", seq, EPOCH, vec![]), vec![], "vm-2 may be in its lease");
     }
     rig.pass(2.1);
-    assert!(rig.now < rig.leader.snapshot_at + rig.config.failover_lease_timeout());
+    assert!(rig.now < rig.leader.snapshot_at() + rig.config.failover_lease_timeout());
     assert_eq!(starts(&rig.beat("vm-1", seq + 1, EPOCH, vec![])).len(), 1);
 }
 
@@ -225,7 +225,7 @@
         HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] }
     );
     let mut seq = 5;
-    while rig.now + Duration::from_secs(2) < rig.leader.snapshot_at + rig.config.failover_lease_timeout() {
+    while rig.now + Duration::from_secs(2) < rig.leader.snapshot_at() + rig.config.failover_lease_timeout() {
         rig.pass(2.0);
         seq += 1;
         assert_eq!(starts(&rig.beat("vm-2", seq, EPOCH, vec![])), vec![]);
@@ -249,5 +249,5 @@
     let stop = |index| Command::Stop { task: TaskId { job: id("job-1"), index }, attempt: 7, grace_s: 0.0 };
     assert_eq!(rig.beat("vm-1", 5, EPOCH, vec![running(0), running(1)]), [stop(0)]);
     assert_eq!(rig.beat("vm-2b", 5, EPOCH, vec![running(1)]), [stop(1)]);
-    assert_eq!(rig.leader.teams[0].used.cpus, 3.0);
+    assert_eq!(rig.used_by("red").cpus, 3.0);
 }
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -78,7 +78,7 @@
 fn four_thousand_machines_are_taken_over_used_listed_and_returned() {
     let mut rig = Rig::configured(Vec::new(), rentals(), config());
     rig.all_beat(2, |_| vec![]);
-    assert!(rig.leader.failover_complete, "a report of each is enough");
+    assert!(rig.leader.failover.is_complete(), "a report of each is enough");
     for n in 0..MACHINES / 100 {
         rig.accept(sample(&format!("job-{n}"), "blue", 100, 8.0));
     }
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -67,7 +67,7 @@
         rig.pass(2.0);
         assert_eq!(starts(&rig.beat("vm-3", seq, EPOCH, vec![])), vec![]);
     }
-    let usage = rig.leader.teams[0].used.cpus;
+    let usage = rig.used_by("red").cpus;
     assert!((usage - 12.0).abs() < 1e-9);
 }
 
@@ -175,7 +175,7 @@
         orders_of(&mut rig, tick, vec![]);
         rig.pass(3.0);
     }
-    let vm = &rig.leader.machines[&machine("vm-1")];
+    let vm = rig.known_machine("vm-1");
     assert!(vm.one_way_partitioned && !vm.needed, "its room counts for nothing");
     let (mut probe, mut tick) = (orders_of(&mut rig, 9, vec![]), 9);
     assert!(probe.is_empty(), "no start while it is doubted");
@@ -223,7 +223,7 @@
             assert_eq!(rig.report("vm-1", session, seq, token, vec![]), HeartbeatReply::Redirect);
         }
     }
-    assert_eq!(rig.leader.machines[&machine("vm-1")].slots.len(), 1);
+    assert_eq!(rig.known_machine("vm-1").slots.len(), 1);
     // Nor does it count as heard: like a silent one it is replaced, and the
     // cloud's answer is the proof.
     rig.cloud.clear();
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -26,9 +26,12 @@
 use crate::coordination::authority::answers::Answer;
 use crate::coordination::config::Config;
 use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply};
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::ReplyId;
-use crate::coordination::leader::{Effect, Leader, UncheckedSubmission};
-use crate::coordination::recovery::failover::{JobSnapshot, Snapshot};
+use crate::coordination::jobs::resources::Resources;
+use crate::coordination::leader::Leader;
+use crate::coordination::leader::effects::{Effect, OperationId, UncheckedSubmission};
+use crate::coordination::recovery::snapshot::{JobSnapshot, Snapshot};
 use crate::coordination::workers::heartbeats::HeartbeatReply;
 use crate::policy;
 use crate::protocol::cbor::{Fields, decode};
@@ -56,9 +59,9 @@
     answers: Vec<(ReplyId, Answer)>,
     lookups: Vec<(JobId, Answer)>,
     unjudged: Vec<UncheckedSubmission>,
-    commits: Vec<(u64, Transaction)>,
+    commits: Vec<(OperationId, Transaction)>,
     direct: Vec<Command>,
-    cloud: Vec<(u64, CloudCall)>,
+    cloud: Vec<(OperationId, CloudCall)>,
     replies: u64,
 }
 
@@ -164,7 +167,7 @@
                 Effect::LookUpJob { job, if_absent: otherwise, .. } => self.lookups.push((job, otherwise)),
                 Effect::ReadDependencies(submission) => self.unjudged.push(*submission),
                 Effect::Commit { operation: ticket, transaction } => self.commits.push((ticket, transaction)),
-                Effect::CallCloud { ticket, call } => self.cloud.push((ticket, call)),
+                Effect::CallCloud { operation: ticket, call } => self.cloud.push((ticket, call)),
                 Effect::PushCommands { commands: orders, .. } => self.direct.extend(orders),
                 Effect::JobEvicted(_) => {}
             }
@@ -274,6 +277,15 @@
         to
     }
 
+    fn known_machine(&self, name: &str) -> &Machine {
+        self.leader.machines.get(&machine(name)).expect("known to the leader")
+    }
+
+    fn used_by(&self, team: &str) -> Resources {
+        let quotas = &self.leader.quotas;
+        quotas.get(quotas.find(team).expect("a team of the settings")).used
+    }
+
     fn answer(&self, to: ReplyId) -> Option<Answer> {
         self.answers.iter().find(|(t, _)| *t == to).map(|(_, a)| a.clone())
     }
--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -164,7 +164,7 @@
         for (name, tasks) in &on {
             rig.beat(name, seq, EPOCH, tasks.clone());
         }
-        kept = rig.leader.reservations.get(&id("job-5")).cloned();
+        kept = rig.leader.queue.reservation(&id("job-5")).cloned();
     }
     let kept = kept.expect("it has waited for long");
     // Its team takes what was left of its limit elsewhere.
@@ -289,7 +289,7 @@
 fn a_held_answer_is_decided_when_it_is_sent() {
     let (mut rig, report) = with_a_held_report();
     rig.accept(sample("job-2", "blue", 1, 1.0));
-    rig.leader.lease_expiry = rig.now;
+    rig.leader.term.extend(rig.now);
     let past = rig.now + Duration::from_millis(100);
     let nothing = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] };
     assert_eq!(rig.leader.decide_deferred_reply(past, &report), nothing);
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -46,7 +46,7 @@
     rig.leader.restore_snapshot(rig.now, MS, Snapshot { jobs, ..Snapshot::default() });
     assert_eq!(starts(&rig.beat("vm-1", 5, EPOCH, vec![])), vec![]);
     let mut seq = 5;
-    while rig.now < rig.leader.snapshot_at + rig.config.failover_lease_timeout() {
+    while rig.now < rig.leader.snapshot_at() + rig.config.failover_lease_timeout() {
         seq += 1;
         assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])), vec![]);
         rig.pass(3.0);
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -67,7 +67,7 @@
     let (mut record, version) = rented("vm-1", false);
     record.machines = None;
     let mut rig = Rig::new(Vec::new(), vec![(record, version)]);
-    let entered = |rig: &Rig, name: &str| rig.leader.machines.contains_key(&machine(name));
+    let entered = |rig: &Rig, name: &str| rig.leader.machines.contains(&machine(name));
     rig.beat("vm-8", 1, EPOCH, vec![]);
     rig.beat("vm-9b", 1, EPOCH, vec![]);
     rig.pass(1.1);
@@ -149,7 +149,7 @@
     rig.accept(job);
     let started = starts(&rig.beat("vm-1", 5, EPOCH, vec![]));
     rig.pass(1.1);
-    let ideal = |rig: &Rig| rig.leader.demand.values().map(|d| d.offered_load).sum::<f64>();
+    let ideal = |rig: &Rig| rig.leader.autoscaler.demand.iter().map(|(_, d)| d.offered_load).sum::<f64>();
     assert!((ideal(&rig) - 8.0).abs() < 1e-9);
     rig.beat("vm-1", 6, EPOCH, started.iter().map(|s| listed(s, DONE)).collect());
     rig.commit_all();
@@ -164,7 +164,7 @@
     job.estimated_run_s = 20.0;
     rig.accept(job);
     let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
-    let ideal = |rig: &Rig| rig.leader.demand.values().map(|d| d.offered_load).sum::<f64>();
+    let ideal = |rig: &Rig| rig.leader.autoscaler.demand.iter().map(|(_, d)| d.offered_load).sum::<f64>();
     for seq in 6..18 {
         rig.pass(2.0);
         rig.beat("vm-1", seq, EPOCH, vec![listed(&start, TaskState::Running)]);
@@ -194,7 +194,7 @@
             rig.beat(name, seq, EPOCH, vec![]);
         }
         assert!(!rig.cloud.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_))), "cut off, perhaps");
-        let wanted = ["vm-2b", "vm-3b"].map(|name| rig.leader.machines[&machine(name)].needed);
+        let wanted = ["vm-2b", "vm-3b"].map(|name| rig.known_machine(name).needed);
         assert!(rig.now < begin + silence + Duration::from_secs(2) || wanted == [false, false]);
     }
     rig.pass(2.1);
@@ -300,7 +300,7 @@
     for seq in 0..12 {
         rig.pass(10.0);
         rig.report("vm-9", 1, seq, EPOCH, vec![]);
-        drains.push(rig.leader.demand.values().map(|d| d.backlog_rate).sum::<f64>());
+        drains.push(rig.leader.autoscaler.demand.iter().map(|(_, d)| d.backlog_rate).sum::<f64>());
     }
     // Boots take 30 s: at first the work may take four, at last two of them.
     let work = 20.0 * 20.0;
@@ -317,7 +317,7 @@
         let mut rig = Rig::with_machines(&["vm-1"]);
         rig.accept(JobSpec { deadline_s, ..sample("job-1", "red", 2, 4.0) });
         let started = starts(&rig.beat("vm-1", 5, EPOCH, vec![]));
-        let mean = |rig: &Rig| rig.leader.demand.values().map(|d| d.mean).sum::<f64>();
+        let mean = |rig: &Rig| rig.leader.autoscaler.demand.iter().map(|(_, d)| d.mean).sum::<f64>();
         for _ in 0..20 {
             rig.pass(1.0);
         }
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -53,7 +53,7 @@
     entries.extend([fleet_record("vm-1"), (node_pool_key("1-vm-2"), damaged())]);
     let mut rig = leading(left_behind(entries).await);
     let mut seq = 1;
-    let waits_until = rig.leader.snapshot_at + rig.config.failover_lease_timeout();
+    let waits_until = rig.leader.snapshot_at() + rig.config.failover_lease_timeout();
     while rig.now + Duration::from_secs(1) < waits_until {
         assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])), vec![], "vm-2 may run it");
         seq += 1;
@@ -108,9 +108,12 @@
     let (record, version) = rented("vm-1", true);
     let mut rig = leading(Snapshot {
         jobs: vec![unbegun(dependent)],
-        dependency_states: [(id("job-1"), crate::coordination::jobs::dag::DependencyState::Unfinished)]
-            .into_iter()
-            .collect(),
+        dependency_states: [(
+            id("job-1"),
+            crate::coordination::jobs::dependency_state::DependencyState::Unfinished,
+        )]
+        .into_iter()
+        .collect(),
         node_pools: vec![(record, version)],
         catalog: Some((catalog(), 2)),
         ..Snapshot::default()
@@ -154,7 +157,7 @@
         [Command::Stop { task: task(0), attempt: 7, grace_s: 0.0 }],
         "nothing starts beside it"
     );
-    assert_eq!(rig.leader.orphan_tasks, 1);
+    assert_eq!(rig.leader.counters.orphan_tasks, 1);
     rig.pass(1.0);
     let orders = rig.beat("vm-1", 2, EPOCH, vec![ended.clone()]);
     assert!(!orders.iter().any(|order| matches!(order, Command::Reap { .. })), "{orders:?}");
@@ -173,7 +176,7 @@
     rig.leader.restore_snapshot(rig.now, MS, Snapshot { jobs: vec![readable], ..Snapshot::default() });
     rig.beat("vm-1", 4, EPOCH, vec![ended]);
     rig.commit_all();
-    assert!(!rig.leader.unreadable.contains_job(&id("job-1")));
+    assert!(!rig.leader.failover.unreadable().contains_job(&id("job-1")));
 }
 
 /// Which tasks are done is not known where a block of them does not decode: the job is left
@@ -189,7 +192,7 @@
     rig.beat("vm-1", 1, EPOCH, vec![]);
     rig.commit_all();
     assert_eq!(starts(&rig.beat("vm-1", 2, EPOCH, vec![])), vec![]);
-    assert!(rig.leader.unreadable.contains_job(&id("job-1")));
+    assert!(rig.leader.failover.unreadable().contains_job(&id("job-1")));
 }
 
 /// The reconciler reads a damaged record again, and takes the job in once it decodes.
@@ -212,7 +215,7 @@
     stand_in.seed(&keys[1], rental.encode(), 7).await;
     let found = snapshot::reread_unreadable(&store, keys, 8.0).await.expect("served");
     rig.leader.restore_snapshot(rig.now, MS, found);
-    assert!(rig.leader.unreadable.is_empty());
+    assert!(rig.leader.failover.unreadable().is_empty());
     assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
-    assert!(rig.leader.machines.contains_key(&machine("vm-2")));
+    assert!(rig.leader.machines.contains(&machine("vm-2")));
 }
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -21,8 +21,8 @@
         slot.stop_grace_s = Some(grace_s);
         let task = TaskId { job: key.0.clone(), index: key.1 };
         let order = Command::Stop { task, attempt: slot.attempt, grace_s };
-        self.effects.extend(m.push_commands(now, self.epoch, vec![order]));
-        self.machines_with_commands.push(machine.clone());
+        self.outbox.extend(m.push_commands(now, self.term.epoch(), vec![order]));
+        self.outbox.add_machine_with_command(machine.clone());
     }
 
     /// The job is over: whatever runs of it is of no use.
@@ -55,7 +55,7 @@
         }
         let workers = &self.config.settings.cluster.workers;
         let (pause, late) = (workers.report(), workers.cancellation() / 2);
-        let may_delete = self.holds_lease(now) && !self.cloud_is_down(now);
+        let may_delete = self.holds_lease(now) && !self.cloud_health.is_down(now);
         let mut lost = Vec::new();
         for m in self.machines.values_mut().filter(|m| !m.slots.is_empty()) {
             let stops: Vec<(Instant, Command)> = m
@@ -76,7 +76,7 @@
                 continue;
             }
             let orders = stops.into_iter().map(|(_, order)| order).take(MAX_COMMANDS).collect();
-            self.effects.extend(m.push_commands(now, self.epoch, orders));
+            self.outbox.extend(m.push_commands(now, self.term.epoch(), orders));
         }
         if !lost.is_empty() {
             tracing::info!(count = lost.len(), "silent machines may hold cancelled tasks; deleting them");
@@ -113,7 +113,7 @@
                 && spec.checkpoint_save_s < left;
             let waits = matches!(slot.state, SlotState::StartSent { .. } | SlotState::Fetching);
             let ran = now.saturating_duration_since(slot.since).as_secs_f64();
-            let run = job.mean_run_s().unwrap_or_else(|| self.expected_run_s(spec));
+            let run = job.mean_run_s().unwrap_or_else(|| self.run_estimates.expected_run_s(spec));
             // Past the time that was named it may be taken at any moment, or later.
             let ends_late = left > 0.0 && run - ran > left;
             let in_vain = slot.state == SlotState::Running && !job.is_service() && ends_late;
--- a/src/coordination/workers/failure_detector.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -4,8 +4,9 @@
 
 use tokio::time::Instant;
 
+use crate::coordination::config::Config;
 use crate::coordination::fleet::machine::{Machine, Phase};
-use crate::coordination::leader::Leader;
+use crate::coordination::fleet::machine_table::MachineTable;
 use crate::maps::HashMap;
 
 /// Which machines have fallen silent, and whether that can be believed.
@@ -27,8 +28,16 @@
     suspicion_timeout: Duration,
     any_live: bool,
     lease: Duration,
-    /// Machines that are up, and those heard of, by zone.
-    zones: HashMap<String, (usize, usize)>,
+    zones: HashMap<String, ZoneCount>,
+}
+
+/// The machines of a zone.
+#[derive(Debug, Default, Clone, Copy)]
+struct ZoneCount {
+    /// Those that are up.
+    up: usize,
+    /// Those of them that have been heard in time.
+    live: usize,
 }
 
 impl FailureDetector {
@@ -44,8 +53,8 @@
 
     /// It is not coming back: to be returned.
     pub(crate) fn is_dead(&self, m: &Machine) -> bool {
-        let (up, heard) = self.zones.get(&m.zone).copied().unwrap_or_default();
-        self.is_suspected(m) && (is_majority(heard, up) || self.is_overdue_by(m, self.lease))
+        let zone = self.zones.get(&m.zone).copied().unwrap_or_default();
+        self.is_suspected(m) && (is_majority(zone.live, zone.up) || self.is_overdue_by(m, self.lease))
     }
 }
 
@@ -54,46 +63,73 @@
     count * 2 >= all
 }
 
-impl Leader {
-    /// When the next report of a machine is surely overdue: it may come a quarter
-    /// late, and its packets a little more.
-    fn heartbeat_timeout(&self) -> Duration {
-        let silence = self.config.tuning.silence;
-        let report = self.config.settings.cluster.workers.report();
-        report.mul_f64(1.6).max(silence * 2 / 3).min(silence)
+/// When the next heartbeat of a machine is surely overdue: it may come a quarter late, and
+/// its packets a little more.
+fn heartbeat_timeout(config: &Config) -> Duration {
+    let silence = config.tuning.silence;
+    let interval = config.settings.cluster.workers.report();
+    interval.mul_f64(1.6).max(silence * 2 / 3).min(silence)
+}
+
+/// What a leader remembers of how well it hears its workers.
+#[derive(Debug)]
+pub(crate) struct Liveness {
+    /// Since when this leader has replied to heartbeats without a break.
+    listening_since: Instant,
+    /// Since when all but a few machines have been heard in time.
+    mostly_live_since: Option<Instant>,
+}
+
+impl Liveness {
+    /// A leader begins to listen.
+    pub(crate) fn new(now: Instant) -> Self {
+        Liveness { listening_since: now, mostly_live_since: None }
+    }
+
+    /// The leader listens again after a break.
+    pub(crate) fn restart(&mut self, now: Instant) {
+        self.listening_since = now;
+    }
+
+    /// Whether all but a few machines are heard in time.
+    pub(crate) fn is_mostly_live(&self) -> bool {
+        self.mostly_live_since.is_some()
     }
 
-    pub(crate) fn failure_detector(&self, now: Instant) -> FailureDetector {
-        let (overdue, lease) = (self.heartbeat_timeout(), self.config.settings.cluster.workers.lease());
-        let mut found = FailureDetector {
+    /// The failure detector for this moment.
+    pub(crate) fn detector(&self, now: Instant, config: &Config, machines: &MachineTable) -> FailureDetector {
+        let (overdue, lease) = (heartbeat_timeout(config), config.settings.cluster.workers.lease());
+        let mut detector = FailureDetector {
             now,
-            listening_since: self.replying_since,
-            suspicion_timeout: self.config.tuning.silence,
+            listening_since: self.listening_since,
+            suspicion_timeout: config.tuning.silence,
             any_live: false,
             lease,
             zones: HashMap::default(),
         };
-        for m in self.machines.values().filter(|m| m.phase == Phase::Up) {
-            let silent = found.is_overdue_by(m, found.suspicion_timeout);
-            let (up, heard) = found.zones.entry(m.zone.clone()).or_default();
-            *up += 1;
-            *heard += usize::from(!silent);
+        for machine in machines.values().filter(|machine| machine.phase == Phase::Up) {
+            let is_live = !detector.is_overdue_by(machine, detector.suspicion_timeout);
+            let zone = detector.zones.entry(machine.zone.clone()).or_default();
+            zone.up += 1;
+            zone.live += usize::from(is_live);
         }
-        let (up, heard) = found.zones.values().fold((0, 0), |sum, zone| (sum.0 + zone.0, sum.1 + zone.1));
-        found.any_live = heard > 0;
-        if !is_majority(heard, up) {
-            found.suspicion_timeout = lease;
+        let up: usize = detector.zones.values().map(|zone| zone.up).sum();
+        let live: usize = detector.zones.values().map(|zone| zone.live).sum();
+        detector.any_live = live > 0;
+        if !is_majority(live, up) {
+            detector.suspicion_timeout = lease;
         } else if self.mostly_live_since.is_some_and(|at| now >= at + overdue) {
-            found.suspicion_timeout = overdue;
+            detector.suspicion_timeout = overdue;
         }
-        found
+        detector
     }
 
     /// Notes since when all but a few machines have been heard in time.
-    pub(crate) fn record_liveness(&mut self, now: Instant) {
-        let (silence, overdue) = (self.failure_detector(now), self.heartbeat_timeout());
-        let up = self.machines.values().filter(|m| m.phase == Phase::Up);
-        let late = up.clone().filter(|m| silence.is_overdue_by(m, overdue)).count();
+    pub(crate) fn record(&mut self, now: Instant, config: &Config, machines: &MachineTable) {
+        let detector = self.detector(now, config, machines);
+        let overdue = heartbeat_timeout(config);
+        let up = machines.values().filter(|machine| machine.phase == Phase::Up);
+        let late = up.clone().filter(|machine| detector.is_overdue_by(machine, overdue)).count();
         if late * 10 > up.count() {
             self.mostly_live_since = None;
         } else {
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -37,17 +37,17 @@
     pub fn handle_heartbeat(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
         // An answer with a lower token would be dropped and only hold the
         // worker here while its lease runs out.
-        if report.fencing_token > self.epoch || self.is_fenced() {
+        if report.fencing_token > self.term.epoch() || self.is_fenced() {
             return HeartbeatReply::Redirect;
         }
         if !self.holds_lease(now) {
             return self.handle_heartbeat_after_lease(now, report);
         }
-        if self.tombstones.contains(&report.machine) {
+        if self.machines.is_deleted(&report.machine) {
             // A late copy from a machine whose deletion was confirmed.
             return HeartbeatReply::Redirect;
         }
-        let epoch = self.epoch;
+        let epoch = self.term.epoch();
         if self.catalog.is_empty() {
             // Not counted yet, so it must not be told that it may go on.
             return HeartbeatReply::Redirect;
@@ -58,7 +58,9 @@
             // only then it is entered. No machine that no record names was
             // ever given a start, so the answer keeps nothing alive; unless a
             // record cannot be read.
-            if self.unlisted_machines_possible && !self.may_reply_to_unlisted(now) {
+            if self.failover.unlisted_machines_possible()
+                && !self.failover.may_reply_to_unlisted(now, self.config.settings.cluster.workers.lease())
+            {
                 return HeartbeatReply::Redirect;
             }
             if report.fencing_token == epoch {
@@ -150,7 +152,7 @@
     /// prompt start on the machine is likely. A machine with tasks that end by
     /// themselves is not held up: its next report may tell of room or results.
     pub fn may_defer_reply(&self, report: &Heartbeat) -> bool {
-        report.fencing_token == self.epoch
+        report.fencing_token == self.term.epoch()
             && report.preemption_notice_s.is_none()
             && report.tasks.iter().all(|task| {
                 task.state == TaskState::Running
@@ -177,7 +179,7 @@
             let room = MAX_COMMANDS - orders.len();
             self.place_tasks(now, &report.machine, report.sequence, room, &mut orders);
         }
-        HeartbeatReply::Commands { fencing_token: self.epoch, commands: orders }
+        HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands: orders }
     }
 
     /// Machines with held answers that should be decided anew, those first whose room
@@ -186,8 +188,8 @@
         &mut self,
         held: impl Iterator<Item = &'a MachineId>,
     ) -> Vec<MachineId> {
-        let ordered = std::mem::take(&mut self.machines_with_commands);
-        if !std::mem::take(&mut self.latency_sensitive_work) {
+        let ordered = self.outbox.take_machines_with_commands();
+        if !self.latency_classes.take_announcement() {
             return ordered;
         }
         let waiting: Vec<&str> = self
@@ -271,7 +273,7 @@
             .map(|t| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
             .take(MAX_COMMANDS)
             .collect();
-        HeartbeatReply::Commands { fencing_token: self.epoch, commands: orders }
+        HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands: orders }
     }
 
     /// An answer with nothing but stops while the lease has lapsed, for a bounded
@@ -282,13 +284,13 @@
     /// have. Nothing is decided here; and whoever leads next waits for silent
     /// machines that much longer, see [`crate::coordination::config::Config::takeover_proof`].
     fn handle_heartbeat_after_lease(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
-        let until = self.lease_expiry + self.config.post_lease_grace();
+        let until = self.term.grace_expiry();
         if self.ignores_its_stops(now, report) {
             return HeartbeatReply::Redirect;
         }
         let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
         // Only machines that this epoch has heard are surely counted by it.
-        if now >= until || m.replied_at.is_none() || report.fencing_token < self.epoch {
+        if now >= until || m.replied_at.is_none() || report.fencing_token < self.term.epoch() {
             return HeartbeatReply::Redirect;
         }
         m.replied_at = Some(now);
@@ -323,7 +325,8 @@
             .slots
             .iter()
             .filter(|(key, slot)| {
-                let sent_later = matches!(slot.state, SlotState::StartSent { seq } if seq >= report.sequence);
+                let sent_later =
+                    matches!(slot.state, SlotState::StartSent { sequence } if sequence >= report.sequence);
                 !listed.contains(*key) && !sent_later
             })
             .map(|(key, _)| key.clone())
@@ -348,7 +351,7 @@
         let count = unknown.clone().count();
         if let Some(first) = unknown.clone().next() {
             tracing::error!(
-                epoch = self.epoch,
+                epoch = self.term.epoch(),
                 machine = %report.machine,
                 count,
                 job = %first.task.job,
@@ -357,9 +360,9 @@
                 "tasks of jobs that are not in the picture; stopping them"
             );
         }
-        self.orphan_tasks += count as u64;
+        self.counters.orphan_tasks += count as u64;
         // What they take is counted with the queue's order.
-        self.queue_ordered_at = None;
+        self.queue.invalidate();
     }
 
     /// A task that is on the machine. False if its job is not known.
@@ -451,6 +454,13 @@
         }
     }
 
+    /// Learns from a task that has run to its end, for so many seconds.
+    pub(crate) fn record_run(&mut self, job: &JobId, run_s: f64) {
+        let Some(job) = self.jobs.get_mut(job) else { return };
+        job.record_run(run_s);
+        self.run_estimates.record(job.spec(), run_s);
+    }
+
     fn record_task_failure(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
         let report = self.config.settings.cluster.workers.report();
         if let Some(j) = self.jobs.get_mut(job) {
@@ -514,7 +524,7 @@
                     && !job.is_service()
                     && !job.committed_done.contains(task.index)
             }
-            None => self.unreadable.contains_job(&task.job),
+            None => self.failover.unreadable().contains_job(&task.job),
         }
     }
 
--- a/src/coordination/workers/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -2,7 +2,8 @@
 
 use tokio::time::Instant;
 
-use crate::coordination::jobs::job::{Resources, Slot, SlotKey, SlotState};
+use crate::coordination::jobs::job::{Slot, SlotKey, SlotState};
+use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::protocol::workers::MachineId;
 
@@ -22,7 +23,7 @@
         let room = Resources::of(job.spec());
         m.free.sub(&room);
         if let Some(team) = job.team {
-            self.teams[team].used.add(&room);
+            self.quotas.charge(team, &room);
         }
         job.slot_count += 1;
         if state == SlotState::Running {
@@ -51,10 +52,10 @@
         m.free.add(&slot.resources);
         if m.slots.is_empty() {
             m.idle_since = now;
-            m.free = self.catalog.get(m.machine_type).map(Resources::of_type).unwrap_or_default();
+            m.free = self.catalog.resources(m.machine_type);
         }
         if let Some(team) = slot.team {
-            self.teams[team].used.sub(&slot.resources);
+            self.quotas.release(team, &slot.resources);
         }
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         job.slot_count = job.slot_count.saturating_sub(1);
@@ -63,10 +64,12 @@
             job.placements.remove(&key.1);
             if !job.record.done.contains(key.1) {
                 job.requeued.insert(key.1);
-                self.latency_sensitive_work |= job.is_service();
+                if job.is_service() {
+                    self.latency_classes.announce_work();
+                }
                 // A job that had nothing waiting is not in the queue.
                 if job.pending() == 1 {
-                    self.queue_ordered_at = None;
+                    self.queue.invalidate();
                 }
             }
         }
