--- a/src/coordination/fleet/demand_measurement.rs
+++ b/src/coordination/fleet/demand_measurement.rs
@@ -66,7 +66,7 @@
             delay_tolerant,
         };
         let load = JobLoad {
-            active: unit * job.placements.len() as f64,
+            active: unit * job.tasks.assigned.len() as f64,
             pending,
             limit,
             backlog_rate: pending * run_s / backlog_time.as_secs_f64(),
--- a/src/coordination/fleet/inventory_scan.rs
+++ b/src/coordination/fleet/inventory_scan.rs
@@ -27,10 +27,10 @@
             round.seen.insert(listed.machine.clone());
             match self.machines.get_mut(&listed.machine) {
                 Some(m) => {
-                    m.was_listed = true;
-                    m.missed_listings = 0;
-                    if m.address.is_empty() {
-                        m.address.clone_from(&listed.address);
+                    m.listing.was_listed = true;
+                    m.listing.missed = 0;
+                    if m.agent.address.is_empty() {
+                        m.agent.address.clone_from(&listed.address);
                     }
                     if listed.state == ListedState::Failed && m.phase != Phase::Deleting {
                         failed.push(m.id.clone());
@@ -77,11 +77,11 @@
             if round.seen.contains(&m.id) || m.phase == Phase::Deleting {
                 continue;
             }
-            let old_enough = m.was_listed || m.requested_at + lag * 4 < round.started_at;
-            let silent = m.heartbeat_at.unwrap_or(loaded_at) + quiet < now;
+            let old_enough = m.listing.was_listed || m.requested_at + lag * 4 < round.started_at;
+            let silent = m.agent.heartbeat_at.unwrap_or(loaded_at) + quiet < now;
             if old_enough && silent {
-                m.missed_listings += 1;
-                if m.missed_listings >= 2 {
+                m.listing.missed += 1;
+                if m.listing.missed >= 2 {
                     lost.push(m.id.clone());
                 }
             }
--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -1,18 +1,17 @@
 //! What the leader holds of machines and of the rentals that named them.
 
-use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 use crate::coordination::fleet::catalog::MachineTypeId;
-use crate::coordination::jobs::job::{Slot, SlotKey};
+use crate::coordination::fleet::image_cache::ImageCache;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::effects::Effect;
+use crate::coordination::workers::slot::{Slot, SlotKey};
 use crate::maps::HashMap;
-use crate::protocol::cloud::MachineType;
-use crate::protocol::jobs::{JobId, JobSpec};
-use crate::protocol::workers::{Command, MachineId};
+use crate::protocol::jobs::JobId;
+use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
@@ -61,105 +60,157 @@
     }
 }
 
+/// Names one heartbeat of a machine. Numbers of a later incarnation are higher.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HeartbeatStamp {
+    /// The agent's incarnation.
+    pub incarnation: u64,
+    /// The heartbeat's number within the incarnation.
+    pub sequence: u64,
+}
+
+impl HeartbeatStamp {
+    /// The stamp of a heartbeat.
+    pub fn of(heartbeat: &Heartbeat) -> Self {
+        HeartbeatStamp { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence }
+    }
+}
+
+/// What is known of the exchange of heartbeats with a machine's agent.
+#[derive(Debug, Default)]
+pub struct AgentContact {
+    /// Where the agent takes pushed commands; empty while that is not known.
+    pub address: String,
+    /// The newest heartbeat under this epoch's fencing token.
+    pub last_heartbeat: Option<HeartbeatStamp>,
+    /// The newest heartbeat under an earlier token, of which nothing but its arrival was used.
+    pub last_stale_heartbeat: Option<HeartbeatStamp>,
+    /// Heartbeats of earlier incarnations are void.
+    pub min_incarnation: u64,
+    /// When the last heartbeat arrived.
+    pub heartbeat_at: Option<Instant>,
+    /// When the last heartbeat arrived that was replied to, which renews the agent's lease.
+    pub replied_at: Option<Instant>,
+    /// Whether replies show an effect.
+    pub acks: AckTracker,
+    /// Replies show none: the machine's capacity counts for nothing.
+    pub one_way_partitioned: bool,
+    /// When stops were last pushed to it.
+    pub stops_pushed_at: Option<Instant>,
+}
+
+/// Whether the stored record says that a machine may hold tasks. It has to before the first
+/// start, so that a later leader knows which machines to reconcile.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum UseRecord {
+    /// It does not say so.
+    NotRecorded,
+    /// The write that says so is under way.
+    InFlight,
+    /// It says so.
+    Recorded,
+}
+
+/// How a machine fares in the cloud's inventory.
+#[derive(Debug, Clone, Copy)]
+pub struct Listing {
+    /// It was listed at least once.
+    pub was_listed: bool,
+    /// Readings in a row, young enough to show it, that did not.
+    pub missed: u32,
+}
+
+/// Whether demand needs a machine.
+#[derive(Debug, Clone, Copy)]
+pub struct MachineNeed {
+    /// Some demand counts on it; others are left to run empty.
+    pub is_needed: bool,
+    /// Since when no demand has counted on it.
+    pub unneeded_since: Option<Instant>,
+    /// Its replicas are being moved elsewhere: nothing is placed on it.
+    pub is_draining: bool,
+}
+
+/// A machine of the fleet.
 #[derive(Debug)]
 pub struct Machine {
+    /// Its name.
     pub id: MachineId,
+    /// Its type.
     pub machine_type: MachineTypeId,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine, which the cloud may preempt.
     pub spot: bool,
-    /// The fleet record it stands in.
+    /// The node pool whose record names it.
     pub node_pool: String,
+    /// How far it has come.
     pub phase: Phase,
-    pub address: String,
+    /// When it was asked of the cloud, as far as that matters for what is billed.
     pub requested_at: Instant,
-    pub up_since: Option<Instant>,
-    /// Newest report taken, under this epoch's token: (session, sequence).
-    pub last_heartbeat: Option<(u64, u64)>,
-    /// Newest report under an earlier token, of which nothing was taken.
-    pub last_stale_heartbeat: Option<(u64, u64)>,
-    pub ack_tracker: AckTracker,
-    /// It seems not to hear us: its room counts for nothing.
-    pub one_way_partitioned: bool,
-    /// Reports of earlier sessions are void.
-    pub min_incarnation: u64,
-    pub heartbeat_at: Option<Instant>,
-    /// Arrival of the last report that got a 200.
-    pub replied_at: Option<Instant>,
-    /// What is on it is known: from a report under this epoch's token, or by
-    /// proof that nothing is.
+    /// The exchange of heartbeats with its agent.
+    pub agent: AgentContact,
+    /// What is on it is known: by a heartbeat under this epoch's fencing token, or by proof
+    /// that nothing is.
     pub reconciled: bool,
-    /// The record says that starts may have been sent to it.
-    pub use_recorded: bool,
-    /// That mark is on its way to the record.
-    pub use_record_in_flight: bool,
+    /// Whether its record says that it may hold tasks.
+    pub use_record: UseRecord,
     /// A deletion is under way.
     pub deletion_in_flight: bool,
-    /// When stops were last sent straight to it.
-    pub stops_pushed_at: Option<Instant>,
+    /// When the cloud takes it back, once it has announced that.
     pub preempted_at: Option<Instant>,
+    /// The tasks that are, or may be, on it.
     pub slots: HashMap<SlotKey, Slot>,
+    /// What is left beside the slots.
     pub free: Resources,
     /// Tasks are on it whose job is unknown; nothing is placed beside them.
     pub has_orphan_tasks: bool,
-    /// Images believed to be cached, most recent first.
-    pub images: VecDeque<(String, f64)>,
-    /// Jobs whose tasks failed here since the last success, and how often.
+    /// The images believed to be cached on it.
+    pub images: ImageCache,
+    /// Jobs whose tasks have failed here since the last success, once for each failure.
     pub failures: Vec<JobId>,
+    /// Tasks of several jobs have failed here: nothing is placed on it, and it is replaced.
     pub cordoned: bool,
+    /// Since when no slot is on it.
     pub idle_since: Instant,
-    /// Times that a list young enough to show it did not.
-    pub missed_listings: u32,
-    pub was_listed: bool,
-    /// Some demand counts on it; others are left to run empty.
-    pub needed: bool,
-    /// Since when no demand has counted on it.
-    pub unneeded_since: Option<Instant>,
-    /// Its replicas are being moved elsewhere: nothing is placed on it.
-    pub draining: bool,
+    /// How it fares in the cloud's inventory.
+    pub listing: Listing,
+    /// Whether demand needs it.
+    pub need: MachineNeed,
 }
 
 impl Machine {
-    /// Stops to be sent straight to it, if it is known where it is.
-    pub fn push_commands(&mut self, now: Instant, token: u64, orders: Vec<Command>) -> Option<Effect> {
-        let (session, _) = self.last_heartbeat?;
-        let address = self.address.parse().ok()?;
-        self.stops_pushed_at = Some(now);
-        Some(Effect::PushCommands { address, fencing_token: token, incarnation: session, commands: orders })
-    }
-
-    pub fn has_image(&self, image: &str) -> bool {
-        self.images.iter().any(|(name, _)| name == image)
-    }
-
-    /// A task of the job runs here, so its image is cached; the least recent images give
-    /// way to it where the type's cache is full.
-    pub fn record_image(&mut self, spec: &JobSpec, kind: Option<&MachineType>) {
-        let (image, size_gb) = (spec.image.as_str(), spec.image_gb);
-        let cache_gb = kind.map_or(0.0, |kind| kind.cache_gb);
-        if self.images.front().is_some_and(|(name, _)| name == image) {
-            return;
-        }
-        self.images.retain(|(name, _)| name != image);
-        self.images.push_front((image.to_owned(), size_gb));
-        let mut total: f64 = self.images.iter().map(|(_, gb)| gb).sum();
-        while total > cache_gb && self.images.len() > 1 {
-            total -= self.images.pop_back().map_or(0.0, |(_, gb)| gb);
-        }
+    /// Pushes stops to it, if it is known where its agent is.
+    pub fn push_commands(
+        &mut self,
+        now: Instant,
+        fencing_token: u64,
+        commands: Vec<Command>,
+    ) -> Option<Effect> {
+        let incarnation = self.agent.last_heartbeat?.incarnation;
+        let address = self.agent.address.parse().ok()?;
+        self.agent.stops_pushed_at = Some(now);
+        Some(Effect::PushCommands { address, fencing_token, incarnation, commands })
     }
 
-    /// Whether its room may be counted on.
+    /// Whether its capacity may be counted on.
     pub fn has_usable_capacity(&self) -> bool {
-        self.is_schedulable() && !self.one_way_partitioned
+        self.is_schedulable() && !self.agent.one_way_partitioned
     }
 
     /// Whether tasks may be placed on it.
     pub fn is_schedulable(&self) -> bool {
         self.phase == Phase::Up
             && self.reconciled
-            && self.use_recorded
+            && self.may_hold_tasks()
             && !self.cordoned
             && !self.has_orphan_tasks
-            && !self.draining
+            && !self.need.is_draining
             && self.preempted_at.is_none()
     }
+
+    /// Whether its record says that it may hold tasks.
+    pub fn may_hold_tasks(&self) -> bool {
+        self.use_record == UseRecord::Recorded
+    }
 }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -6,6 +6,7 @@
 pub mod cloud_health;
 pub mod demand;
 pub mod demand_measurement;
+pub mod image_cache;
 pub mod instance_offers;
 pub mod inventory;
 pub mod inventory_scan;
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -5,6 +5,7 @@
 
 use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
 use crate::coordination::fleet::instance_offers::InstanceOffer;
+use crate::coordination::fleet::machine::UseRecord;
 use crate::coordination::fleet::node_pool::NodePool;
 use crate::coordination::fleet::scale_out::ScaleOutRequest;
 use crate::coordination::leader::Leader;
@@ -81,8 +82,7 @@
         }
         for id in pool.record.machines_used.clone() {
             if let Some(m) = self.machines.get_mut(&id) {
-                m.use_recorded = true;
-                m.use_record_in_flight = false;
+                m.use_record = UseRecord::Recorded;
             }
         }
         if self.node_pools.get(&name).is_some_and(NodePool::is_pending) {
--- a/src/coordination/fleet/registry.rs
+++ b/src/coordination/fleet/registry.rs
@@ -7,12 +7,13 @@
 
 use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
 use crate::coordination::fleet::cloud_health::CLOUD_RETRY_PAUSE;
-use crate::coordination::fleet::machine::{Machine, Phase};
+use crate::coordination::fleet::image_cache::ImageCache;
+use crate::coordination::fleet::machine::{AgentContact, Listing, Machine, MachineNeed, Phase, UseRecord};
 use crate::coordination::fleet::node_pool::NodePool;
 use crate::coordination::fleet::unregistered::PoolShape;
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::{CloudQuery, PendingOperation};
-use crate::maps::HashSet;
+use crate::maps::{HashMap, HashSet};
 use crate::protocol::cloud::{
     MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST, MachineType, NodePoolRequest, encode_catalog,
 };
@@ -90,6 +91,7 @@
                 continue;
             }
             let was_used = used.contains(&id);
+            let use_record = if was_used { UseRecord::Recorded } else { UseRecord::NotRecorded };
             let machine = Machine {
                 id: id.clone(),
                 machine_type: kind,
@@ -97,37 +99,24 @@
                 spot: request.spot,
                 node_pool: name.to_owned(),
                 phase: if was_used { Phase::Up } else { Phase::Booting },
-                address: String::new(),
                 requested_at: if was_used { worked } else { now },
-                up_since: None,
-                last_heartbeat: None,
-                last_stale_heartbeat: None,
-                ack_tracker: Default::default(),
-                one_way_partitioned: false,
-                min_incarnation: 0,
-                heartbeat_at: None,
-                replied_at: None,
-                // Nothing was ever started on a machine not marked as used.
+                agent: AgentContact::default(),
+                // Nothing was ever started on a machine whose use is not recorded.
                 reconciled: !was_used,
-                use_recorded: was_used,
-                use_record_in_flight: false,
+                use_record,
                 deletion_in_flight: false,
-                stops_pushed_at: None,
                 preempted_at: None,
-                slots: Default::default(),
+                slots: HashMap::default(),
                 free: self.catalog.resources(kind),
                 has_orphan_tasks: false,
-                images: Default::default(),
+                images: ImageCache::default(),
                 failures: Vec::new(),
                 cordoned: false,
                 idle_since: now,
-                // One that had tasks was listed long ago: a takeover need not see
-                // it listed first to conclude from its absence.
-                missed_listings: u32::from(was_used),
-                was_listed: was_used,
-                needed: true,
-                unneeded_since: None,
-                draining: false,
+                // One that had tasks was listed long ago: a failover need not see it listed
+                // first to conclude from its absence.
+                listing: Listing { was_listed: was_used, missed: u32::from(was_used) },
+                need: MachineNeed { is_needed: true, unneeded_since: None, is_draining: false },
             };
             self.machines.insert(machine);
             if was_used {
@@ -191,7 +180,7 @@
                 self.register_pool_machines(now, &name);
                 for id in ids {
                     if let Some(m) = self.machines.get_mut(id) {
-                        m.use_record_in_flight = true;
+                        m.use_record = UseRecord::InFlight;
                     }
                 }
                 if let Some(rental) = self.node_pools.get_mut(&name) {
@@ -286,8 +275,8 @@
         self.liveness.record(now, &self.config, &self.machines);
         let wanted = self.scale_out(now);
         for m in self.machines.values_mut() {
-            m.needed = wanted.contains(&m.id);
-            m.unneeded_since = if m.needed { None } else { m.unneeded_since.or(Some(now)) };
+            m.need.is_needed = wanted.contains(&m.id);
+            m.need.unneeded_since = if m.need.is_needed { None } else { m.need.unneeded_since.or(Some(now)) };
         }
         self.rebalance(now);
         self.scale_in(now, &wanted);
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -68,14 +68,14 @@
     /// most of them, when the fault is more likely on this side.
     fn present_supply(&self, now: Instant) -> Vec<(MachineId, Supply)> {
         let silence = self.liveness.detector(now, &self.config, &self.machines);
-        let doubted = self.machines.values().filter(|m| m.one_way_partitioned).count();
+        let doubted = self.machines.values().filter(|m| m.agent.one_way_partitioned).count();
         let trust_doubt = is_minority(doubted, self.machines.len());
         let mut present: Vec<(MachineId, Supply)> = self
             .machines
             .values()
             .filter(|m| m.phase != Phase::Deleting && !m.cordoned && m.preempted_at.is_none())
             .filter(|m| !silence.is_suspected(m))
-            .filter(|m| !(m.one_way_partitioned && trust_doubt))
+            .filter(|m| !(m.agent.one_way_partitioned && trust_doubt))
             .map(|m| {
                 let offer =
                     InstanceOffer { machine_type: m.machine_type, zone: m.zone.clone(), spot: m.spot };
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -109,7 +109,7 @@
         // second write; nor where nothing has been started on any machine yet,
         // since then whatever comes up will be for the jobs that come now.
         if may_begin
-            && (self.could_start_now(&record.spec) || !self.machines.values().any(|m| m.use_recorded))
+            && (self.could_start_now(&record.spec) || !self.machines.values().any(|m| m.may_hold_tasks()))
         {
             record.started_high_water = record.spec.tasks;
         }
@@ -199,7 +199,7 @@
         let mut job = Job::new(record, version, version, now, count);
         job.team = self.quotas.find(&job.spec().team);
         job.ready_at = (!waits).then_some(now);
-        job.cancelled_at = job.record.cancelled.then_some(now);
+        job.cancellation.committed_at = job.record.cancelled.then_some(now);
         self.record_latency_sensitive_class(job.spec());
         if !waits && self.is_latency_sensitive(job.spec()) {
             self.latency_classes.announce_work();
@@ -251,11 +251,11 @@
         } else if !valid {
             self.reply(to, Answer::retry_later(503, "not leading now", 1));
         } else {
-            j.cancel_waiters.push(to);
+            j.cancellation.waiters.push(to);
             // A settle on its way to the store comes first, and stays.
-            let settling = j.write_in_flight.as_ref().is_some_and(|w| w.completed);
+            let settling = j.stored.write_in_flight.as_ref().is_some_and(|w| w.completed);
             if !settling {
-                j.cancel_requested = true;
+                j.cancellation.is_requested = true;
                 self.dependencies.mark_cancellation_pending(job);
                 self.write_record(now, job);
                 // What it runs is of no use from now on, whatever becomes of the
--- a/src/coordination/jobs/dag.rs
+++ b/src/coordination/jobs/dag.rs
@@ -40,7 +40,7 @@
         let (mut awaited, mut unread, mut fate) = (BTreeSet::new(), Vec::new(), Cancellation::NotCancelled);
         for need in &spec.dependencies {
             let state = match self.jobs.get(need) {
-                Some(job) if job.cancelled_by_dependency => Some(DependencyState::Cancelled),
+                Some(job) if job.cancellation.by_dependency => Some(DependencyState::Cancelled),
                 Some(job) => Some(DependencyState::of(Some(&job.record))),
                 None if self.admissions.contains(need) => {
                     return DependencyCheck::Undetermined("an awaited job is being accepted");
@@ -85,7 +85,8 @@
             return;
         }
         // Whether it is cancelled with them is known once that is written.
-        let being_cancelled = |need: &JobId| self.jobs.get(need).is_some_and(|job| job.cancel_requested);
+        let being_cancelled =
+            |need: &JobId| self.jobs.get(need).is_some_and(|job| job.cancellation.is_requested);
         let fate = if awaited.iter().any(being_cancelled) { fate.max(Cancellation::Pending) } else { fate };
         let finish_by = spec.deadline_s.map(|s| submitted + Duration::from_secs_f64(s.min(1e7)));
         let urgency = Urgency { priority: spec.priority, finish_by };
@@ -137,8 +138,8 @@
             return;
         }
         tracing::debug!(%job, "cancelled with a job that it needs");
-        j.cancelled_by_dependency = true;
-        j.cancel_requested = true;
+        j.cancellation.by_dependency = true;
+        j.cancellation.is_requested = true;
         self.answer_cancel_waiters(job);
         self.write_record(now, job);
     }
@@ -154,7 +155,7 @@
     ) {
         let Some(j) = self.jobs.get(job) else { return };
         let (spec, submitted, begun, released_ms) =
-            (j.spec().clone(), j.submitted_at, j.committed_high_water, j.record.ready_ms);
+            (j.spec().clone(), j.submitted_at, j.stored.started_high_water, j.record.ready_ms);
         if spec.dependencies.is_empty() || j.record.terminal_state().is_some() {
             return;
         }
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -7,6 +7,8 @@
 pub mod dependency_state;
 pub mod job;
 pub mod quota;
+pub mod record_state;
 pub mod record_writes;
 pub mod resources;
+pub mod task_placements;
 pub mod write_queue;
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -10,7 +10,8 @@
 
 use crate::coordination::authority::Violation;
 use crate::coordination::authority::answers::Answer;
-use crate::coordination::jobs::job::{BlockConversion, Job, RecordWriteInFlight, WriteScope};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::record_state::{BlockConversion, RecordWriteInFlight, RowState, WriteScope};
 use crate::coordination::jobs::write_queue::DirtyJob;
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::{Effect, PendingOperation};
@@ -39,11 +40,11 @@
 
 /// The record as it should be once the write is carried out.
 fn target_record(job: &mut Job, now_ms: u64) -> JobRecord {
-    let settled = job.record.all_tasks_done() && !job.cancel_requested;
+    let settled = job.record.all_tasks_done() && !job.cancellation.is_requested;
     if settled {
         job.record.completed_ms.get_or_insert(now_ms);
     }
-    JobRecord { cancelled: job.cancel_requested, completed: settled, ..job.record.clone() }
+    JobRecord { cancelled: job.cancellation.is_requested, completed: settled, ..job.record.clone() }
 }
 
 /// A record with as many of its changed blocks as one transaction takes.
@@ -52,30 +53,30 @@
     let layout = record.layout(value_kb);
     let id = record.spec.id.clone();
     let most = state.within_both().txn_ops.saturating_sub(1).max(1);
-    let blocks: Vec<u32> = job.dirty_blocks.iter().copied().take(most).collect();
-    job.dirty_blocks.retain(|block| !blocks.contains(block));
-    let mut conditions = vec![Compare { key: job_record_key(&id), version: job.record_version }];
+    let blocks: Vec<u32> = job.stored.dirty_blocks.iter().copied().take(most).collect();
+    job.stored.dirty_blocks.retain(|block| !blocks.contains(block));
+    let mut conditions = vec![Compare { key: job_record_key(&id), version: job.stored.version }];
     let mut changes = vec![put(job_record_key(&id), record.encode(value_kb))];
     for &block in &blocks {
         let key = layout.block_key(&id, block);
-        let version = job.block_versions.get(block as usize).copied().unwrap_or(0);
+        let version = job.stored.block_versions.get(block as usize).copied().unwrap_or(0);
         conditions.push(Compare { key: key.clone(), version });
         changes.push(put(key, record.encode_block(block, value_kb)));
     }
     let class = match (record.cancelled, record.completed) {
         // What follows from another's cancellation is told already: users wait for the
         // write of the one, not for those of the others.
-        (true, _) if job.cancelled_by_dependency => RequestClass::Completion,
+        (true, _) if job.cancellation.by_dependency => RequestClass::Completion,
         (true, _) => RequestClass::Cancellation,
         (_, true) => RequestClass::Completion,
         // Its tasks wait for nothing but this.
-        _ if record.started_high_water > job.committed_high_water => RequestClass::Completion,
+        _ if record.started_high_water > job.stored.started_high_water => RequestClass::Completion,
         _ => RequestClass::Progress,
     };
-    let done = if job.dirty_blocks.is_empty() || record.completed {
+    let done = if job.stored.dirty_blocks.is_empty() || record.completed {
         record.done.clone()
     } else {
-        let mut done = job.committed_done.clone();
+        let mut done = job.stored.done.clone();
         for &block in &blocks {
             let (start, end) = layout.range(block);
             done.insert_range(&record.done, start, end);
@@ -89,7 +90,7 @@
 /// A final record without its done tasks, which nobody needs any more.
 fn terminal_write(job: &Job, record: JobRecord) -> RecordWrite {
     let key = job_record_key(&record.spec.id);
-    let conditions = vec![Compare { key: key.clone(), version: job.record_version }];
+    let conditions = vec![Compare { key: key.clone(), version: job.stored.version }];
     let changes = vec![put(key, record.encode_without_done_tasks())];
     let done = record.done.clone();
     let written = RecordWriteInFlight::new(&record, done, WriteScope::WithoutDoneTasks);
@@ -109,7 +110,7 @@
     record.done = conversion.done.clone();
     record.block_tasks = Some(conversion.block_tasks);
     let layout = Layout::NamedBlocks(conversion.block_tasks);
-    let conditions = vec![Compare { key: job_record_key(&id), version: job.record_version }];
+    let conditions = vec![Compare { key: job_record_key(&id), version: job.stored.version }];
     let from = conversion.versions.len() as u32;
     let most = state.within_both().txn_ops as u32;
     let until = layout.blocks(record.spec.tasks).min(from.saturating_add(most));
@@ -133,11 +134,11 @@
         if j.record.terminal_state().is_some() || j.is_service() || !j.record.done.insert(task) {
             return;
         }
-        j.requeued.remove(&task);
-        j.failed_on.clear();
-        j.backoff_until = None;
+        j.tasks.requeued.remove(&task);
+        j.failures.machines.clear();
+        j.failures.backoff_until = None;
         if let Some(size) = j.record.layout(value_kb).block_tasks() {
-            j.dirty_blocks.insert(task / size);
+            j.stored.dirty_blocks.insert(task / size);
         }
         self.mark_dirty(now, job);
         // A settle is what the user waits for; it does not wait for a batch.
@@ -148,8 +149,8 @@
 
     fn mark_dirty(&mut self, now: Instant, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.dirty_since.is_none() {
-            j.dirty_since = Some(now);
+        if j.stored.dirty_since.is_none() {
+            j.stored.dirty_since = Some(now);
             self.record_writes.push_dirty(now, job.clone());
         }
     }
@@ -168,10 +169,11 @@
             }
             let Some(DirtyJob { since, job }) = self.record_writes.pop_due_dirty(now, delay) else { break };
             // Another write may have taken its done tasks along.
-            let Some(entry) = self.jobs.get(&job).filter(|entry| entry.dirty_since == Some(since)) else {
+            let Some(entry) = self.jobs.get(&job).filter(|entry| entry.stored.dirty_since == Some(since))
+            else {
                 continue;
             };
-            if entry.write_in_flight.is_some() {
+            if entry.stored.write_in_flight.is_some() {
                 self.record_writes.push_dirty(since, job);
                 continue;
             }
@@ -185,7 +187,7 @@
     fn retry_rejected_records(&mut self, now: Instant) {
         for job in self.record_writes.take_due_rejected(now) {
             if let Some(entry) = self.jobs.get_mut(&job) {
-                entry.record_rejected = false;
+                entry.stored.is_rejected = false;
             }
             self.write_record(now, &job);
         }
@@ -199,10 +201,11 @@
         // That one has begun says that its needs are done.
         if j.is_startable()
             && !j.waits_for_dependencies()
-            && j.record.started_high_water == j.committed_high_water
-            && j.committed_high_water < j.spec().tasks
+            && j.record.started_high_water == j.stored.started_high_water
+            && j.stored.started_high_water < j.spec().tasks
         {
-            j.record.started_high_water = j.spec().tasks.min(j.committed_high_water.saturating_add(AT_ONCE));
+            j.record.started_high_water =
+                j.spec().tasks.min(j.stored.started_high_water.saturating_add(AT_ONCE));
             self.write_record(now, job);
         }
     }
@@ -214,21 +217,21 @@
         let config = self.config.clone();
         let state = &config.settings.cluster.state;
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.write_in_flight.is_some() || j.record_rejected || j.record.terminal_state().is_some() {
+        if j.stored.write_in_flight.is_some() || j.stored.is_rejected || j.record.terminal_state().is_some() {
             return;
         }
         let record = target_record(j, now_ms);
         let is_final = record.terminal_state().is_some();
-        let conversion = j.conversion.take();
+        let conversion = j.stored.conversion.take();
         let write = match &conversion {
             Some(_) if is_final => terminal_write(j, record),
             Some(conversion) => block_conversion_write(j, conversion, record, state),
-            None if is_final && j.record_too_large => terminal_write(j, record),
+            None if is_final && j.stored.is_too_large => terminal_write(j, record),
             None => record_with_blocks_write(j, record, state),
         };
-        j.conversion = conversion.filter(|_| !is_final);
-        j.dirty_since = None;
-        j.write_in_flight = Some(write.in_flight);
+        j.stored.conversion = conversion.filter(|_| !is_final);
+        j.stored.dirty_since = None;
+        j.stored.write_in_flight = Some(write.in_flight);
         self.commit(
             PendingOperation::WriteJobRecord(job.clone()),
             write.class,
@@ -240,7 +243,7 @@
     /// A write of a job's record has ended.
     pub(crate) fn handle_record_written(&mut self, now: Instant, job: JobId, result: Result<u64, KvError>) {
         let Some(j) = self.jobs.get_mut(&job) else { return };
-        let Some(written) = j.write_in_flight.take() else { return };
+        let Some(written) = j.stored.write_in_flight.take() else { return };
         match result {
             Ok(version) => self.apply_committed_write(now, &job, written, version),
             Err(KvError::Fenced) => {}
@@ -263,45 +266,45 @@
         let value_kb = self.config.settings.cluster.state.value_kb;
         let Some(j) = self.jobs.get_mut(job) else { return };
         if let WriteScope::NewBlocks { count } = written.scope {
-            if let Some(conversion) = &mut j.conversion {
+            if let Some(conversion) = &mut j.stored.conversion {
                 conversion.versions.extend((0..count).map(|_| version));
             }
             return self.write_record(now, job);
         }
-        j.record_version = version;
-        j.committed_done = written.done;
-        if written.started_high_water > j.committed_high_water {
+        j.stored.version = version;
+        j.stored.done = written.done;
+        if written.started_high_water > j.stored.started_high_water {
             self.latency_classes.announce_work();
         }
-        j.committed_high_water = written.started_high_water;
+        j.stored.started_high_water = written.started_high_water;
         j.record.cancelled = written.cancelled;
-        j.cancelled_at = written.cancelled.then_some(now);
+        j.cancellation.committed_at = written.cancelled.then_some(now);
         j.record.completed = written.completed;
         match written.scope {
             WriteScope::Record { blocks } => {
                 for block in blocks {
-                    if let Some(known) = j.block_versions.get_mut(block as usize) {
+                    if let Some(known) = j.stored.block_versions.get_mut(block as usize) {
                         *known = version;
                     }
                 }
             }
             WriteScope::SwitchLayout => {
-                if let Some(conversion) = j.conversion.take() {
+                if let Some(conversion) = j.stored.conversion.take() {
                     j.adopt_blocks(conversion, value_kb);
-                    tracing::info!(%job, blocks = j.block_versions.len(), "done tasks moved to smaller blocks");
+                    tracing::info!(%job, blocks = j.stored.block_versions.len(), "done tasks moved to smaller blocks");
                 }
             }
             WriteScope::WithoutDoneTasks | WriteScope::NewBlocks { .. } => {}
         }
-        let more = j.record.done.len() > j.committed_done.len();
+        let more = j.record.done.len() > j.stored.done.len();
         match j.record.terminal_state() {
             Some(standing) => self.handle_job_terminated(now, job, standing),
             None => {
                 // A cancellation, the last task or a first start came while this
                 // was written.
-                if j.cancel_requested
+                if j.cancellation.is_requested
                     || j.record.all_tasks_done()
-                    || j.record.started_high_water > j.committed_high_water
+                    || j.record.started_high_water > j.stored.started_high_water
                 {
                     self.write_record(now, job);
                 } else if more {
@@ -326,7 +329,7 @@
     /// Tells a job's final state to those who have asked to cancel it.
     pub(crate) fn answer_cancel_waiters(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        let waiting = std::mem::take(&mut j.cancel_waiters);
+        let waiting = std::mem::take(&mut j.cancellation.waiters);
         let status = j.status();
         for to in waiting {
             self.reply(to, Answer::terminal_state(status.clone()));
@@ -340,24 +343,24 @@
         let value_kb = self.config.settings.cluster.state.value_kb;
         let Some(j) = self.jobs.get_mut(job) else { return };
         if let WriteScope::Record { blocks } = &written.scope {
-            j.dirty_blocks.extend(blocks);
+            j.stored.dirty_blocks.extend(blocks);
         }
         let is_final = written.cancelled || written.completed;
         if is_final && !matches!(written.scope, WriteScope::WithoutDoneTasks) {
-            j.record_too_large = true;
+            j.stored.is_too_large = true;
             return self.write_record(now, job);
         }
         let whole = j.record.layout(value_kb).block_tasks().unwrap_or(j.spec().tasks);
-        let present = j.conversion.take().map_or(whole, |conversion| conversion.block_tasks);
+        let present = j.stored.conversion.take().map_or(whole, |conversion| conversion.block_tasks);
         let smaller = announced.min(present / 2);
         if is_final || smaller < MIN_BLOCK_TASKS {
             tracing::error!(%job, "the state service refuses a job's record in every size; trying again later");
-            j.record_rejected = true;
+            j.stored.is_rejected = true;
             self.record_writes.push_rejected(now, job.clone());
             return;
         }
         tracing::info!(%job, tasks = smaller, "a job's record is too large now; its done tasks move to blocks");
-        j.conversion = Some(BlockConversion::new(smaller, j.record.done.clone()));
+        j.stored.conversion = Some(BlockConversion::new(smaller, j.record.done.clone()));
         self.write_record(now, job);
     }
 
@@ -366,20 +369,21 @@
     /// knows what its tasks take.
     pub(crate) fn try_archive(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.record.terminal_state().is_none() || j.slot_count > 0 || j.write_in_flight.is_some() {
+        if j.record.terminal_state().is_none() || j.tasks.slot_count > 0 || j.stored.write_in_flight.is_some()
+        {
             return;
         }
-        if j.archived {
+        if j.stored.row == RowState::Archived {
             return self.evict_job(job);
         }
-        if j.archiving {
+        if j.stored.row == RowState::Archiving {
             return;
         }
         // While some machine has not been heard, a task may still be there.
-        if j.unreconciled_below > 0 && !self.failover.is_complete() {
+        if j.tasks.unreconciled_below > 0 && !self.failover.is_complete() {
             return;
         }
-        j.archiving = true;
+        j.stored.row = RowState::Archiving;
         self.record_writes.push_archive(job.clone());
         self.archive_queued_rows();
     }
@@ -395,14 +399,14 @@
     fn archive_row(&mut self, job: &JobId) {
         let Some(j) = self.jobs.get_mut(job) else { return };
         let Some(standing) = j.record.terminal_state() else { return };
-        if j.slot_count > 0 {
+        if j.tasks.slot_count > 0 {
             // A machine has shown one more task of it since: once that is gone.
-            j.archiving = false;
+            j.stored.row = RowState::Live;
             return;
         }
         self.record_writes.archive_started();
         let conditions = vec![
-            Compare { key: live_row_key(job), version: j.live_row_version },
+            Compare { key: live_row_key(job), version: j.stored.live_row_version },
             Compare { key: archived_row_key(job), version: 0 },
         ];
         let changes =
@@ -420,10 +424,10 @@
                 tracing::error!(%job, ?error, "a row differs from what was read; `audit` tells more")
             }
         }
-        match self.jobs.get_mut(&job).filter(|j| j.slot_count > 0) {
+        match self.jobs.get_mut(&job).filter(|j| j.tasks.slot_count > 0) {
             // A machine has shown a task of it since. Out of memory, nobody would stop it.
             Some(j) => {
-                j.archived = true;
+                j.stored.row = RowState::Archived;
                 self.record_violation(Violation::JobEvictedWithTasks, &job);
             }
             None => self.evict_job(&job),
--- a/src/coordination/leader/metrics.rs
+++ b/src/coordination/leader/metrics.rs
@@ -10,7 +10,7 @@
     fn task_counts(&self) -> (u32, usize, usize) {
         (
             self.jobs.values().map(Job::pending).sum(),
-            self.jobs.values().map(|j| j.placements.len()).sum(),
+            self.jobs.values().map(|j| j.tasks.assigned.len()).sum(),
             self.machines.values().filter(|m| m.phase == Phase::Booting).count(),
         )
     }
@@ -33,7 +33,10 @@
             .set("tasksActive", active as u64)
             .set("machines", self.machines.len() as u64)
             .set("machinesBooting", booting as u64)
-            .set("machinesDoubted", self.machines.values().filter(|m| m.one_way_partitioned).count() as u64)
+            .set(
+                "machinesDoubted",
+                self.machines.values().filter(|m| m.agent.one_way_partitioned).count() as u64,
+            )
             .set("accountedFor", self.failover.is_complete())
             .set("submissionsRefused", self.admissions.refused())
             .set("recordsUnreadable", self.failover.unreadable().len() as u64)
--- a/src/coordination/recovery/failover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -126,9 +126,9 @@
         let age = Duration::from_millis(now_ms.saturating_sub(job.record.submitted_ms));
         let submitted = now.checked_sub(age).unwrap_or(now);
         let mut entry = Job::new(job.record, job.record_version, job.live_row_version, submitted, 0);
-        entry.block_versions = job.block_versions;
-        entry.unreconciled_below = entry.committed_high_water;
-        entry.cancelled_at = entry.record.cancelled.then_some(now);
+        entry.stored.block_versions = job.block_versions;
+        entry.tasks.unreconciled_below = entry.stored.started_high_water;
+        entry.cancellation.committed_at = entry.record.cancelled.then_some(now);
         entry.team = self.quotas.find(&entry.spec().team);
         self.record_latency_sensitive_class(entry.spec());
         self.jobs.insert(entry.id().clone(), entry);
@@ -159,8 +159,8 @@
             // leader. One that has not may never have got ours, and an earlier
             // leader in its lapse window may have kept it alive since.
             .filter(|m| {
-                now >= match m.replied_at.map(|at| at + proof) {
-                    Some(own) if m.last_heartbeat.is_some() => own,
+                now >= match m.agent.replied_at.map(|at| at + proof) {
+                    Some(own) if m.agent.last_heartbeat.is_some() => own,
                     Some(own) => own.max(unheard),
                     None => unheard,
                 }
@@ -172,8 +172,11 @@
             self.clear_slots(now, &machine);
             if let Some(m) = self.machines.get_mut(&machine) {
                 // A report that was held back may still list them.
-                m.min_incarnation =
-                    m.last_heartbeat.max(m.last_stale_heartbeat).map_or(0, |(session, _)| session + 1);
+                m.agent.min_incarnation = m
+                    .agent
+                    .last_heartbeat
+                    .max(m.agent.last_stale_heartbeat)
+                    .map_or(0, |stamp| stamp.incarnation + 1);
                 m.free = self.catalog.resources(m.machine_type);
             }
             self.mark_machine_reconciled(&machine);
--- a/src/coordination/recovery/progress.rs
+++ b/src/coordination/recovery/progress.rs
@@ -125,7 +125,7 @@
     /// Machines are reconciled in about the order of the walk or in any other; it goes on
     /// where it stopped, so that a failover's heartbeats do not each walk the whole fleet.
     pub(crate) fn all_machines_reconciled(&mut self, machines: &MachineTable) -> bool {
-        let is_unreconciled = |machine: &&Machine| machine.use_recorded && !machine.reconciled;
+        let is_unreconciled = |machine: &&Machine| machine.may_hold_tasks() && !machine.reconciled;
         let last = self.unreconciled_machine.take();
         let rest = last.and_then(|last| machines.starting_at(last).find(is_unreconciled));
         let found = rest.or_else(|| machines.values().find(is_unreconciled));
--- a/src/coordination/scheduling/descheduler.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -9,9 +9,9 @@
 use tokio::time::Instant;
 
 use crate::coordination::fleet::machine::Machine;
-use crate::coordination::jobs::job::{SlotKey, SlotState};
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
+use crate::coordination::workers::slot::{SlotKey, SlotState};
 use crate::maps::HashMap;
 use crate::protocol::workers::MachineId;
 
@@ -23,8 +23,8 @@
     pub(crate) fn rebalance(&mut self, now: Instant) {
         let steady =
             self.failover.is_complete() && !self.cloud_health.is_down(now) && self.liveness.is_mostly_live();
-        for machine in self.machines.values_mut().filter(|m| m.draining) {
-            machine.draining = steady && !machine.needed;
+        for machine in self.machines.values_mut().filter(|m| m.need.is_draining) {
+            machine.need.is_draining = steady && !machine.need.is_needed;
         }
         let waiting = self.jobs.values().any(|job| job.is_service() && job.pending() > 0);
         if !steady || waiting {
@@ -32,7 +32,7 @@
         }
         let Some(machine) = self.choose_machine_to_drain(now) else { return };
         let Some(emptied) = self.machines.get_mut(&machine) else { return };
-        emptied.draining = true;
+        emptied.need.is_draining = true;
         let replicas: Vec<SlotKey> = emptied.slots.keys().cloned().collect();
         tracing::info!(%machine, replicas = replicas.len(), "moving replicas elsewhere");
         for replica in replicas {
@@ -57,7 +57,7 @@
         let settled = self.config.settings.cluster.workers.report() * MIN_HEARTBEATS_BEFORE_MOVE;
         let boot = self.catalog.longest_boot();
         machine.has_usable_capacity()
-            && machine.unneeded_since.is_some_and(|since| now >= since + boot / 2)
+            && machine.need.unneeded_since.is_some_and(|since| now >= since + boot / 2)
             && !machine.slots.is_empty()
             && machine.slots.iter().all(|(key, slot)| {
                 slot.state == SlotState::Running
@@ -79,11 +79,11 @@
                 if let Some(taken) = taken.get(&other.id) {
                     room.sub(taken);
                 }
-                other.needed
+                other.need.is_needed
                     && other.id != machine.id
                     && other.has_usable_capacity()
                     && need.fits(&room)
-                    && other.has_image(&job.spec().image)
+                    && other.images.contains(&job.spec().image)
                     && self.passes_filters(job, other)
             });
             target.is_some_and(|other| {
--- a/src/coordination/scheduling/filters.rs
+++ b/src/coordination/scheduling/filters.rs
@@ -13,7 +13,7 @@
         if !machine.is_schedulable()
             || !Resources::of(spec).fits(&machine.free)
             || !self.allows_machine(spec, machine)
-            || machine.slots.keys().any(|(j, t)| j == job.id() && !job.placements.contains_key(t))
+            || machine.slots.keys().any(|(j, t)| j == job.id() && !job.tasks.assigned.contains_key(t))
         {
             return false;
         }
--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -43,7 +43,7 @@
         }
         let failing_over = !self.failover.is_complete();
         let may_hold_unknown_tasks = |machine: &&Machine| {
-            machine.has_orphan_tasks || (failing_over && machine.use_recorded && !machine.reconciled)
+            machine.has_orphan_tasks || (failing_over && machine.may_hold_tasks() && !machine.reconciled)
         };
         let mut capacity = Resources::default();
         for machine in self.machines.values().filter(may_hold_unknown_tasks) {
@@ -55,7 +55,7 @@
     /// Machines that have room. One that has missed its time to send a heartbeat may be dead.
     fn machines_with_room(&self, now: Instant) -> Vec<MachineId> {
         let timeout = self.config.settings.cluster.workers.report().mul_f64(1.5);
-        let is_live = |machine: &Machine| machine.heartbeat_at.is_some_and(|at| now < at + timeout);
+        let is_live = |machine: &Machine| machine.agent.heartbeat_at.is_some_and(|at| now < at + timeout);
         let has_room = |machine: &&Machine| {
             machine.free.cpus > MIN_ROOM_CPUS && machine.has_usable_capacity() && is_live(machine)
         };
@@ -77,7 +77,7 @@
                 break;
             }
             room -= job.spec().cpus * f64::from(job.pending());
-            if job.committed_high_water < job.spec().tasks {
+            if job.stored.started_high_water < job.spec().tasks {
                 due.push(job.id().clone());
             }
         }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -9,10 +9,10 @@
 
 use crate::coordination::authority::{StartEvidence, Violation};
 use crate::coordination::fleet::machine::Machine;
-use crate::coordination::jobs::job::{SlotKey, SlotState};
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::scheduling::queue::QueuedJob;
+use crate::coordination::workers::slot::{SlotKey, SlotState};
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::{Command, MachineId};
 
@@ -45,7 +45,7 @@
             while started < most && self.should_start(now, ranked, machine) {
                 let recovered = self.failover.is_complete();
                 let Some(job) = self.jobs.get_mut(&ranked.job) else { break };
-                let least = if recovered { 0 } else { job.unreconciled_below };
+                let least = if recovered { 0 } else { job.tasks.unreconciled_below };
                 let Some(index) = job.next_pending(least) else { break };
                 let Some(order) = self.start_task(now, machine, sequence, (ranked.job.clone(), index)) else {
                     break;
@@ -59,7 +59,7 @@
                     break;
                 }
             }
-            let begun = self.jobs.get(&ranked.job).is_none_or(|j| !j.placements.is_empty());
+            let begun = self.jobs.get(&ranked.job).is_none_or(|j| !j.tasks.assigned.is_empty());
             if ranked.starved && !begun && self.try_reserve(&ranked.job, machine) {
                 break;
             }
@@ -108,16 +108,16 @@
         let job = self.jobs.get(job_id)?;
         let machine = self.machines.get(machine)?;
         let awaits_others = !job.spec().dependencies.is_empty();
-        let may_be_on_unheard = !self.failover.is_complete() && task < job.unreconciled_below;
-        let is_counted = job.placements.contains_key(&task) || machine.slots.contains_key(key);
+        let may_be_on_unheard = !self.failover.is_complete() && task < job.tasks.unreconciled_below;
+        let is_counted = job.tasks.assigned.contains_key(&task) || machine.slots.contains_key(key);
         Some(StartEvidence {
             job_is_live: job.is_startable(),
             dependencies_are_done: !job.waits_for_dependencies()
                 && (!awaits_others || self.dependencies.is_ready(job_id)),
-            start_is_recorded: task < job.committed_high_water,
+            start_is_recorded: task < job.stored.started_high_water,
             task_is_done: job.record.done.contains(task),
             is_on_no_machine: !is_counted && !may_be_on_unheard,
-            machine_use_is_recorded: machine.use_recorded,
+            machine_use_is_recorded: machine.may_hold_tasks(),
             last_attempt: self.attempts.latest(),
         })
     }
@@ -126,7 +126,9 @@
     fn should_start(&mut self, now: Instant, ranked: &QueuedJob, machine: &MachineId) -> bool {
         let recovered = self.failover.is_complete();
         let Some(j) = self.jobs.get_mut(&ranked.job) else { return false };
-        if j.pending() == 0 || j.backoff_until.is_some_and(|until| now < until && !j.placements.is_empty()) {
+        if j.pending() == 0
+            || j.failures.backoff_until.is_some_and(|until| now < until && !j.tasks.assigned.is_empty())
+        {
             return false;
         }
         // Until every machine has reported, or is gone, and has stopped what it
@@ -140,12 +142,12 @@
         // Those that never began, and jobs accepted in this epoch, cannot be
         // there; where the others are may decide in which zone they may start.
         let tied = j.spec().one_zone || j.spec().spread;
-        if !recovered && j.unreconciled_below > 0 && tied {
+        if !recovered && j.tasks.unreconciled_below > 0 && tied {
             return false;
         }
-        let least = if recovered { 0 } else { j.unreconciled_below };
+        let least = if recovered { 0 } else { j.tasks.unreconciled_below };
         let Some(next) = j.next_pending(least) else { return false };
-        if next >= j.committed_high_water {
+        if next >= j.stored.started_high_water {
             self.raise_started_high_water(now, &ranked.job);
             return false;
         }
@@ -155,7 +157,7 @@
             return false;
         }
         if ranked.starved {
-            return j.placements.is_empty();
+            return j.tasks.assigned.is_empty();
         }
         // A better place would report too late.
         if self.meets_latency_objective(now, j, m) {
@@ -173,7 +175,7 @@
         let pending = j.pending();
         // A machine that no demand counts on is left to run empty while the
         // others have room for all that waits.
-        if !m.needed && self.fits_on_needed_machines(j) {
+        if !m.need.is_needed && self.fits_on_needed_machines(j) {
             return false;
         }
         let report = self.config.settings.cluster.workers.report();
@@ -186,7 +188,7 @@
             .filter_map(|id| self.machines.get(id))
             .filter(|o| self.passes_filters(j, o))
             .filter(|o| {
-                let next_report = o.heartbeat_at.map_or(now, |h| (h + report).max(now));
+                let next_report = o.agent.heartbeat_at.map_or(now, |h| (h + report).max(now));
                 self.score(now, j, o, next_report) > here + 0.5
             })
             .map(|o| need.times_in(&o.free))
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -3,11 +3,12 @@
 
 use tokio::time::Instant;
 
-use crate::coordination::jobs::job::{Job, SlotKey, SlotState};
+use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::quota::QuotaId;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::scheduling::queue::QueuedJob;
+use crate::coordination::workers::slot::{SlotKey, SlotState};
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::jobs::Priority;
 use crate::protocol::workers::MachineId;
@@ -62,7 +63,7 @@
 
     fn preemptible(&self) -> Preemptible {
         let over = self.quotas.iter().filter(|(_, quota)| quota.exceeds_guarantee());
-        let on_machines = self.jobs.values().filter(|job| job.slot_count > 0);
+        let on_machines = self.jobs.values().filter(|job| job.tasks.slot_count > 0);
         Preemptible {
             over_guarantee: over.map(|(id, _)| id).collect(),
             lowest_priority: on_machines.map(|job| self.priority(job)).min(),
@@ -102,7 +103,8 @@
     /// Tasks of a job for which there is no room, neither free nor being made.
     fn tasks_without_room(&self, job: &Job) -> u32 {
         let need = Resources::of(job.spec());
-        let usable = self.machines.values().filter(|m| !m.one_way_partitioned && self.passes_filters(job, m));
+        let usable =
+            self.machines.values().filter(|m| !m.agent.one_way_partitioned && self.passes_filters(job, m));
         let free = usable.map(|m| need.times_in(&m.free)).fold(0, u32::saturating_add);
         let slots = self.machines.values().flat_map(|m| m.slots.values());
         let stopping = slots.filter(|slot| slot.stop_grace_s.is_some()).count();
@@ -183,7 +185,7 @@
                 let lower = self.priority(victim) < ranked.priority;
                 let may = lower || (ranked.guaranteed && borrowed);
                 // The only one that a job has begun with is left alone.
-                let first = victim.placements.len() == 1
+                let first = victim.tasks.assigned.len() == 1
                     && victim.record.done.is_empty()
                     && now >= victim.waiting_since(now) + self.config.tuning.begin_within / 2;
                 if !may || first || victim.is_service() {
--- a/src/coordination/scheduling/reservation.rs
+++ b/src/coordination/scheduling/reservation.rs
@@ -15,7 +15,7 @@
         let (Some(j), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else { return false };
         // While its own team is at its limit, or its tasks may still be somewhere,
         // room would not help it: others must not wait beside an empty machine.
-        if !self.is_within_quota(j) || !(self.failover.is_complete() || j.unreconciled_below == 0) {
+        if !self.is_within_quota(j) || !(self.failover.is_complete() || j.tasks.unreconciled_below == 0) {
             self.queue.release_reservation(job);
             return false;
         }
--- a/src/coordination/scheduling/sampling.rs
+++ b/src/coordination/scheduling/sampling.rs
@@ -38,12 +38,12 @@
 
     /// Whether all that waits of the job fits on machines that demand counts on.
     pub(crate) fn fits_on_needed_machines(&self, job: &Job) -> bool {
-        self.fits_on_machines_where(job, |m| m.needed)
+        self.fits_on_machines_where(job, |m| m.need.is_needed)
     }
 
     /// Whether all that waits of the job fits on machines that have its image.
     pub(crate) fn fits_on_machines_with_image(&self, job: &Job) -> bool {
-        self.fits_on_machines_where(job, |m| m.has_image(&job.spec().image))
+        self.fits_on_machines_where(job, |m| m.images.contains(&job.spec().image))
     }
 
     /// Whether all that waits of the job fits on such machines, of those that had room
@@ -52,7 +52,7 @@
         let need = Resources::of(job.spec());
         let mut left = job.pending();
         for m in self.queue.candidates().iter().filter_map(|id| self.machines.get(id)) {
-            if suits(m) && need.fits(&m.free) && !m.one_way_partitioned && self.passes_filters(job, m) {
+            if suits(m) && need.fits(&m.free) && !m.agent.one_way_partitioned && self.passes_filters(job, m) {
                 left = left.saturating_sub(need.times_in(&m.free));
                 if left == 0 {
                     return true;
--- a/src/coordination/scheduling/score.rs
+++ b/src/coordination/scheduling/score.rs
@@ -20,7 +20,7 @@
         // may not.
         let dear = if spec.spot && !machine.spot { 2.0 } else { 0.0 };
         // What nobody counts on is left to run empty and be returned.
-        let spare = if machine.needed { 0.0 } else { 2.0 };
+        let spare = if machine.need.is_needed { 0.0 } else { 2.0 };
         // Without checkpoints all of a task's work is lost with the machine;
         // the longer it runs, the likelier and the more.
         let risk = if machine.spot && spec.checkpoint_interval_s <= 0.0 {
@@ -34,7 +34,7 @@
 
     /// How long the machine is expected to fetch the image of the job.
     pub(crate) fn image_fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
-        if machine.has_image(&spec.image) {
+        if machine.images.contains(&spec.image) {
             0.0
         } else {
             self.catalog.image_fetch_s(spec, machine.machine_type)
--- a/src/coordination/scheduling/slack.rs
+++ b/src/coordination/scheduling/slack.rs
@@ -103,7 +103,7 @@
     pub(crate) fn meets_latency_objective(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
         let waited = now.saturating_duration_since(job.waiting_since(now)).as_secs_f64();
         let fetch = self.image_fetch_s(job.spec(), machine);
-        if job.is_service() && !job.placements.is_empty() && fetch <= 0.0 {
+        if job.is_service() && !job.tasks.assigned.is_empty() && fetch <= 0.0 {
             // One of its replicas is down: each second counts.
             return true;
         }
@@ -128,7 +128,7 @@
     /// it goes before: else a stream of more urgent, or smaller, work could
     /// keep it out for ever.
     pub(crate) fn is_starved(&self, job: &Job, now: Instant) -> bool {
-        job.placements.is_empty()
+        job.tasks.assigned.is_empty()
             && job.record.done.is_empty()
             && now >= job.waiting_since(now) + self.config.tuning.begin_within / 2
     }
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -122,12 +122,12 @@
     // and the same copy puts its proof off only once.
     let first = rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone());
     assert_eq!(first, HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] });
-    let answered = rig.known_machine("vm-1").replied_at;
+    let answered = rig.known_machine("vm-1").agent.replied_at;
     rig.pass(3.0);
     assert_eq!(rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
     assert_eq!(rig.report("vm-1", 1, 49, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
     let m = rig.known_machine("vm-1");
-    assert_eq!((m.replied_at, m.heartbeat_at, m.slots.len()), (answered, None, 0));
+    assert_eq!((m.agent.replied_at, m.agent.heartbeat_at, m.slots.len()), (answered, None, 0));
     assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
     // Once it has shown the token, copies from before it change nothing.
     rig.beat("vm-1", 51, EPOCH, copied.clone());
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -100,7 +100,7 @@
             Some(CloudReply::List(InventoryPage { machines, more: rest.next().is_some() }))
         });
     }
-    let listed = |rig: &Rig| rig.leader.machines.values().all(|m| m.was_listed);
+    let listed = |rig: &Rig| rig.leader.machines.values().all(|m| m.listing.was_listed);
     assert!(listed(&rig) && rig.leader.machines.len() == MACHINES);
 
     // All end at once; the records come out in parts that the new limits allow.
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -176,7 +176,7 @@
         rig.pass(3.0);
     }
     let vm = rig.known_machine("vm-1");
-    assert!(vm.one_way_partitioned && !vm.needed, "its room counts for nothing");
+    assert!(vm.agent.one_way_partitioned && !vm.need.is_needed, "its room counts for nothing");
     let (mut probe, mut tick) = (orders_of(&mut rig, 9, vec![]), 9);
     assert!(probe.is_empty(), "no start while it is doubted");
     while probe.is_empty() && tick < 20 {
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -194,7 +194,7 @@
             rig.beat(name, seq, EPOCH, vec![]);
         }
         assert!(!rig.cloud.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_))), "cut off, perhaps");
-        let wanted = ["vm-2b", "vm-3b"].map(|name| rig.known_machine(name).needed);
+        let wanted = ["vm-2b", "vm-3b"].map(|name| rig.known_machine(name).need.is_needed);
         assert!(rig.now < begin + silence + Duration::from_secs(2) || wanted == [false, false]);
     }
     rig.pass(2.1);
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -4,9 +4,9 @@
 use tokio::time::Instant;
 
 use crate::coordination::fleet::machine::{Machine, Phase};
-use crate::coordination::jobs::job::{SlotKey, SlotState};
 use crate::coordination::leader::Leader;
 use crate::coordination::workers::heartbeats::MAX_COMMANDS;
+use crate::coordination::workers::slot::{SlotKey, SlotState};
 use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
 
@@ -28,9 +28,9 @@
     /// The job is over: whatever runs of it is of no use.
     pub(crate) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
         let Some(j) = self.jobs.get(job) else { return };
-        let all_counted = j.placements.len() as u32 == j.slot_count;
+        let all_counted = j.tasks.assigned.len() as u32 == j.tasks.slot_count;
         let found: Vec<(MachineId, SlotKey)> = if all_counted {
-            j.placements.iter().map(|(task, machine)| (machine.clone(), (job.clone(), *task))).collect()
+            j.tasks.assigned.iter().map(|(task, machine)| (machine.clone(), (job.clone(), *task))).collect()
         } else {
             // Some are where they should not be, and known to their machines alone.
             let slots = |m: &Machine| {
@@ -50,7 +50,9 @@
     /// decided by it. A machine that has not been heard since, late in the time that
     /// a cancellation has, is deleted: the answer is the proof.
     pub(crate) fn resend_stops(&mut self, now: Instant) {
-        if self.is_fenced() || !self.jobs.values().any(|j| j.cancelled_at.is_some() && j.slot_count > 0) {
+        if self.is_fenced()
+            || !self.jobs.values().any(|j| j.cancellation.committed_at.is_some() && j.tasks.slot_count > 0)
+        {
             return;
         }
         let workers = &self.config.settings.cluster.workers;
@@ -62,17 +64,17 @@
                 .slots
                 .iter()
                 .filter_map(|((job, index), slot)| {
-                    let at = self.jobs.get(job)?.cancelled_at?;
+                    let at = self.jobs.get(job)?.cancellation.committed_at?;
                     let task = TaskId { job: job.clone(), index: *index };
                     Some((at, Command::Stop { task, attempt: slot.attempt, grace_s: 0.0 }))
                 })
                 .collect();
             let Some(first) = stops.iter().map(|(at, _)| *at).min() else { continue };
-            let unheard = m.heartbeat_at.is_none_or(|at| at < first);
+            let unheard = m.agent.heartbeat_at.is_none_or(|at| at < first);
             if may_delete && unheard && now >= first + late && m.phase == Phase::Up {
                 lost.push(m.id.clone());
             }
-            if m.stops_pushed_at.is_some_and(|at| now < at + pause) {
+            if m.agent.stops_pushed_at.is_some_and(|at| now < at + pause) {
                 continue;
             }
             let orders = stops.into_iter().map(|(_, order)| order).take(MAX_COMMANDS).collect();
@@ -89,7 +91,7 @@
     /// cancellation, not from stops that were missed.
     pub(crate) fn ignores_its_stops(&self, now: Instant, report: &Heartbeat) -> bool {
         let patience = self.config.cancelled_task_reply_window();
-        let since = |job: &JobId| self.jobs.get(job).and_then(|j| j.cancelled_at);
+        let since = |job: &JobId| self.jobs.get(job).and_then(|j| j.cancellation.committed_at);
         report.tasks.iter().any(|t| {
             !matches!(t.state, TaskState::Exited(_))
                 && since(&t.task.job).is_some_and(|at| now >= at + patience)
--- a/src/coordination/workers/failure_detector.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -43,7 +43,8 @@
 impl FailureDetector {
     fn is_overdue_by(&self, m: &Machine, time: Duration) -> bool {
         m.phase == Phase::Up
-            && self.now > m.heartbeat_at.map_or(self.listening_since, |h| h.max(self.listening_since)) + time
+            && self.now
+                > m.agent.heartbeat_at.map_or(self.listening_since, |h| h.max(self.listening_since)) + time
     }
 
     /// Nothing is to be expected of it for now.
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -8,9 +8,9 @@
 
 use tokio::time::Instant;
 
-use crate::coordination::fleet::machine::Phase;
-use crate::coordination::jobs::job::{SlotKey, SlotState};
+use crate::coordination::fleet::machine::{HeartbeatStamp, Phase, UseRecord};
 use crate::coordination::leader::Leader;
+use crate::coordination::workers::slot::{SlotKey, SlotState};
 use crate::maps::HashSet;
 use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
@@ -74,13 +74,15 @@
             }
             return self.reply_with_terminal_stops(report);
         };
-        let stamp = (report.incarnation, report.sequence);
+        let stamp = HeartbeatStamp::of(report);
         // A copy, or a machine that was back so quickly that its numbers are
         // behind those of its former life. Either proves nothing. A 200 would
         // hold the latter here without being counted; so it looks elsewhere,
         // until its lease has run out and its session has risen, or until it
         // has been silent for long enough to be replaced.
-        if m.last_heartbeat.is_some_and(|seen| stamp <= seen) || report.incarnation < m.min_incarnation {
+        if m.agent.last_heartbeat.is_some_and(|seen| stamp <= seen)
+            || report.incarnation < m.agent.min_incarnation
+        {
             return HeartbeatReply::Redirect;
         }
         let outlives = self.ignores_its_stops(now, report);
@@ -108,7 +110,7 @@
         if orders.len() < MAX_COMMANDS && (!doubted || probe) {
             // A doubted machine is tried with a single start now and then.
             let room = if doubted { 1 } else { MAX_COMMANDS - orders.len() };
-            self.place_tasks(now, &report.machine, stamp.1, room, &mut orders);
+            self.place_tasks(now, &report.machine, report.sequence, room, &mut orders);
         }
         HeartbeatReply::Commands { fencing_token: epoch, commands: orders }
     }
@@ -116,25 +118,24 @@
     /// Notes that a machine was heard under this epoch's token, and whether it is answered.
     /// Returns whether its session is a new one.
     fn record_heartbeat(&mut self, now: Instant, report: &Heartbeat, answers: bool) -> bool {
-        let stamp = (report.incarnation, report.sequence);
+        let stamp = HeartbeatStamp::of(report);
         let Some(m) = self.machines.get_mut(&report.machine) else { return false };
         let lease = self.config.settings.cluster.workers.lease();
         // The first effect of ours that can be seen is the token.
-        if m.last_heartbeat.is_none() || m.last_stale_heartbeat.take().is_some() {
-            m.ack_tracker.record_acknowledged();
+        if m.agent.last_heartbeat.is_none() || m.agent.last_stale_heartbeat.take().is_some() {
+            m.agent.acks.record_acknowledged();
         }
-        let earlier = m.last_heartbeat.replace(stamp);
-        let renewed = earlier.is_some_and(|(session, _)| session < report.incarnation);
-        if renewed && m.replied_at.is_some_and(|at| now < at + lease) {
+        let earlier = m.agent.last_heartbeat.replace(stamp);
+        let renewed = earlier.is_some_and(|stamp| stamp.incarnation < report.incarnation);
+        if renewed && m.agent.replied_at.is_some_and(|at| now < at + lease) {
             // Its lease has run out although it was answered.
-            m.ack_tracker.record_missed(now);
+            m.agent.acks.record_missed(now);
         }
         if answers {
-            m.replied_at = Some(now);
+            m.agent.replied_at = Some(now);
         }
-        m.heartbeat_at = Some(now);
-        m.up_since.get_or_insert(now);
-        m.address.clone_from(&report.address);
+        m.agent.heartbeat_at = Some(now);
+        m.agent.address.clone_from(&report.address);
         if m.phase == Phase::Booting {
             m.phase = Phase::Up;
             m.idle_since = now;
@@ -164,8 +165,9 @@
     /// Decides the answer to a report that was taken before and held since: what it
     /// listed is in the picture already, unless a newer one was taken.
     pub fn decide_deferred_reply(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
-        let stamp = (report.incarnation, report.sequence);
-        let current = self.machines.get(&report.machine).is_some_and(|m| m.last_heartbeat == Some(stamp));
+        let stamp = HeartbeatStamp::of(report);
+        let current =
+            self.machines.get(&report.machine).is_some_and(|m| m.agent.last_heartbeat == Some(stamp));
         if self.is_fenced() || !current || self.ignores_its_stops(now, report) {
             return HeartbeatReply::Redirect;
         }
@@ -174,7 +176,7 @@
         }
         let mut orders = self.stop_and_reap_commands(report);
         if orders.len() < MAX_COMMANDS
-            && !self.machines.get(&report.machine).is_some_and(|m| m.one_way_partitioned)
+            && !self.machines.get(&report.machine).is_some_and(|m| m.agent.one_way_partitioned)
         {
             let room = MAX_COMMANDS - orders.len();
             self.place_tasks(now, &report.machine, report.sequence, room, &mut orders);
@@ -201,9 +203,9 @@
         let mut machines: Vec<MachineId> = held.cloned().collect();
         machines.sort_by_cached_key(|id| {
             let m = self.machines.get(id);
-            let lacks_image = !m.is_some_and(|m| waiting.iter().any(|image| m.has_image(image)));
+            let lacks_image = !m.is_some_and(|m| waiting.iter().any(|image| m.images.contains(image)));
             let free = m.map_or(0.0, |m| m.free.cpus).max(0.0).to_bits();
-            (lacks_image, m.is_none_or(|m| !m.needed), free, id.clone())
+            (lacks_image, m.is_none_or(|m| !m.need.is_needed), free, id.clone())
         });
         machines
     }
@@ -213,12 +215,12 @@
         let workers = &self.config.settings.cluster.workers;
         let (report, pause) = (workers.report(), workers.lease() / 2);
         let Some(m) = self.machines.get_mut(machine) else { return (true, false) };
-        let doubted = m.ack_tracker.suspects_one_way_partition(now, report);
-        if doubted && !m.one_way_partitioned {
+        let doubted = m.agent.acks.suspects_one_way_partition(now, report);
+        if doubted && !m.agent.one_way_partitioned {
             tracing::info!(%machine, "reports arrive, but nothing shows that it hears the answers");
         }
-        m.one_way_partitioned = doubted;
-        (doubted, m.ack_tracker.may_probe(now, pause))
+        m.agent.one_way_partitioned = doubted;
+        (doubted, m.agent.acks.may_probe(now, pause))
     }
 
     /// A report under an earlier token: of a worker that has not had our first
@@ -228,17 +230,17 @@
     /// taken from it; it is answered, so that a live worker learns the token.
     fn handle_stale_heartbeat(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
         let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
-        let stamp = (report.incarnation, report.sequence);
+        let stamp = HeartbeatStamp::of(report);
         // Tokens do not sink within a session: a copy from before.
-        let behind = m.last_heartbeat.is_some_and(|(session, _)| report.incarnation <= session);
+        let behind = m.agent.last_heartbeat.is_some_and(|stamp| report.incarnation <= stamp.incarnation);
         // Each copy may put off the proof that its machine is gone only once.
-        if behind || m.last_stale_heartbeat.is_some_and(|hinted| stamp <= hinted) {
+        if behind || m.agent.last_stale_heartbeat.is_some_and(|hinted| stamp <= hinted) {
             return HeartbeatReply::Redirect;
         }
-        let before = m.last_stale_heartbeat.replace(stamp);
+        let before = m.agent.last_stale_heartbeat.replace(stamp);
         if before.is_some() {
             // The former answer should have shown.
-            m.ack_tracker.record_missed(now);
+            m.agent.acks.record_missed(now);
         }
         // A deaf machine is answered no more, so that its lease proof runs.
         // Once that is over nothing is on it, and an answer puts off nothing.
@@ -248,7 +250,7 @@
         if doubted && may_hold {
             return HeartbeatReply::Redirect;
         }
-        m.replied_at = Some(now);
+        m.agent.replied_at = Some(now);
         // Its first start is near: the mark it needs takes a write.
         self.record_machine_use(&report.machine);
         self.reply_with_terminal_stops(report)
@@ -290,11 +292,11 @@
         }
         let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
         // Only machines that this epoch has heard are surely counted by it.
-        if now >= until || m.replied_at.is_none() || report.fencing_token < self.term.epoch() {
+        if now >= until || m.agent.replied_at.is_none() || report.fencing_token < self.term.epoch() {
             return HeartbeatReply::Redirect;
         }
-        m.replied_at = Some(now);
-        m.heartbeat_at = Some(now);
+        m.agent.replied_at = Some(now);
+        m.agent.heartbeat_at = Some(now);
         self.reply_with_terminal_stops(report)
     }
 
@@ -336,7 +338,7 @@
         });
         if vanished {
             // A start went into an answer that it did not get.
-            m.ack_tracker.record_missed(now);
+            m.agent.acks.record_missed(now);
         }
         for key in missing {
             self.remove_slot(now, machine, &key);
@@ -383,7 +385,7 @@
         if let Some(slot) = m.slots.get_mut(key) {
             if slot.attempt == task.attempt {
                 if matches!(slot.state, SlotState::StartSent { .. }) {
-                    m.ack_tracker.record_acknowledged();
+                    m.agent.acks.record_acknowledged();
                 }
                 if slot.state != state {
                     let was = slot.state == SlotState::Running;
@@ -391,10 +393,10 @@
                     slot.since = now;
                     let is = state == SlotState::Running;
                     if let Some(job) = self.jobs.get_mut(&key.0) {
-                        job.running_count =
-                            (job.running_count + u32::from(is)).saturating_sub(u32::from(was));
+                        job.tasks.running_count =
+                            (job.tasks.running_count + u32::from(is)).saturating_sub(u32::from(was));
                         if is {
-                            m.record_image(&job.record.spec, self.catalog.get(m.machine_type));
+                            m.images.record_use(&job.record.spec, self.catalog.get(m.machine_type));
                         }
                     }
                 }
@@ -406,8 +408,9 @@
         }
         let Some(job) = self.jobs.get(&key.0) else { return false };
         // Adopted from an earlier leader, unless it should not be here.
-        let wanted =
-            job.is_startable() && !job.record.done.contains(key.1) && !job.placements.contains_key(&key.1);
+        let wanted = job.is_startable()
+            && !job.record.done.contains(key.1)
+            && !job.tasks.assigned.contains_key(&key.1);
         self.add_slot(now, machine, key.clone(), task.attempt, state, wanted);
         if !wanted && let Some(slot) = self.machines.get_mut(machine).and_then(|m| m.slots.get_mut(key)) {
             slot.stop_grace_s = Some(0.0);
@@ -437,7 +440,7 @@
                     m.failures.clear();
                 }
                 // Its result is kept; whoever runs it besides wastes work.
-                let elsewhere = self.jobs.get(&key.0).and_then(|j| j.placements.get(&key.1)).cloned();
+                let elsewhere = self.jobs.get(&key.0).and_then(|j| j.tasks.assigned.get(&key.1)).cloned();
                 if let Some(other) = elsewhere.filter(|other| other != machine) {
                     self.stop_task(now, &other, key, 0.0);
                 }
@@ -446,7 +449,7 @@
             _ => {}
         }
         if acknowledged && let Some(m) = self.machines.get_mut(machine) {
-            m.ack_tracker.record_acknowledged();
+            m.agent.acks.record_acknowledged();
         }
         if held {
             tracing::debug!(%machine, job = %key.0, task = key.1, ?cause, "exited");
@@ -464,15 +467,16 @@
     fn record_task_failure(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
         let report = self.config.settings.cluster.workers.report();
         if let Some(j) = self.jobs.get_mut(job) {
-            j.failed_on.insert(machine.clone());
+            j.failures.machines.insert(machine.clone());
             // A job that fails everywhere is slowed down, never given up.
-            if j.failed_on.len() >= FAILED_MACHINES_TO_BACK_OFF {
-                let factor = (j.failed_on.len() as u32).min(10);
-                j.backoff_until = Some(now + report * factor);
+            if j.failures.machines.len() >= FAILED_MACHINES_TO_BACK_OFF {
+                let factor = (j.failures.machines.len() as u32).min(10);
+                j.failures.backoff_until = Some(now + report * factor);
             }
         }
-        let bad_job =
-            |j: &JobId| self.jobs.get(j).is_some_and(|j| j.failed_on.len() >= FAILED_MACHINES_TO_BACK_OFF);
+        let bad_job = |j: &JobId| {
+            self.jobs.get(j).is_some_and(|j| j.failures.machines.len() >= FAILED_MACHINES_TO_BACK_OFF)
+        };
         let Some(m) = self.machines.get_mut(machine) else { return };
         m.failures.push(job.clone());
         let counted = m.failures.iter().filter(|j| !bad_job(j)).count();
@@ -522,7 +526,7 @@
             Some(job) => {
                 job.record.terminal_state().is_none()
                     && !job.is_service()
-                    && !job.committed_done.contains(task.index)
+                    && !job.stored.done.contains(task.index)
             }
             None => self.failover.unreadable().contains_job(&task.job),
         }
@@ -531,10 +535,10 @@
     /// Before the first start on a machine its record says so.
     fn record_machine_use(&mut self, machine: &MachineId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
-        if m.use_recorded || m.use_record_in_flight {
+        if m.use_record != UseRecord::NotRecorded {
             return;
         }
-        m.use_record_in_flight = true;
+        m.use_record = UseRecord::InFlight;
         let name = m.node_pool.clone();
         if let Some(rental) = self.node_pools.get_mut(&name) {
             rental.record.machines_used.insert(machine.clone());
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -4,4 +4,5 @@
 pub mod deferred_replies;
 pub mod failure_detector;
 pub mod heartbeats;
+pub mod slot;
 pub mod slots;
--- a/src/coordination/workers/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -2,9 +2,9 @@
 
 use tokio::time::Instant;
 
-use crate::coordination::jobs::job::{Slot, SlotKey, SlotState};
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
+use crate::coordination::workers::slot::{Slot, SlotKey, SlotState};
 use crate::protocol::workers::MachineId;
 
 impl Leader {
@@ -25,13 +25,13 @@
         if let Some(team) = job.team {
             self.quotas.charge(team, &room);
         }
-        job.slot_count += 1;
+        job.tasks.slot_count += 1;
         if state == SlotState::Running {
-            job.running_count += 1;
-            m.record_image(&job.record.spec, self.catalog.get(m.machine_type));
+            job.tasks.running_count += 1;
+            m.images.record_use(&job.record.spec, self.catalog.get(m.machine_type));
         }
         if wanted {
-            job.placements.insert(key.1, machine.clone());
+            job.tasks.assigned.insert(key.1, machine.clone());
         }
         let slot = Slot {
             attempt,
@@ -58,12 +58,13 @@
             self.quotas.release(team, &slot.resources);
         }
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
-        job.slot_count = job.slot_count.saturating_sub(1);
-        job.running_count = job.running_count.saturating_sub(u32::from(slot.state == SlotState::Running));
-        if slot.assigned && job.placements.get(&key.1) == Some(machine) {
-            job.placements.remove(&key.1);
+        job.tasks.slot_count = job.tasks.slot_count.saturating_sub(1);
+        job.tasks.running_count =
+            job.tasks.running_count.saturating_sub(u32::from(slot.state == SlotState::Running));
+        if slot.assigned && job.tasks.assigned.get(&key.1) == Some(machine) {
+            job.tasks.assigned.remove(&key.1);
             if !job.record.done.contains(key.1) {
-                job.requeued.insert(key.1);
+                job.tasks.requeued.insert(key.1);
                 if job.is_service() {
                     self.latency_classes.announce_work();
                 }
@@ -73,7 +74,7 @@
                 }
             }
         }
-        if job.slot_count == 0 {
+        if job.tasks.slot_count == 0 {
             self.try_archive(&key.0);
         }
     }
