--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,3 +1,5 @@
+use std::path::Path;
+
 use super::*;
 
 /// Settings of an invented three-controller cluster.
