--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -1,4 +1,5 @@
-//! The expressions of a policy: parsed and evaluated in one pass, with types.
+//! The policy language: one line is tokenized, then parsed and evaluated in one pass, with
+//! types.
 //!
 //! ```text
 //! line   = [ name "=" value ] [ "#" comment ]
@@ -7,24 +8,34 @@
 //! compare = sum ("<" | "<=" | ">" | ">=" | "==") sum
 //! sum    = product { ("+" | "-") product }
 //! product = atom { ("*" | "/") atom }
-//! atom   = number [ unit ] | figure | ("min" | "max") "(" value { "," value } ")" | "(" value ")" | "-" atom
+//! atom   = number [ unit ] | variable | ("min" | "max") "(" value { "," value } ")" | "(" value ")" | "-" atom
 //! ```
+//!
+//! Both branches of an `if` are evaluated, so that an error in the one not taken is found
+//! before the settings change.
 
 use std::fmt;
 
 /// Deeper nesting is refused before it can exhaust the stack.
 const MAX_DEPTH: usize = 32;
 
+/// The symbols of the language. One that begins with another comes before it.
+const SYMBOLS: [&str; 13] = ["<=", ">=", "==", "<", ">", "=", "+", "-", "*", "/", "(", ")", ","];
+
+/// The type of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Type {
+pub(super) enum Type {
+    /// Without a unit.
     Number,
+    /// In seconds.
     Time,
+    /// Per second.
     Rate,
 }
 
 impl fmt::Display for Type {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             Type::Number => "number",
             Type::Time => "time",
             Type::Rate => "rate",
@@ -32,279 +43,375 @@
     }
 }
 
-/// A typed value; times in seconds, rates per second.
+/// A typed value.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Value {
-    pub kind: Type,
-    pub value: f64,
+pub(super) struct Value {
+    /// Its type, which implies its unit.
+    pub(super) kind: Type,
+    /// Its amount: times in seconds, rates per second.
+    pub(super) number: f64,
 }
 
-/// What is wrong, and where in its line, counted from 0.
+/// Why a line is refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
-    pub column: usize,
-    pub reason: String,
+pub(super) struct ExpressionError {
+    /// Where in its line, in bytes counted from 0.
+    pub(super) column: usize,
+    /// What is wrong there, for the policy's author.
+    pub(super) reason: String,
 }
 
-fn fault<T>(column: usize, reason: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { column, reason: reason.into() })
+impl ExpressionError {
+    /// An error at this column of the line, in bytes counted from 0.
+    pub(super) fn new(column: usize, reason: impl Into<String>) -> Self {
+        ExpressionError { column, reason: reason.into() }
+    }
+}
+
+/// Refuses the line.
+fn fail<T>(column: usize, reason: impl Into<String>) -> Result<T, ExpressionError> {
+    Err(ExpressionError::new(column, reason))
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Token {
+enum TokenKind {
     Number(f64),
+    /// A variable, a function, a unit or a word such as `if`; the parser tells them apart.
     Name(String),
     Symbol(&'static str),
+    /// The end of the line or the start of a comment.
     End,
 }
 
+#[derive(Debug, Clone, PartialEq)]
+struct Token {
+    kind: TokenKind,
+    /// Where it starts in the line, in bytes counted from 0.
+    column: usize,
+}
+
+/// A line `name = expression` whose expression is not evaluated yet.
 #[derive(Debug)]
-pub struct Assignment {
-    pub name: String,
-    pub name_column: usize,
-    pub value_column: usize,
-    tokens: Vec<(Token, usize)>,
+pub(super) struct Assignment {
+    /// The name to set.
+    pub(super) name: String,
+    /// Where the name starts in the line, in bytes counted from 0.
+    pub(super) name_column: usize,
+    /// Where the expression starts in the line, in bytes counted from 0.
+    pub(super) value_column: usize,
+    /// The expression; the last token is the end of the line.
+    expression: Vec<Token>,
 }
 
-/// Reads one line; `None` if it is empty or a comment.
-pub fn parse_line(line: &str) -> Result<Option<Assignment>, Fault> {
-    let mut tokens = tokenize(line)?.into_iter();
-    let (name, name_column) = match tokens.next() {
-        Some((Token::Name(name), column)) => (name, column),
-        Some((Token::End, _)) | None => return Ok(None),
-        Some((_, column)) => return fault(column, "expected a name to set"),
-    };
-    match tokens.next() {
-        Some((Token::Symbol("="), _)) => {}
-        Some((_, column)) => return fault(column, "expected `=`"),
-        None => return fault(line.len(), "expected `=`"),
+impl Assignment {
+    /// Reads one line; `None` if it is empty or a comment.
+    ///
+    /// # Errors
+    ///
+    /// If the line has a character or number that is not of the language, or does not begin
+    /// with a name and `=`.
+    pub(super) fn parse(line: &str) -> Result<Option<Self>, ExpressionError> {
+        let mut tokens = tokenize(line)?.into_iter();
+        let (name, name_column) = match tokens.next() {
+            Some(Token { kind: TokenKind::Name(name), column }) => (name, column),
+            Some(Token { kind: TokenKind::End, .. }) | None => return Ok(None),
+            Some(Token { column, .. }) => return fail(column, "expected a name to set"),
+        };
+        match tokens.next() {
+            Some(Token { kind: TokenKind::Symbol("="), .. }) => {}
+            Some(Token { column, .. }) => return fail(column, "expected `=`"),
+            None => return fail(line.len(), "expected `=`"),
+        }
+        let expression: Vec<Token> = tokens.collect();
+        let value_column = expression.first().map_or(line.len(), |token| token.column);
+        Ok(Some(Assignment { name, name_column, value_column, expression }))
+    }
+
+    /// Evaluates the expression. `variables` gives the value of a variable, if there is one
+    /// of that name.
+    ///
+    /// # Errors
+    ///
+    /// If the expression is not of the grammar, its types do not fit, a variable does not
+    /// exist, something is divided by zero, or it is nested deeper than [`MAX_DEPTH`].
+    pub(super) fn evaluate(
+        &self,
+        variables: &dyn Fn(&str) -> Option<Value>,
+    ) -> Result<Value, ExpressionError> {
+        let mut parser = Parser { tokens: &self.expression, position: 0, depth: 0, variables };
+        let value = parser.value()?;
+        match parser.peek() {
+            Token { kind: TokenKind::End, .. } => Ok(value),
+            Token { column, .. } => fail(*column, "expected the end of the line"),
+        }
     }
-    let tokens: Vec<_> = tokens.collect();
-    let value_column = tokens.first().map_or(line.len(), |(_, column)| *column);
-    Ok(Some(Assignment { name, name_column, value_column, tokens }))
 }
 
-fn tokenize(line: &str) -> Result<Vec<(Token, usize)>, Fault> {
-    const SYMBOLS: [&str; 13] = ["<=", ">=", "==", "<", ">", "=", "+", "-", "*", "/", "(", ")", ","];
+/// Splits a line into tokens, of which the last is [`TokenKind::End`].
+fn tokenize(line: &str) -> Result<Vec<Token>, ExpressionError> {
     let mut tokens = Vec::new();
-    let mut at = 0;
-    while let Some(first) = line[at..].chars().next() {
-        let rest = &line[at..];
-        let take = |wanted: fn(char) -> bool| rest.find(|c| !wanted(c)).unwrap_or(rest.len());
-        if first.is_whitespace() {
-            at += first.len_utf8();
-        } else if first == '#' {
+    let mut column = 0;
+    while let Some(first) = line[column..].chars().next() {
+        if first == '#' {
             break;
-        } else if first.is_ascii_digit() {
-            let length = take(|c| c.is_ascii_digit() || c == '.');
-            let Ok(number) = rest[..length].parse() else { return fault(at, "this is not a number") };
-            tokens.push((Token::Number(number), at));
-            at += length;
-        } else if first.is_ascii_alphabetic() {
-            let length = take(|c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
-            tokens.push((Token::Name(rest[..length].to_owned()), at));
-            at += length;
-        } else if let Some(symbol) = SYMBOLS.into_iter().find(|s| rest.starts_with(s)) {
-            tokens.push((Token::Symbol(symbol), at));
-            at += symbol.len();
-        } else {
-            return fault(at, format!("unexpected `{first}`"));
         }
+        if first.is_whitespace() {
+            column += first.len_utf8();
+            continue;
+        }
+        let (kind, length) =
+            read_token(&line[column..], first).map_err(|reason| ExpressionError::new(column, reason))?;
+        tokens.push(Token { kind, column });
+        column += length;
     }
-    tokens.push((Token::End, at));
+    tokens.push(Token { kind: TokenKind::End, column });
     Ok(tokens)
 }
 
-impl Assignment {
-    pub fn evaluate(&self, figures: &dyn Fn(&str) -> Option<Value>) -> Result<Value, Fault> {
-        let mut parser = Parser { tokens: &self.tokens, at: 0, depth: 0, figures };
-        let value = parser.value()?;
-        match parser.peek() {
-            (Token::End, _) => Ok(value),
-            (_, column) => fault(*column, "expected the end of the line"),
-        }
+/// The token that `text` starts with, and its length in bytes. `first`: its first character.
+fn read_token(text: &str, first: char) -> Result<(TokenKind, usize), String> {
+    if first.is_ascii_digit() {
+        let digits = leading(text, |c| c.is_ascii_digit() || c == '.');
+        let number = digits.parse().map_err(|_| "this is not a number".to_owned())?;
+        Ok((TokenKind::Number(number), digits.len()))
+    } else if first.is_ascii_alphabetic() {
+        let name = leading(text, |c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
+        Ok((TokenKind::Name(name.to_owned()), name.len()))
+    } else if let Some(symbol) = SYMBOLS.into_iter().find(|symbol| text.starts_with(symbol)) {
+        Ok((TokenKind::Symbol(symbol), symbol.len()))
+    } else {
+        Err(format!("unexpected `{first}`"))
     }
 }
 
+/// The longest start of `text` that consists of characters of a class.
+fn leading(text: &str, belongs: fn(char) -> bool) -> &str {
+    let end = text.find(|c| !belongs(c)).unwrap_or(text.len());
+    &text[..end]
+}
+
+/// A recursive-descent parser that evaluates as it goes: one method a rule of the grammar.
 struct Parser<'a> {
-    tokens: &'a [(Token, usize)],
-    at: usize,
+    tokens: &'a [Token],
+    /// Index of the next token.
+    position: usize,
+    /// How deeply the next token is nested; at most [`MAX_DEPTH`].
     depth: usize,
-    figures: &'a dyn Fn(&str) -> Option<Value>,
+    variables: &'a dyn Fn(&str) -> Option<Value>,
+}
+
+/// A symbol or word that was taken.
+struct Accepted {
+    text: &'static str,
+    column: usize,
 }
 
-const END: (Token, usize) = (Token::End, 0);
+/// What a parser without tokens sees.
+const END: Token = Token { kind: TokenKind::End, column: 0 };
 
 impl<'a> Parser<'a> {
-    fn peek(&self) -> &'a (Token, usize) {
-        self.tokens.get(self.at).or(self.tokens.last()).unwrap_or(&END)
+    /// The next token; the end of the line for ever once it is reached.
+    fn peek(&self) -> &'a Token {
+        self.tokens.get(self.position).or(self.tokens.last()).unwrap_or(&END)
     }
 
-    fn next(&mut self) -> (Token, usize) {
-        let token = self.peek().clone();
-        self.at += 1;
+    fn next(&mut self) -> &'a Token {
+        let token = self.peek();
+        self.position += 1;
         token
     }
 
     /// Takes the next token if it is one of these symbols or words.
-    fn accept(&mut self, wanted: &[&'static str]) -> Option<(&'static str, usize)> {
-        let (token, column) = self.peek();
-        let text = match token {
-            Token::Symbol(symbol) => symbol,
-            Token::Name(name) => name.as_str(),
-            _ => return None,
+    fn accept(&mut self, wanted: &[&'static str]) -> Option<Accepted> {
+        let Token { kind, column } = self.peek();
+        let found = match kind {
+            TokenKind::Symbol(symbol) => symbol,
+            TokenKind::Name(name) => name.as_str(),
+            TokenKind::Number(_) | TokenKind::End => return None,
         };
-        let found = wanted.iter().find(|w| **w == text)?;
-        self.at += 1;
-        Some((found, *column))
+        let text = wanted.iter().find(|text| **text == found)?;
+        self.position += 1;
+        Some(Accepted { text, column: *column })
     }
 
-    fn expect(&mut self, wanted: &'static str) -> Result<(), Fault> {
+    /// Takes the next token, which must be this symbol or word.
+    fn expect(&mut self, wanted: &'static str) -> Result<(), ExpressionError> {
         match self.accept(&[wanted]) {
             Some(_) => Ok(()),
-            None => fault(self.peek().1, format!("expected `{wanted}`")),
+            None => fail(self.peek().column, format!("expected `{wanted}`")),
         }
     }
 
-    fn value(&mut self) -> Result<Value, Fault> {
+    /// Goes one level deeper, if that is allowed. Whoever calls it goes back up by
+    /// `depth -= 1`; after an error nothing is parsed any more.
+    fn descend(&mut self, column: usize) -> Result<(), ExpressionError> {
         self.depth += 1;
-        if self.depth > MAX_DEPTH {
-            return fault(self.peek().1, "nested too deeply");
-        }
-        let value = if self.accept(&["if"]).is_some() {
-            let test = self.test()?;
-            self.expect("then")?;
-            let yes = self.value()?;
-            self.expect("else")?;
-            let column = self.peek().1;
-            let no = self.value()?;
-            if yes.kind != no.kind {
-                return fault(column, format!("one branch is a {}, the other a {}", yes.kind, no.kind));
-            }
-            if test { yes } else { no }
-        } else {
-            self.sum()?
-        };
+        if self.depth > MAX_DEPTH { fail(column, "nested too deeply") } else { Ok(()) }
+    }
+
+    fn value(&mut self) -> Result<Value, ExpressionError> {
+        self.descend(self.peek().column)?;
+        let value = if self.accept(&["if"]).is_some() { self.choice()? } else { self.sum()? };
         self.depth -= 1;
         Ok(value)
     }
 
-    fn test(&mut self) -> Result<bool, Fault> {
+    /// What follows `if`.
+    fn choice(&mut self) -> Result<Value, ExpressionError> {
+        let test = self.test()?;
+        self.expect("then")?;
+        let if_true = self.value()?;
+        self.expect("else")?;
+        let else_column = self.peek().column;
+        let if_false = self.value()?;
+        if if_true.kind != if_false.kind {
+            let reason = format!("one branch is a {}, the other a {}", if_true.kind, if_false.kind);
+            return fail(else_column, reason);
+        }
+        Ok(if test { if_true } else { if_false })
+    }
+
+    /// Comparisons joined by `and` and `or`, from left to right.
+    fn test(&mut self) -> Result<bool, ExpressionError> {
         let mut result = self.compare()?;
-        while let Some((word, _)) = self.accept(&["and", "or"]) {
+        while let Some(Accepted { text, .. }) = self.accept(&["and", "or"]) {
             let next = self.compare()?;
-            result = if word == "and" { result && next } else { result || next };
+            result = if text == "and" { result && next } else { result || next };
         }
         Ok(result)
     }
 
-    fn compare(&mut self) -> Result<bool, Fault> {
+    fn compare(&mut self) -> Result<bool, ExpressionError> {
         let left = self.sum()?;
-        let Some((symbol, column)) = self.accept(&["<", "<=", ">", ">=", "=="]) else {
-            return fault(self.peek().1, "expected a comparison");
+        let Some(Accepted { text, column }) = self.accept(&["<", "<=", ">", ">=", "=="]) else {
+            return fail(self.peek().column, "expected a comparison");
         };
         let right = self.sum()?;
         if left.kind != right.kind {
-            return fault(column, format!("a {} cannot be compared with a {}", left.kind, right.kind));
+            return fail(column, format!("a {} cannot be compared with a {}", left.kind, right.kind));
         }
-        Ok(match symbol {
-            "<" => left.value < right.value,
-            "<=" => left.value <= right.value,
-            ">" => left.value > right.value,
-            ">=" => left.value >= right.value,
-            _ => left.value == right.value,
+        Ok(match text {
+            "<" => left.number < right.number,
+            "<=" => left.number <= right.number,
+            ">" => left.number > right.number,
+            ">=" => left.number >= right.number,
+            _ => left.number == right.number,
         })
     }
 
-    fn sum(&mut self) -> Result<Value, Fault> {
-        let mut left = self.product()?;
-        while let Some((symbol, column)) = self.accept(&["+", "-"]) {
+    fn sum(&mut self) -> Result<Value, ExpressionError> {
+        let mut sum = self.product()?;
+        while let Some(Accepted { text, column }) = self.accept(&["+", "-"]) {
             let right = self.product()?;
-            if left.kind != right.kind {
-                let (word, link) = if symbol == "+" { ("added", "to") } else { ("subtracted", "from") };
-                return fault(column, format!("a {} cannot be {word} {link} a {}", right.kind, left.kind));
-            }
-            left.value += if symbol == "+" { right.value } else { -right.value };
+            sum = if text == "+" { add(sum, right, column)? } else { subtract(sum, right, column)? };
         }
-        Ok(left)
+        Ok(sum)
     }
 
-    fn product(&mut self) -> Result<Value, Fault> {
-        let mut left = self.atom()?;
-        while let Some((symbol, column)) = self.accept(&["*", "/"]) {
+    fn product(&mut self) -> Result<Value, ExpressionError> {
+        let mut product = self.atom()?;
+        while let Some(Accepted { text, column }) = self.accept(&["*", "/"]) {
             let right = self.atom()?;
-            left = if symbol == "*" { multiply(left, right, column)? } else { divide(left, right, column)? };
+            product =
+                if text == "*" { multiply(product, right, column)? } else { divide(product, right, column)? };
         }
-        Ok(left)
+        Ok(product)
     }
 
-    fn atom(&mut self) -> Result<Value, Fault> {
-        let (token, column) = self.next();
-        match token {
-            Token::Number(value) => Ok(match self.accept(&["ms", "s", "min", "h"]) {
-                Some(("ms", _)) => Value { kind: Type::Time, value: value / 1000.0 },
-                Some(("s", _)) => Value { kind: Type::Time, value },
-                Some(("min", _)) => Value { kind: Type::Time, value: value * 60.0 },
-                Some(_) => Value { kind: Type::Time, value: value * 3600.0 },
-                None => Value { kind: Type::Number, value },
-            }),
-            Token::Name(name) if name == "min" || name == "max" => self.extreme(name == "max"),
-            Token::Name(name) => match (self.figures)(&name) {
-                Some(value) => Ok(value),
-                None => fault(column, format!("there is no figure `{name}`")),
+    fn atom(&mut self) -> Result<Value, ExpressionError> {
+        let Token { kind, column } = self.next();
+        match kind {
+            TokenKind::Number(number) => Ok(self.with_unit(*number)),
+            TokenKind::Name(name) => match name.as_str() {
+                "min" => self.extreme(f64::min),
+                "max" => self.extreme(f64::max),
+                name => match (self.variables)(name) {
+                    Some(value) => Ok(value),
+                    None => fail(*column, format!("there is no figure `{name}`")),
+                },
             },
-            Token::Symbol("(") => {
+            TokenKind::Symbol("(") => {
                 let value = self.value()?;
                 self.expect(")")?;
                 Ok(value)
             }
-            Token::Symbol("-") => {
-                self.depth += 1;
-                if self.depth > MAX_DEPTH {
-                    return fault(column, "nested too deeply");
-                }
-                let value = self.atom()?;
-                self.depth -= 1;
-                Ok(Value { value: -value.value, ..value })
-            }
-            _ => fault(column, "expected a value"),
+            TokenKind::Symbol("-") => self.negated(*column),
+            TokenKind::Symbol(_) | TokenKind::End => fail(*column, "expected a value"),
         }
     }
 
-    fn extreme(&mut self, largest: bool) -> Result<Value, Fault> {
+    /// The value of a literal number, with the unit that may follow it.
+    fn with_unit(&mut self, number: f64) -> Value {
+        let time = |number| Value { kind: Type::Time, number };
+        match self.accept(&["ms", "s", "min", "h"]).map(|unit| unit.text) {
+            Some("ms") => time(number / 1000.0),
+            Some("s") => time(number),
+            Some("min") => time(number * 60.0),
+            Some(_) => time(number * 3600.0),
+            None => Value { kind: Type::Number, number },
+        }
+    }
+
+    /// What follows a sign, negated. `column`: that of the sign.
+    fn negated(&mut self, column: usize) -> Result<Value, ExpressionError> {
+        self.descend(column)?;
+        let value = self.atom()?;
+        self.depth -= 1;
+        Ok(Value { number: -value.number, ..value })
+    }
+
+    /// The arguments of `min` or `max`, reduced by it.
+    fn extreme(&mut self, choose: fn(f64, f64) -> f64) -> Result<Value, ExpressionError> {
         self.expect("(")?;
         let mut best = self.value()?;
-        while let Some((_, column)) = self.accept(&[","]) {
+        while let Some(Accepted { column, .. }) = self.accept(&[","]) {
             let next = self.value()?;
             if next.kind != best.kind {
-                return fault(column, format!("a {} stands beside a {}", next.kind, best.kind));
+                return fail(column, format!("a {} stands beside a {}", next.kind, best.kind));
             }
-            best.value = if largest { best.value.max(next.value) } else { best.value.min(next.value) };
+            best.number = choose(best.number, next.number);
         }
         self.expect(")")?;
         Ok(best)
     }
 }
 
-fn multiply(left: Value, right: Value, column: usize) -> Result<Value, Fault> {
+fn add(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
+    if left.kind != right.kind {
+        return fail(column, format!("a {} cannot be added to a {}", right.kind, left.kind));
+    }
+    Ok(Value { number: left.number + right.number, ..left })
+}
+
+fn subtract(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
+    if left.kind != right.kind {
+        return fail(column, format!("a {} cannot be subtracted from a {}", right.kind, left.kind));
+    }
+    Ok(Value { number: left.number - right.number, ..left })
+}
+
+/// A number times anything keeps the other's type; a time times a rate is a number.
+fn multiply(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
     let kind = match (left.kind, right.kind) {
         (Type::Number, kind) | (kind, Type::Number) => kind,
         (Type::Time, Type::Rate) | (Type::Rate, Type::Time) => Type::Number,
-        (a, b) => return fault(column, format!("a {a} cannot be multiplied by a {b}")),
+        (left, right) => return fail(column, format!("a {left} cannot be multiplied by a {right}")),
     };
-    Ok(Value { kind, value: left.value * right.value })
+    Ok(Value { kind, number: left.number * right.number })
 }
 
-fn divide(left: Value, right: Value, column: usize) -> Result<Value, Fault> {
-    if right.value == 0.0 {
-        return fault(column, "division by zero");
+/// The ratio of two values of one type is a number; a number by a time is a rate, and the
+/// other way round.
+fn divide(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
+    if right.number == 0.0 {
+        return fail(column, "division by zero");
     }
     let kind = match (left.kind, right.kind) {
         (kind, Type::Number) => kind,
-        (a, b) if a == b => Type::Number,
+        (left, right) if left == right => Type::Number,
         (Type::Number, Type::Time) => Type::Rate,
         (Type::Number, Type::Rate) => Type::Time,
-        (a, b) => return fault(column, format!("a {a} cannot be divided by a {b}")),
+        (left, right) => return fail(column, format!("a {left} cannot be divided by a {right}")),
     };
-    Ok(Value { kind, value: left.value / right.value })
+    Ok(Value { kind, number: left.number / right.number })
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,34 @@
-//! What operators tune: a small typed expression language over the figures of
-//! the settings, and the values that it sets.
+//! The policy: what operators tune, written in a small typed expression language.
 //!
-//! Every value has bounds that are checked before a controller starts. None can
-//! loosen a rule: what the rules need is fixed where it is enforced.
+//! A policy is a text file of lines `name = expression`, at most one for a name; `#` starts a
+//! comment. Names that a file leaves out keep their value from `default.policy`, which also
+//! explains each of them.
+//!
+//! ```text
+//! lease = max(workers.lease / 8, 3 s)
+//! sample = if quota.cores < 0.2 then 3 else 10
+//! ```
+//!
+//! - **Types.** A value is a number, a time (`500 ms`, `3 s`, `2 min`, `1 h`) or a rate.
+//!   Values of different types are neither added nor compared; a time times a rate is a
+//!   number, a number by a time is a rate.
+//! - **Operators.** `+ - * /`, a sign, parentheses, `min(…)`, `max(…)`, and
+//!   `if … then … else …` with comparisons joined by `and` and `or`. These two bind equally
+//!   and from left to right.
+//! - **Variables.** Figures of the settings file, listed in `variables`.
+//!
+//! A policy is evaluated once, before the controller starts; there are no loops and no
+//! state. Each parameter has a type and bounds (`parameters`), and one that is out of them
+//! is refused with its file, line and column. No value can break a safety invariant: what
+//! those rest on is not configurable.
+//!
+//! - `expression`: grammar, parser and evaluation
+//! - `parameters`: the names that a policy sets
+//! - `variables`: the names that a policy reads
 
 mod expression;
+mod parameters;
+mod variables;
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -12,209 +36,89 @@
 use thiserror::Error;
 
 use crate::settings::Cluster;
-use expression::{Fault, Type, Value};
+use expression::{Assignment, ExpressionError};
+use parameters::Parameter;
 
-/// The policy in force where no file is given.
+/// The policy in force where no file is given. It sets every parameter.
 const DEFAULT: &str = include_str!("default.policy");
+/// The default policy's name in errors.
 const DEFAULT_NAME: &str = "default.policy";
 
+/// Why a policy cannot be used.
 #[derive(Debug, Error)]
 pub enum PolicyError {
+    /// The file cannot be read.
     #[error("{}: cannot be read: {source}", file.display())]
-    Unreadable { file: PathBuf, source: std::io::Error },
+    Unreadable {
+        /// The policy file.
+        file: PathBuf,
+        /// The operating system's reason.
+        source: std::io::Error,
+    },
+    /// A line does not parse, cannot be evaluated, or sets a value that is refused.
     #[error("{}:{line}:{column}: {reason}", file.display())]
-    Unsound { file: PathBuf, line: usize, column: usize, reason: String },
+    Invalid {
+        /// The policy file.
+        file: PathBuf,
+        /// The line, counted from 1.
+        line: usize,
+        /// The column in bytes, counted from 1.
+        column: usize,
+        /// What is wrong there.
+        reason: String,
+    },
 }
 
-/// The figures in force.
+/// The parameters in force, as a policy sets them.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Tuning {
-    /// Life of the leader's lease.
+    /// Time to live of the leader's lease.
     pub lease: Duration,
-    /// Machines compared for each placement.
+    /// Machines that are scored for each placement (power-of-k sampling).
     pub sample: usize,
-    /// Weight of the work that may be lost with a spot machine.
+    /// Weight, in a machine's score, of the work that would be lost with a spot instance.
     pub spot_risk: f64,
-    /// Most work, in seconds, that a task may lose to another team's guarantee.
+    /// Most work that a task may lose when it is preempted for another team's guarantee, in
+    /// seconds of run time; 0: never preempted for that.
     pub preempt_loss_s: f64,
-    /// The same for a task that gives way to one of higher priority.
+    /// Most work that a task may lose when it is preempted for one of higher priority, in
+    /// seconds of run time; 0: never preempted for that.
     pub preempt_lower_loss_s: f64,
-    /// Mean demand is multiplied by this before renting.
+    /// Capacity to scale out to, as a multiple of the mean demand.
     pub mean_ratio: f64,
-    /// The same for work that may wait longer than machines take to boot.
+    /// The same multiple for work that may wait longer than machines take to boot.
     pub patient_ratio: f64,
-    /// Capacity kept beyond it, in standard deviations of demand.
+    /// Capacity kept beyond the mean, in standard deviations of demand.
     pub headroom: f64,
-    /// How long demand is remembered, as a multiple of the longest boot.
+    /// How long demand is remembered, as a multiple of the longest boot time.
     pub memory_ratio: f64,
-    /// Spot prices are multiplied by this when offers are compared.
+    /// Factor on spot prices when offers are compared; above 1, spot instances count as
+    /// dearer than they are.
     pub spot_price_weight: f64,
-    /// Idle time before a machine is returned, in boot times.
+    /// Idle time before a machine that is not needed is returned, in boot times.
     pub idle_ratio: f64,
-    /// A machine is given up as never starting after this many boot times.
+    /// Time after which a machine that has not come up is given up, in boot times.
     pub boot_limit_ratio: f64,
-    /// A machine silent for this long is replaced.
+    /// Time without a heartbeat after which a machine is replaced.
     pub silence: Duration,
-    /// Every job begins within this time if capacity exists at all.
+    /// Time within which every job should start its first task, if there is capacity at
+    /// all. From half of it on, a job that has not started goes before all others.
     pub begin_within: Duration,
-    /// How long done tasks are gathered before they are recorded.
+    /// How long done tasks are gathered before they are written to records.
     pub batch: Duration,
-    /// How often rows are compared with records.
+    /// Interval of the reconciliation of rows with records.
     pub reconcile: Duration,
 }
 
-/// A name that a policy may set.
-struct Setting {
-    name: &'static str,
-    kind: Type,
-    /// Bounds, given the cluster.
-    least: fn(&Cluster) -> f64,
-    most: fn(&Cluster) -> f64,
-    set: fn(&mut Tuning, f64),
-}
-
-fn seconds(value: f64) -> Duration {
-    Duration::from_secs_f64(value)
-}
-
-const SETTINGS: &[Setting] = &[
-    Setting {
-        name: "lease",
-        kind: Type::Time,
-        // Shorter, a single slow answer would end it; longer, workers would
-        // give up before a new leader can reach them.
-        least: |c| c.workers.lease_s * 0.08,
-        most: |c| c.workers.lease_s * 0.5,
-        set: |t, v| t.lease = seconds(v),
-    },
-    Setting {
-        name: "sample",
-        kind: Type::Number,
-        least: |_| 1.0,
-        most: |_| 100.0,
-        set: |t, v| t.sample = v as usize,
-    },
-    Setting {
-        name: "spot_risk",
-        kind: Type::Number,
-        least: |_| 0.0,
-        most: |_| 100.0,
-        set: |t, v| t.spot_risk = v,
-    },
-    Setting {
-        name: "preempt_loss",
-        kind: Type::Time,
-        least: |_| 0.0,
-        most: |_| 86_400.0,
-        set: |t, v| t.preempt_loss_s = v,
-    },
-    Setting {
-        name: "preempt_lower_loss",
-        kind: Type::Time,
-        least: |_| 0.0,
-        most: |_| 86_400.0,
-        set: |t, v| t.preempt_lower_loss_s = v,
-    },
-    Setting {
-        name: "mean_ratio",
-        kind: Type::Number,
-        least: |_| 0.1,
-        most: |_| 10.0,
-        set: |t, v| t.mean_ratio = v,
-    },
-    Setting {
-        name: "patient_ratio",
-        kind: Type::Number,
-        least: |_| 0.1,
-        most: |_| 10.0,
-        set: |t, v| t.patient_ratio = v,
-    },
-    Setting {
-        name: "headroom",
-        kind: Type::Number,
-        least: |_| 0.0,
-        most: |_| 10.0,
-        set: |t, v| t.headroom = v,
-    },
-    Setting {
-        name: "memory_boots",
-        kind: Type::Number,
-        least: |_| 0.1,
-        most: |_| 100.0,
-        set: |t, v| t.memory_ratio = v,
-    },
-    Setting {
-        name: "spot_price_weight",
-        kind: Type::Number,
-        least: |_| 0.01,
-        most: |_| 100.0,
-        set: |t, v| t.spot_price_weight = v,
-    },
-    Setting {
-        name: "idle_boots",
-        kind: Type::Number,
-        least: |_| 0.0,
-        most: |_| 100.0,
-        set: |t, v| t.idle_ratio = v,
-    },
-    Setting {
-        name: "boot_limit_boots",
-        kind: Type::Number,
-        least: |_| 1.0,
-        most: |_| 100.0,
-        set: |t, v| t.boot_limit_ratio = v,
-    },
-    Setting {
-        name: "silence",
-        kind: Type::Time,
-        least: |c| c.workers.report_s * 2.0,
-        most: |c| c.workers.lease_s * 2.0,
-        set: |t, v| t.silence = seconds(v),
-    },
-    Setting {
-        name: "begin_within",
-        kind: Type::Time,
-        least: |c| c.workers.report_s * 4.0,
-        most: |_| 86_400.0,
-        set: |t, v| t.begin_within = seconds(v),
-    },
-    Setting {
-        name: "batch",
-        kind: Type::Time,
-        least: |_| 0.0,
-        most: |c| c.workers.report_s,
-        set: |t, v| t.batch = seconds(v),
-    },
-    Setting {
-        name: "reconcile",
-        kind: Type::Time,
-        least: |_| 5.0,
-        most: |_| 86_400.0,
-        set: |t, v| t.reconcile = seconds(v),
-    },
-];
-
-/// The settings' figures that a policy may use.
-fn figure(cluster: &Cluster, name: &str) -> Option<Value> {
-    let time = |value| Some(Value { kind: Type::Time, value });
-    let rate = |value| Some(Value { kind: Type::Rate, value });
-    let number = |value| Some(Value { kind: Type::Number, value });
-    match name {
-        "workers.report" => time(cluster.workers.report_s),
-        "workers.lease" => time(cluster.workers.lease_s),
-        "workers.cancel" => time(cluster.workers.cancel_s),
-        "cloud.lag" => time(cluster.cloud.list_lag_s),
-        "cloud.rps" => rate(cluster.cloud.rps),
-        "state.rps" => rate(cluster.state.rps),
-        "state.write_rps" => rate(cluster.state.write_rps),
-        "cluster.size" => number(f64::from(cluster.size)),
-        "quota.cores" => number(cluster.limits.cpu_share),
-        _ => None,
-    }
-}
-
 impl Tuning {
-    /// The default policy, with what the file sets differently.
+    /// The default policy, with what `file` sets differently.
+    ///
+    /// # Errors
+    ///
+    /// [`PolicyError::Unreadable`] if the file cannot be read, [`PolicyError::Invalid`] for
+    /// the first line in it that cannot be used with these settings. The default policy
+    /// itself may be refused too, if the settings are such that a parameter gets out of its
+    /// bounds.
     pub fn load(cluster: &Cluster, file: Option<&Path>) -> Result<Self, PolicyError> {
         let mut tuning = Tuning::default();
         tuning.apply(cluster, DEFAULT, Path::new(DEFAULT_NAME))?;
@@ -226,43 +130,44 @@
         Ok(tuning)
     }
 
+    /// Sets what a policy's text sets. `file` is only named in errors.
     fn apply(&mut self, cluster: &Cluster, text: &str, file: &Path) -> Result<(), PolicyError> {
-        let mut set = Vec::new();
-        for (at, line) in text.lines().enumerate() {
-            let unsound = |fault: Fault| PolicyError::Unsound {
+        let mut names_set = Vec::new();
+        for (index, line) in text.lines().enumerate() {
+            self.apply_line(cluster, line, &mut names_set).map_err(|error| PolicyError::Invalid {
                 file: file.to_owned(),
-                line: at + 1,
-                column: fault.column + 1,
-                reason: fault.reason,
-            };
-            let Some(assignment) = expression::parse_line(line).map_err(unsound)? else { continue };
-            let name = assignment.name.as_str();
-            let fault = |reason: String| unsound(Fault { column: assignment.name_column, reason });
-            let setting = SETTINGS
-                .iter()
-                .find(|s| s.name == name)
-                .ok_or_else(|| fault(format!("there is nothing named `{name}` to set")))?;
-            if set.contains(&setting.name) {
-                return Err(fault(format!("`{name}` is set a second time")));
-            }
-            set.push(setting.name);
-            let found = assignment.evaluate(&|figure_name| figure(cluster, figure_name)).map_err(unsound)?;
-            let here = |reason: String| unsound(Fault { column: assignment.value_column, reason });
-            if found.kind != setting.kind {
-                return Err(here(format!("`{name}` is a {}, but this is a {}", setting.kind, found.kind)));
-            }
-            let (least, most) = ((setting.least)(cluster), (setting.most)(cluster));
-            if !(found.value >= least && found.value <= most) {
-                let unit = if setting.kind == Type::Time { " s" } else { "" };
-                return Err(here(format!(
-                    "`{name}` must be from {least}{unit} to {most}{unit}, not {}{unit}",
-                    found.value
-                )));
-            }
-            (setting.set)(self, found.value);
+                line: index + 1,
+                column: error.column + 1,
+                reason: error.reason,
+            })?;
         }
         Ok(())
     }
+
+    /// Sets what one line sets, if anything. `names_set`: what earlier lines have set.
+    fn apply_line(
+        &mut self,
+        cluster: &Cluster,
+        line: &str,
+        names_set: &mut Vec<&'static str>,
+    ) -> Result<(), ExpressionError> {
+        let Some(assignment) = Assignment::parse(line)? else { return Ok(()) };
+        let Assignment { name, name_column, value_column, .. } = &assignment;
+        let Some(parameter) = Parameter::find(name) else {
+            return Err(ExpressionError::new(
+                *name_column,
+                format!("there is nothing named `{name}` to set"),
+            ));
+        };
+        if names_set.contains(&parameter.name) {
+            return Err(ExpressionError::new(*name_column, format!("`{name}` is set a second time")));
+        }
+        names_set.push(parameter.name);
+        let value = assignment.evaluate(&|variable| variables::value_of(cluster, variable))?;
+        parameter
+            .set(self, value, &cluster.workers)
+            .map_err(|reason| ExpressionError::new(*value_column, reason))
+    }
 }
 
 #[cfg(test)]
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -1,3 +1,4 @@
+use super::parameters::PARAMETERS;
 use super::*;
 use crate::settings::tests::sample;
 
@@ -16,8 +17,12 @@
     let untouched = Tuning::default();
     let default = tuning();
     assert_ne!(default, untouched);
-    for setting in SETTINGS {
-        assert!(DEFAULT.lines().any(|l| l.starts_with(&format!("{} = ", setting.name))), "{}", setting.name);
+    for parameter in PARAMETERS {
+        assert!(
+            DEFAULT.lines().any(|l| l.starts_with(&format!("{} = ", parameter.name))),
+            "{}",
+            parameter.name
+        );
     }
     assert_eq!(default.lease, Duration::from_millis(3750));
 }
