--- a/build.rs
+++ b/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the controllers' own protocol without a system `protoc`.
+//! Compiles the gRPC protocol between controllers (`proto/peer.proto`) in pure Rust, so that
+//! a build needs no system `protoc`. `transport::peer` includes the generated code.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,45 @@
-//! shedtally: a cluster scheduler run as several equal controllers over a
-//! small state service.
+//! shedtally: a cluster scheduler run as several equal controllers over a small state
+//! service.
 //!
-//! The layers, of which each uses only those after it: `coordination` (who
-//! leads and what is decided), `storage` (what outlives a process), `protocol`
-//! (the platform's messages), `transport` (bytes on sockets).
+//! One controller leads at a time and decides what runs where; the others forward users and
+//! workers to it and take over when its lease expires. All state that must outlive a process
+//! is in the state service, a consensus-backed key-value store that is not part of this
+//! program.
+//!
+//! # Layers
+//!
+//! Each layer uses only those below it.
+//!
+//! | folder | what it owns |
+//! | --- | --- |
+//! | [`cli`] | the command line; composes a controller of its actors |
+//! | [`coordination`] | who leads, and what the leader decides |
+//! | [`storage`] | the key-value store's client with its rate limit, and the stored records |
+//! | [`protocol`] | messages of the platform's protocols and their codecs |
+//! | [`transport`] | HTTP and gRPC: bytes on sockets, without knowledge of jobs or machines |
+//!
+//! Beside the layers are [`settings`] (the platform's settings file) and [`policy`] (what
+//! operators tune), which all but `transport` and `protocol` may read, and `maps` (hash maps
+//! whose order tests can repeat).
+//!
+//! # Coordination
+//!
+//! | folder | what it owns |
+//! | --- | --- |
+//! | [`coordination::election`] | the leader's lease, its renewal and the epoch |
+//! | [`coordination::authority`] | what may be done under an epoch, and how long an answer is valid |
+//! | [`coordination::leader`] | the leader's state machine: events and time in, effects out |
+//! | [`coordination::jobs`] | jobs, their admission, dependencies and record writes |
+//! | [`coordination::workers`] | heartbeats, commands, slots and the failure detector |
+//! | [`coordination::fleet`] | machines, the cloud's inventory, demand, scale out and scale in |
+//! | [`coordination::scheduling`] | the queue, placement, preemption and rebalancing |
+//! | [`coordination::recovery`] | failover, snapshots, reconciliation of rows with records |
+//! | [`coordination::controller`] | the actor: routing, relays between controllers, metrics |
+//!
+//! The state machines of `coordination` do no input or output, so tests run them, and whole
+//! simulated clusters of them, in simulated time.
 
-#![cfg_attr(test, allow(clippy::unwrap_used))]
+#![cfg_attr(test, allow(clippy::unwrap_used))] // A test may panic: that is how it fails.
 
 pub mod cli;
 pub mod coordination;
