--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -1,22 +1,33 @@
-//! CBOR values and checked access to their fields.
+//! CBOR: encoding, decoding and checked access to the fields of maps.
 
 use ciborium::value::Value;
 use thiserror::Error;
 
-/// Nesting beyond this is refused before it can exhaust the stack.
+/// Deepest nesting of values that is decoded. A hostile body with deeper nesting is refused
+/// before it can exhaust the stack.
 const MAX_DEPTH: usize = 32;
 
+/// Why a body or one of its fields was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Malformed {
+    /// The body is not CBOR, is nested too deeply, has bytes after the value, or is another
+    /// value where a map is expected.
     #[error("not a CBOR map")]
     NotAMap,
+    /// A required field, named by its key on the wire, is absent or null.
     #[error("field `{0}` is missing")]
     Missing(&'static str),
+    /// A field, named by its key on the wire, has the wrong type or a value out of range.
     #[error("field `{0}` is invalid")]
     Invalid(&'static str),
 }
 
-/// Reads one value that fills the whole body.
+/// Decodes one value that fills the whole body.
+///
+/// # Errors
+///
+/// [`Malformed::NotAMap`] if the bytes are no CBOR, are nested too deeply or go on after the
+/// value.
 pub fn decode(bytes: &[u8]) -> Result<Value, Malformed> {
     let mut rest = bytes;
     let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
@@ -24,6 +35,7 @@
     if rest.is_empty() { Ok(value) } else { Err(Malformed::NotAMap) }
 }
 
+/// Encodes a value.
 pub fn encode(value: &Value) -> Vec<u8> {
     let mut out = Vec::new();
     // Writing to memory cannot fail, and a `Value` is always encodable.
@@ -31,20 +43,24 @@
     out
 }
 
-/// A map under construction.
+/// A CBOR map under construction. Entries are encoded in the order in which they are set;
+/// a key must not be set twice.
 #[derive(Debug, Default, Clone)]
 pub struct MapBuilder(Vec<(Value, Value)>);
 
 impl MapBuilder {
+    /// An empty map.
     pub fn new() -> Self {
         Self::default()
     }
 
+    /// Appends an entry.
     pub fn set(mut self, key: &str, value: impl Into<Value>) -> Self {
         self.0.push((Value::Text(key.to_owned()), value.into()));
         self
     }
 
+    /// Appends an entry if there is a value; leaves the key out if there is none.
     pub fn set_some(self, key: &str, value: Option<impl Into<Value>>) -> Self {
         match value {
             Some(value) => self.set(key, value),
@@ -52,20 +68,31 @@
         }
     }
 
+    /// The finished map.
     pub fn build(self) -> Value {
         Value::Map(self.0)
     }
 }
 
+/// An array of texts.
 pub fn texts<'a>(items: impl IntoIterator<Item = &'a str>) -> Value {
     Value::Array(items.into_iter().map(Value::from).collect())
 }
 
-/// Read access to a map's fields. `null` counts as absent.
+/// Read access to the fields of a map. A field that is null counts as absent, and of a key
+/// that stands twice the first entry counts.
+///
+/// Each type of field has two methods: `opt_…` for a field that may be absent, and one
+/// without the prefix for a required field.
 #[derive(Debug, Clone, Copy)]
 pub struct Fields<'a>(&'a [(Value, Value)]);
 
 impl<'a> Fields<'a> {
+    /// The fields of a value that has to be a map.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::NotAMap`] if it is another value.
     pub fn of(value: &'a Value) -> Result<Self, Malformed> {
         match value {
             Value::Map(entries) => Ok(Fields(entries)),
@@ -73,12 +100,13 @@
         }
     }
 
+    /// The value of a field, whatever its type; `None` if it is absent.
     pub fn get(&self, key: &str) -> Option<&'a Value> {
         let (_, value) = self.0.iter().find(|(k, _)| k.as_text() == Some(key))?;
         if value.is_null() { None } else { Some(value) }
     }
 
-    /// Reads an optional field with a conversion that must succeed if it is there.
+    /// Converts an optional field; the conversion must succeed if the field is present.
     fn read<T>(
         &self,
         key: &'static str,
@@ -87,52 +115,108 @@
         self.get(key).map(|value| convert(value).ok_or(Malformed::Invalid(key))).transpose()
     }
 
+    /// An optional field that holds text.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Invalid`] if it is present and no text.
     pub fn opt_text(&self, key: &'static str) -> Result<Option<&'a str>, Malformed> {
         self.read(key, Value::as_text)
     }
 
+    /// A required field that holds text.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no text.
     pub fn text(&self, key: &'static str) -> Result<&'a str, Malformed> {
         self.opt_text(key)?.ok_or(Malformed::Missing(key))
     }
 
+    /// An optional field that holds a truth value.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Invalid`] if it is present and no truth value.
     pub fn opt_bool(&self, key: &'static str) -> Result<Option<bool>, Malformed> {
         self.read(key, Value::as_bool)
     }
 
+    /// A required field that holds a truth value.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no truth value.
     pub fn bool(&self, key: &'static str) -> Result<bool, Malformed> {
         self.opt_bool(key)?.ok_or(Malformed::Missing(key))
     }
 
+    /// An optional field that holds a whole number that is not negative.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Invalid`] if it is present and no such number.
     pub fn opt_count(&self, key: &'static str) -> Result<Option<u64>, Malformed> {
         self.read(key, |v| u64::try_from(v.as_integer()?).ok())
     }
 
+    /// A required field that holds a whole number that is not negative.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no such number.
     pub fn count(&self, key: &'static str) -> Result<u64, Malformed> {
         self.opt_count(key)?.ok_or(Malformed::Missing(key))
     }
 
-    /// An amount: finite and not negative.
+    /// An optional field that holds a finite number that is not negative; whole numbers count too.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Invalid`] if it is present and no such number.
     pub fn opt_amount(&self, key: &'static str) -> Result<Option<f64>, Malformed> {
         self.read(key, |v| number(v).filter(|n| n.is_finite() && *n >= 0.0))
     }
 
+    /// A required field that holds a finite number that is not negative; whole numbers count too.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no such number.
     pub fn amount(&self, key: &'static str) -> Result<f64, Malformed> {
         self.opt_amount(key)?.ok_or(Malformed::Missing(key))
     }
 
+    /// An optional field that holds an array.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Invalid`] if it is present and no array.
     pub fn opt_list(&self, key: &'static str) -> Result<Option<&'a [Value]>, Malformed> {
         self.read(key, |v| v.as_array().map(Vec::as_slice))
     }
 
+    /// A required field that holds an array.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no array.
     pub fn list(&self, key: &'static str) -> Result<&'a [Value], Malformed> {
         self.opt_list(key)?.ok_or(Malformed::Missing(key))
     }
 
+    /// An optional field that holds an array of texts.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed::Invalid`] if it is present and no array, or one of its items is no text.
     pub fn opt_texts(&self, key: &'static str) -> Result<Option<Vec<String>>, Malformed> {
         self.read(key, |v| v.as_array()?.iter().map(|item| item.as_text().map(str::to_owned)).collect())
     }
 }
 
+/// A float or integer as a float. An integer beyond 2^53 is rounded to the nearest float,
+/// which is exact enough for an amount.
 fn number(value: &Value) -> Option<f64> {
     match value {
         Value::Float(number) => Some(*number),
@@ -141,24 +225,34 @@
     }
 }
 
-/// The size of a value in the JSON form in which the platform counts limits.
-/// Never too small: every text is counted as if each byte might need escaping
-/// only where it does.
+/// Most bytes that JSON takes for one escaped byte (`\u001f`).
+const JSON_ESCAPE_BYTES: usize = 6;
+/// Most bytes that JSON takes for a float.
+const JSON_FLOAT_BYTES: usize = 24;
+/// Bytes that JSON takes for the longest of `true`, `false` and `null`.
+const JSON_LITERAL_BYTES: usize = 5;
+/// Bytes counted for a value that has no JSON form; none is ever sent.
+const JSON_OTHER_BYTES: usize = 64;
+
+/// An upper bound in bytes of a value's size as JSON, the form in which the platform counts
+/// its limits. Each byte that JSON may have to escape is counted as escaped.
 pub fn json_size(value: &Value) -> usize {
     match value {
-        Value::Text(text) => {
-            2 + text.bytes().map(|b| if b < 32 || b == b'"' || b == b'\\' { 6 } else { 1 }).sum::<usize>()
-        }
+        Value::Text(text) => 2 + text.bytes().map(json_byte_size).sum::<usize>(),
         Value::Integer(number) => i128::from(*number).to_string().len(),
-        Value::Float(_) => 24,
-        Value::Bool(_) | Value::Null => 5,
+        Value::Float(_) => JSON_FLOAT_BYTES,
+        Value::Bool(_) | Value::Null => JSON_LITERAL_BYTES,
         Value::Array(items) => 2 + items.iter().map(|item| json_size(item) + 1).sum::<usize>(),
         Value::Map(entries) => {
-            2 + entries.iter().map(|(k, v)| json_size(k) + json_size(v) + 2).sum::<usize>()
+            2 + entries.iter().map(|(key, value)| json_size(key) + json_size(value) + 2).sum::<usize>()
         }
-        _ => 64,
+        _ => JSON_OTHER_BYTES,
     }
 }
 
+fn json_byte_size(byte: u8) -> usize {
+    if byte < 32 || byte == b'"' || byte == b'\\' { JSON_ESCAPE_BYTES } else { 1 }
+}
+
 #[cfg(test)]
 mod tests;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,152 +1,234 @@
-//! Messages to and from the cloud.
+//! Messages to and from the cloud, which rents machines in node pools.
 
 use ciborium::value::Value;
 
 use super::cbor::{Fields, Malformed, MapBuilder, texts};
+use super::wire_words::{field, value as word};
 use super::workers::MachineId;
 
-/// Most machines in one rental request.
+/// Most machines in one node pool request.
 pub const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Most names in one deletion.
+/// Most machines in one deletion request.
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
-/// Most machines on one page of the list.
+/// Most machines on one page of the cloud's inventory.
 pub const INVENTORY_PAGE: usize = 500;
 
+/// An entry of the cloud's catalog: what a machine of this type offers and costs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
+    /// Unique name of the type.
     pub name: String,
+    /// CPUs of one machine; may be fractional.
     pub cpus: f64,
+    /// GPUs of one machine; 0 if the catalog names none.
     pub gpus: f64,
+    /// Memory of one machine in GB.
     pub memory_gb: f64,
+    /// Local cache for images in GB; 0 if the catalog names none.
     pub cache_gb: f64,
+    /// Rate at which a machine fetches images, in GB per second; 0 if unknown.
     pub fetch_gb_per_s: f64,
+    /// Price of an on-demand machine, in the cloud's unit; only compared with other prices.
     pub price: f64,
+    /// Price of a spot machine, in the same unit; `price` if the catalog names none.
     pub spot_price: f64,
+    /// Time that a machine takes to boot, in seconds; 0 if unknown.
     pub boot_s: f64,
+    /// Zones that offer the type.
     pub zones: Vec<String>,
 }
 
 impl MachineType {
     fn encode(&self) -> Value {
         MapBuilder::new()
-            .set("name", self.name.as_str())
-            .set("cores", self.cpus)
-            .set("accelerators", self.gpus)
-            .set("ramGb", self.memory_gb)
-            .set("localGb", self.cache_gb)
-            .set("fetchGbPerS", self.fetch_gb_per_s)
-            .set("price", self.price)
-            .set("spotPrice", self.spot_price)
-            .set("startupS", self.boot_s)
-            .set("halls", texts(self.zones.iter().map(String::as_str)))
+            .set(field::NAME, self.name.as_str())
+            .set(field::CPUS, self.cpus)
+            .set(field::GPUS, self.gpus)
+            .set(field::MEMORY_GB, self.memory_gb)
+            .set(field::CACHE_GB, self.cache_gb)
+            .set(field::FETCH_GB_PER_S, self.fetch_gb_per_s)
+            .set(field::PRICE, self.price)
+            .set(field::SPOT_PRICE, self.spot_price)
+            .set(field::BOOT_S, self.boot_s)
+            .set(field::ZONES, texts(self.zones.iter().map(String::as_str)))
             .build()
     }
 
     fn decode(value: &Value) -> Result<Self, Malformed> {
-        let f = Fields::of(value)?;
-        let price = f.amount("price")?;
+        let fields = Fields::of(value)?;
+        let price = fields.amount(field::PRICE)?;
         Ok(MachineType {
-            name: f.text("name")?.to_owned(),
-            cpus: f.amount("cores")?,
-            gpus: f.opt_amount("accelerators")?.unwrap_or(0.0),
-            memory_gb: f.amount("ramGb")?,
-            cache_gb: f.opt_amount("localGb")?.unwrap_or(0.0),
-            fetch_gb_per_s: f.opt_amount("fetchGbPerS")?.unwrap_or(0.0),
+            name: fields.text(field::NAME)?.to_owned(),
+            cpus: fields.amount(field::CPUS)?,
+            gpus: fields.opt_amount(field::GPUS)?.unwrap_or(0.0),
+            memory_gb: fields.amount(field::MEMORY_GB)?,
+            cache_gb: fields.opt_amount(field::CACHE_GB)?.unwrap_or(0.0),
+            fetch_gb_per_s: fields.opt_amount(field::FETCH_GB_PER_S)?.unwrap_or(0.0),
             price,
-            spot_price: f.opt_amount("spotPrice")?.unwrap_or(price),
-            boot_s: f.opt_amount("startupS")?.unwrap_or(0.0),
-            zones: f.opt_texts("halls")?.unwrap_or_default(),
+            spot_price: fields.opt_amount(field::SPOT_PRICE)?.unwrap_or(price),
+            boot_s: fields.opt_amount(field::BOOT_S)?.unwrap_or(0.0),
+            zones: fields.opt_texts(field::ZONES)?.unwrap_or_default(),
         })
     }
 }
 
-/// The same form as the cloud's own answer; used for the record.
+/// Writes a catalog in the form of the cloud's own reply. It is stored in this form too.
 pub fn encode_catalog(types: &[MachineType]) -> Value {
-    MapBuilder::new().set("builds", Value::Array(types.iter().map(MachineType::encode).collect())).build()
+    let types = types.iter().map(MachineType::encode).collect();
+    MapBuilder::new().set(field::MACHINE_TYPES, Value::Array(types)).build()
 }
 
+/// Reads a catalog from the cloud's reply or from its stored record.
+///
+/// # Errors
+///
+/// [`Malformed`] if the value or one of its machine types lacks a required field or holds
+/// an invalid one: a catalog is taken whole or not at all.
 pub fn decode_catalog(value: &Value) -> Result<Vec<MachineType>, Malformed> {
-    Fields::of(value)?.list("builds")?.iter().map(MachineType::decode).collect()
+    Fields::of(value)?.list(field::MACHINE_TYPES)?.iter().map(MachineType::decode).collect()
 }
 
-/// A request to rent machines. Its name is never used twice.
+/// A node pool request: asks the cloud to rent machines.
+///
+/// Its name makes it idempotent: a repeated request with the same name rents nothing new.
+/// A name is never used for a second request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePoolRequest {
+    /// Unique name of the request.
     pub name: String,
+    /// Name of the machine type to rent.
     pub machine_type: String,
+    /// Zone to rent in.
     pub zone: String,
+    /// Whether to rent spot machines in place of on-demand ones.
     pub spot: bool,
+    /// Number of machines; at most [`MAX_MACHINES_PER_REQUEST`].
     pub count: u32,
 }
 
 impl NodePoolRequest {
+    /// Writes the request as it is sent to the cloud and as it is stored.
     pub fn encode(&self) -> Value {
         MapBuilder::new()
-            .set("hire", self.name.as_str())
-            .set("build", self.machine_type.as_str())
-            .set("hall", self.zone.as_str())
-            .set("loaners", self.spot)
-            .set("howMany", self.count)
+            .set(field::NODE_POOL, self.name.as_str())
+            .set(field::MACHINE_TYPE, self.machine_type.as_str())
+            .set(field::ZONE, self.zone.as_str())
+            .set(field::SPOT, self.spot)
+            .set(field::MACHINE_COUNT, self.count)
             .build()
     }
+
+    /// Reads what [`NodePoolRequest::encode`] wrote.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed`] if a field is missing or invalid.
+    pub fn decode(value: &Value) -> Result<Self, Malformed> {
+        let fields = Fields::of(value)?;
+        Ok(NodePoolRequest {
+            name: fields.text(field::NODE_POOL)?.to_owned(),
+            machine_type: fields.text(field::MACHINE_TYPE)?.to_owned(),
+            zone: fields.text(field::ZONE)?.to_owned(),
+            spot: fields.bool(field::SPOT)?,
+            count: u32::try_from(fields.count(field::MACHINE_COUNT)?)
+                .map_err(|_| Malformed::Invalid(field::MACHINE_COUNT))?,
+        })
+    }
 }
 
-fn machine_id(value: &Value) -> Result<MachineId, Malformed> {
-    value.as_text().and_then(MachineId::parse).ok_or(Malformed::Invalid("benches"))
+fn decode_machine_id(value: &Value) -> Result<MachineId, Malformed> {
+    value.as_text().and_then(MachineId::parse).ok_or(Malformed::Invalid(field::MACHINES))
 }
 
+/// Reads the machines that the cloud rented for a node pool request.
+///
+/// # Errors
+///
+/// [`Malformed`] if the list is missing or one of its identifiers is invalid.
 pub fn decode_provisioned(value: &Value) -> Result<Vec<MachineId>, Malformed> {
-    Fields::of(value)?.list("benches")?.iter().map(machine_id).collect()
+    Fields::of(value)?.list(field::MACHINES)?.iter().map(decode_machine_id).collect()
 }
 
+/// Writes a deletion request; at most [`MAX_MACHINES_PER_DELETION`] machines at once.
 pub fn encode_delete(machines: &[MachineId]) -> Value {
-    MapBuilder::new().set("benches", texts(machines.iter().map(MachineId::as_str))).build()
+    MapBuilder::new().set(field::MACHINES, texts(machines.iter().map(MachineId::as_str))).build()
 }
 
+/// State of a machine in the cloud's inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedState {
+    /// It boots.
     Starting,
+    /// It is up, which does not prove that its worker runs.
     Running,
+    /// It could not be started.
     Failed,
 }
 
+impl ListedState {
+    fn decode(fields: &Fields<'_>) -> Result<Self, Malformed> {
+        match fields.text(field::STATE)? {
+            word::MACHINE_STARTING => Ok(ListedState::Starting),
+            word::MACHINE_RUNNING => Ok(ListedState::Running),
+            word::MACHINE_FAILED => Ok(ListedState::Failed),
+            _ => Err(Malformed::Invalid(field::STATE)),
+        }
+    }
+}
+
+/// A machine in the cloud's inventory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedMachine {
+    /// Identifier of the machine.
     pub machine: MachineId,
+    /// Network address of its worker; empty if the cloud does not know it yet.
     pub address: String,
+    /// Name of its machine type.
     pub machine_type: String,
+    /// Zone that it stands in.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Its state in the cloud.
     pub state: ListedState,
+    /// Seconds since it was rented; 0 if the cloud does not say.
     pub age_s: f64,
 }
 
+impl ListedMachine {
+    fn decode(value: &Value) -> Result<Self, Malformed> {
+        let fields = Fields::of(value)?;
+        Ok(ListedMachine {
+            machine: MachineId::parse(fields.text(field::ID)?).ok_or(Malformed::Invalid(field::ID))?,
+            address: fields.opt_text(field::ADDRESS)?.unwrap_or_default().to_owned(),
+            machine_type: fields.text(field::MACHINE_TYPE)?.to_owned(),
+            zone: fields.text(field::ZONE)?.to_owned(),
+            spot: fields.opt_bool(field::SPOT)?.unwrap_or(false),
+            state: ListedState::decode(&fields)?,
+            age_s: fields.opt_amount(field::AGE_S)?.unwrap_or(0.0),
+        })
+    }
+}
+
+/// One page of the cloud's inventory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InventoryPage {
+    /// The machines on this page; at most [`INVENTORY_PAGE`].
     pub machines: Vec<ListedMachine>,
+    /// Whether another page follows.
     pub more: bool,
 }
 
+/// Reads one page of the cloud's inventory.
+///
+/// # Errors
+///
+/// [`Malformed`] if the list or a required field of a machine is missing or invalid.
 pub fn decode_inventory_page(value: &Value) -> Result<InventoryPage, Malformed> {
-    let f = Fields::of(value)?;
-    let machines = f.list("benches")?.iter().map(decode_listed).collect::<Result<_, _>>()?;
-    Ok(InventoryPage { machines, more: f.opt_bool("more")?.unwrap_or(false) })
-}
-
-fn decode_listed(value: &Value) -> Result<ListedMachine, Malformed> {
-    let f = Fields::of(value)?;
-    Ok(ListedMachine {
-        machine: MachineId::parse(f.text("nameId")?).ok_or(Malformed::Invalid("nameId"))?,
-        address: f.opt_text("address")?.unwrap_or_default().to_owned(),
-        machine_type: f.text("build")?.to_owned(),
-        zone: f.text("hall")?.to_owned(),
-        spot: f.opt_bool("loaners")?.unwrap_or(false),
-        state: match f.text("standing")? {
-            "starting" => ListedState::Starting,
-            "running" => ListedState::Running,
-            "failed" => ListedState::Failed,
-            _ => return Err(Malformed::Invalid("standing")),
-        },
-        age_s: f.opt_amount("heldS")?.unwrap_or(0.0),
+    let fields = Fields::of(value)?;
+    let machines = fields.list(field::MACHINES)?.iter().map(ListedMachine::decode);
+    Ok(InventoryPage {
+        machines: machines.collect::<Result<_, _>>()?,
+        more: fields.opt_bool(field::MORE)?.unwrap_or(false),
     })
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,26 +1,44 @@
-//! Messages to and from the state service.
+//! Messages to and from the consensus-backed key-value store.
 
 use ciborium::value::Value;
 
 use super::cbor::{Fields, Malformed, MapBuilder};
+use super::wire_words::field;
 
-/// A key's value with the revision of its last change.
+/// A key of the store with its value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
+    /// The key.
     pub key: String,
+    /// The value; null if the store sent none.
     pub value: Value,
+    /// Revision of the last change of this key; never 0.
     pub version: u64,
+    /// Identifier of the lease at whose expiry the store deletes the key, if any.
     pub lease: Option<u64>,
 }
 
-/// One change within a transaction.
+/// One change within a compare-and-swap.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    Put { key: String, value: Value, lease: Option<u64> },
-    Delete { key: String },
+    /// Writes a value, whether or not the key exists.
+    Put {
+        /// The key.
+        key: String,
+        /// The new value.
+        value: Value,
+        /// Identifier of the lease to attach the key to; `None` for a key that stays.
+        lease: Option<u64>,
+    },
+    /// Deletes a key.
+    Delete {
+        /// The key.
+        key: String,
+    },
 }
 
 impl Change {
+    /// The key that is changed.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -30,80 +48,123 @@
     fn encode(&self) -> Value {
         match self {
             Change::Put { key, value, lease } => MapBuilder::new()
-                .set("write", key.as_str())
-                .set("data", value.clone())
-                .set_some("permit", *lease)
+                .set(field::PUT, key.as_str())
+                .set(field::VALUE, value.clone())
+                .set_some(field::LEASE, *lease)
                 .build(),
-            Change::Delete { key } => MapBuilder::new().set("remove", key.as_str()).build(),
+            Change::Delete { key } => MapBuilder::new().set(field::DELETE, key.as_str()).build(),
         }
     }
 }
 
-/// A key must have this version; 0 means that it does not exist.
+/// A condition of a compare-and-swap: the key must have this version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Compare {
+    /// The key.
     pub key: String,
+    /// The version expected; 0 means that the key must not exist.
     pub version: u64,
 }
 
+impl Compare {
+    fn encode(&self) -> Value {
+        MapBuilder::new().set(field::KEY, self.key.as_str()).set(field::VERSION, self.version).build()
+    }
+}
+
+/// Writes a compare-and-swap: all changes are applied if all versions match, else none.
 pub fn encode_compare_and_swap<'a>(
-    conditions: impl IntoIterator<Item = &'a Compare>,
+    compares: impl IntoIterator<Item = &'a Compare>,
     changes: impl IntoIterator<Item = &'a Change>,
 ) -> Value {
-    let conditions = conditions
-        .into_iter()
-        .map(|c| MapBuilder::new().set("key", c.key.as_str()).set("stamp", c.version).build())
-        .collect();
+    let compares = compares.into_iter().map(Compare::encode).collect();
     let changes = changes.into_iter().map(Change::encode).collect();
-    MapBuilder::new().set("if", Value::Array(conditions)).set("apply", Value::Array(changes)).build()
+    MapBuilder::new()
+        .set(field::COMPARES, Value::Array(compares))
+        .set(field::CHANGES, Value::Array(changes))
+        .build()
 }
 
+/// Reads the revision that a compare-and-swap was committed with.
+///
+/// # Errors
+///
+/// [`Malformed`] if the revision is missing or no whole number.
 pub fn decode_commit_revision(value: &Value) -> Result<u64, Malformed> {
-    Fields::of(value)?.count("ledger")
+    Fields::of(value)?.count(field::REVISION)
 }
 
-/// The keys whose condition failed.
+/// Reads which keys made a compare-and-swap fail; never empty.
+///
+/// # Errors
+///
+/// [`Malformed`] if the list is missing, empty or no list of texts.
 pub fn decode_failed_compares(value: &Value) -> Result<Vec<String>, Malformed> {
-    let failed = Fields::of(value)?.opt_texts("failed")?.ok_or(Malformed::Missing("failed"))?;
-    if failed.is_empty() { Err(Malformed::Invalid("failed")) } else { Ok(failed) }
+    let failed = Fields::of(value)?.opt_texts(field::FAILED_COMPARES)?;
+    let failed = failed.ok_or(Malformed::Missing(field::FAILED_COMPARES))?;
+    if failed.is_empty() { Err(Malformed::Invalid(field::FAILED_COMPARES)) } else { Ok(failed) }
 }
 
+/// Reads one entry.
+///
+/// # Errors
+///
+/// [`Malformed`] if the key or the version is missing, or a field is invalid.
 pub fn decode_entry(value: &Value) -> Result<Entry, Malformed> {
-    let f = Fields::of(value)?;
+    let fields = Fields::of(value)?;
     Ok(Entry {
-        key: f.text("key")?.to_owned(),
-        value: f.get("data").cloned().unwrap_or(Value::Null),
-        version: f.count("stamp")?,
-        lease: f.opt_count("permit")?,
+        key: fields.text(field::KEY)?.to_owned(),
+        value: fields.get(field::VALUE).cloned().unwrap_or(Value::Null),
+        version: fields.count(field::VERSION)?,
+        lease: fields.opt_count(field::LEASE)?,
     })
 }
 
+/// One page of a scan over the keys with a common prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Page {
+    /// The entries, in the order of their keys.
     pub entries: Vec<Entry>,
+    /// Whether another page follows.
     pub more: bool,
+    /// Revision of the store at which the page was read.
     pub revision: u64,
 }
 
+/// Reads one page of a scan.
+///
+/// # Errors
+///
+/// [`Malformed`] if the page or one of its entries lacks a field or holds an invalid one.
 pub fn decode_page(value: &Value) -> Result<Page, Malformed> {
-    let f = Fields::of(value)?;
+    let fields = Fields::of(value)?;
     Ok(Page {
-        entries: f.list("entries")?.iter().map(decode_entry).collect::<Result<_, _>>()?,
-        more: f.opt_bool("more")?.unwrap_or(false),
-        revision: f.count("ledger")?,
+        entries: fields.list(field::ENTRIES)?.iter().map(decode_entry).collect::<Result<_, _>>()?,
+        more: fields.opt_bool(field::MORE)?.unwrap_or(false),
+        revision: fields.count(field::REVISION)?,
     })
 }
 
+/// Writes the request for a lease that lives `ttl_ms` milliseconds unless it is renewed.
 pub fn encode_lease(ttl_ms: u64) -> Value {
-    MapBuilder::new().set("lifeMs", ttl_ms).build()
+    MapBuilder::new().set(field::LEASE_TTL_MS, ttl_ms).build()
 }
 
+/// Reads the identifier of a lease that was granted.
+///
+/// # Errors
+///
+/// [`Malformed`] if the identifier is missing or no whole number.
 pub fn decode_lease(value: &Value) -> Result<u64, Malformed> {
-    Fields::of(value)?.count("permit")
+    Fields::of(value)?.count(field::LEASE)
 }
 
-/// The revision that a watch has reached. What changed is read afresh, so
-/// the events themselves are not needed.
+/// Reads the revision that a watch has reached. The events themselves are not read: the
+/// caller reads the current state of what changed.
+///
+/// # Errors
+///
+/// [`Malformed`] if the revision is missing or no whole number.
 pub fn decode_watch(value: &Value) -> Result<u64, Malformed> {
-    Fields::of(value)?.count("ledger")
+    Fields::of(value)?.count(field::REVISION)
 }
--- /dev/null
+++ b/src/protocol/wire_words/tests.rs
@@ -0,0 +1,270 @@
+//! The table of all wire words, and checks that each is spelled in one place.
+
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+use super::{field, value};
+
+/// Every key of a map: the constant, the word on the wire, the field's term for it. The word
+/// is spelled out here a second time on purpose: a constant that changes by mistake would
+/// change the protocol and make stored records unreadable.
+const FIELDS: &[(&str, &str, &str)] = &[
+    (field::ADDRESS, "address", "address"),
+    (field::AGE_S, "heldS", "age s"),
+    (field::ATTEMPT, "try", "attempt"),
+    (field::BOOT_S, "startupS", "boot s"),
+    (field::CACHE_GB, "localGb", "cache gb"),
+    (field::CHANGES, "apply", "changes"),
+    (field::CHECKPOINT_INTERVAL_S, "bookmarkS", "checkpoint interval s"),
+    (field::CHECKPOINT_SAVED, "saved", "checkpoint saved"),
+    (field::CHECKPOINT_SAVE_S, "stashS", "checkpoint save s"),
+    (field::COMMANDS, "orders", "commands"),
+    (field::COMMAND_VERB, "verb", "command verb"),
+    (field::COMPARES, "if", "compares"),
+    (field::CPUS, "cores", "cpus"),
+    (field::DEADLINE_S, "dueS", "deadline s"),
+    (field::DELETE, "remove", "delete"),
+    (field::DEPENDENCIES, "awaits", "dependencies"),
+    (field::DONE_TASKS, "done", "done tasks"),
+    (field::ENTRIES, "entries", "entries"),
+    (field::ERROR, "error", "error"),
+    (field::ESTIMATED_RUN_S, "reckonS", "estimated run s"),
+    (field::EXIT_CAUSE, "cause", "exit cause"),
+    (field::FAILED_COMPARES, "failed", "failed compares"),
+    (field::FENCING_TOKEN, "baton", "fencing token"),
+    (field::FETCH_GB_PER_S, "fetchGbPerS", "fetch gb per s"),
+    (field::GPUS, "accelerators", "gpus"),
+    (field::GRACE_S, "leewayS", "grace s"),
+    (field::ID, "nameId", "id"),
+    (field::IMAGE, "bundle", "image"),
+    (field::IMAGE_GB, "pullGb", "image gb"),
+    (field::INCARNATION, "shift", "incarnation"),
+    (field::JOB_CLASS, "docket", "job class"),
+    (field::JOB_KIND, "form", "job kind"),
+    (field::KEY, "key", "key"),
+    (field::LEADER, "foreman", "leader"),
+    (field::LEASE, "permit", "lease"),
+    (field::LEASE_TTL_MS, "lifeMs", "lease ttl ms"),
+    (field::MACHINE, "bench", "machine"),
+    (field::MACHINES, "benches", "machines"),
+    (field::MACHINE_COUNT, "howMany", "machine count"),
+    (field::MACHINE_TYPE, "build", "machine type"),
+    (field::MACHINE_TYPES, "builds", "machine types"),
+    (field::MEMORY_GB, "ramGb", "memory gb"),
+    (field::MORE, "more", "more"),
+    (field::NAME, "name", "name"),
+    (field::NODE_POOL, "hire", "node pool"),
+    (field::ONE_ZONE, "together", "one zone"),
+    (field::PREEMPTION_NOTICE_S, "recallS", "preemption notice s"),
+    (field::PRICE, "price", "price"),
+    (field::PRIORITY, "urgency", "priority"),
+    (field::PUT, "write", "put"),
+    (field::REVISION, "ledger", "revision"),
+    (field::RUNNING_TASKS, "running", "running tasks"),
+    (field::SEQUENCE, "tick", "sequence"),
+    (field::SPOT, "loaners", "spot"),
+    (field::SPOT_PRICE, "spotPrice", "spot price"),
+    (field::SPREAD, "scatter", "spread"),
+    (field::STATE, "standing", "state"),
+    (field::TASK, "sheet", "task"),
+    (field::TASKS, "sheets", "tasks"),
+    (field::TEAM, "crew", "team"),
+    (field::VALUE, "data", "value"),
+    (field::VERSION, "stamp", "version"),
+    (field::ZONE, "hall", "zone"),
+    (field::ZONES, "halls", "zones"),
+];
+
+/// Every word that stands as a value, in the same form.
+const VALUES: &[(&str, &str, &str)] = &[
+    (value::COMMAND_REAP, "reap", "command reap"),
+    (value::COMMAND_START, "start", "command start"),
+    (value::COMMAND_STOP, "stop", "command stop"),
+    (value::EXIT_BUSY, "in_use", "exit busy"),
+    (value::EXIT_DONE, "done", "exit done"),
+    (value::EXIT_NO_ROOM, "no_room", "exit no room"),
+    (value::EXIT_STOPPED, "halted", "exit stopped"),
+    (value::EXIT_UNKNOWN, "unknown", "exit unknown"),
+    (value::JOB_CANCELLED, "cancelled", "job cancelled"),
+    (value::JOB_DONE, "done", "job done"),
+    (value::JOB_QUEUED, "queued", "job queued"),
+    (value::JOB_RUNNING, "running", "job running"),
+    (value::KIND_ARRAY, "array", "kind array"),
+    (value::KIND_SERVICE, "daemon", "kind service"),
+    (value::MACHINE_FAILED, "failed", "machine failed"),
+    (value::MACHINE_RUNNING, "running", "machine running"),
+    (value::MACHINE_STARTING, "starting", "machine starting"),
+    (value::PRIORITY_BEST_EFFORT, "best_effort", "priority best effort"),
+    (value::PRIORITY_CRITICAL, "critical", "priority critical"),
+    (value::PRIORITY_HIGH, "high", "priority high"),
+    (value::PRIORITY_STANDARD, "standard", "priority standard"),
+    (value::TASK_EXITED, "exited", "task exited"),
+    (value::TASK_FETCHING, "fetching", "task fetching"),
+    (value::TASK_GATHERING, "gathering", "task gathering"),
+    (value::TASK_RUNNING, "running", "task running"),
+    (value::TASK_SAVING, "flushing", "task saving"),
+];
+
+/// The words of the platform's own language, which nothing but the wire may use. The others
+/// ("name", "running") are ordinary words that other layers use for things of their own.
+const THEMED: &[&str] = &[
+    "accelerators",
+    "awaits",
+    "baton",
+    "bench",
+    "benches",
+    "best_effort",
+    "bookmarkS",
+    "build",
+    "builds",
+    "bundle",
+    "cores",
+    "crew",
+    "daemon",
+    "docket",
+    "dueS",
+    "flushing",
+    "foreman",
+    "form",
+    "gathering",
+    "hall",
+    "halls",
+    "halted",
+    "heldS",
+    "hire",
+    "howMany",
+    "in_use",
+    "ledger",
+    "leewayS",
+    "lifeMs",
+    "loaners",
+    "localGb",
+    "nameId",
+    "no_room",
+    "orders",
+    "permit",
+    "pullGb",
+    "ramGb",
+    "reap",
+    "recallS",
+    "reckonS",
+    "scatter",
+    "sheet",
+    "sheets",
+    "shift",
+    "stamp",
+    "standing",
+    "startupS",
+    "stashS",
+    "tick",
+    "together",
+    "try",
+    "urgency",
+    "verb",
+];
+
+/// Themed words that another layer uses with a meaning of its own: folder, word, reason.
+const EXCEPTIONS: &[(&str, &str, &str)] = &[
+    ("src/coordination/controller", "build", "a `status` figure: the version of the program"),
+    ("src/storage", "standing", "the key of stored summary rows, which belongs to the records"),
+];
+
+/// Test code beside the files named `…tests.rs` and the folders named `tests`: stands in for
+/// the key-value store and so speaks its language independently of the constants.
+const TEST_DOUBLES: &[&str] = &["src/storage/in_memory_kv.rs"];
+
+fn words() -> impl Iterator<Item = &'static (&'static str, &'static str, &'static str)> {
+    FIELDS.iter().chain(VALUES)
+}
+
+fn is_test_code(path: &Path) -> bool {
+    path.components().any(|part| part.as_os_str() == "tests")
+        || path.file_name().is_some_and(|name| name.to_string_lossy().ends_with("tests.rs"))
+        || TEST_DOUBLES.iter().any(|double| path == Path::new(double))
+}
+
+/// The Rust files below a folder, with paths relative to the crate.
+fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
+    let crate_root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    for entry in std::fs::read_dir(crate_root.join(folder)).expect("a folder of the sources") {
+        let entry = entry.expect("readable");
+        let path = folder.join(entry.file_name());
+        if entry.file_type().expect("a type").is_dir() {
+            rust_files(&path, found);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            found.push(path);
+        }
+    }
+}
+
+/// Each source file outside tests and this module with its code; comment lines are left out.
+fn sources() -> Vec<(PathBuf, String)> {
+    let mut paths = Vec::new();
+    rust_files(Path::new("src"), &mut paths);
+    paths.retain(|path| !is_test_code(path) && path != Path::new("src/protocol/wire_words.rs"));
+    assert!(paths.len() > 30, "the sources were not found: {paths:?}");
+    let read = |path: PathBuf| {
+        let text = std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(&path));
+        let text = text.expect("readable source");
+        let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
+        let code = code.collect::<Vec<_>>().join("\n");
+        (path, code)
+    };
+    paths.into_iter().map(read).collect()
+}
+
+fn spells(code: &str, word: &str) -> bool {
+    code.contains(&format!("\"{word}\""))
+}
+
+#[test]
+fn constants_hold_the_words_of_the_wire() {
+    for (constant, word, term) in words() {
+        assert_eq!(constant, word, "{term}");
+    }
+}
+
+#[test]
+fn the_table_lists_every_constant() {
+    let module = include_str!("../wire_words.rs");
+    let constants = module.lines().filter(|line| line.trim_start().starts_with("pub(crate) const ")).count();
+    assert_eq!(constants, words().count());
+    let known: BTreeSet<_> = words().map(|(_, word, _)| *word).collect();
+    for word in THEMED {
+        assert!(known.contains(word), "{word} is in no table");
+    }
+}
+
+/// Within the keys and within the values, each word is written down once.
+#[test]
+fn the_module_spells_each_word_once() {
+    let (fields, values) = include_str!("../wire_words.rs").split_once("pub(super) mod value").expect("both");
+    for (text, table) in [(fields, FIELDS), (values, VALUES)] {
+        for (_, word, _) in table {
+            assert_eq!(text.matches(&format!("= \"{word}\";")).count(), 1, "{word}");
+        }
+    }
+}
+
+#[test]
+fn no_other_file_of_the_protocol_spells_a_wire_word() {
+    for (path, code) in sources().into_iter().filter(|(path, _)| path.starts_with("src/protocol")) {
+        for (_, word, term) in words() {
+            assert!(!spells(&code, word), "{} spells \"{word}\" ({term})", path.display());
+        }
+    }
+}
+
+#[test]
+fn no_other_layer_spells_a_themed_word() {
+    let mut used: BTreeSet<&(&str, &str, &str)> = BTreeSet::new();
+    for (path, code) in sources() {
+        for word in THEMED.iter().filter(|word| spells(&code, word)) {
+            let exception =
+                EXCEPTIONS.iter().find(|(folder, excepted, _)| excepted == word && path.starts_with(folder));
+            assert!(exception.is_some(), "{} spells \"{word}\"", path.display());
+            used.extend(exception);
+        }
+    }
+    assert_eq!(used.len(), EXCEPTIONS.len(), "an exception that nothing needs any longer");
+}
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,4 +1,4 @@
-//! Reports of workers and the orders they are given.
+//! Messages to and from the workers: heartbeats, their replies, pushed commands.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,24 +8,31 @@
 
 use super::cbor::{Fields, Malformed, MapBuilder};
 use super::jobs::TaskId;
+use super::wire_words::{field, value as word};
 
-/// A worker has turned to another controller when an answer takes this long.
+/// A worker gives up on a heartbeat's reply after this time and turns to another
+/// controller.
 pub const HEARTBEAT_REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Most tasks read from one report; a body of 64 KiB cannot hold more.
+/// Most tasks read from one heartbeat; a body of 64 KiB cannot hold more.
 const MAX_TASKS_PER_HEARTBEAT: usize = 4096;
+/// Longest identifier of a machine, in bytes.
+const MAX_MACHINE_ID_BYTES: usize = 96;
 
-/// A machine's name, as given by the cloud.
+/// A machine's identifier, as given by the cloud: 1 to 96 ASCII letters, digits, hyphens,
+/// underscores and dots.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineId(Arc<str>);
 
 impl MachineId {
+    /// Checks an identifier; `None` if it is invalid.
     pub fn parse(text: &str) -> Option<Self> {
-        let valid = (1..=96).contains(&text.len())
+        let valid = (1..=MAX_MACHINE_ID_BYTES).contains(&text.len())
             && text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'));
         valid.then(|| MachineId(text.into()))
     }
 
+    /// The identifier as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -37,130 +44,215 @@
     }
 }
 
+/// Why a task is no longer running on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
+    /// The task is complete.
     Done,
-    Stopped { saved: bool },
+    /// It was stopped by a command or by its machine's preemption.
+    Stopped {
+        /// Whether it saved a checkpoint that the next attempt can resume from.
+        saved: bool,
+    },
+    /// It failed, or exited for a cause that this version does not know.
     Error,
+    /// It was not started: the machine had too few free resources.
     NoRoom,
+    /// It was not started: another attempt of it was still on the machine.
     Busy,
+    /// It was not started: the worker could not find out what the task is.
     Unknown,
 }
 
+impl ExitCause {
+    fn decode(fields: &Fields<'_>) -> Result<Self, Malformed> {
+        Ok(match fields.text(field::EXIT_CAUSE)? {
+            word::EXIT_DONE => ExitCause::Done,
+            word::EXIT_STOPPED => {
+                ExitCause::Stopped { saved: fields.opt_bool(field::CHECKPOINT_SAVED)?.unwrap_or(false) }
+            }
+            word::EXIT_NO_ROOM => ExitCause::NoRoom,
+            word::EXIT_BUSY => ExitCause::Busy,
+            word::EXIT_UNKNOWN => ExitCause::Unknown,
+            // A cause that this version does not know is a failure of some kind.
+            _ => ExitCause::Error,
+        })
+    }
+}
+
+/// State of an attempt of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
+    /// Its image is being fetched.
     Fetching,
+    /// It runs, or waits on the machine for other tasks of its job.
     Running,
+    /// It saves a checkpoint before it stops.
     Saving,
+    /// It has exited. The worker keeps listing it until it is commanded to reap it.
     Exited(ExitCause),
 }
 
+impl TaskState {
+    fn decode(fields: &Fields<'_>) -> Result<Self, Malformed> {
+        match fields.text(field::STATE)? {
+            word::TASK_FETCHING => Ok(TaskState::Fetching),
+            word::TASK_RUNNING | word::TASK_GATHERING => Ok(TaskState::Running),
+            word::TASK_SAVING => Ok(TaskState::Saving),
+            word::TASK_EXITED => ExitCause::decode(fields).map(TaskState::Exited),
+            _ => Err(Malformed::Invalid(field::STATE)),
+        }
+    }
+}
+
+/// Status of one attempt of a task, as listed in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskStatus {
+    /// The task.
     pub task: TaskId,
+    /// Number of the attempt; each start of the same task has a higher one.
     pub attempt: u64,
+    /// State of the attempt.
     pub state: TaskState,
 }
 
-/// A worker's report of itself and its tasks.
+impl TaskStatus {
+    fn decode(value: &Value) -> Result<Self, Malformed> {
+        let fields = Fields::of(value)?;
+        let state = TaskState::decode(&fields)?;
+        Ok(TaskStatus {
+            task: TaskId::parse(fields.text(field::TASK)?).ok_or(Malformed::Invalid(field::TASK))?,
+            attempt: fields.count(field::ATTEMPT)?,
+            state,
+        })
+    }
+}
+
+/// A worker's heartbeat: what its machine is and the status of each task on it.
+///
+/// Heartbeats of a machine are ordered by (`incarnation`, `sequence`); an older one that
+/// arrives late is recognised by these.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
+    /// The machine that the worker runs on.
     pub machine: MachineId,
+    /// Address at which the worker takes pushed commands.
     pub address: String,
+    /// Name of the machine's type.
     pub machine_type: String,
+    /// Zone of the machine.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// Incarnation of the worker: each start of its process has a higher one.
     pub incarnation: u64,
+    /// Sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
+    /// Highest fencing token (epoch of a leader) that the worker has seen.
     pub fencing_token: u64,
+    /// Seconds until the machine is preempted, once that has been announced.
     pub preemption_notice_s: Option<f64>,
+    /// Every task on the machine, exited ones included until they are reaped.
     pub tasks: Vec<TaskStatus>,
 }
 
 impl Heartbeat {
+    /// Reads and checks a heartbeat.
+    ///
+    /// # Errors
+    ///
+    /// [`Malformed`] if a required field is missing, a field is invalid or more than 4,096
+    /// tasks are listed. One invalid task makes the whole heartbeat invalid: a list that
+    /// lacks a task would look like proof that it is not on the machine.
     pub fn decode(value: &Value) -> Result<Self, Malformed> {
-        let f = Fields::of(value)?;
-        let listed = f.opt_list("sheets")?.unwrap_or_default();
-        if listed.len() > MAX_TASKS_PER_HEARTBEAT {
-            return Err(Malformed::Invalid("sheets"));
+        let fields = Fields::of(value)?;
+        let tasks = fields.opt_list(field::TASKS)?.unwrap_or_default();
+        if tasks.len() > MAX_TASKS_PER_HEARTBEAT {
+            return Err(Malformed::Invalid(field::TASKS));
         }
         Ok(Heartbeat {
-            machine: MachineId::parse(f.text("bench")?).ok_or(Malformed::Invalid("bench"))?,
-            address: f.text("address")?.to_owned(),
-            machine_type: f.text("build")?.to_owned(),
-            zone: f.text("hall")?.to_owned(),
-            spot: f.opt_bool("loaners")?.unwrap_or(false),
-            incarnation: f.count("shift")?,
-            sequence: f.count("tick")?,
-            fencing_token: f.count("baton")?,
-            preemption_notice_s: f.opt_amount("recallS")?,
-            tasks: listed.iter().map(decode_task_status).collect::<Result<_, _>>()?,
+            machine: MachineId::parse(fields.text(field::MACHINE)?)
+                .ok_or(Malformed::Invalid(field::MACHINE))?,
+            address: fields.text(field::ADDRESS)?.to_owned(),
+            machine_type: fields.text(field::MACHINE_TYPE)?.to_owned(),
+            zone: fields.text(field::ZONE)?.to_owned(),
+            spot: fields.opt_bool(field::SPOT)?.unwrap_or(false),
+            incarnation: fields.count(field::INCARNATION)?,
+            sequence: fields.count(field::SEQUENCE)?,
+            fencing_token: fields.count(field::FENCING_TOKEN)?,
+            preemption_notice_s: fields.opt_amount(field::PREEMPTION_NOTICE_S)?,
+            tasks: tasks.iter().map(TaskStatus::decode).collect::<Result<_, _>>()?,
         })
     }
 }
 
-fn decode_task_status(value: &Value) -> Result<TaskStatus, Malformed> {
-    let f = Fields::of(value)?;
-    let state = match f.text("standing")? {
-        "fetching" => TaskState::Fetching,
-        "running" | "gathering" => TaskState::Running,
-        "flushing" => TaskState::Saving,
-        "exited" => TaskState::Exited(match f.text("cause")? {
-            "done" => ExitCause::Done,
-            "halted" => ExitCause::Stopped { saved: f.opt_bool("saved")?.unwrap_or(false) },
-            "no_room" => ExitCause::NoRoom,
-            "in_use" => ExitCause::Busy,
-            "unknown" => ExitCause::Unknown,
-            // A cause this version does not know is a failure of some kind.
-            _ => ExitCause::Error,
-        }),
-        _ => return Err(Malformed::Invalid("standing")),
-    };
-    Ok(TaskStatus {
-        task: TaskId::parse(f.text("sheet")?).ok_or(Malformed::Invalid("sheet"))?,
-        attempt: f.count("try")?,
-        state,
-    })
-}
-
+/// What a worker is to do with one attempt of a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    Start { task: TaskId, attempt: u64 },
-    Stop { task: TaskId, attempt: u64, grace_s: f64 },
-    Reap { task: TaskId, attempt: u64 },
+    /// Start the attempt.
+    Start {
+        /// The task.
+        task: TaskId,
+        /// Number of the attempt.
+        attempt: u64,
+    },
+    /// Stop the attempt.
+    Stop {
+        /// The task.
+        task: TaskId,
+        /// Number of the attempt.
+        attempt: u64,
+        /// Seconds that it has for saving a checkpoint; 0 stops it at once.
+        grace_s: f64,
+    },
+    /// Remove the exited attempt from the worker's list.
+    Reap {
+        /// The task.
+        task: TaskId,
+        /// Number of the attempt.
+        attempt: u64,
+    },
 }
 
 impl Command {
     fn encode(&self) -> Value {
-        let (verb, task, attempt, grace) = match self {
-            Command::Start { task, attempt } => ("start", task, attempt, None),
-            Command::Stop { task, attempt, grace_s } => ("stop", task, attempt, Some(*grace_s)),
-            Command::Reap { task, attempt } => ("reap", task, attempt, None),
+        let (verb, task, attempt, grace_s) = match self {
+            Command::Start { task, attempt } => (word::COMMAND_START, task, attempt, None),
+            Command::Stop { task, attempt, grace_s } => (word::COMMAND_STOP, task, attempt, Some(*grace_s)),
+            Command::Reap { task, attempt } => (word::COMMAND_REAP, task, attempt, None),
         };
         MapBuilder::new()
-            .set("verb", verb)
-            .set("sheet", task.to_string())
-            .set("try", *attempt)
-            .set_some("leewayS", grace)
+            .set(field::COMMAND_VERB, verb)
+            .set(field::TASK, task.to_string())
+            .set(field::ATTEMPT, *attempt)
+            .set_some(field::GRACE_S, grace_s)
             .build()
     }
 }
 
-fn encode_commands(orders: &[Command]) -> Value {
-    Value::Array(orders.iter().map(Command::encode).collect())
+fn encode_commands(commands: &[Command]) -> Value {
+    Value::Array(commands.iter().map(Command::encode).collect())
 }
 
-/// The answer to a report.
-pub fn encode_heartbeat_reply(token: u64, orders: &[Command]) -> Value {
-    MapBuilder::new().set("baton", token).set("orders", encode_commands(orders)).build()
+/// Writes the reply to a heartbeat: the leader's fencing token and commands.
+pub fn encode_heartbeat_reply(fencing_token: u64, commands: &[Command]) -> Value {
+    MapBuilder::new()
+        .set(field::FENCING_TOKEN, fencing_token)
+        .set(field::COMMANDS, encode_commands(commands))
+        .build()
 }
 
-/// The body of a redirection to the controller that acts for all.
-pub fn encode_redirect(controller: Option<&str>) -> Value {
-    MapBuilder::new().set_some("foreman", controller).build()
+/// Writes a redirect that names the leading controller; an empty map if none is known.
+pub fn encode_redirect(leader: Option<&str>) -> Value {
+    MapBuilder::new().set_some(field::LEADER, leader).build()
 }
 
-/// Orders sent straight to a worker.
-pub fn encode_pushed_commands(token: u64, session: u64, orders: &[Command]) -> Value {
-    MapBuilder::new().set("baton", token).set("shift", session).set("orders", encode_commands(orders)).build()
+/// Writes commands that are pushed to a worker between two heartbeats. They are meant for
+/// one incarnation of the worker; a later one must not carry them out.
+pub fn encode_pushed_commands(fencing_token: u64, incarnation: u64, commands: &[Command]) -> Value {
+    MapBuilder::new()
+        .set(field::FENCING_TOKEN, fencing_token)
+        .set(field::INCARNATION, incarnation)
+        .set(field::COMMANDS, encode_commands(commands))
+        .build()
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -278,18 +278,12 @@
 
     pub fn decode(value: &Value) -> Result<Self, Malformed> {
         let f = Fields::of(value)?;
-        let r = Fields::of(f.get("request").ok_or(Malformed::Missing("request"))?)?;
+        let request = NodePoolRequest::decode(f.get("request").ok_or(Malformed::Missing("request"))?)?;
         let parse = |name: &String| MachineId::parse(name).ok_or(Malformed::Invalid("machines"));
         let machines = f.opt_texts("machines")?.map(|names| names.iter().map(parse).collect());
         let used = f.opt_texts("used")?.unwrap_or_default();
         Ok(NodePoolRecord {
-            request: NodePoolRequest {
-                name: r.text("hire")?.to_owned(),
-                machine_type: r.text("build")?.to_owned(),
-                zone: r.text("hall")?.to_owned(),
-                spot: r.bool("loaners")?,
-                count: u32::try_from(r.count("howMany")?).map_err(|_| Malformed::Invalid("howMany"))?,
-            },
+            request,
             machines: machines.transpose()?,
             machines_used: used.iter().map(parse).collect::<Result<_, _>>()?,
         })
