--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,48 +1,33 @@
-//! Requests to outside systems, each with a deadline.
+//! HTTP client for outside systems; each request has a timeout.
 //!
-//! A [`Pool`] is owned by one actor. The actor takes a connection, sends the
-//! request in a task of its own and is handed the connection back with the
-//! outcome, so no state is shared.
+//! A [`Pool`] is owned by one actor. The actor prepares a request, which takes an idle
+//! connection along if there is one, runs it in a task of its own, and is given the
+//! connection back with the outcome. So no state is shared between tasks.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
-use std::time::Duration;
 
-use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::codec::{CodecError, Decoder, Limits, Response, encode_request};
-
-/// How a request failed. Only `NotSent` proves that nothing was carried out.
-#[derive(Debug, Error)]
-pub enum ClientError {
-    #[error("could not connect")]
-    NotSent,
-    #[error("no answer in time")]
-    TimedOut,
-    #[error("connection lost: {0}")]
-    Lost(std::io::Error),
-    #[error("unreadable answer: {0}")]
-    Unreadable(#[from] CodecError),
-}
+pub use super::call::{Call, ClientError};
+use super::codec::{Decoder, Limits, Response, encode_request};
 
-#[derive(Debug, Clone)]
-pub struct Call {
-    pub method: &'static str,
-    pub target: String,
-    pub body: Vec<u8>,
-    pub deadline: Duration,
-}
+/// Bytes read from a connection at once.
+const READ_BYTES: usize = 8192;
+
+/// The outcome of a request, and its connection if another request may be sent on it.
+type Outcome = (Result<Response, ClientError>, Option<Connection>);
 
+/// An open connection and what has been received on it but not yet decoded.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
     decoder: Decoder,
 }
 
-/// Connections to one address that stand idle.
+/// Idle connections to one address.
 #[derive(Debug)]
 pub struct Pool {
     address: SocketAddr,
@@ -51,24 +36,30 @@
     max_idle: usize,
 }
 
-/// One prepared request: to be run in a task of its own.
+/// A request with the connection that it will use, to be run in a task of its own.
 #[derive(Debug)]
 pub struct PreparedCall {
     address: SocketAddr,
     limits: Limits,
+    /// An idle connection of the pool; `None` to open a new one.
     connection: Option<Connection>,
     call: Call,
 }
 
 impl Pool {
-    pub fn new(address: SocketAddr, limits: Limits, keep: usize) -> Self {
-        Pool { address, limits, idle: Vec::new(), max_idle: keep }
+    /// An empty pool that keeps at most `max_idle` idle connections. `limits` bound the
+    /// responses that are accepted.
+    pub fn new(address: SocketAddr, limits: Limits, max_idle: usize) -> Self {
+        Pool { address, limits, idle: Vec::new(), max_idle }
     }
 
+    /// Prepares a request on an idle connection, or on a new one if none is idle.
     pub fn prepare(&mut self, call: Call) -> PreparedCall {
         PreparedCall { address: self.address, limits: self.limits, connection: self.idle.pop(), call }
     }
 
+    /// Takes back the connection that [`PreparedCall::run`] returned. It is closed if the
+    /// pool already holds as many idle connections as it may.
     pub fn put_back(&mut self, connection: Option<Connection>) {
         if let Some(connection) = connection
             && self.idle.len() < self.max_idle
@@ -84,60 +75,64 @@
         PreparedCall { address, limits, connection: None, call }
     }
 
-    /// Sends the request; returns the connection if it can be used again.
+    /// Sends the request and waits for the response. Returns the connection too if another
+    /// request may be sent on it; after a timeout it is closed, so that a late response
+    /// cannot be taken for that of another request.
+    ///
+    /// # Errors
+    ///
+    /// The first part is a [`ClientError`] if no response arrived within the call's timeout.
     pub async fn run(self) -> (Result<Response, ClientError>, Option<Connection>) {
         let deadline = self.call.deadline;
         match timeout(deadline, self.exchange()).await {
-            Ok((result, connection)) => (result, connection),
+            Ok(outcome) => outcome,
             Err(_) => (Err(ClientError::TimedOut), None),
         }
     }
 
-    async fn exchange(self) -> (Result<Response, ClientError>, Option<Connection>) {
+    async fn exchange(self) -> Outcome {
         let PreparedCall { address, limits, connection, call } = self;
         #[cfg(test)]
         if let Some(result) = super::scripted::http(address, &call).await {
             return (result, None);
         }
         let bytes = encode_request(call.method, &call.target, &address.to_string(), &call.body);
-        // A kept connection may have been closed meanwhile. A GET changes
-        // nothing and is simply sent again; for others the outcome counts as
-        // unknown and is the caller's to settle.
-        if let Some(mut kept) = connection.filter(Connection::is_clean) {
-            match kept.send(&bytes).await {
+        if let Some(mut idle) = connection.filter(Connection::has_no_unread_bytes) {
+            match idle.exchange(&bytes).await {
+                // The server may have closed an idle connection meanwhile. A GET changes
+                // nothing and is sent again on a new connection. For other methods the
+                // outcome is unknown, and the caller has to find it out.
                 Err(ClientError::Lost(_)) if call.method == "GET" => {}
-                outcome => return finish(outcome, kept),
+                result => return idle.into_outcome(result),
             }
         }
-        let Ok(stream) = TcpStream::connect(address).await else {
+        let Ok(mut connection) = Connection::open(address, limits).await else {
             return (Err(ClientError::NotSent), None);
         };
-        let _ = stream.set_nodelay(true);
-        let mut fresh = Connection { stream, decoder: Decoder::new(limits) };
-        let outcome = fresh.send(&bytes).await;
-        finish(outcome, fresh)
+        let result = connection.exchange(&bytes).await;
+        connection.into_outcome(result)
     }
 }
 
-fn finish(
-    outcome: Result<Response, ClientError>,
-    connection: Connection,
-) -> (Result<Response, ClientError>, Option<Connection>) {
-    let reusable = outcome.as_ref().is_ok_and(|r| !r.close) && connection.decoder.is_empty();
-    (outcome, reusable.then_some(connection))
-}
-
 impl Connection {
-    /// Whether nothing has come since the last answer. What has, a second copy of it or
-    /// a word of farewell, would be taken for the answer to the next request.
-    fn is_clean(&self) -> bool {
+    async fn open(address: SocketAddr, limits: Limits) -> std::io::Result<Self> {
+        let stream = TcpStream::connect(address).await?;
+        let _ = stream.set_nodelay(true);
+        Ok(Connection { stream, decoder: Decoder::new(limits) })
+    }
+
+    /// Whether nothing has been received since the last response, and the connection is
+    /// still open. Anything received, such as a duplicate of that response or a message
+    /// with which the server closes, would be taken for the response to the next request.
+    fn has_no_unread_bytes(&self) -> bool {
         let mut byte = [0u8; 1];
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    async fn send(&mut self, bytes: &[u8]) -> Result<Response, ClientError> {
-        self.stream.write_all(bytes).await.map_err(ClientError::Lost)?;
-        let mut chunk = [0u8; 8192];
+    /// Sends an encoded request and reads the response.
+    async fn exchange(&mut self, request: &[u8]) -> Result<Response, ClientError> {
+        self.stream.write_all(request).await.map_err(ClientError::Lost)?;
+        let mut chunk = [0u8; READ_BYTES];
         loop {
             if let Some(response) = self.decoder.next_response()? {
                 return Ok(response);
@@ -148,6 +143,14 @@
             }
         }
     }
+
+    /// Keeps the connection if the server leaves it open and sent nothing after the
+    /// response.
+    fn into_outcome(self, result: Result<Response, ClientError>) -> Outcome {
+        let stays_open = result.as_ref().is_ok_and(|response| !response.close);
+        let reusable = stays_open && self.decoder.is_empty();
+        (result, reusable.then_some(self))
+    }
 }
 
 #[cfg(test)]
--- a/src/transport/client/tests.rs
+++ b/src/transport/client/tests.rs
@@ -1,3 +1,5 @@
+use std::time::Duration;
+
 use tokio::net::TcpListener;
 
 use super::*;
@@ -8,8 +10,8 @@
     Call { method: "POST", target: target.into(), body: Vec::new(), deadline }
 }
 
-/// Reads one request; its target.
-async fn asked(stream: &mut TcpStream) -> String {
+/// Reads one request and returns its target; empty if the connection was closed.
+async fn read_target(stream: &mut TcpStream) -> String {
     let mut decoder = Decoder::new(LIMITS);
     let mut chunk = [0u8; 512];
     loop {
@@ -33,45 +35,45 @@
     result.map(|response| response.status)
 }
 
-/// A second copy of an answer on a connection that is kept must not be taken for the
-/// answer to the next request: a transaction would count as carried out that was not.
+/// A duplicate of a response on an idle connection must not be taken for the response to the
+/// next request: a compare-and-swap would count as committed that was not.
 #[tokio::test]
-async fn a_doubled_answer_is_not_taken_for_the_next_one() {
+async fn a_duplicated_response_is_not_taken_for_the_next_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let mut pool = Pool::new(listener.local_addr().expect("bound"), LIMITS, 4);
-    let patience = Duration::from_secs(30);
+    let long = Duration::from_secs(30);
     let first = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        assert_eq!(asked(&mut stream).await, "/first");
+        assert_eq!(read_target(&mut stream).await, "/first");
         stream.write_all(&response(200)).await.expect("sent");
         (listener, stream)
     });
-    assert_eq!(run(&mut pool, call("/first", patience)).await.expect("answered"), 200);
+    assert_eq!(run(&mut pool, call("/first", long)).await.expect("answered"), 200);
     let (listener, mut stream) = first.await.expect("no panic");
-    stream.write_all(&response(200)).await.expect("the copy is sent");
+    stream.write_all(&response(200)).await.expect("the duplicate is sent");
     pool.idle[0].stream.readable().await.expect("it has arrived");
     let second = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a new connection");
-        assert_eq!(asked(&mut stream).await, "/second");
+        assert_eq!(read_target(&mut stream).await, "/second");
         stream.write_all(&response(409)).await.expect("sent");
         stream
     });
-    assert_eq!(run(&mut pool, call("/second", patience)).await.expect("answered"), 409);
+    assert_eq!(run(&mut pool, call("/second", long)).await.expect("answered"), 409);
     assert!(second.await.is_ok());
 }
 
-/// An answer that comes after the deadline dies with its connection.
+/// A response that comes after the timeout is lost with its connection.
 #[tokio::test]
-async fn a_late_answer_is_not_taken_for_the_next_one() {
+async fn a_response_after_the_timeout_is_not_taken_for_the_next_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let mut pool = Pool::new(listener.local_addr().expect("bound"), LIMITS, 4);
     let serving = tokio::spawn(async move {
         let (mut slow, _) = listener.accept().await.expect("a connection");
-        assert_eq!(asked(&mut slow).await, "/slow");
-        // Its sender has given up once it comes again.
+        assert_eq!(read_target(&mut slow).await, "/slow");
+        // The client opens a new connection once the first request has timed out.
         let (mut next, _) = listener.accept().await.expect("a new connection");
         let _ = slow.write_all(&response(200)).await;
-        assert_eq!(asked(&mut next).await, "/next");
+        assert_eq!(read_target(&mut next).await, "/next");
         next.write_all(&response(409)).await.expect("sent");
         (slow, next)
     });
--- a/src/transport/codec.rs
+++ b/src/transport/codec.rs
@@ -1,37 +1,50 @@
-//! An incremental HTTP/1.1 decoder and the matching encoders, shared by the
-//! server and the client.
+//! An incremental HTTP/1.1 decoder and the matching encoders, shared by the server and the
+//! client.
 //!
-//! Both sides are fed bytes as they arrive, so a message may be split at any
-//! place. Every length is checked before memory is set aside for it.
+//! The decoder is given bytes as they arrive, so a message may be split at any place. Every
+//! length is checked against the limits before memory is allocated for it.
 
 use thiserror::Error;
 
-/// Header count above which a message is refused.
+/// Most headers in a message; one with more is refused.
 const MAX_HEADERS: usize = 48;
+/// What follows the data of each chunk of a body.
+const CHUNK_END: &[u8] = b"\r\n";
+/// Memory in bytes reserved for the head of a response that is encoded.
+const RESPONSE_HEAD_BYTES: usize = 160;
+/// Memory in bytes reserved for the head of a request that is encoded, without its target.
+const REQUEST_HEAD_BYTES: usize = 128;
 
-/// What bounds a message on this connection.
+/// Largest message accepted on a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
+    /// Largest head (first line and headers) in bytes.
     pub head: usize,
+    /// Largest body in bytes, after its chunks are joined.
     pub body: usize,
 }
 
-/// Why a message cannot be read. Every case ends the connection: after a
-/// framing error the start of the next message cannot be known.
+/// Why a message cannot be decoded. Each case ends the connection, since it is unknown where
+/// the next message starts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CodecError {
+    /// The first line or a header is malformed, or there are too many headers.
     #[error("malformed message head")]
     BadHead,
+    /// The head is larger than [`Limits::head`].
     #[error("message head too large")]
     HeadTooLarge,
+    /// The body is larger than [`Limits::body`].
     #[error("message body too large")]
     BodyTooLarge,
+    /// The length of the body is unclear: contradicting or malformed lengths, an unsupported
+    /// encoding, or malformed chunks.
     #[error("body framing is ambiguous or unsupported")]
     BadFraming,
 }
 
 impl CodecError {
-    /// The status with which a server refuses such a message.
+    /// The HTTP status with which a server refuses such a message.
     pub fn status(self) -> u16 {
         match self {
             CodecError::BadHead | CodecError::BadFraming => 400,
@@ -41,53 +54,76 @@
     }
 }
 
+/// An HTTP request, as far as this program needs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
+    /// HTTP method, as sent.
     pub method: String,
+    /// Path and query, as sent.
     pub target: String,
+    /// Body; empty if there was none.
     pub body: Vec<u8>,
-    /// The sender wants the connection closed after the answer.
+    /// Whether the sender wants the connection closed after the response.
     pub close: bool,
 }
 
+/// An HTTP response, as far as this program needs it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
+    /// HTTP status.
     pub status: u16,
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
+    /// Seconds after which to retry, if the response advises that.
     pub retry_after_s: Option<u32>,
+    /// Whether the connection is closed after the response.
     pub close: bool,
 }
 
+/// How the length of a body is given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Framing {
+    /// By `Content-Length`, in bytes; 0 without that header.
     Length(usize),
+    /// By chunks, each with its own length.
     Chunked,
 }
 
-/// The head of a message, as far as this program cares.
+/// The head of a message, as far as this program needs it.
 struct Head {
+    /// Size of the head in bytes, blank line included.
     size: usize,
     framing: Framing,
     close: bool,
     expect_continue: bool,
 }
 
+/// A body and where its message ends in the buffer.
+struct Body {
+    bytes: Vec<u8>,
+    message_end: usize,
+}
+
+/// Decodes messages from the bytes of one connection.
 #[derive(Debug)]
 pub struct Decoder {
+    /// What was received and belongs to no decoded message yet.
     buffer: Vec<u8>,
     limits: Limits,
 }
 
 impl Decoder {
+    /// A decoder for a new connection.
     pub fn new(limits: Limits) -> Self {
         Decoder { buffer: Vec::new(), limits }
     }
 
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether part of a message has arrived.
+    /// Whether no part of a further message has been received.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -103,7 +139,12 @@
         }
     }
 
-    /// The next whole request, or `None` until more bytes arrive.
+    /// Takes the next request; `None` until all of it has been received.
+    ///
+    /// # Errors
+    ///
+    /// [`CodecError`] if the bytes are no such message or exceed a limit. The connection has
+    /// to be closed then.
     pub fn next_request(&mut self) -> Result<Option<Request>, CodecError> {
         if self.buffer.is_empty() {
             return Ok(None);
@@ -114,12 +155,17 @@
         let head = read_headers(parsed.headers, size, parsed.version)?;
         let method = parsed.method.unwrap_or_default().to_owned();
         let target = parsed.path.unwrap_or_default().to_owned();
-        let Some((body, used)) = self.body(&head)? else { return Ok(None) };
-        self.buffer.drain(..used);
+        let Some(Body { bytes: body, message_end }) = self.body(&head)? else { return Ok(None) };
+        self.buffer.drain(..message_end);
         Ok(Some(Request { method, target, body, close: head.close }))
     }
 
-    /// The next whole response, or `None` until more bytes arrive.
+    /// Takes the next response; `None` until all of it has been received.
+    ///
+    /// # Errors
+    ///
+    /// [`CodecError`] if the bytes are no such message or exceed a limit. The connection has
+    /// to be closed then.
     pub fn next_response(&mut self) -> Result<Option<Response>, CodecError> {
         if self.buffer.is_empty() {
             return Ok(None);
@@ -129,75 +175,88 @@
         let Some(size) = self.head_size(parsed.parse(&self.buffer))? else { return Ok(None) };
         let head = read_headers(parsed.headers, size, parsed.version)?;
         let status = parsed.code.unwrap_or(0);
-        let retry_after_s = header(parsed.headers, "retry-after").and_then(|v| v.parse().ok());
-        let Some((body, used)) = self.body(&head)? else { return Ok(None) };
-        self.buffer.drain(..used);
+        let retry_after_s = header(parsed.headers, "retry-after").and_then(|value| value.parse().ok());
+        let Some(Body { bytes: body, message_end }) = self.body(&head)? else { return Ok(None) };
+        self.buffer.drain(..message_end);
         Ok(Some(Response { status, body, retry_after_s, close: head.close }))
     }
 
-    /// The size of a parsed head; `None` until all of it is here.
+    /// The size of a head in bytes; `None` until all of it has been received.
     fn head_size(&self, parsed: httparse::Result<usize>) -> Result<Option<usize>, CodecError> {
-        let (size, whole) = match parsed {
+        let (received, complete) = match parsed {
             Ok(httparse::Status::Complete(size)) => (size, Some(size)),
             Ok(httparse::Status::Partial) => (self.buffer.len(), None),
             Err(_) => return Err(CodecError::BadHead),
         };
-        if size > self.limits.head { Err(CodecError::HeadTooLarge) } else { Ok(whole) }
+        if received > self.limits.head { Err(CodecError::HeadTooLarge) } else { Ok(complete) }
     }
 
-    /// The body and the bytes the whole message takes, once all are here.
-    fn body(&self, head: &Head) -> Result<Option<(Vec<u8>, usize)>, CodecError> {
+    /// The body; `None` until all of it has been received.
+    fn body(&self, head: &Head) -> Result<Option<Body>, CodecError> {
         match head.framing {
-            Framing::Length(length) => {
-                if length > self.limits.body {
-                    return Err(CodecError::BodyTooLarge);
-                }
-                let end = head.size + length;
-                Ok(self.buffer.get(head.size..end).map(|body| (body.to_vec(), end)))
-            }
-            Framing::Chunked => self.chunked(head.size),
+            Framing::Length(length) => self.body_of_length(head.size, length),
+            Framing::Chunked => self.chunked_body(head.size),
+        }
+    }
+
+    fn body_of_length(&self, start: usize, length: usize) -> Result<Option<Body>, CodecError> {
+        if length > self.limits.body {
+            return Err(CodecError::BodyTooLarge);
         }
+        let message_end = start + length;
+        let bytes = self.buffer.get(start..message_end);
+        Ok(bytes.map(|bytes| Body { bytes: bytes.to_vec(), message_end }))
     }
 
-    fn chunked(&self, start: usize) -> Result<Option<(Vec<u8>, usize)>, CodecError> {
-        let mut body = Vec::new();
-        let mut at = start;
+    /// Joins the chunks of a body, up to the empty one that ends it.
+    fn chunked_body(&self, start: usize) -> Result<Option<Body>, CodecError> {
+        let mut bytes = Vec::new();
+        let mut position = start;
         loop {
-            let rest = self.buffer.get(at..).unwrap_or_default();
-            let (line, length) = match httparse::parse_chunk_size(rest) {
-                Ok(httparse::Status::Complete(found)) => found,
-                // Chunk extensions count against the head, or a sender could
-                // grow the buffer without ever sending a body.
-                Ok(httparse::Status::Partial) if rest.len() > self.limits.head => {
-                    return Err(CodecError::BadFraming);
-                }
-                Ok(httparse::Status::Partial) => return Ok(None),
-                Err(_) => return Err(CodecError::BadFraming),
-            };
-            let length = usize::try_from(length).map_err(|_| CodecError::BodyTooLarge)?;
-            if length > self.limits.body.saturating_sub(body.len()) {
-                return Err(CodecError::BodyTooLarge);
+            let room = self.limits.body.saturating_sub(bytes.len());
+            let Some((chunk, end)) = self.chunk(position, room)? else { return Ok(None) };
+            bytes.extend_from_slice(chunk);
+            position = end;
+            if chunk.is_empty() {
+                return Ok(Some(Body { bytes, message_end: position }));
             }
-            at += line;
-            let Some(chunk) = self.buffer.get(at..at + length + 2) else { return Ok(None) };
-            if &chunk[length..] != b"\r\n" {
-                // Trailers after the last chunk are not supported.
+        }
+    }
+
+    /// The data of the chunk at a position, at most `room` bytes, and the position behind
+    /// the chunk; `None` until all of it has been received.
+    fn chunk(&self, position: usize, room: usize) -> Result<Option<(&[u8], usize)>, CodecError> {
+        let rest = self.buffer.get(position..).unwrap_or_default();
+        let (size_line, length) = match httparse::parse_chunk_size(rest) {
+            Ok(httparse::Status::Complete(found)) => found,
+            // Chunk extensions count against the limit of the head. Without a limit a sender
+            // could make the buffer grow without ever sending a body.
+            Ok(httparse::Status::Partial) if rest.len() > self.limits.head => {
                 return Err(CodecError::BadFraming);
             }
-            body.extend_from_slice(&chunk[..length]);
-            at += length + 2;
-            if length == 0 {
-                return Ok(Some((body, at)));
-            }
+            Ok(httparse::Status::Partial) => return Ok(None),
+            Err(_) => return Err(CodecError::BadFraming),
+        };
+        let length = usize::try_from(length).map_err(|_| CodecError::BodyTooLarge)?;
+        if length > room {
+            return Err(CodecError::BodyTooLarge);
         }
+        let data = position + size_line;
+        let end = data + length + CHUNK_END.len();
+        let Some(chunk) = self.buffer.get(data..end) else { return Ok(None) };
+        // After the last chunk this also refuses trailers, which are not supported.
+        let chunk = chunk.strip_suffix(CHUNK_END).ok_or(CodecError::BadFraming)?;
+        Ok(Some((chunk, end)))
     }
 }
 
+/// The value of a header, if it is there and is text.
 fn header<'a>(headers: &'a [httparse::Header<'_>], name: &str) -> Option<&'a str> {
-    let found = headers.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
+    let found = headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(found.value).ok().map(str::trim)
 }
 
+/// Reads the headers that concern the framing of the message and the connection.
 fn read_headers(
     headers: &[httparse::Header<'_>],
     size: usize,
@@ -205,38 +264,27 @@
 ) -> Result<Head, CodecError> {
     let mut length = None;
     let mut chunked = false;
-    // HTTP/1.0 peers close unless they say otherwise.
+    // Version 0 is HTTP/1.0, where a connection is closed unless the sender says otherwise.
     let mut close = version == Some(0);
     let mut expect_continue = false;
     for header in headers {
         let value = std::str::from_utf8(header.value).map_err(|_| CodecError::BadHead)?.trim();
         if header.name.eq_ignore_ascii_case("content-length") {
-            // "+5" parses as a number but is no valid length.
-            if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(CodecError::BadFraming);
-            }
-            let parsed: usize = value.parse().map_err(|_| CodecError::BodyTooLarge)?;
-            if length.is_some_and(|earlier| earlier != parsed) {
-                return Err(CodecError::BadFraming);
-            }
-            length = Some(parsed);
+            length = Some(read_content_length(value, length)?);
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
             if !value.eq_ignore_ascii_case("chunked") || chunked {
                 return Err(CodecError::BadFraming);
             }
             chunked = true;
         } else if header.name.eq_ignore_ascii_case("connection") {
-            if value.split(',').any(|v| v.trim().eq_ignore_ascii_case("close")) {
-                close = true;
-            } else if value.eq_ignore_ascii_case("keep-alive") {
-                close = false;
-            }
+            close = read_connection(value).unwrap_or(close);
         } else if header.name.eq_ignore_ascii_case("expect") {
             expect_continue = value.eq_ignore_ascii_case("100-continue");
         }
     }
-    // Both at once is how requests are smuggled past one of two readers.
     let framing = match (length, chunked) {
+        // With both, two readers may disagree on where the message ends. That is how
+        // requests are smuggled past one of them.
         (Some(_), true) => return Err(CodecError::BadFraming),
         (None, true) => Framing::Chunked,
         (length, false) => Framing::Length(length.unwrap_or(0)),
@@ -244,12 +292,37 @@
     Ok(Head { size, framing, close, expect_continue })
 }
 
-/// Writes a response as bytes.
+/// Reads a `Content-Length` in bytes; a repeated one has to agree with the earlier.
+fn read_content_length(value: &str, earlier: Option<usize>) -> Result<usize, CodecError> {
+    // "+5" parses as a number but is no valid length.
+    if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
+        return Err(CodecError::BadFraming);
+    }
+    let length: usize = value.parse().map_err(|_| CodecError::BodyTooLarge)?;
+    if earlier.is_some_and(|earlier| earlier != length) {
+        return Err(CodecError::BadFraming);
+    }
+    Ok(length)
+}
+
+/// Whether a `Connection` header asks to close the connection (`true`) or to keep it
+/// (`false`); `None` if it says neither.
+fn read_connection(value: &str) -> Option<bool> {
+    if value.split(',').any(|option| option.trim().eq_ignore_ascii_case("close")) {
+        Some(true)
+    } else if value.eq_ignore_ascii_case("keep-alive") {
+        Some(false)
+    } else {
+        None
+    }
+}
+
+/// Encodes a response. A body is declared as CBOR.
 pub fn encode_response(response: &Response) -> Vec<u8> {
-    let mut out = Vec::with_capacity(160 + response.body.len());
+    let mut out = Vec::with_capacity(RESPONSE_HEAD_BYTES + response.body.len());
     out.extend_from_slice(b"HTTP/1.1 ");
     out.extend_from_slice(response.status.to_string().as_bytes());
-    out.extend_from_slice(reason(response.status).as_bytes());
+    out.extend_from_slice(reason_phrase(response.status).as_bytes());
     if !response.body.is_empty() {
         out.extend_from_slice(b"\r\nContent-Type: application/cbor");
     }
@@ -267,9 +340,9 @@
     out
 }
 
-/// Writes a request as bytes.
+/// Encodes a request. `host` is the address it goes to; a body is declared as CBOR.
 pub fn encode_request(method: &str, target: &str, host: &str, body: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(128 + target.len() + body.len());
+    let mut out = Vec::with_capacity(REQUEST_HEAD_BYTES + target.len() + body.len());
     for part in [method, " ", target, " HTTP/1.1\r\nHost: ", host] {
         out.extend_from_slice(part.as_bytes());
     }
@@ -285,7 +358,8 @@
     out
 }
 
-fn reason(status: u16) -> &'static str {
+/// The reason phrase of the status line, with the space before it.
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => " OK",
         201 => " Created",
--- a/src/transport/codec/tests.rs
+++ b/src/transport/codec/tests.rs
@@ -2,7 +2,7 @@
 
 const LIMITS: Limits = Limits { head: 512, body: 64 };
 
-fn one(bytes: &[u8]) -> Result<Option<Request>, CodecError> {
+fn decode_one(bytes: &[u8]) -> Result<Option<Request>, CodecError> {
     let mut decoder = Decoder::new(LIMITS);
     decoder.push(bytes);
     decoder.next_request()
@@ -25,11 +25,11 @@
 #[test]
 fn chunked_bodies_are_joined_and_bounded() {
     let head = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let whole = one(format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n").as_bytes());
+    let whole = decode_one(format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n").as_bytes());
     assert_eq!(whole.expect("valid").expect("whole").body, b"abcde");
-    assert_eq!(one(format!("{head}3\r\nabcXY").as_bytes()), Err(CodecError::BadFraming));
-    assert_eq!(one(format!("{head}ffffffff\r\n").as_bytes()), Err(CodecError::BodyTooLarge));
-    assert_eq!(one(format!("{head}zz\r\n").as_bytes()), Err(CodecError::BadFraming));
+    assert_eq!(decode_one(format!("{head}3\r\nabcXY").as_bytes()), Err(CodecError::BadFraming));
+    assert_eq!(decode_one(format!("{head}ffffffff\r\n").as_bytes()), Err(CodecError::BodyTooLarge));
+    assert_eq!(decode_one(format!("{head}zz\r\n").as_bytes()), Err(CodecError::BadFraming));
 }
 
 #[test]
@@ -46,14 +46,14 @@
         ("\u{0}\u{1}garbage\r\n\r\n", CodecError::BadHead),
     ];
     for (text, expected) in cases {
-        assert_eq!(one(text.as_bytes()), Err(expected), "{text:?}");
+        assert_eq!(decode_one(text.as_bytes()), Err(expected), "{text:?}");
     }
     let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(600));
-    assert_eq!(one(long.as_bytes()), Err(CodecError::HeadTooLarge));
+    assert_eq!(decode_one(long.as_bytes()), Err(CodecError::HeadTooLarge));
 }
 
 #[test]
-fn a_response_keeps_its_advice_to_come_back() {
+fn a_response_keeps_its_retry_advice() {
     let sent = Response { status: 503, body: b"x".to_vec(), retry_after_s: Some(2), close: true };
     let mut decoder = Decoder::new(LIMITS);
     decoder.push(&encode_response(&sent));
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -1,4 +1,8 @@
-//! The gRPC link between controllers.
+//! The gRPC link between controllers: a server for other controllers' calls, and a client
+//! for one other controller.
+//!
+//! The names of `proto/peer.proto` (`withdraw`, `report`, `lead`) are mapped to the field's
+//! terms here and nowhere else.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -7,51 +11,26 @@
 use tonic::transport::{Channel, Endpoint, Server};
 use tonic::{Request, Response, Status};
 
+/// Code generated from `proto/peer.proto`.
 mod wire {
+    // Generated code follows neither this program's lints nor its rules for comments.
     #![allow(clippy::all, clippy::unwrap_used, missing_docs)]
     tonic::include_proto!("shedtally.peer.v1");
 }
 
+pub use super::peer_message::{PeerCall, PeerReply, RemainingLease};
 use wire::peer_client::PeerClient;
 use wire::peer_server::{Peer, PeerServer};
 use wire::{JobRequest, LeadRequest, Reply, ReportRequest, SubmitRequest};
 
-/// What a controller asks of another.
-#[derive(Debug, Clone)]
-pub enum PeerCall {
-    Submit(Vec<u8>),
-    Poll(String),
-    Cancel(String),
-    /// A worker's report.
-    Heartbeat(Vec<u8>),
-    /// Whether it leads.
-    LeaderQuery,
-}
-
-/// What stood behind an answer that is not final when it was sent.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct RemainingLease {
-    /// The epoch under which it was decided; 0 where it was read from a record.
-    pub epoch: u64,
-    /// How much of the lease was left, or of the time that it counts as fresh.
-    pub remaining: Duration,
-}
-
-/// The leading controller's answer, to be handed on while it holds.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PeerReply {
-    pub status: u16,
-    pub body: Vec<u8>,
-    pub retry_after_s: Option<u32>,
-    pub lease: Option<RemainingLease>,
-}
-
-/// Answers other controllers' calls.
+/// Answers other controllers' calls. Cloned for every connection.
 pub trait PeerHandler: Clone + Send + Sync + 'static {
-    /// `relay`: to be handed on to the leader if that is another.
+    /// Answers one call. With `relay` set, a controller that does not lead relays the call to
+    /// the leader, on behalf of a caller that cannot reach it.
     fn handle(&self, call: PeerCall, relay: bool) -> impl Future<Output = PeerReply> + Send;
 }
 
+/// Connects the generated gRPC service to a handler.
 struct Service<H>(H);
 
 impl<H: PeerHandler> Service<H> {
@@ -98,22 +77,27 @@
     }
 }
 
-/// The reply as it came; `None` if its status is none of HTTP.
+/// Reads a reply; `None` if its status is not one of HTTP's from 200 to 599.
 fn decode_reply(reply: Reply) -> Option<PeerReply> {
     let status = u16::try_from(reply.status).ok().filter(|s| (200..600).contains(s))?;
     let retry_after_s = Some(reply.retry_after_s).filter(|&s| s > 0);
-    let left = Duration::from_millis(u64::from(reply.lease_left_ms));
-    let lease = (!left.is_zero()).then_some(RemainingLease { epoch: reply.epoch, remaining: left });
+    let remaining = Duration::from_millis(u64::from(reply.lease_left_ms));
+    let lease = (!remaining.is_zero()).then_some(RemainingLease { epoch: reply.epoch, remaining });
     Some(PeerReply { status, body: reply.body, retry_after_s, lease })
 }
 
-/// Rounded down, so that nothing holds for longer on the way; at least one, since none
-/// means that nothing was said of a lease.
-fn milliseconds(left: Duration) -> u32 {
-    u32::try_from(left.as_millis()).unwrap_or(u32::MAX).max(1)
+/// The milliseconds left of a lease. Rounded down, so that sending it cannot extend the lease;
+/// at least 1, since 0 on the wire means that the reply has no lease.
+fn milliseconds(remaining: Duration) -> u32 {
+    u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX).max(1)
 }
 
-/// Serves other controllers until the listener fails.
+/// Serves other controllers until the listener fails. `body_limit` is the largest body in
+/// bytes of a relayed request; a message may take twice that with its framing.
+///
+/// # Errors
+///
+/// The transport's error if the address cannot be listened on or the listener fails.
 pub async fn serve<H: PeerHandler>(
     address: SocketAddr,
     body_limit: usize,
@@ -123,7 +107,8 @@
     Server::builder().tcp_nodelay(true).add_service(service).serve(address).await
 }
 
-/// A link to one other controller, connected when first used.
+/// A link to one other controller. Connects at the first call, and again when the
+/// connection was lost. Clones share the connection.
 #[derive(Debug, Clone)]
 pub struct PeerLink {
     client: PeerClient<Channel>,
@@ -132,14 +117,20 @@
 }
 
 impl PeerLink {
-    pub fn new(address: SocketAddr, deadline: Duration) -> Result<Self, tonic::transport::Error> {
+    /// A link to the controller at an address, without connecting yet. `timeout` bounds the
+    /// time to connect and the time without an acknowledgement on an open connection.
+    ///
+    /// # Errors
+    ///
+    /// The transport's error if the address does not form a valid URI.
+    pub fn new(address: SocketAddr, timeout: Duration) -> Result<Self, tonic::transport::Error> {
         let endpoint = Endpoint::from_shared(format!("http://{address}"))?
-            .connect_timeout(deadline)
+            .connect_timeout(timeout)
             .tcp_nodelay(true)
-            // A cut swallows packets without closing the connection; without
-            // this every later call would hang on the dead link.
-            .http2_keep_alive_interval(deadline * 2)
-            .keep_alive_timeout(deadline)
+            // A network partition drops packets without closing the connection. Without
+            // keep-alives every later call would wait on the dead connection.
+            .http2_keep_alive_interval(timeout * 2)
+            .keep_alive_timeout(timeout)
             .keep_alive_while_idle(false);
         Ok(PeerLink {
             client: PeerClient::new(endpoint.connect_lazy()),
@@ -148,12 +139,13 @@
         })
     }
 
-    /// Asks the other controller; `None` if it gave no answer in time.
-    pub async fn call(&self, call: PeerCall, relay: bool, patience: Duration) -> Option<PeerReply> {
+    /// Calls the other controller; `None` if it could not be reached, refused the call as
+    /// malformed, or gave no valid reply within the timeout. The outcome is unknown then.
+    pub async fn call(&self, call: PeerCall, relay: bool, timeout: Duration) -> Option<PeerReply> {
         #[cfg(test)]
-        match tokio::time::timeout(patience, super::scripted::peer(self.address, &call, relay)).await {
+        match tokio::time::timeout(timeout, super::scripted::peer(self.address, &call, relay)).await {
             Ok(None) => {}
-            answer => return answer.ok().flatten(),
+            reply => return reply.ok().flatten(),
         }
         let mut client = self.client.clone();
         let exchange = async {
@@ -165,7 +157,7 @@
                 PeerCall::LeaderQuery => client.lead(LeadRequest {}).await,
             }
         };
-        let reply = tokio::time::timeout(patience, exchange).await.ok()?.ok()?.into_inner();
+        let reply = tokio::time::timeout(timeout, exchange).await.ok()?.ok()?.into_inner();
         decode_reply(reply)
     }
 }
--- a/src/transport/scripted.rs
+++ b/src/transport/scripted.rs
@@ -1,86 +1,122 @@
-//! A network for tests: requests to outside systems and to other controllers go
-//! to whoever installed it on this thread, with the address they were sent to,
-//! instead of to sockets. With the runtime's clock paused a whole cluster then
-//! runs in simulated time.
+//! A simulated network for tests. Requests to outside systems and to other controllers go
+//! to the test that installed the network on its thread, with the address they were sent
+//! to, instead of to sockets. With the runtime's clock paused a whole cluster then runs in
+//! simulated time.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::client::{Call, ClientError};
+use super::call::{Call, ClientError};
 use super::codec::Response;
-use super::peer::{PeerCall, PeerReply};
+use super::peer_message::{PeerCall, PeerReply};
 
-/// A request under way. Dropping `reply` leaves it without an answer.
+/// A request on the simulated network. If `reply` is dropped the request is lost: its sender
+/// waits until its own timeout.
 #[derive(Debug)]
 pub enum Ask {
-    Http { to: SocketAddr, call: Call, reply: oneshot::Sender<Result<Response, ClientError>> },
-    Peer { to: SocketAddr, call: PeerCall, relay: bool, reply: oneshot::Sender<PeerReply> },
+    /// An HTTP request to an outside system.
+    Http {
+        /// The address it is sent to.
+        to: SocketAddr,
+        /// The request.
+        call: Call,
+        /// Takes the response or the failure.
+        reply: oneshot::Sender<Result<Response, ClientError>>,
+    },
+    /// A call to another controller.
+    Peer {
+        /// The address it is sent to.
+        to: SocketAddr,
+        /// The call.
+        call: PeerCall,
+        /// Whether a controller that does not lead should relay it to the leader.
+        relay: bool,
+        /// Takes the reply.
+        reply: oneshot::Sender<PeerReply>,
+    },
 }
 
-struct Network {
-    asks: mpsc::UnboundedSender<Ask>,
-    since: tokio::time::Instant,
-    /// How many marks were given out.
-    marks: u64,
+/// A network that a test has installed.
+struct SimulatedNetwork {
+    /// To the test. Closed once the test is over; the network counts as removed then.
+    requests: mpsc::UnboundedSender<Ask>,
+    installed_at: tokio::time::Instant,
+    /// Number of write markers given out.
+    write_markers: u64,
+}
+
+impl SimulatedNetwork {
+    fn is_open(&self) -> bool {
+        !self.requests.is_closed()
+    }
 }
 
 thread_local! {
-    static NETWORK: RefCell<Option<Network>> = const { RefCell::new(None) };
+    static NETWORK: RefCell<Option<SimulatedNetwork>> = const { RefCell::new(None) };
 }
 
-/// Milliseconds that the runtime's clock has run since a network was installed, if
-/// one is: the time of day must not be the machine's then.
+/// Simulated time of day: milliseconds on the runtime's clock since the network was
+/// installed. `None` without a network, where the machine's time of day applies.
 pub fn wall_ms() -> Option<u64> {
-    let open = |network: &Option<Network>| network.as_ref().filter(|n| !n.asks.is_closed()).map(|n| n.since);
-    let since = NETWORK.with(|network| open(&network.borrow()))?;
-    Some(u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX))
+    let installed_at = NETWORK.with(|network| {
+        let network = network.borrow();
+        network.as_ref().filter(|network| network.is_open()).map(|network| network.installed_at)
+    })?;
+    Some(u64::try_from(installed_at.elapsed().as_millis()).unwrap_or(u64::MAX))
 }
 
-/// A mark for a write, if a network is installed: alike in each run, unlike in each write.
+/// A marker for a write: the same in each run of a test, different for each write. `None`
+/// without a network, where random markers apply.
 pub fn next_mark() -> Option<u64> {
     NETWORK.with(|network| {
         let mut network = network.borrow_mut();
-        let network = network.as_mut().filter(|n| !n.asks.is_closed())?;
-        network.marks += 1;
-        // Spread over all bits, as random ones are.
-        Some(network.marks.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+        let network = network.as_mut().filter(|network| network.is_open())?;
+        network.write_markers += 1;
+        // Spread over all bits, as random markers are.
+        Some(network.write_markers.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     })
 }
 
-/// From now on, what this thread's tests send arrives here.
+/// Installs a network on this thread, in place of an earlier one. What is sent from this
+/// thread from now on arrives at the receiver, until that is dropped.
 pub fn install() -> mpsc::UnboundedReceiver<Ask> {
-    let (asks, asked) = mpsc::unbounded_channel();
+    let (requests, received) = mpsc::unbounded_channel();
+    let installed_at = tokio::time::Instant::now();
     NETWORK.with(|network| {
-        *network.borrow_mut() = Some(Network { asks, since: tokio::time::Instant::now(), marks: 0 })
+        *network.borrow_mut() = Some(SimulatedNetwork { requests, installed_at, write_markers: 0 });
     });
-    asked
+    received
 }
 
-fn send(ask: Ask) -> bool {
-    NETWORK.with(|network| network.borrow().as_ref().is_some_and(|n| n.asks.send(ask).is_ok()))
+/// Sends a request on the simulated network; `false` without a network.
+fn send(request: Ask) -> bool {
+    NETWORK.with(|network| {
+        network.borrow().as_ref().is_some_and(|network| network.requests.send(request).is_ok())
+    })
 }
 
-/// `None` where no network is installed: sockets it is.
-pub(super) async fn http(to: SocketAddr, call: &Call) -> Option<Result<Response, ClientError>> {
-    let (reply, answer) = oneshot::channel();
-    if !send(Ask::Http { to, call: call.clone(), reply }) {
-        return None;
-    }
-    match answer.await {
-        Ok(result) => Some(result),
+/// Waits for the reply to a request; for ever if the test dropped it.
+async fn reply_to<T>(reply: oneshot::Receiver<T>) -> T {
+    match reply.await {
+        Ok(reply) => reply,
         Err(_) => std::future::pending().await,
     }
 }
 
+/// Sends an HTTP request on the simulated network; `None` without a network, where the
+/// caller uses a socket.
+pub(super) async fn http(to: SocketAddr, call: &Call) -> Option<Result<Response, ClientError>> {
+    let (reply, received) = oneshot::channel();
+    let sent = send(Ask::Http { to, call: call.clone(), reply });
+    if sent { Some(reply_to(received).await) } else { None }
+}
+
+/// Sends a call to another controller on the simulated network; `None` without a network,
+/// where the caller uses gRPC.
 pub(super) async fn peer(to: SocketAddr, call: &PeerCall, relay: bool) -> Option<PeerReply> {
-    let (reply, answer) = oneshot::channel();
-    if !send(Ask::Peer { to, call: call.clone(), relay, reply }) {
-        return None;
-    }
-    match answer.await {
-        Ok(reply) => Some(reply),
-        Err(_) => std::future::pending().await,
-    }
+    let (reply, received) = oneshot::channel();
+    let sent = send(Ask::Peer { to, call: call.clone(), relay, reply });
+    if sent { Some(reply_to(received).await) } else { None }
 }
--- a/src/transport/server/tests.rs
+++ b/src/transport/server/tests.rs
@@ -12,9 +12,9 @@
 async fn start(connections: usize) -> SocketAddr {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
-    let patience = Duration::from_secs(30);
+    let long = Duration::from_secs(30);
     let limits = Limits { head: 1024, body: 64 };
-    tokio::spawn(serve(listener, ServerOptions { limits, connections, idle: patience, patience }, Echo));
+    tokio::spawn(serve(listener, ServerOptions { limits, connections, idle: long, patience: long }, Echo));
     address
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_too_many_is_refused_at_once_and_its_place_comes_back() {
+async fn a_connection_beyond_the_limit_is_refused_and_an_ended_one_makes_room() {
     let address = start(1).await;
     let mut first = TcpStream::connect(address).await.expect("connected");
     let hello = b"GET / HTTP/1.1\r\n\r\n";
@@ -58,7 +58,7 @@
     assert!(refused.starts_with("HTTP/1.1 503") && refused.contains("Retry-After: 1"), "{refused}");
     let bye = exchange(&mut first, b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", usize::MAX).await;
     assert!(bye.contains("Connection: close"));
-    // The place is given back by the connection's task; let it finish.
+    // The connection's task makes room for another one at its end; let it finish.
     tokio::task::yield_now().await;
     let mut third = TcpStream::connect(address).await.expect("connected");
     assert!(exchange(&mut third, hello, 12).await.starts_with("HTTP/1.1 200"));
