--- /dev/null
+++ b/src/storage/records/layout.rs
@@ -0,0 +1,74 @@
+//! Where a job's done tasks are stored: in its record, or in blocks beside it.
+
+use crate::protocol::jobs::JobId;
+
+/// Bytes in one KiB.
+const BYTES_PER_KIB: f64 = 1024.0;
+/// Part of the largest value that a bitmap of one block may take. The rest of the value is
+/// room for the job's description.
+const BITMAP_PART: f64 = 0.5;
+/// Tasks in each character of a bitmap.
+const TASKS_PER_CHARACTER: u32 = 6;
+
+/// Tasks in one block of done tasks where no value may exceed `value_kb` KiB: so many that
+/// even a bitmap of the block takes at most half a value.
+pub fn block_size(value_kb: f64) -> u32 {
+    // Limits are positive and far below 4 GiB; the cast saturates at both ends.
+    let bitmap_bytes = (value_kb * BYTES_PER_KIB * BITMAP_PART) as u32;
+    bitmap_bytes.saturating_mul(TASKS_PER_CHARACTER).max(TASKS_PER_CHARACTER)
+}
+
+/// How a job's done tasks are stored.
+///
+/// The layouts that a record does not name are those of every build so far; such builds
+/// derive them from the store's limits in force. Builds before this one read a record that
+/// names its block size wrongly. Such a record is written only once the store has refused
+/// a value that its limits in force allow, which happens only after the last of those
+/// builds has been replaced.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Layout {
+    /// Within the job's record.
+    Inline,
+    /// In blocks of this many tasks, derived from the store's limits in force.
+    Blocks(u32),
+    /// In blocks of this many tasks, as the job's record says.
+    NamedBlocks(u32),
+}
+
+impl Layout {
+    /// The layout of a record that names none, for a job of `tasks` tasks where no value may
+    /// exceed `value_kb` KiB.
+    pub fn derived(tasks: u32, value_kb: f64) -> Self {
+        let size = block_size(value_kb);
+        if tasks <= size { Layout::Inline } else { Layout::Blocks(size) }
+    }
+
+    /// Tasks in one block; `None` if done tasks are stored in the record.
+    pub fn block_tasks(self) -> Option<u32> {
+        match self {
+            Layout::Inline => None,
+            Layout::Blocks(size) | Layout::NamedBlocks(size) => Some(size),
+        }
+    }
+
+    /// Number of blocks beside the record of a job of `tasks` tasks.
+    pub fn blocks(self, tasks: u32) -> u32 {
+        self.block_tasks().map_or(0, |size| tasks.div_ceil(size))
+    }
+
+    /// First task of a block, and the one after its last.
+    pub fn range(self, block: u32) -> (u32, u32) {
+        let size = self.block_tasks().unwrap_or(u32::MAX);
+        let start = block.saturating_mul(size);
+        (start, start.saturating_add(size))
+    }
+
+    /// Key of a block. Blocks of a named size have keys of their own, so they never mix with
+    /// those that the job had before.
+    pub fn block_key(self, job: &JobId, block: u32) -> String {
+        match self {
+            Layout::Inline | Layout::Blocks(_) => format!("set/{job}/{block}"),
+            Layout::NamedBlocks(size) => format!("set/{job}/{size}-{block}"),
+        }
+    }
+}
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -1,11 +1,17 @@
+//! Records are read back as written, and fit the largest value that the store takes.
+
+use std::collections::BTreeSet;
+
 use super::*;
-use crate::protocol::cbor::json_size;
+use crate::protocol::cbor::{MapBuilder, json_size};
+use crate::protocol::cloud::NodePoolRequest;
 use crate::protocol::jobs::tests::sample;
+use crate::protocol::workers::MachineId;
 
-/// The worst case of the done set: a hundred thousand tasks, every second
-/// one done. No value may pass the limit, and all must be read back.
+/// The worst case of the done set: a hundred thousand tasks, every second one done. No
+/// value may exceed the limit, and all tasks must be read back.
 #[test]
-fn a_hundred_thousand_tasks_half_done_fit_their_values() {
+fn done_tasks_of_a_hundred_thousand_task_job_fit_the_largest_value() {
     let value_kb = 8.0;
     let mut record = JobRecord::new(sample("job-1", "red", 100_000, 1.0), 0);
     (0..100_000).step_by(2).for_each(|n| assert!(record.done.insert(n)));
@@ -21,7 +27,7 @@
 }
 
 #[test]
-fn the_largest_set_kept_in_the_record_fits_with_the_description() {
+fn the_largest_inline_done_set_fits_the_largest_value_with_its_description() {
     let tasks = block_size(8.0);
     let mut spec = sample("job-1", "red", tasks, 1.0);
     spec.class = "c".repeat(128);
@@ -33,9 +39,10 @@
     assert_eq!(JobRecord::decode(&value).expect("readable"), record);
 }
 
-/// A record that names its blocks keeps them apart from those that it had before.
+/// A record that names its block size has block keys of its own, apart from those that the
+/// job had before.
 #[test]
-fn a_named_layout_is_read_back_under_any_limits() {
+fn a_layout_with_named_block_size_is_read_back_under_any_limits() {
     let spec = sample("job-1", "red", 100, 1.0);
     let mut record = JobRecord { block_tasks: Some(48), ..JobRecord::new(spec, 7) };
     (0..100).step_by(7).for_each(|task| assert!(record.done.insert(task)));
@@ -56,14 +63,14 @@
 }
 
 #[test]
-fn experience_is_read_back_as_written() {
+fn learned_statistics_are_read_back_as_written() {
     let group = DemandStatistics { types: vec!["m8".into()], mean: 2.5, spot: true, ..Default::default() };
-    let experience = LearnedStatistics { groups: vec![group], runtime_ratios: vec![("build".into(), 1.25)] };
-    assert_eq!(LearnedStatistics::decode(&experience.encode()), Ok(experience));
+    let statistics = LearnedStatistics { groups: vec![group], runtime_ratios: vec![("build".into(), 1.25)] };
+    assert_eq!(LearnedStatistics::decode(&statistics.encode()), Ok(statistics));
 }
 
 #[test]
-fn an_unanswered_rental_is_told_from_an_empty_one() {
+fn an_unanswered_node_pool_request_differs_from_an_empty_pool() {
     let request = NodePoolRequest {
         name: "7-1".into(),
         machine_type: "t".into(),
