--- a/src/storage/done_set.rs
+++ b/src/storage/done_set.rs
@@ -1,32 +1,40 @@
-//! Sets of task numbers, kept compactly in memory and in records.
+//! Sets of done tasks: a bitmap in memory; ranges or a bitmap, as text, in records.
 
 use thiserror::Error;
 
-/// Text of six bits a character for bitmaps.
+/// Bits in each character of a stored bitmap.
+const BITS_PER_CHARACTER: u32 = 6;
+/// Characters of a stored bitmap: the index of each is the value of its bits.
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
+/// A stored set of done tasks that cannot be decoded: damaged text, or a task out of bounds.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("unreadable set of done tasks")]
 pub struct InvalidDoneSet;
 
-/// A set of numbers below a fixed bound.
+/// A set of task numbers below a fixed bound.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DoneSet {
+    /// One bit for each number below the bound, the lowest first.
     words: Vec<u64>,
+    /// Number of tasks of the job: the set's numbers are below it.
     bound: u32,
+    /// Size of the set.
     count: u32,
 }
 
 impl DoneSet {
+    /// The empty set, of numbers below `bound`.
     pub fn new(bound: u32) -> Self {
         DoneSet { words: vec![0; bound.div_ceil(64) as usize], bound, count: 0 }
     }
 
+    /// Whether a number is in the set.
     pub fn contains(&self, n: u32) -> bool {
         self.words.get(n as usize / 64).is_some_and(|word| word >> (n % 64) & 1 == 1)
     }
 
-    /// Adds a number; false if it was there or is out of bounds.
+    /// Adds a number. Returns false if it was in the set already or is out of bounds.
     pub fn insert(&mut self, n: u32) -> bool {
         if n >= self.bound || self.contains(n) {
             return false;
@@ -43,26 +51,30 @@
         }
     }
 
+    /// Size of the set.
     pub fn len(&self) -> u32 {
         self.count
     }
 
+    /// Whether the set has no numbers.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
+    /// Whether the set has all numbers below the bound.
     pub fn is_full(&self) -> bool {
         self.count == self.bound
     }
 
-    /// The numbers from `start` to before `end` as text: ranges or a bitmap,
-    /// whichever is shorter. Numbers are written relative to `start`.
+    /// Encodes the numbers from `start` to before `end`, relative to `start`, as ranges
+    /// (`r0-5,9`) or as a bitmap (`bAB_`), whichever is shorter.
     pub fn encode(&self, start: u32, end: u32) -> String {
         let end = end.min(self.bound);
-        let bitmap_len = 1 + (end.saturating_sub(start)).div_ceil(6) as usize;
+        let bitmap_len = 1 + (end.saturating_sub(start)).div_ceil(BITS_PER_CHARACTER) as usize;
         self.ranges(start, end, bitmap_len).unwrap_or_else(|| self.bitmap(start, end))
     }
 
+    /// The numbers as ranges, unless the text exceeds `longest` bytes.
     fn ranges(&self, start: u32, end: u32, longest: usize) -> Option<String> {
         let mut out = String::from("r");
         let mut n = start;
@@ -90,17 +102,24 @@
         Some(out)
     }
 
+    /// The numbers as a bitmap, lowest bit first.
     fn bitmap(&self, start: u32, end: u32) -> String {
         let mut out = String::from("b");
-        for group in (start..end).step_by(6) {
-            let bits =
-                (0..6).filter(|i| group + i < end && self.contains(group + i)).fold(0, |b, i| b | 1 << i);
+        for group in (start..end).step_by(BITS_PER_CHARACTER as usize) {
+            let bits = (0..BITS_PER_CHARACTER)
+                .filter(|i| group + i < end && self.contains(group + i))
+                .fold(0, |b, i| b | 1 << i);
             out.push(char::from(DIGITS[bits as usize & 63]));
         }
         out
     }
 
-    /// Adds what [`DoneSet::encode`] wrote for the numbers from `start` on.
+    /// Adds the numbers that [`DoneSet::encode`] encoded relative to `start`.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidDoneSet`] if the text is damaged or names a number out of bounds. Numbers that
+    /// precede the damage may have been added by then.
     pub fn decode_into(&mut self, start: u32, text: &str) -> Result<(), InvalidDoneSet> {
         let mut add = |n: u32| {
             let n = start.checked_add(n).filter(|&n| n < self.bound).ok_or(InvalidDoneSet)?;
@@ -116,9 +135,9 @@
             }
             Ok(())
         } else if let Some(bitmap) = text.strip_prefix('b') {
-            for (group, digit) in (0u32..).step_by(6).zip(bitmap.bytes()) {
+            for (group, digit) in (0u32..).step_by(BITS_PER_CHARACTER as usize).zip(bitmap.bytes()) {
                 let bits = DIGITS.iter().position(|&d| d == digit).ok_or(InvalidDoneSet)?;
-                (0..6).filter(|i| bits >> i & 1 == 1).try_for_each(|i| add(group + i))?;
+                (0..BITS_PER_CHARACTER).filter(|i| bits >> i & 1 == 1).try_for_each(|i| add(group + i))?;
             }
             Ok(())
         } else {
--- a/src/storage/done_set/tests.rs
+++ b/src/storage/done_set/tests.rs
@@ -1,7 +1,9 @@
+//! Encoded sets are read back, and damaged ones are rejected.
+
 use super::*;
 
 #[test]
-fn either_form_reads_back_as_written() {
+fn ranges_and_bitmaps_are_decoded_as_encoded() {
     for step in [1, 2, 7, 500] {
         let mut set = DoneSet::new(1000);
         (0..1000).step_by(step).for_each(|n| assert!(set.insert(n)));
@@ -15,7 +17,7 @@
 }
 
 #[test]
-fn damaged_text_is_refused_not_trusted() {
+fn damaged_text_is_rejected() {
     for bad in ["", "x1", "r1-", "r99999999999", "r0-4000000000", "b!", "r10", "b__"] {
         assert_eq!(DoneSet::new(10).decode_into(0, bad), Err(InvalidDoneSet), "{bad:?}");
     }
--- a/src/storage/kv.rs
+++ b/src/storage/kv.rs
@@ -1,10 +1,17 @@
-//! The actor that owns all calls to the state service.
+//! The client of the consensus-backed key-value store, and the actor that owns all requests
+//! to it.
 //!
-//! It paces requests below the service's rates, renewals first; packs changes
-//! of several callers into one transaction; adds the leader's epoch to every
-//! one; and settles unknown outcomes before it reports them.
+//! The actor keeps requests below the store's rate limits, with lease renewals first
+//! ([`rates`], [`queue`]); packs changes of several callers into one transaction ([`batch`]);
+//! makes each transaction depend on the leader's epoch, which serves as fencing token; and
+//! finds out whether a transaction without a usable response was committed before it reports
+//! a result ([`outcome`]).
 
 mod actor;
+mod batch;
+mod outcome;
+mod queue;
+mod rates;
 
 use std::time::Duration;
 
@@ -12,6 +19,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 
 pub use actor::start;
+use queue::{PendingTransaction, Request};
 
 use crate::protocol::cbor::{MapBuilder, decode, json_size};
 use crate::protocol::kv::{Change, Compare, Entry, Page, decode_entry, decode_page};
@@ -19,65 +27,68 @@
 use crate::transport::client::{Call, ClientError};
 use crate::transport::codec::Response;
 
-/// Field that tells one of our writes from every other.
+/// Field of a stored value that identifies the write it came from.
 const WRITE_MARKER: &str = "by";
-/// Keys asked for at once in a scan.
+/// Keys requested at once in a scan.
 const SCAN_PAGE: usize = 500;
+/// Bytes that a comparison takes in a transaction beside its key, rounded up.
+const COMPARE_OVERHEAD_BYTES: usize = 48;
+/// Bytes that a change takes in a transaction beside its key and value, rounded up.
+const CHANGE_OVERHEAD_BYTES: usize = 64;
 
-/// What goes first when the allowance is short.
+/// Priority of a request, the highest first: what is sent first when the rate limits are
+/// exhausted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
+    /// The leader's lease and election.
     Renewal,
+    /// Cancellations of jobs.
     Cancellation,
+    /// Submissions, and reads that a user waits for.
     Admission,
+    /// Completions of jobs, cancellations that follow from a dependency's, and raises of the
+    /// started high-water mark, without which no further task may start.
     Completion,
+    /// Done tasks of jobs.
     Progress,
+    /// What nobody waits for, such as scans and repairs.
     Background,
 }
 
-const REQUEST_CLASSES: usize = 6;
-
+/// Why a request to the key-value store failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KvError {
-    /// The epoch is over: from now on nothing is changed. An earlier try without an
-    /// answer may have been carried out before, so nothing follows for what is stored.
+    /// The epoch is over: from now on this epoch changes nothing. An earlier attempt without
+    /// a response may have been committed before that, so this says nothing about what is
+    /// stored.
     Fenced,
-    /// Another version of a key is there than the caller knew.
+    /// A key has another version than the caller expected.
     Conflict,
-    /// Not carried out, or not known; for reads only.
+    /// The request was not carried out, or the response is missing or unusable; for reads
+    /// only.
     Unavailable,
-    /// The service refuses this request for good.
+    /// The store rejects this request, and would reject every repetition.
     Rejected,
 }
 
-/// One caller's changes, carried out together or not at all.
+/// One caller's changes, committed together or not at all.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Transaction {
+    /// Priority of the transaction.
     pub class: RequestClass,
+    /// Epoch of the leader that asks for the changes. They are committed only while the key
+    /// of the election has this version.
     pub epoch: u64,
+    /// Versions that keys must have for the changes to be committed.
     pub compares: Vec<Compare>,
+    /// Puts and deletes.
     pub changes: Vec<Change>,
 }
 
+/// Result of an HTTP exchange with the store.
 type HttpResult = Result<Response, ClientError>;
 
-enum Request {
-    Raw { class: RequestClass, call: Call, reply: oneshot::Sender<HttpResult> },
-    Commit(Box<PendingTransaction>),
-}
-
-struct PendingTransaction {
-    transaction: Transaction,
-    size: usize,
-    write_marker: String,
-    /// A former try may have been, or may yet be, carried out.
-    outcome_unknown: bool,
-    /// Must not be packed with others any more.
-    unbatched: bool,
-    reply: oneshot::Sender<Result<u64, KvError>>,
-}
-
-/// Speaks to the actor.
+/// Handle of the actor. Clones share the actor; it stops when all of them are dropped.
 #[derive(Debug, Clone)]
 pub struct KvClient {
     requests: mpsc::Sender<Request>,
@@ -86,23 +97,31 @@
 }
 
 impl KvClient {
-    /// The service's limits as far as is known.
+    /// The store's limits in force, as far as is known.
     pub fn limits(&self) -> StateLimits {
         *self.limits.borrow()
     }
 
+    /// Sends a request as it is, without retries.
+    ///
+    /// # Errors
+    ///
+    /// [`ClientError`] if there was no usable response. Only [`ClientError::NotSent`] proves
+    /// that the request was not carried out.
     pub async fn send_raw(&self, class: RequestClass, call: Call) -> HttpResult {
-        let (reply, answer) = oneshot::channel();
+        let (reply, response) = oneshot::channel();
         if self.requests.send(Request::Raw { class, call, reply }).await.is_err() {
             return Err(ClientError::NotSent);
         }
-        answer.await.unwrap_or(Err(ClientError::NotSent))
+        response.await.unwrap_or(Err(ClientError::NotSent))
     }
 
+    /// How long each request may take.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
+    /// Reads what the target names; `None` if it does not exist.
     async fn read(&self, class: RequestClass, target: String) -> Result<Option<Value>, KvError> {
         let call = Call { method: "GET", target, body: Vec::new(), deadline: self.deadline };
         match self.send_raw(class, call).await {
@@ -115,27 +134,45 @@
         }
     }
 
+    /// Reads one key; `None` if it does not exist.
+    ///
+    /// # Errors
+    ///
+    /// [`KvError::Rejected`] if the store rejects the request, [`KvError::Unavailable`] if
+    /// there was no usable response. A response about another key is not usable.
     pub async fn get(&self, class: RequestClass, key: &str) -> Result<Option<Entry>, KvError> {
         let Some(value) = self.read(class, format!("/keys/{key}")).await? else { return Ok(None) };
-        // An answer about another key is no answer.
-        decode_entry(&value).ok().filter(|e| e.key == key).map(Some).ok_or(KvError::Unavailable)
+        decode_entry(&value).ok().filter(|entry| entry.key == key).map(Some).ok_or(KvError::Unavailable)
     }
 
+    /// Reads one page of the keys with a prefix, in order: at most `most` keys after the key
+    /// `from`, or from the first one on if `from` is empty.
+    ///
+    /// # Errors
+    ///
+    /// [`KvError::Rejected`] if the store rejects the request, [`KvError::Unavailable`] if
+    /// there was no usable response. A page with keys of another prefix, or one that is
+    /// empty although more keys are to follow, is not usable.
     pub async fn read_page(&self, prefix: &str, from: &str, most: usize) -> Result<Page, KvError> {
         let after = if from.is_empty() { String::new() } else { format!("&from={from}") };
         let target = format!("/keys?starts={prefix}{after}&page={most}");
         let value = self.read(RequestClass::Background, target).await?.ok_or(KvError::Unavailable)?;
         let page = decode_page(&value).map_err(|_| KvError::Unavailable)?;
-        let sound =
-            page.entries.iter().all(|e| e.key.starts_with(prefix)) && !(page.more && page.entries.is_empty());
-        if sound { Ok(page) } else { Err(KvError::Unavailable) }
+        let prefix_matches = page.entries.iter().all(|entry| entry.key.starts_with(prefix));
+        let makes_progress = !page.more || !page.entries.is_empty();
+        if prefix_matches && makes_progress { Ok(page) } else { Err(KvError::Unavailable) }
     }
 
-    /// All keys with the prefix.
+    /// Reads all keys with the prefix, page by page. Pages are read at different times, so
+    /// the result need not be a consistent snapshot.
+    ///
+    /// # Errors
+    ///
+    /// As [`KvClient::read_page`].
     pub async fn scan(&self, prefix: &str) -> Result<Vec<Entry>, KvError> {
         let mut found: Vec<Entry> = Vec::new();
         loop {
-            let from = found.last().map(|e| e.key.clone()).unwrap_or_default();
+            let from = found.last().map(|entry| entry.key.clone()).unwrap_or_default();
             let page = self.read_page(prefix, &from, SCAN_PAGE).await?;
             let more = page.more;
             found.extend(page.entries);
@@ -145,60 +182,63 @@
         }
     }
 
-    /// Carries the changes out while the epoch lasts, however often it takes.
+    /// Commits a transaction, and retries until its outcome is known or its epoch is over.
+    /// Returns the store's revision of the commit, which is the version of each key put.
+    ///
+    /// Each value put is given a marker, by which a later attempt recognizes that an earlier
+    /// one without a response was committed.
+    ///
+    /// # Errors
+    ///
+    /// [`KvError::Fenced`] if the epoch is over, [`KvError::Conflict`] if a key has another
+    /// version than expected, [`KvError::Rejected`] if the store rejects the transaction.
     pub async fn compare_and_swap(&self, mut transaction: Transaction) -> Result<u64, KvError> {
-        let mark = format!("{:x}", new_write_marker());
+        let marker = format!("{:x}", new_write_marker());
         for change in &mut transaction.changes {
             if let Change::Put { value: Value::Map(entries), .. } = change {
-                entries.push((Value::from(WRITE_MARKER), Value::from(mark.as_str())));
+                entries.push((Value::from(WRITE_MARKER), Value::from(marker.as_str())));
             }
         }
         let size = transaction_size(&transaction);
-        let (reply, answer) = oneshot::channel();
-        let pending = PendingTransaction {
-            transaction,
-            size,
-            write_marker: mark,
-            outcome_unknown: false,
-            unbatched: false,
-            reply,
-        };
+        let (reply, result) = oneshot::channel();
+        let pending = PendingTransaction::new(transaction, size, marker, reply);
         if self.requests.send(Request::Commit(Box::new(pending))).await.is_err() {
             return Err(KvError::Fenced);
         }
-        answer.await.unwrap_or(Err(KvError::Fenced))
+        result.await.unwrap_or(Err(KvError::Fenced))
     }
 }
 
-/// A number that no other write bears; the same for a seed where the network is simulated.
+/// A number that no other write has. Where tests simulate the network, it follows from the
+/// simulation's seed.
 fn new_write_marker() -> u64 {
     #[cfg(test)]
-    if let Some(mark) = crate::transport::scripted::next_mark() {
-        return mark;
+    if let Some(marker) = crate::transport::scripted::next_mark() {
+        return marker;
     }
     rand::random()
 }
 
+/// Upper estimate of the bytes that a transaction takes in a request.
 fn transaction_size(transaction: &Transaction) -> usize {
-    let conditions: usize = transaction.compares.iter().map(|c| c.key.len() + 48).sum();
-    let changes: usize = transaction
-        .changes
-        .iter()
-        .map(|c| {
-            c.key().len()
-                + 64
-                + match c {
-                    Change::Put { value, .. } => json_size(value),
-                    Change::Delete { .. } => 0,
-                }
-        })
-        .sum();
-    conditions + changes
+    let compares = transaction.compares.iter().map(|compare| compare.key.len() + COMPARE_OVERHEAD_BYTES);
+    let changes = transaction.changes.iter().map(change_size);
+    compares.sum::<usize>() + changes.sum::<usize>()
+}
+
+/// Upper estimate of the bytes that a change takes in a request.
+fn change_size(change: &Change) -> usize {
+    let value = match change {
+        Change::Put { value, .. } => json_size(value),
+        Change::Delete { .. } => 0,
+    };
+    change.key().len() + CHANGE_OVERHEAD_BYTES + value
 }
 
-/// A value for the election's own write, marked with its incarnation.
-pub fn with_write_marker(builder: MapBuilder, mark: &str) -> Value {
-    builder.set(WRITE_MARKER, mark).build()
+/// Builds a value whose write marker is set: for the election, which writes its key itself
+/// and marks it with its incarnation.
+pub fn with_write_marker(builder: MapBuilder, marker: &str) -> Value {
+    builder.set(WRITE_MARKER, marker).build()
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/src/storage/kv/queue.rs
@@ -0,0 +1,166 @@
+//! Requests that wait to be sent, in one queue for each class.
+
+use std::collections::VecDeque;
+
+use tokio::sync::oneshot;
+
+use super::{HttpResult, KvError, RequestClass, Transaction};
+use crate::transport::client::Call;
+
+/// All request classes, the highest priority first.
+const CLASSES: [RequestClass; 6] = [
+    RequestClass::Renewal,
+    RequestClass::Cancellation,
+    RequestClass::Admission,
+    RequestClass::Completion,
+    RequestClass::Progress,
+    RequestClass::Background,
+];
+
+/// What a caller asks of the actor.
+pub(super) enum Request {
+    /// A request that is sent as it is.
+    Raw {
+        /// Priority of the request.
+        class: RequestClass,
+        /// The HTTP request.
+        call: Call,
+        /// Where its result goes.
+        reply: oneshot::Sender<HttpResult>,
+    },
+    /// A transaction, to be retried until its outcome is known.
+    Commit(Box<PendingTransaction>),
+}
+
+impl Request {
+    fn class(&self) -> RequestClass {
+        match self {
+            Request::Raw { class, .. } => *class,
+            Request::Commit(pending) => pending.transaction.class,
+        }
+    }
+
+    /// Number of puts and deletes that count against the store's write rate.
+    pub(super) fn write_count(&self) -> usize {
+        match self {
+            Request::Raw { call, .. } => usize::from(call.target == "/commit"),
+            Request::Commit(pending) => pending.transaction.changes.len(),
+        }
+    }
+}
+
+/// What the attempts so far allow the next one.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Attempts {
+    /// May be committed together with transactions of others.
+    Batchable,
+    /// Must be committed alone: a batch with it was rejected or had a conflict.
+    Alone,
+    /// Must be committed alone, and an earlier attempt may have been committed, or may yet
+    /// be.
+    OutcomeUnknown,
+}
+
+/// A transaction whose result has not been reported yet.
+pub(super) struct PendingTransaction {
+    /// The caller's changes, with the write marker in each value.
+    pub(super) transaction: Transaction,
+    /// Upper estimate of the bytes that it takes in a request.
+    pub(super) size: usize,
+    /// Marker in the values of this transaction and of no other.
+    pub(super) write_marker: String,
+    attempts: Attempts,
+    reply: oneshot::Sender<Result<u64, KvError>>,
+}
+
+impl PendingTransaction {
+    /// A transaction that has not been sent yet; `size` is in bytes.
+    pub(super) fn new(
+        transaction: Transaction,
+        size: usize,
+        write_marker: String,
+        reply: oneshot::Sender<Result<u64, KvError>>,
+    ) -> Self {
+        PendingTransaction { transaction, size, write_marker, attempts: Attempts::Batchable, reply }
+    }
+
+    /// Whether it may be committed together with transactions of others.
+    pub(super) fn is_batchable(&self) -> bool {
+        self.attempts == Attempts::Batchable
+    }
+
+    /// Whether an earlier attempt may have been committed, or may yet be.
+    pub(super) fn is_outcome_unknown(&self) -> bool {
+        self.attempts == Attempts::OutcomeUnknown
+    }
+
+    /// From now on it is committed alone.
+    pub(super) fn isolate(&mut self) {
+        self.attempts = self.attempts.max(Attempts::Alone);
+    }
+
+    /// The last attempt may have been committed, or may yet be.
+    pub(super) fn mark_outcome_unknown(&mut self) {
+        self.attempts = Attempts::OutcomeUnknown;
+    }
+
+    /// Reports the result to the caller, who may have stopped waiting.
+    pub(super) fn report(self, result: Result<u64, KvError>) {
+        let _ = self.reply.send(result);
+    }
+}
+
+/// The waiting requests of each class, in the order in which they are to be sent.
+#[derive(Default)]
+pub(super) struct RequestQueues {
+    /// Indexed by class.
+    queues: [VecDeque<Request>; CLASSES.len()],
+}
+
+impl RequestQueues {
+    /// Number of waiting requests.
+    pub(super) fn len(&self) -> usize {
+        self.queues.iter().map(VecDeque::len).sum()
+    }
+
+    /// Adds a request behind all others of its class.
+    pub(super) fn push_back(&mut self, request: Request) {
+        self.queues[request.class() as usize].push_back(request);
+    }
+
+    /// Adds a transaction that is to be retried before all others of its class.
+    pub(super) fn push_front(&mut self, pending: PendingTransaction) {
+        self.queues[pending.transaction.class as usize].push_front(Request::Commit(Box::new(pending)));
+    }
+
+    /// The request that is to be sent next, and its class.
+    pub(super) fn first(&self) -> Option<(RequestClass, &Request)> {
+        let heads = CLASSES.into_iter().zip(&self.queues);
+        heads.filter_map(|(class, queue)| Some((class, queue.front()?))).next()
+    }
+
+    /// Removes the request that is to be sent next.
+    pub(super) fn pop_first(&mut self) -> Option<Request> {
+        self.queues.iter_mut().find(|queue| !queue.is_empty())?.pop_front()
+    }
+
+    /// Takes out those transactions that `accepts` chooses, asked in the order in which they
+    /// are to be sent; all other requests keep their order.
+    pub(super) fn take_transactions(
+        &mut self,
+        mut accepts: impl FnMut(RequestClass, &PendingTransaction) -> bool,
+    ) -> Vec<PendingTransaction> {
+        let mut taken = Vec::new();
+        for (class, queue) in CLASSES.into_iter().zip(&mut self.queues) {
+            let mut rest = VecDeque::new();
+            while let Some(request) = queue.pop_front() {
+                match request {
+                    Request::Commit(pending) if accepts(class, &pending) => taken.push(*pending),
+                    other => rest.push_back(other),
+                }
+            }
+            *queue = rest;
+        }
+        taken
+    }
+}
--- a/src/storage/kv/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -1,33 +1,36 @@
+//! The actor against a key-value store over HTTP: fencing, unknown outcomes, batches, limits.
+
 use tokio::time::Instant;
 
-use super::actor::write_reserve;
+use super::rates::write_reserve;
 use super::*;
 use crate::settings::{NextState, State};
 use crate::storage::in_memory_kv::{FakeKvServer, Script, limits, put, store, store_within};
 use crate::storage::rate_limit::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
 
-async fn rig(script: &[Script]) -> (KvClient, FakeKvServer) {
-    let stand_in = FakeKvServer::start(script).await;
-    stand_in.seed(LEADER, Value::Null, 7).await;
-    (store(stand_in.address(), 4), stand_in)
+/// A client of a store whose leader has epoch 7 and where the next commits fail as scripted.
+async fn client_and_server(script: &[Script]) -> (KvClient, FakeKvServer) {
+    let server = FakeKvServer::start(script).await;
+    server.seed(LEADER, Value::Null, 7).await;
+    (store(server.address(), 4), server)
 }
 
 #[tokio::test]
-async fn a_stale_epoch_changes_nothing() {
-    let (store, _stand_in) = rig(&[]).await;
+async fn a_transaction_with_a_stale_epoch_is_fenced() {
+    let (store, _server) = client_and_server(&[]).await;
     assert_eq!(store.compare_and_swap(put(6, "a", 0)).await, Err(KvError::Fenced));
     assert_eq!(store.get(RequestClass::Admission, "a").await, Ok(None));
     assert_eq!(store.compare_and_swap(put(7, "a", 0)).await, Ok(8));
     assert_eq!(store.compare_and_swap(put(7, "a", 0)).await, Err(KvError::Conflict));
 }
 
-/// The outcome is unknown to the client; the retry must neither fail nor
+/// The client does not know the outcome of its first attempt. The retry must neither fail nor
 /// write twice, and must report the version that the key really has.
 #[tokio::test]
-async fn an_unknown_outcome_is_settled_before_it_is_reported() {
+async fn a_commit_with_unknown_outcome_is_resolved_before_it_is_reported() {
     for script in [Script::LoseAnswer, Script::Delay, Script::Refuse] {
-        let (store, _stand_in) = rig(&[script]).await;
+        let (store, _server) = client_and_server(&[script]).await;
         let version = store.compare_and_swap(put(7, "a", 0)).await.expect("carried out");
         let entry = store.get(RequestClass::Admission, "a").await.expect("served").expect("there");
         assert_eq!(entry.version, version, "{script:?}");
@@ -36,8 +39,8 @@
 }
 
 #[tokio::test]
-async fn changes_of_several_callers_share_a_transaction_within_its_limit() {
-    let (store, stand_in) = rig(&[]).await;
+async fn transactions_of_several_callers_are_batched_up_to_the_limit() {
+    let (store, server) = client_and_server(&[]).await;
     let mut tasks = tokio::task::JoinSet::new();
     for n in 0..10 {
         let store = store.clone();
@@ -46,38 +49,39 @@
     while let Some(result) = tasks.join_next().await {
         assert!(result.expect("no panic").is_ok());
     }
-    let commits = stand_in.commit_sizes().await;
+    let commits = server.commit_sizes().await;
     assert_eq!(commits.iter().sum::<usize>(), 10);
     assert!(commits.iter().all(|&ops| ops <= 4) && commits.len() < 10, "{commits:?}");
 }
 
-/// A steady stream of done tasks and settles takes the allowance as it refills: two jobs
-/// submitted together are still accepted at once.
+/// A steady stream of done tasks and completions uses up the tokens as they refill: two jobs
+/// submitted together are still admitted at once.
 #[test]
-fn acceptances_find_an_allowance_beside_a_stream_of_other_writes() {
+fn admissions_find_tokens_left_by_a_stream_of_other_writes() {
     let mut now = Instant::now();
     let mut writes = TokenBucket::new(12.0, 9.6, now);
     let mut written = 0;
     for _ in 0..1000 {
         now += Duration::from_millis(10);
         for class in [RequestClass::Completion, RequestClass::Progress] {
-            while writes.allows(now, 1.0, write_reserve(class as usize, writes.burst())) {
+            while writes.allows(now, 1.0, write_reserve(class, writes.burst())) {
                 writes.spend(1.0);
                 written += 1;
             }
         }
     }
-    assert!(written > 110, "nothing of the pace is lost: {written}");
-    assert!(writes.allows(now, 4.0, write_reserve(RequestClass::Admission as usize, writes.burst())));
+    assert!(written > 110, "the whole rate is used: {written}");
+    assert!(writes.allows(now, 4.0, write_reserve(RequestClass::Admission, writes.burst())));
 }
 
-/// The only notice of the limits that come is a refusal of what was allowed until then.
+/// The only notice that the announced limits are in force is a refusal of what the former
+/// ones allowed.
 #[tokio::test]
-async fn a_refusal_brings_the_announced_limits_into_force() {
-    let (_, stand_in) = rig(&[]).await;
+async fn a_refusal_puts_the_announced_limits_into_force() {
+    let (_, server) = client_and_server(&[]).await;
     let next = NextState { rps: None, write_rps: Some(9_000.0), value_kb: Some(1.0), txn_ops: Some(2) };
     let state = State { next: Some(next), ..limits(4) };
-    let store = store_within(stand_in.address(), state.clone());
+    let store = store_within(server.address(), state.clone());
     let large = |key: &str| {
         let value = MapBuilder::new().set("text", "x".repeat(2000)).build();
         let changes = vec![Change::Put { key: key.into(), value, lease: None }];
@@ -85,7 +89,7 @@
     };
     assert!(store.compare_and_swap(large("a")).await.is_ok());
     assert_eq!(store.limits(), state.present());
-    stand_in.limit(state.announced()).await;
+    server.limit(state.announced()).await;
     assert!(
         store.get(RequestClass::Admission, "a").await.is_ok_and(|entry| entry.is_some()),
         "still readable"
@@ -101,30 +105,30 @@
         assert_eq!(result.is_err(), n == 3, "only what is too large itself is refused: {n} {result:?}");
     }
     assert_eq!(store.limits(), state.announced());
-    assert!(stand_in.commit_sizes().await.iter().all(|&changes| changes <= 2));
+    assert!(server.commit_sizes().await.iter().all(|&changes| changes <= 2));
 }
 
 #[tokio::test]
 async fn a_scan_reads_all_pages() {
-    let (store, stand_in) = rig(&[]).await;
+    let (store, server) = client_and_server(&[]).await;
     for n in 0..1203 {
-        stand_in.seed(&format!("k/{n:04}"), Value::Null, n + 8).await;
+        server.seed(&format!("k/{n:04}"), Value::Null, n + 8).await;
     }
-    stand_in.seed("l/1", Value::Null, 9000).await;
+    server.seed("l/1", Value::Null, 9000).await;
     assert_eq!(store.scan("k/").await.expect("served").len(), 1203);
 }
 
 #[test]
-fn complaints_are_counted_and_said_once_in_a_while() {
+fn log_throttle_counts_what_it_suppresses() {
     let now = Instant::now();
-    let mut complaints = LogThrottle::default();
-    assert_eq!(complaints.should_log(now), Some(1));
-    assert_eq!(complaints.should_log(now + Duration::from_secs(1)), None);
-    assert_eq!(complaints.should_log(now + Duration::from_secs(6)), Some(2));
+    let mut throttle = LogThrottle::default();
+    assert_eq!(throttle.should_log(now), Some(1));
+    assert_eq!(throttle.should_log(now + Duration::from_secs(1)), None);
+    assert_eq!(throttle.should_log(now + Duration::from_secs(6)), Some(2));
 }
 
 #[test]
-fn renewals_may_spend_what_others_must_leave() {
+fn a_token_bucket_keeps_the_reserve_for_renewals() {
     let now = Instant::now();
     let mut bucket = TokenBucket::new(10.0, 10.0, now);
     assert!(bucket.allows(now, 8.0, 2.0));
@@ -135,6 +139,6 @@
     assert!(bucket.allows(now + Duration::from_millis(101), 1.0, 2.0));
     assert!(
         bucket.allows(now + Duration::from_secs(60), 50.0, 0.0),
-        "what exceeds the whole passes when full"
+        "an amount beyond the burst passes when the bucket is full"
     );
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,4 @@
-//! What outlives a process: the state service, and the shape of what is kept
-//! there.
+//! What outlives a process: the client of the key-value store, and the records kept there.
 
 pub mod done_set;
 pub mod kv;
