--- a/src/storage/records/node_pool.rs
+++ b/src/storage/records/node_pool.rs
@@ -41,12 +41,12 @@
     /// [`Malformed`] if a field is missing, has another type, or names an invalid machine.
     pub fn decode(value: &Value) -> Result<Self, Malformed> {
         let fields = Fields::of(value)?;
-        let request = NodePoolRequest::decode(fields.get("request").ok_or(Malformed::Missing("request"))?)?;
+        let request = fields.get("request").ok_or(Malformed::Missing("request"))?;
         let parse = |name: &String| MachineId::parse(name).ok_or(Malformed::Invalid("machines"));
         let machines = fields.opt_texts("machines")?.map(|names| names.iter().map(parse).collect());
         let used = fields.opt_texts("used")?.unwrap_or_default();
         Ok(NodePoolRecord {
-            request,
+            request: NodePoolRequest::decode(request)?,
             machines: machines.transpose()?,
             machines_used: used.iter().map(parse).collect::<Result<_, _>>()?,
         })
