--- a/src/coordination/authority/answers/tests.rs
+++ b/src/coordination/authority/answers/tests.rs
@@ -51,7 +51,7 @@
     }
     // Small memories turn over; what is told twice does not take two places.
     for n in 2..6 {
-        told.resolve(&job, done.clone());
+        assert_eq!(told.resolve(&job, done.clone()), done);
         told.insert(status(&format!("job-{n}"), JobState::Done));
     }
     assert!(told.get(&job).is_none() && told.get(&JobId::parse("job-5").expect("valid")).is_some());
--- a/src/coordination/authority/mod.rs
+++ b/src/coordination/authority/mod.rs
@@ -1,13 +1,13 @@
 //! The right to act in an epoch's name.
 //!
 //! One place decides it, from the leadership at that moment and the evidence for the act.
-//! What it returns only it can make: a start order comes from a [`StartPermit`], a request
-//! to the cloud that changes anything takes a [`LeadPermit`], and an answer to a worker
-//! carries the [`Basis`] until which it may leave, which is looked at once more at the last
-//! step ([`crate::coordination::authority::answers::Answer::at_sending`]). A path without the check does not compile.
+//! What it returns nothing else can make: a start command comes from a [`StartPermit`], a
+//! request to the cloud that changes anything takes a [`LeaderPermit`], and an answer carries
+//! the [`Validity`] that is checked once more as it leaves
+//! ([`answers::Answer::checked_at_sending`]). A path without the check does not compile.
 //!
-//! Writes of the store take no permit: each carries the epoch as a condition, which the
-//! state service itself compares.
+//! Writes to the store take no permit: each carries the epoch as a condition, which the
+//! key-value store itself compares.
 
 pub mod answers;
 pub(crate) mod attempts;
@@ -33,20 +33,20 @@
     is_fenced: bool,
 }
 
-/// What a start rests on.
+/// What is known for and against starting a task.
 #[derive(Debug, Clone, Copy)]
 pub struct StartEvidence {
-    /// Neither cancelled nor settled, and no cancellation is under way.
+    /// The job is neither cancelled nor completed, and no cancellation is under way.
     pub job_is_live: bool,
-    /// It awaits nothing, or all that it awaits is known to be done by commits.
+    /// It depends on nothing, or all its dependencies are known to be done by commits.
     pub dependencies_are_done: bool,
-    /// The committed record says that this task may have begun.
+    /// The committed record says that this task may have started.
     pub start_is_recorded: bool,
     /// The task is done by its record.
     pub task_is_done: bool,
-    /// The task is counted on no machine, and on none that was not heard.
+    /// The task has a slot on no machine, and cannot be on one that is not reconciled.
     pub is_on_no_machine: bool,
-    /// The committed fleet record says that the machine may hold tasks.
+    /// The committed record of the node pool says that the machine may hold tasks.
     pub machine_use_is_recorded: bool,
     /// The last attempt number that was given out in this epoch.
     pub last_attempt: u64,
@@ -55,22 +55,31 @@
 /// Why an act is not allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
+    /// Another controller leads, or will.
     #[error("the epoch is over")]
     Fenced,
-    #[error("the lease has ended")]
+    /// The lease was not renewed in time.
+    #[error("the lease has expired")]
     LeaseExpired,
-    #[error("the job is over, or being cancelled")]
+    /// See [`StartEvidence::job_is_live`].
+    #[error("the job is terminal, or being cancelled")]
     JobNotLive,
-    #[error("a job that it awaits is not known to be done")]
+    /// See [`StartEvidence::dependencies_are_done`].
+    #[error("a dependency is not known to be done")]
     DependenciesNotDone,
-    #[error("the record does not say that it may have begun")]
+    /// See [`StartEvidence::start_is_recorded`].
+    #[error("the record does not say that the task may have started")]
     StartNotRecorded,
+    /// See [`StartEvidence::task_is_done`].
     #[error("the task is done")]
     TaskDone,
+    /// See [`StartEvidence::is_on_no_machine`].
     #[error("the task may be on a machine")]
     MayBeRunning,
-    #[error("the fleet record does not say that the machine may hold tasks")]
+    /// See [`StartEvidence::machine_use_is_recorded`].
+    #[error("the node pool's record does not say that the machine may hold tasks")]
     MachineUseNotRecorded,
+    /// See [`StartEvidence::last_attempt`].
     #[error("the attempt number was used before")]
     AttemptReused,
 }
@@ -128,7 +137,7 @@
         self.leader_permit(now).is_ok()
     }
 
-    /// Until when an answer to a user that is not final may leave.
+    /// Until when an answer to a user that is not terminal may leave.
     pub fn validity(&self) -> Validity {
         Validity { epoch: self.epoch, valid_until: self.lease_expiry }
     }
@@ -148,7 +157,11 @@
         Ok(LeaderPermit(()))
     }
 
-    /// Whether a task may start as this attempt.
+    /// The right to start a task as this attempt.
+    ///
+    /// # Errors
+    ///
+    /// There is no right to decide, or the first piece of evidence that speaks against it.
     pub fn start_permit(
         &self,
         now: Instant,
@@ -157,7 +170,7 @@
         evidence: StartEvidence,
     ) -> Result<StartPermit, Refusal> {
         self.leader_permit(now)?;
-        let demands = [
+        let conditions = [
             (evidence.job_is_live, Refusal::JobNotLive),
             (evidence.dependencies_are_done, Refusal::DependenciesNotDone),
             (evidence.start_is_recorded, Refusal::StartNotRecorded),
@@ -166,39 +179,44 @@
             (evidence.machine_use_is_recorded, Refusal::MachineUseNotRecorded),
             (attempt > evidence.last_attempt, Refusal::AttemptReused),
         ];
-        match demands.into_iter().find(|(met, _)| !met) {
+        match conditions.into_iter().find(|(is_met, _)| !is_met) {
             Some((_, refusal)) => Err(refusal),
             None => Ok(StartPermit { task, attempt }),
         }
     }
 
-    /// Until when an answer to a worker may leave. One that decides something holds as long
-    /// as the lease; one that only stops what is over, and keeps the worker's lease, as long
-    /// as a lapsed leader may give such answers.
-    pub fn heartbeat_reply_validity(&self, orders: &[Command]) -> Validity {
-        let decides = orders.iter().any(|order| !matches!(order, Command::Stop { .. }));
-        let until = if decides { self.lease_expiry } else { self.grace_expiry() };
-        Validity { epoch: self.epoch, valid_until: until }
+    /// Until when the reply to a heartbeat may leave. One that decides something is valid as
+    /// long as the lease. One that only stops tasks of terminal jobs renews the worker's lease
+    /// and decides nothing: it is valid through the post-lease grace.
+    pub fn heartbeat_reply_validity(&self, commands: &[Command]) -> Validity {
+        let decides = commands.iter().any(|command| !matches!(command, Command::Stop { .. }));
+        let valid_until = if decides { self.lease_expiry } else { self.grace_expiry() };
+        Validity { epoch: self.epoch, valid_until }
     }
 }
 
 impl StartPermit {
-    /// The order, for the answer to the report of the machine that was asked about.
+    /// The command, for the reply to the heartbeat of the machine that was asked about.
     pub fn into_command(self) -> Command {
         Command::Start { task: self.task, attempt: self.attempt }
     }
 }
 
-/// What must hold whatever the controllers decide; looked at where it could be broken.
+/// An invariant that would have been broken. They hold whatever the controllers decide, and
+/// are checked where they could be broken: the act is refused, counted and logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Violation {
-    #[error("a start was refused that had been decided: {0}")]
+    /// A start that had been decided has no permit.
+    #[error("a decided start was refused: {0}")]
     Start(Refusal),
-    #[error("a job with tasks on machines would have left memory")]
+    /// A job would have left memory while tasks of it are on machines.
+    #[error("a job with tasks on machines would have been evicted")]
     JobEvictedWithTasks,
-    #[error("a record says that a job has begun whose needs are not done")]
+    /// A record says that a job has started whose dependencies are not done.
+    #[error("a record says that a job has started before its dependencies were done")]
     StartedBeforeDependencies,
-    #[error("a leader would have begun anew in an epoch that it had before")]
+    /// A leader would have begun a second time in one epoch.
+    #[error("a leader would have begun a second time in an epoch")]
     EpochReused,
 }
 
--- a/src/coordination/controller/requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -2,6 +2,7 @@
 //! leads, or answered from the record. Whatever way an answer came, it passes through
 //! [`Node::tell`].
 
+use crate::coordination::jobs::cancellation::CancelOutcome;
 use crate::protocol::jobs::JobState;
 
 use super::*;
@@ -112,7 +113,8 @@
     fn cancel(&mut self, now: Instant, request: UserRequest) {
         let UserRequest { job, reply, .. } = request;
         let to = self.register_pending_reply(reply, job.clone(), now);
-        let known = self.leader.as_mut().is_some_and(|l| l.cancel(now, to, &job));
+        let outcome = self.leader.as_mut().map(|leader| leader.cancel(now, to, &job));
+        let known = outcome == Some(CancelOutcome::Accepted);
         if !known && let Some(PendingReply { reply, job, .. }) = self.pending_replies.remove(&to) {
             let absent = Answer::error(404, "no such job");
             self.look_up(JobLookUp { reply, job, if_absent: absent, only_terminal: true });
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use crate::coordination::jobs::cancellation::CancelOutcome;
 use crate::coordination::recovery::snapshot::JobSnapshot;
 use crate::coordination::tests::{catalog, loaded_job, rented};
 use crate::protocol::jobs::JobState;
@@ -340,7 +341,7 @@
     if settles {
         leader.mark_task_done(now, &spec.id, 0);
     } else {
-        assert!(leader.cancel(now, ReplyId(0), &spec.id));
+        assert_eq!(leader.cancel(now, ReplyId(0), &spec.id), CancelOutcome::Accepted);
     }
     assert!(leader.drain_effects().iter().any(|a| matches!(a, Effect::Commit { .. })), "it is sent");
     node.leader = Some(leader);
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -1,30 +1,35 @@
-//! What users ask of the leader.
-
-use std::collections::BTreeSet;
+//! Admission: which submissions are taken, and the first write of their records.
 
 use tokio::time::Instant;
 
 use crate::coordination::authority::answers::Answer;
 use crate::coordination::jobs::admissions::PendingAdmission;
-use crate::coordination::jobs::dag::DependencyCheck;
+use crate::coordination::jobs::dag::{DependencyCheck, KnownDependencies};
 use crate::coordination::jobs::dependency_graph::Cancellation;
 use crate::coordination::jobs::dependency_state::DependencyStates;
 use crate::coordination::jobs::job::{Job, ReplyId};
+use crate::coordination::jobs::record_write::put;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::{Effect, PendingOperation, UncheckedSubmission};
 use crate::protocol::cbor::json_size;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
-use crate::protocol::kv::{Change, Compare};
+use crate::protocol::kv::Compare;
 use crate::settings::State;
 use crate::storage::kv::{KvError, RequestClass};
 use crate::storage::records::{JobRecord, block_size, encode_row, job_record_key, live_row_key};
 
 /// Bytes that a value has beside what is encoded here.
 const VALUE_OVERHEAD_BYTES: usize = 128;
+/// Changes of the store that an admission takes: the record and its row.
+const CHANGES_PER_ADMISSION: f64 = 2.0;
+/// Admissions under way at least, whatever the write rate.
+const MIN_ADMISSIONS: f64 = 4.0;
+/// Unfinished jobs that may be held for each MB of memory.
+const JOBS_PER_MB: f64 = 32.0;
 
-/// Whether the record fits into one value, before and after the limits change, with its
-/// done tasks in the way that leaves the most room for the description.
+/// Whether the record fits into one value, before and after the limits change, with its done
+/// tasks in the form that leaves the most room for the description.
 fn fits_a_value(record: &JobRecord, state: &State) -> bool {
     let limits = state.within_both();
     let bitmap = (record.spec.tasks.min(block_size(limits.value_kb)) / 6) as usize;
@@ -33,58 +38,74 @@
 
 impl Leader {
     /// A user submits a job.
-    pub fn submit(&mut self, now: Instant, now_ms: u64, to: ReplyId, spec: JobSpec) {
-        self.submit_with_dependency_states(now, now_ms, to, spec, DependencyStates::default());
+    pub fn submit(&mut self, now: Instant, now_ms: u64, reply: ReplyId, spec: JobSpec) {
+        self.submit_with_dependency_states(now, now_ms, reply, spec, DependencyStates::default());
     }
 
-    /// The same, with what was read of the jobs that it names.
+    /// The same, with what was read of the jobs that it depends on.
     pub fn submit_with_dependency_states(
         &mut self,
         now: Instant,
         now_ms: u64,
-        to: ReplyId,
+        reply: ReplyId,
         spec: JobSpec,
         read: DependencyStates,
     ) {
         if !self.holds_lease(now) {
-            return self.reply(to, Answer::retry_later(503, "not leading now", 1));
+            return self.reply(reply, Answer::retry_later(503, "not leading now", 1));
         }
         if self.jobs.contains_key(&spec.id) {
-            let Some(answer) = self.poll(now, &spec.id) else {
-                let otherwise = Answer::retry_later(503, "try again", 1);
-                return self.outbox.push(Effect::LookUpJob { reply: to, job: spec.id, if_absent: otherwise });
-            };
-            return self.reply(to, answer);
+            return self.answer_repeated_submission(now, reply, spec.id);
         }
         if let Some(admission) = self.admissions.get_mut(&spec.id) {
-            return admission.waiters.push(to);
+            return admission.waiters.push(reply);
         }
         if self.catalog.is_empty() {
-            return self.reply(to, Answer::retry_later(503, "machine types not known yet", 1));
+            return self.reply(reply, Answer::retry_later(503, "machine types not known yet", 1));
         }
-        let (awaited, fate) = match self.check_dependencies(&spec, &read) {
-            DependencyCheck::Known { unmet: awaited, cancellation: fate } => (awaited, fate),
+        let dependencies = match self.check_dependencies(&spec, &read) {
+            DependencyCheck::Known(dependencies) => dependencies,
             DependencyCheck::Unread(unread) => {
-                let submission = UncheckedSubmission { reply: to, spec, unread, known: read };
+                let submission = UncheckedSubmission { reply, spec, unread, known: read };
                 return self.outbox.push(Effect::ReadDependencies(Box::new(submission)));
             }
             DependencyCheck::Undetermined(reason) => {
-                return self.reply(to, Answer::retry_later(503, reason, 1));
+                return self.reply(reply, Answer::retry_later(503, reason, 1));
+            }
+            DependencyCheck::Infeasible(reason) => {
+                return self.reject_unless_admitted(reply, spec.id, reason);
             }
-            DependencyCheck::Infeasible(reason) => return self.reject_unless_admitted(to, spec.id, reason),
         };
         if let Some(reason) = self.infeasibility(&spec) {
-            return self.reject_unless_admitted(to, spec.id, reason);
+            return self.reject_unless_admitted(reply, spec.id, reason);
         }
-        // Acceptances take two changes each. What could not be written within
-        // a second or two is refused now rather than kept waiting.
-        let room = (self.record_writes.limits().write_rps / 2.0).max(4.0) as usize;
-        let most_jobs = (self.config.settings.cluster.limits.memory_mb * 32.0) as usize;
-        if self.admissions.len() >= room || self.jobs.len() >= most_jobs {
+        if !self.has_room_for_admission() {
             self.admissions.record_refused();
-            return self.reply(to, Answer::retry_later(429, "too many submissions at once", 2));
+            return self.reply(reply, Answer::retry_later(429, "too many submissions at once", 2));
         }
-        self.write_admission(now, now_ms, to, spec, awaited, fate);
+        self.write_admission(now, now_ms, reply, spec, dependencies);
+    }
+
+    fn answer_repeated_submission(&mut self, now: Instant, reply: ReplyId, job: JobId) {
+        match self.poll(now, &job) {
+            Some(answer) => self.reply(reply, answer),
+            None => self.answer_from_record(reply, job),
+        }
+    }
+
+    /// The job was admitted earlier: its record says what became of it.
+    fn answer_from_record(&mut self, reply: ReplyId, job: JobId) {
+        let if_absent = Answer::retry_later(503, "try again", 1);
+        self.outbox.push(Effect::LookUpJob { reply, job, if_absent });
+    }
+
+    /// What could not be written within a second or two is refused now rather than kept
+    /// waiting.
+    fn has_room_for_admission(&self) -> bool {
+        let write_rps = self.record_writes.limits().write_rps;
+        let max_admissions = (write_rps / CHANGES_PER_ADMISSION).max(MIN_ADMISSIONS) as usize;
+        let max_jobs = (self.config.settings.cluster.limits.memory_mb * JOBS_PER_MB) as usize;
+        self.admissions.len() < max_admissions && self.jobs.len() < max_jobs
     }
 
     /// Writes the record and the row of a new job; its user is answered once they are there.
@@ -92,45 +113,45 @@
         &mut self,
         now: Instant,
         now_ms: u64,
-        to: ReplyId,
+        reply: ReplyId,
         spec: JobSpec,
-        awaited: BTreeSet<JobId>,
-        fate: Cancellation,
+        dependencies: KnownDependencies,
     ) {
         let state = &self.config.settings.cluster.state;
         let job = spec.id.clone();
         let mut record = JobRecord::new(spec, now_ms);
-        record.cancelled = fate == Cancellation::Cancelled;
-        let may_begin = awaited.is_empty() && !record.cancelled;
+        record.cancelled = dependencies.cancellation == Cancellation::Cancelled;
         if !record.spec.dependencies.is_empty() && !fits_a_value(&record, state) {
-            return self.reject_unless_admitted(to, job, "awaits more jobs than a record holds");
+            return self.reject_unless_admitted(reply, job, "awaits more jobs than a record holds");
         }
-        // With room for some of it, its first start should not wait for a
-        // second write; nor where nothing has been started on any machine yet,
-        // since then whatever comes up will be for the jobs that come now.
-        if may_begin
-            && (self.could_start_now(&record.spec) || !self.machines.values().any(|m| m.may_hold_tasks()))
-        {
+        let is_ready = dependencies.unmet.is_empty() && !record.cancelled;
+        if is_ready && self.may_start_at_once(&record.spec) {
             record.started_high_water = record.spec.tasks;
         }
-        let conditions = vec![
-            Compare { key: job_record_key(&job), version: 0 },
-            Compare { key: live_row_key(&job), version: 0 },
-        ];
-        let changes = vec![
-            Change::Put { key: job_record_key(&job), value: record.encode(state.value_kb), lease: None },
-            Change::Put { key: live_row_key(&job), value: encode_row(JobState::Queued), lease: None },
+        let (record_key, row_key) = (job_record_key(&job), live_row_key(&job));
+        let compares = vec![
+            Compare { key: record_key.clone(), version: 0 },
+            Compare { key: row_key.clone(), version: 0 },
         ];
-        self.add_to_dependency_graph(&record.spec, now, awaited, fate);
-        self.admissions.begin(job.clone(), PendingAdmission { record, waiters: vec![to] });
-        self.commit(PendingOperation::AdmitJob(job), RequestClass::Admission, conditions, changes);
+        let changes =
+            vec![put(record_key, record.encode(state.value_kb)), put(row_key, encode_row(JobState::Queued))];
+        self.add_to_dependency_graph(&record.spec, now, dependencies);
+        self.admissions.begin(job.clone(), PendingAdmission { record, waiters: vec![reply] });
+        self.commit(PendingOperation::AdmitJob(job), RequestClass::Admission, compares, changes);
     }
 
-    /// Refuses a job that can never run, unless it was accepted earlier: a retry is never
-    /// judged anew.
-    fn reject_unless_admitted(&mut self, to: ReplyId, job: JobId, reason: &str) {
-        let otherwise = Answer::error(422, reason);
-        self.outbox.push(Effect::LookUpJob { reply: to, job, if_absent: otherwise });
+    /// Whether the first write says that all tasks may have started. With room for some of
+    /// them, the first start should not wait for a second write; nor where nothing has been
+    /// started on any machine yet, since then whatever comes up is for the jobs that come now.
+    fn may_start_at_once(&self, spec: &JobSpec) -> bool {
+        self.could_start_now(spec) || !self.machines.values().any(|machine| machine.may_hold_tasks())
+    }
+
+    /// Rejects a job that can never run, unless it was admitted earlier: a repeated submission
+    /// is never judged anew.
+    fn reject_unless_admitted(&mut self, reply: ReplyId, job: JobId, reason: &str) {
+        let if_absent = Answer::error(422, reason);
+        self.outbox.push(Effect::LookUpJob { reply, job, if_absent });
     }
 
     /// Why no machine will ever take the job.
@@ -139,130 +160,100 @@
         if self.catalog.feasible_types(spec).is_empty() {
             return Some("a task fits no allowed machine type");
         }
-        let tasks = if spec.kind == JobKind::Service { f64::from(spec.tasks) } else { 1.0 };
-        let limit = self.quotas.get(team).limit;
-        let total = Resources { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memory_gb: 0.0 };
-        if total.fits(&limit) { None } else { Some("needs more than the team's limit") }
+        let at_once = if spec.kind == JobKind::Service { f64::from(spec.tasks) } else { 1.0 };
+        let total = Resources { cpus: spec.cpus * at_once, gpus: spec.gpus * at_once, memory_gb: 0.0 };
+        let fits = total.fits(&self.quotas.get(team).limit);
+        (!fits).then_some("needs more than the team's limit")
     }
 
+    /// The first write of a job's record has ended.
     pub(crate) fn handle_admission_written(
         &mut self,
         now: Instant,
         job: JobId,
         result: Result<u64, KvError>,
     ) {
-        let Some(PendingAdmission { record, waiters: waiting }) = self.admissions.end(&job) else {
-            return;
-        };
+        let Some(PendingAdmission { record, waiters }) = self.admissions.end(&job) else { return };
         match result {
-            Ok(version) => {
-                let waited_ms = self.clock.at_ms(now).saturating_sub(record.submitted_ms);
-                tracing::debug!(%job, waited_ms, "accepted");
-                self.insert_job(now, record, version);
-                if self.dependencies.cancellation(&job) == Cancellation::Cancelled {
-                    self.cancel_by_dependency(now, &job);
-                    self.try_archive(&job);
-                }
-                let Some(status) = self.jobs.get(&job).map(Job::status) else { return };
-                for to in waiting {
-                    self.reply(to, Answer::job_state(201, status.clone(), self.term.validity()));
-                }
-            }
-            // It was accepted earlier and is over: the record tells.
+            Ok(version) => self.admit(now, job, record, version, waiters),
+            // It was admitted earlier and is terminal: the record tells.
             Err(KvError::Conflict) => {
                 self.retract_admission(&job);
-                for to in waiting {
-                    let otherwise = Answer::retry_later(503, "try again", 1);
-                    self.outbox.push(Effect::LookUpJob { reply: to, job: job.clone(), if_absent: otherwise });
+                for reply in waiters {
+                    self.answer_from_record(reply, job.clone());
                 }
             }
             Err(KvError::Rejected) => {
                 self.retract_admission(&job);
-                for to in waiting {
-                    self.reject_unless_admitted(to, job.clone(), "its description is too large for a record");
+                for reply in waiters {
+                    let reason = "its description is too large for a record";
+                    self.reject_unless_admitted(reply, job.clone(), reason);
                 }
             }
             Err(_) => {
                 self.retract_admission(&job);
-                for to in waiting {
-                    self.reply(to, Answer::retry_later(503, "could not be recorded", 1));
+                for reply in waiters {
+                    self.reply(reply, Answer::retry_later(503, "could not be recorded", 1));
                 }
             }
         }
     }
 
-    /// A new job as the store now has it.
-    pub(crate) fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
-        let waits = !record.spec.dependencies.is_empty() && !self.dependencies.is_ready(&record.spec.id);
+    fn admit(&mut self, now: Instant, job_id: JobId, record: JobRecord, version: u64, waiters: Vec<ReplyId>) {
+        let waited_ms = self.clock.at_ms(now).saturating_sub(record.submitted_ms);
+        tracing::debug!(job = %job_id, waited_ms, "job admitted");
+        self.insert_job(now, record, version);
+        if self.dependencies.cancellation(&job_id) == Cancellation::Cancelled {
+            self.cancel_by_dependency(now, &job_id);
+            self.try_archive(&job_id);
+        }
+        let Some(status) = self.jobs.get(&job_id).map(Job::status) else { return };
+        for reply in waiters {
+            self.reply(reply, Answer::job_state(201, status.clone(), self.term.validity()));
+        }
+    }
+
+    /// Enters a new job as the store now has it.
+    fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
+        let spec = &record.spec;
+        let is_ready = spec.dependencies.is_empty() || self.dependencies.is_ready(&spec.id);
         let layout = record.layout(self.config.settings.cluster.state.value_kb);
-        let count = layout.blocks(record.spec.tasks);
-        let mut job = Job::new(record, version, version, now, count);
+        let blocks = layout.blocks(spec.tasks);
+        let mut job = Job::new(record, version, version, now, blocks);
         job.team = self.quotas.find(&job.spec().team);
-        job.ready_at = (!waits).then_some(now);
+        job.ready_at = is_ready.then_some(now);
         job.cancellation.committed_at = job.record.cancelled.then_some(now);
         self.record_latency_sensitive_class(job.spec());
-        if !waits && self.is_latency_sensitive(job.spec()) {
+        if is_ready && self.is_latency_sensitive(job.spec()) {
             self.latency_classes.announce_work();
         }
         self.jobs.insert(job.id().clone(), job);
         self.queue.invalidate();
     }
 
-    /// An acceptance was not carried out now. A job that the reconciler has brought back
-    /// meanwhile keeps its place in the graph.
+    /// An admission was not carried out. A job that the reconciler has brought back meanwhile
+    /// keeps its place in the graph.
     fn retract_admission(&mut self, job: &JobId) {
         if !self.jobs.contains_key(job) {
             self.dependencies.retract(job);
         }
     }
 
-    /// What the picture says of a job; `None` if the store must be asked.
+    /// The answer about a job by memory; `None` if the store must be asked.
     pub fn poll(&self, now: Instant, job: &JobId) -> Option<Answer> {
-        // Whoever reads the record may know more while a final write is under way.
-        let decided = !self.jobs.get(job)?.has_terminal_write_in_flight()
-            && self.dependencies.cancellation(job) != Cancellation::Pending;
-        if decided { self.status_from_memory(now, job) } else { None }
+        // Whoever reads the record may know more while a terminal write is under way.
+        let is_undecided = self.jobs.get(job)?.has_terminal_write_in_flight()
+            || self.dependencies.cancellation(job) == Cancellation::Pending;
+        if is_undecided { None } else { self.status_from_memory(now, job) }
     }
 
-    /// What the picture says of a job that is decided, or whose record was just read and
-    /// is not final: the picture may have become so meanwhile, and knows what runs.
-    /// `None` if it may not be told.
+    /// The answer by memory about a job that is decided, or whose record was just read and is
+    /// not terminal: memory may have become so meanwhile, and knows what runs. `None` if it may
+    /// not be used.
     pub fn status_from_memory(&self, now: Instant, job: &JobId) -> Option<Answer> {
-        let job = self.jobs.get(job)?;
-        // Without the lease another leader may know more; what is final is final in
-        // any case.
-        let usable = self.holds_lease(now) || job.status().state.is_terminal();
-        usable.then(|| Answer::job_state(200, job.status(), self.term.validity()))
-    }
-
-    /// False if the job is not in the picture and the store must be asked.
-    pub fn cancel(&mut self, now: Instant, to: ReplyId, job: &JobId) -> bool {
-        let valid = self.holds_lease(now);
-        let Some(j) = self.jobs.get_mut(job) else {
-            if self.admissions.contains(job) {
-                self.reply(to, Answer::retry_later(503, "being accepted", 1));
-                return true;
-            }
-            return false;
-        };
-        if j.status().state.is_terminal() {
-            let status = j.status();
-            self.reply(to, Answer::terminal_state(status));
-        } else if !valid {
-            self.reply(to, Answer::retry_later(503, "not leading now", 1));
-        } else {
-            j.cancellation.waiters.push(to);
-            // A settle on its way to the store comes first, and stays.
-            let settling = j.stored.write_in_flight.as_ref().is_some_and(|w| w.completed);
-            if !settling {
-                j.cancellation.is_requested = true;
-                self.dependencies.mark_cancellation_pending(job);
-                self.write_record(now, job);
-                // What it runs is of no use from now on, whatever becomes of the
-                // write; and an image that arrives meanwhile starts nothing.
-                self.stop_remaining_tasks(now, job);
-            }
-        }
-        true
+        let status = self.jobs.get(job)?.status();
+        // Without the lease another leader may know more; what is terminal is so in any case.
+        let is_usable = self.holds_lease(now) || status.state.is_terminal();
+        is_usable.then(|| Answer::job_state(200, status, self.term.validity()))
     }
 }
--- a/src/coordination/jobs/dag.rs
+++ b/src/coordination/jobs/dag.rs
@@ -1,8 +1,8 @@
-//! Jobs that wait for others: what a submission may name, who is released when a job is
-//! done, and who is cancelled with one.
+//! Jobs that depend on others: what a submission may depend on, and which jobs become ready
+//! when one is done.
 //!
-//! A job is released only once the settle of its last need is committed, so that every
-//! later leader comes to the same verdict. Who depends on whom is the business of
+//! A job is ready only once the completion of its last dependency is committed, so that every
+//! later leader comes to the same conclusion. The edges are kept by
 //! [`crate::coordination::jobs::dependency_graph`].
 
 use std::collections::BTreeSet;
@@ -17,178 +17,180 @@
 use crate::coordination::leader::Leader;
 use crate::protocol::jobs::{JobId, JobSpec};
 
-/// The needs of a submission as far as they can be judged now.
+/// The longest deadline that counts, in seconds.
+const MAX_DEADLINE_S: f64 = 1e7;
+/// The longest fetch of an image that counts, in seconds.
+const MAX_FETCH_S: f64 = 1e4;
+
+/// The dependencies of a submission, as far as they can be judged now.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum DependencyCheck {
-    /// Known: those that are not over, and whether one is cancelled.
-    Known { unmet: BTreeSet<JobId>, cancellation: Cancellation },
-    /// These are not in the picture: their records decide.
+    /// All are known.
+    Known(KnownDependencies),
+    /// These are not in memory: their records decide.
     Unread(Vec<JobId>),
     /// The job can never run.
     Infeasible(&'static str),
-    /// What a need is cannot be known at present.
+    /// What a dependency is cannot be known at present.
     Undetermined(&'static str),
 }
 
+/// What a job's dependencies mean for it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct KnownDependencies {
+    /// Those that are neither done nor cancelled.
+    pub(crate) unmet: BTreeSet<JobId>,
+    /// Whether one of them is cancelled.
+    pub(crate) cancellation: Cancellation,
+}
+
+impl KnownDependencies {
+    /// No dependency has been looked at yet.
+    fn none() -> Self {
+        KnownDependencies { unmet: BTreeSet::new(), cancellation: Cancellation::NotCancelled }
+    }
+
+    /// Whether the job has to wait, or is never to start.
+    fn holds_back(&self) -> bool {
+        !self.unmet.is_empty() || self.cancellation == Cancellation::Cancelled
+    }
+}
+
 impl Leader {
-    /// Judges the jobs that a submission names, with what was read of those that are not
-    /// in the picture.
+    /// Judges the jobs that a submission depends on, with what was read of those that are not
+    /// in memory.
     pub(crate) fn check_dependencies(&self, spec: &JobSpec, read: &DependencyStates) -> DependencyCheck {
         if spec.dependencies.contains(&spec.id) {
             return DependencyCheck::Infeasible("a job cannot await itself");
         }
-        let (mut awaited, mut unread, mut fate) = (BTreeSet::new(), Vec::new(), Cancellation::NotCancelled);
-        for need in &spec.dependencies {
-            let state = match self.jobs.get(need) {
-                Some(job) if job.cancellation.by_dependency => Some(DependencyState::Cancelled),
-                Some(job) => Some(DependencyState::of(Some(&job.record))),
-                None if self.admissions.contains(need) => {
-                    return DependencyCheck::Undetermined("an awaited job is being accepted");
-                }
-                None => read.get(need).copied(),
-            };
-            match state {
-                None => unread.push(need.clone()),
+        let (mut known, mut unread) = (KnownDependencies::none(), Vec::new());
+        for dependency in &spec.dependencies {
+            let is_in_memory = self.jobs.contains_key(dependency);
+            if !is_in_memory && self.admissions.contains(dependency) {
+                return DependencyCheck::Undetermined("an awaited job is being accepted");
+            }
+            match self.dependency_state(dependency, read) {
+                None => unread.push(dependency.clone()),
                 Some(DependencyState::Absent) => {
                     return DependencyCheck::Infeasible("an awaited job was never accepted");
                 }
                 Some(DependencyState::Service) => {
                     return DependencyCheck::Infeasible("a service cannot be awaited");
                 }
-                Some(DependencyState::Unfinished) if !self.jobs.contains_key(need) => {
+                Some(DependencyState::Unfinished) if !is_in_memory => {
                     return DependencyCheck::Undetermined("an awaited job is not known yet");
                 }
                 Some(DependencyState::Unreadable) => {
                     return DependencyCheck::Undetermined("an awaited job cannot be read");
                 }
-                Some(DependencyState::Unfinished) => drop(awaited.insert(need.clone())),
+                Some(DependencyState::Unfinished) => drop(known.unmet.insert(dependency.clone())),
                 Some(DependencyState::Done { .. }) => {}
-                Some(DependencyState::Cancelled) => fate = Cancellation::Cancelled,
+                Some(DependencyState::Cancelled) => known.cancellation = Cancellation::Cancelled,
             }
         }
-        if unread.is_empty() {
-            DependencyCheck::Known { unmet: awaited, cancellation: fate }
-        } else {
-            DependencyCheck::Unread(unread)
+        if unread.is_empty() { DependencyCheck::Known(known) } else { DependencyCheck::Unread(unread) }
+    }
+
+    /// The state of a dependency by memory, or else by what was read.
+    fn dependency_state(&self, dependency: &JobId, read: &DependencyStates) -> Option<DependencyState> {
+        match self.jobs.get(dependency) {
+            Some(job) if job.cancellation.by_dependency => Some(DependencyState::Cancelled),
+            Some(job) => Some(DependencyState::of(Some(&job.record))),
+            None => read.get(dependency).copied(),
         }
     }
 
-    /// Enters a job's needs, if it has any, into the graph.
+    /// Enters a job's dependencies, if it has any, into the graph.
     pub(crate) fn add_to_dependency_graph(
         &mut self,
         spec: &JobSpec,
-        submitted: Instant,
-        awaited: BTreeSet<JobId>,
-        fate: Cancellation,
+        submitted_at: Instant,
+        known: KnownDependencies,
     ) {
         if spec.dependencies.is_empty() {
             return;
         }
+        let KnownDependencies { unmet, mut cancellation } = known;
         // Whether it is cancelled with them is known once that is written.
-        let being_cancelled =
-            |need: &JobId| self.jobs.get(need).is_some_and(|job| job.cancellation.is_requested);
-        let fate = if awaited.iter().any(being_cancelled) { fate.max(Cancellation::Pending) } else { fate };
-        let finish_by = spec.deadline_s.map(|s| submitted + Duration::from_secs_f64(s.min(1e7)));
+        let is_being_cancelled =
+            |id: &JobId| self.jobs.get(id).is_some_and(|job| job.cancellation.is_requested);
+        if unmet.iter().any(is_being_cancelled) {
+            cancellation = cancellation.max(Cancellation::Pending);
+        }
+        let deadline = spec.deadline_s.map(|deadline_s| deadline_s.min(MAX_DEADLINE_S));
+        let finish_by = deadline.map(|deadline_s| submitted_at + Duration::from_secs_f64(deadline_s));
         let urgency = Urgency { priority: spec.priority, finish_by };
         let duration = self.expected_duration(spec);
-        self.dependencies
-            .insert(&spec.id, NewDependent { unmet: awaited, cancellation: fate, urgency, duration });
+        self.dependencies.insert(&spec.id, NewDependent { unmet, cancellation, urgency, duration });
     }
 
-    /// How long a job is expected to take from its release to its settle: a report
-    /// interval until its tasks start and their ends are heard, its image, and its run.
+    /// How long a job is expected to take from when it is ready to its completion: a heartbeat
+    /// interval until its tasks start and their ends are reported, its image, and its run.
     fn expected_duration(&self, spec: &JobSpec) -> Duration {
-        let fetch_rate = self.catalog.types().iter().map(|kind| kind.fetch_gb_per_s).fold(0.0, f64::max);
-        let fetch = if fetch_rate > 0.0 { spec.image_gb / fetch_rate } else { 0.0 };
-        let seconds = self.run_estimates.expected_run_s(spec) + fetch.min(1e4);
+        let rates = self.catalog.types().iter().map(|machine_type| machine_type.fetch_gb_per_s);
+        let best_rate = rates.fold(0.0, f64::max);
+        let fetch_s = if best_rate > 0.0 { spec.image_gb / best_rate } else { 0.0 };
+        let seconds = self.run_estimates.expected_run_s(spec) + fetch_s.min(MAX_FETCH_S);
         self.config.settings.cluster.workers.report() + Duration::from_secs_f64(seconds)
     }
 
-    /// A job is done, and that is committed: those that waited only for it may start.
-    pub(crate) fn mark_dependents_ready(&mut self, now: Instant, job: &JobId) {
+    /// A job is done, and that is committed: those that waited only for it are ready.
+    pub(crate) fn mark_dependents_ready(&mut self, now: Instant, job_id: &JobId) {
         let now_ms = self.clock.at_ms(now);
-        for released in self.dependencies.complete(job) {
-            let Some(j) = self.jobs.get_mut(&released) else { continue };
-            tracing::debug!(job = %released, "released");
-            j.ready_at = Some(now);
-            j.record.ready_ms = Some(now_ms);
-            let spec = j.record.spec.clone();
+        for ready_id in self.dependencies.complete(job_id) {
+            let Some(ready) = self.jobs.get_mut(&ready_id) else { continue };
+            tracing::debug!(job = %ready_id, "job ready");
+            ready.ready_at = Some(now);
+            ready.record.ready_ms = Some(now_ms);
+            let spec = ready.record.spec.clone();
             if self.is_latency_sensitive(&spec) {
                 self.latency_classes.announce_work();
             }
             self.queue.invalidate();
             // Its first start is near, and needs this.
-            self.raise_started_high_water(now, &released);
-        }
-    }
-
-    /// A job is cancelled, and that is committed: so are those that need it, whatever
-    /// becomes of the writes of their own records. None of them has ever started.
-    pub(crate) fn cancel_dependents(&mut self, now: Instant, job: &JobId) {
-        for dependent in self.dependencies.cancel(job) {
-            self.cancel_by_dependency(now, &dependent);
+            self.raise_started_high_water(now, &ready_id);
         }
     }
 
-    /// Cancels a job since one that it needs is cancelled.
-    pub(crate) fn cancel_by_dependency(&mut self, now: Instant, job: &JobId) {
-        // One that is being accepted is cancelled as soon as it is.
-        let Some(j) = self.jobs.get_mut(job) else { return };
-        if j.record.terminal_state().is_some() {
-            return;
-        }
-        tracing::debug!(%job, "cancelled with a job that it needs");
-        j.cancellation.by_dependency = true;
-        j.cancellation.is_requested = true;
-        self.answer_cancel_waiters(job);
-        self.write_record(now, job);
-    }
-
-    /// Enters what a new leader has read of a job's needs. Those that are neither over nor
-    /// in the picture are waited for: they cannot be judged.
+    /// Enters what a new leader has read of a job's dependencies. Those that are neither
+    /// terminal nor in memory are waited for: they cannot be judged.
     pub(crate) fn restore_dependencies(
         &mut self,
         now: Instant,
         now_ms: u64,
-        job: &JobId,
+        job_id: &JobId,
         read: &DependencyStates,
     ) {
-        let Some(j) = self.jobs.get(job) else { return };
-        let (spec, submitted, begun, released_ms) =
-            (j.spec().clone(), j.submitted_at, j.stored.started_high_water, j.record.ready_ms);
-        if spec.dependencies.is_empty() || j.record.terminal_state().is_some() {
+        let Some(job) = self.jobs.get(job_id) else { return };
+        if job.spec().dependencies.is_empty() || job.record.terminal_state().is_some() {
             return;
         }
-        // Only a released job may have begun. What is in the picture must agree.
-        let is_unmet = |need: &JobId| self.jobs.get(need).is_some_and(|need| !need.record.completed);
-        let has_begun = begun > 0 && !spec.dependencies.iter().any(is_unmet);
-        if begun > 0 && !has_begun {
-            self.record_violation(Violation::StartedBeforeDependencies, job);
+        let (spec, submitted_at, mut ready_ms) = (job.spec().clone(), job.submitted_at, job.record.ready_ms);
+        let says_started = job.stored.started_high_water > 0;
+        let has_started = says_started && !self.has_unmet_dependency_in_memory(job);
+        if says_started && !has_started {
+            self.record_violation(Violation::StartedBeforeDependencies, job_id);
         }
-        let (mut awaited, mut fate, mut released_ms) =
-            (BTreeSet::new(), Cancellation::NotCancelled, released_ms);
-        for need in spec.dependencies.iter().filter(|_| !has_begun) {
-            let known = self.jobs.get(need).map(|job| DependencyState::of(Some(&job.record)));
-            match known.or_else(|| read.get(need).copied()) {
-                Some(DependencyState::Done { at_ms }) => released_ms = released_ms.max(at_ms),
-                Some(DependencyState::Cancelled) => fate = Cancellation::Cancelled,
-                _ => drop(awaited.insert(need.clone())),
+        let mut known = KnownDependencies::none();
+        // Only a ready job may have started.
+        for dependency in spec.dependencies.iter().filter(|_| !has_started) {
+            let in_memory = self.jobs.get(dependency).map(|job| DependencyState::of(Some(&job.record)));
+            match in_memory.or_else(|| read.get(dependency).copied()) {
+                Some(DependencyState::Done { at_ms }) => ready_ms = ready_ms.max(at_ms),
+                Some(DependencyState::Cancelled) => known.cancellation = Cancellation::Cancelled,
+                _ => drop(known.unmet.insert(dependency.clone())),
             }
         }
-        let waits = !awaited.is_empty() || fate == Cancellation::Cancelled;
-        self.add_to_dependency_graph(&spec, submitted, awaited, fate);
-        let Some(j) = self.jobs.get_mut(job) else { return };
-        let ago = released_ms.map(|at| Duration::from_millis(now_ms.saturating_sub(at)));
-        let released = ago.and_then(|ago| now.checked_sub(ago)).unwrap_or(submitted).max(submitted);
-        j.ready_at = (!waits).then_some(released);
+        let is_held_back = known.holds_back();
+        self.add_to_dependency_graph(&spec, submitted_at, known);
+        let Some(job) = self.jobs.get_mut(job_id) else { return };
+        let since_ready = ready_ms.map(|at_ms| Duration::from_millis(now_ms.saturating_sub(at_ms)));
+        let ready_at = since_ready.and_then(|since| now.checked_sub(since)).unwrap_or(submitted_at);
+        job.ready_at = (!is_held_back).then_some(ready_at.max(submitted_at));
     }
 
-    /// Finishes what an earlier leader has left: jobs whose needs are cancelled.
-    pub(crate) fn cancel_restored_dependents(&mut self, now: Instant) {
-        let doomed = |job: &&Job| self.dependencies.cancellation(job.id()) == Cancellation::Cancelled;
-        let doomed: Vec<JobId> = self.jobs.values().filter(doomed).map(|job| job.id().clone()).collect();
-        for job in doomed {
-            self.cancel_by_dependency(now, &job);
-        }
+    fn has_unmet_dependency_in_memory(&self, job: &Job) -> bool {
+        let is_unmet = |id: &JobId| self.jobs.get(id).is_some_and(|dependency| !dependency.record.completed);
+        job.spec().dependencies.iter().any(is_unmet)
     }
 }
--- a/src/coordination/jobs/record_state.rs
+++ b/src/coordination/jobs/record_state.rs
@@ -119,6 +119,27 @@
         }
     }
 
+    /// A write of the record was committed at this version. Returns the conversion that it has
+    /// ended, if it named the conversion's blocks.
+    #[must_use]
+    pub fn apply_commit(&mut self, write: RecordWriteInFlight, version: u64) -> Option<BlockConversion> {
+        self.version = version;
+        self.done = write.done;
+        self.started_high_water = write.started_high_water;
+        match write.scope {
+            WriteScope::Record { blocks } => {
+                for block in blocks {
+                    if let Some(known) = self.block_versions.get_mut(block as usize) {
+                        *known = version;
+                    }
+                }
+                None
+            }
+            WriteScope::SwitchLayout => self.conversion.take(),
+            WriteScope::WithoutDoneTasks | WriteScope::NewBlocks { .. } => None,
+        }
+    }
+
     /// The done tasks are in new blocks, which the record names.
     pub fn adopt_blocks(&mut self, record: &JobRecord, conversion: BlockConversion, value_kb: f64) {
         self.block_versions = conversion.versions;
--- /dev/null
+++ b/src/coordination/jobs/record_write.rs
@@ -0,0 +1,149 @@
+//! One write of a job's record: which keys it changes, under which conditions.
+//!
+//! A value that was allowed when it was written may be too large for limits that take effect
+//! later. Such a job's done tasks are then copied into smaller blocks under keys of their own,
+//! over as many transactions as it takes, and one last transaction makes the record name them:
+//! until that one is committed the old blocks hold, and from then on the new.
+
+use ciborium::value::Value;
+
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::record_state::{BlockConversion, RecordWriteInFlight, WriteScope};
+use crate::protocol::kv::{Change, Compare};
+use crate::settings::State;
+use crate::storage::done_set::DoneSet;
+use crate::storage::kv::RequestClass;
+use crate::storage::records::{JobRecord, Layout, job_record_key};
+
+/// One write of a job's record, to be committed.
+pub(crate) struct RecordWrite {
+    /// How urgent it is.
+    pub(crate) class: RequestClass,
+    /// The versions on which it depends.
+    pub(crate) compares: Vec<Compare>,
+    /// What it changes.
+    pub(crate) changes: Vec<Change>,
+    /// What holds once it is committed.
+    pub(crate) in_flight: RecordWriteInFlight,
+}
+
+/// A change that puts a value without a lease.
+pub(crate) fn put(key: String, value: Value) -> Change {
+    Change::Put { key, value, lease: None }
+}
+
+impl RecordWrite {
+    /// The next write of a job's record, in the form that the store takes.
+    pub(crate) fn next(job: &mut Job, now_ms: u64, state: &State) -> RecordWrite {
+        let record = target_record(job, now_ms);
+        let is_terminal = record.terminal_state().is_some();
+        let conversion = job.stored.conversion.take();
+        let write = match &conversion {
+            Some(_) if is_terminal => RecordWrite::without_done_tasks(job, record),
+            Some(conversion) => RecordWrite::block_conversion(job, conversion, record, state),
+            None if is_terminal && job.stored.is_too_large => RecordWrite::without_done_tasks(job, record),
+            None => RecordWrite::with_blocks(job, record, state),
+        };
+        job.stored.conversion = conversion.filter(|_| !is_terminal);
+        write
+    }
+
+    /// The record with as many of its changed blocks as one transaction takes.
+    fn with_blocks(job: &mut Job, record: JobRecord, state: &State) -> RecordWrite {
+        let value_kb = state.value_kb;
+        let layout = record.layout(value_kb);
+        let id = record.spec.id.clone();
+        let max_blocks = state.within_both().txn_ops.saturating_sub(1).max(1);
+        let blocks: Vec<u32> = job.stored.dirty_blocks.iter().copied().take(max_blocks).collect();
+        job.stored.dirty_blocks.retain(|block| !blocks.contains(block));
+        let mut compares = vec![record_compare(job)];
+        let mut changes = vec![put(job_record_key(&id), record.encode(value_kb))];
+        for &block in &blocks {
+            let key = layout.block_key(&id, block);
+            let version = job.stored.block_versions.get(block as usize).copied().unwrap_or(0);
+            compares.push(Compare { key: key.clone(), version });
+            changes.push(put(key, record.encode_block(block, value_kb)));
+        }
+        let class = class_of(job, &record);
+        let done = done_once_committed(job, &record, layout, &blocks);
+        let in_flight = RecordWriteInFlight::new(&record, done, WriteScope::Record { blocks });
+        RecordWrite { class, compares, changes, in_flight }
+    }
+
+    /// A terminal record without its done tasks, which nobody needs any more.
+    fn without_done_tasks(job: &Job, record: JobRecord) -> RecordWrite {
+        let changes = vec![put(job_record_key(&record.spec.id), record.encode_without_done_tasks())];
+        let done = record.done.clone();
+        let in_flight = RecordWriteInFlight::new(&record, done, WriteScope::WithoutDoneTasks);
+        let class = RequestClass::Cancellation;
+        RecordWrite { class, compares: vec![record_compare(job)], changes, in_flight }
+    }
+
+    /// The next blocks of a conversion, or the record that names them once all are written.
+    /// Each part holds only while the record is the one that was read: a part that is
+    /// committed late, after the last one, fails.
+    fn block_conversion(
+        job: &Job,
+        conversion: &BlockConversion,
+        mut record: JobRecord,
+        state: &State,
+    ) -> RecordWrite {
+        let id = record.spec.id.clone();
+        record.done = conversion.done.clone();
+        record.block_tasks = Some(conversion.block_tasks);
+        let layout = Layout::NamedBlocks(conversion.block_tasks);
+        let first = conversion.versions.len() as u32;
+        let max_blocks = state.within_both().txn_ops as u32;
+        let end = layout.blocks(record.spec.tasks).min(first.saturating_add(max_blocks));
+        let (scope, changes) = if first == end {
+            let change = put(job_record_key(&id), record.encode(state.value_kb));
+            (WriteScope::SwitchLayout, vec![change])
+        } else {
+            let put_block = |n| put(layout.block_key(&id, n), record.encode_block(n, state.value_kb));
+            (WriteScope::NewBlocks { count: end - first }, (first..end).map(put_block).collect())
+        };
+        let in_flight = RecordWriteInFlight::new(&record, conversion.done.clone(), scope);
+        let class = RequestClass::Progress;
+        RecordWrite { class, compares: vec![record_compare(job)], changes, in_flight }
+    }
+}
+
+/// The record as it should be once the write is committed.
+fn target_record(job: &mut Job, now_ms: u64) -> JobRecord {
+    let cancelled = job.cancellation.is_requested;
+    let completed = job.record.all_tasks_done() && !cancelled;
+    if completed {
+        job.record.completed_ms.get_or_insert(now_ms);
+    }
+    JobRecord { cancelled, completed, ..job.record.clone() }
+}
+
+fn record_compare(job: &Job) -> Compare {
+    Compare { key: job_record_key(job.id()), version: job.stored.version }
+}
+
+fn class_of(job: &Job, record: &JobRecord) -> RequestClass {
+    match (record.cancelled, record.completed) {
+        // Users are answered by the cancellation of the dependency: they wait for that write,
+        // not for those of its dependents.
+        (true, _) if job.cancellation.by_dependency => RequestClass::Completion,
+        (true, _) => RequestClass::Cancellation,
+        (_, true) => RequestClass::Completion,
+        // Its tasks wait for nothing but this.
+        _ if record.started_high_water > job.stored.started_high_water => RequestClass::Completion,
+        _ => RequestClass::Progress,
+    }
+}
+
+/// The done tasks that are in the store once the record and these blocks are.
+fn done_once_committed(job: &Job, record: &JobRecord, layout: Layout, blocks: &[u32]) -> DoneSet {
+    if job.stored.dirty_blocks.is_empty() || record.completed {
+        return record.done.clone();
+    }
+    let mut done = job.stored.done.clone();
+    for &block in blocks {
+        let (start, end) = layout.range(block);
+        done.insert_range(&record.done, start, end);
+    }
+    done
+}
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -27,6 +27,7 @@
 use crate::coordination::config::Config;
 use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply};
 use crate::coordination::fleet::machine::Machine;
+use crate::coordination::jobs::cancellation::CancelOutcome;
 use crate::coordination::jobs::job::ReplyId;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
@@ -272,7 +273,7 @@
     fn withdraw(&mut self, job: &str) -> ReplyId {
         self.replies += 1;
         let to = ReplyId(self.replies);
-        assert!(self.leader.cancel(self.now, to, &id(job)));
+        assert_eq!(self.leader.cancel(self.now, to, &id(job)), CancelOutcome::Accepted);
         self.collect();
         to
     }
