--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! | command | file | what it does |
 //! | --- | --- | --- |
-//! | `--config FILE` | [`serve`] | runs a controller until it is killed |
-//! | `check` | [`check`] | validates settings and policy |
-//! | `status` | [`status`] | prints the metrics of a running controller |
-//! | `audit` | [`audit`] | compares stored records with their summary rows, and repairs them |
+//! | `--config FILE` | `serve` | runs a controller until it is killed |
+//! | `check` | `check` | validates settings and policy |
+//! | `status` | `status` | prints the metrics of a running controller |
+//! | `audit` | `audit` | compares stored records with their summary rows, and repairs them |
 //!
-//! A subcommand returns an [`ExitStatus`], or a [`CliError`] that is printed as one line on
+//! A subcommand returns an `ExitStatus`, or a `CliError` that is printed as one line on
 //! standard error. It never ends the process itself.
 
 mod audit;
--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -1,5 +1,4 @@
-//! The policy language: one line is tokenized, then parsed and evaluated in one pass, with
-//! types.
+//! The grammar of the policy language. A line's tokens are parsed and evaluated in one pass.
 //!
 //! ```text
 //! line   = [ name "=" value ] [ "#" comment ]
@@ -14,82 +13,12 @@
 //! Both branches of an `if` are evaluated, so that an error in the one not taken is found
 //! before the settings change.
 
-use std::fmt;
+use super::tokens::{ExpressionError, Token, TokenKind, fail, tokenize};
+use super::values::{Type, Value, add, divide, multiply, subtract};
 
 /// Deeper nesting is refused before it can exhaust the stack.
 const MAX_DEPTH: usize = 32;
 
-/// The symbols of the language. One that begins with another comes before it.
-const SYMBOLS: [&str; 13] = ["<=", ">=", "==", "<", ">", "=", "+", "-", "*", "/", "(", ")", ","];
-
-/// The type of a value.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Type {
-    /// Without a unit.
-    Number,
-    /// In seconds.
-    Time,
-    /// Per second.
-    Rate,
-}
-
-impl fmt::Display for Type {
-    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(match self {
-            Type::Number => "number",
-            Type::Time => "time",
-            Type::Rate => "rate",
-        })
-    }
-}
-
-/// A typed value.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Value {
-    /// Its type, which implies its unit.
-    pub(super) kind: Type,
-    /// Its amount: times in seconds, rates per second.
-    pub(super) number: f64,
-}
-
-/// Why a line is refused.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct ExpressionError {
-    /// Where in its line, in bytes counted from 0.
-    pub(super) column: usize,
-    /// What is wrong there, for the policy's author.
-    pub(super) reason: String,
-}
-
-impl ExpressionError {
-    /// An error at this column of the line, in bytes counted from 0.
-    pub(super) fn new(column: usize, reason: impl Into<String>) -> Self {
-        ExpressionError { column, reason: reason.into() }
-    }
-}
-
-/// Refuses the line.
-fn fail<T>(column: usize, reason: impl Into<String>) -> Result<T, ExpressionError> {
-    Err(ExpressionError::new(column, reason))
-}
-
-#[derive(Debug, Clone, PartialEq)]
-enum TokenKind {
-    Number(f64),
-    /// A variable, a function, a unit or a word such as `if`; the parser tells them apart.
-    Name(String),
-    Symbol(&'static str),
-    /// The end of the line or the start of a comment.
-    End,
-}
-
-#[derive(Debug, Clone, PartialEq)]
-struct Token {
-    kind: TokenKind,
-    /// Where it starts in the line, in bytes counted from 0.
-    column: usize,
-}
-
 /// A line `name = expression` whose expression is not evaluated yet.
 #[derive(Debug)]
 pub(super) struct Assignment {
@@ -147,49 +76,6 @@
     }
 }
 
-/// Splits a line into tokens, of which the last is [`TokenKind::End`].
-fn tokenize(line: &str) -> Result<Vec<Token>, ExpressionError> {
-    let mut tokens = Vec::new();
-    let mut column = 0;
-    while let Some(first) = line[column..].chars().next() {
-        if first == '#' {
-            break;
-        }
-        if first.is_whitespace() {
-            column += first.len_utf8();
-            continue;
-        }
-        let (kind, length) =
-            read_token(&line[column..], first).map_err(|reason| ExpressionError::new(column, reason))?;
-        tokens.push(Token { kind, column });
-        column += length;
-    }
-    tokens.push(Token { kind: TokenKind::End, column });
-    Ok(tokens)
-}
-
-/// The token that `text` starts with, and its length in bytes. `first`: its first character.
-fn read_token(text: &str, first: char) -> Result<(TokenKind, usize), String> {
-    if first.is_ascii_digit() {
-        let digits = leading(text, |c| c.is_ascii_digit() || c == '.');
-        let number = digits.parse().map_err(|_| "this is not a number".to_owned())?;
-        Ok((TokenKind::Number(number), digits.len()))
-    } else if first.is_ascii_alphabetic() {
-        let name = leading(text, |c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
-        Ok((TokenKind::Name(name.to_owned()), name.len()))
-    } else if let Some(symbol) = SYMBOLS.into_iter().find(|symbol| text.starts_with(symbol)) {
-        Ok((TokenKind::Symbol(symbol), symbol.len()))
-    } else {
-        Err(format!("unexpected `{first}`"))
-    }
-}
-
-/// The longest start of `text` that consists of characters of a class.
-fn leading(text: &str, belongs: fn(char) -> bool) -> &str {
-    let end = text.find(|c| !belongs(c)).unwrap_or(text.len());
-    &text[..end]
-}
-
 /// A recursive-descent parser that evaluates as it goes: one method a rule of the grammar.
 struct Parser<'a> {
     tokens: &'a [Token],
@@ -375,43 +261,3 @@
         Ok(best)
     }
 }
-
-fn add(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
-    if left.kind != right.kind {
-        return fail(column, format!("a {} cannot be added to a {}", right.kind, left.kind));
-    }
-    Ok(Value { number: left.number + right.number, ..left })
-}
-
-fn subtract(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
-    if left.kind != right.kind {
-        return fail(column, format!("a {} cannot be subtracted from a {}", right.kind, left.kind));
-    }
-    Ok(Value { number: left.number - right.number, ..left })
-}
-
-/// A number times anything keeps the other's type; a time times a rate is a number.
-fn multiply(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
-    let kind = match (left.kind, right.kind) {
-        (Type::Number, kind) | (kind, Type::Number) => kind,
-        (Type::Time, Type::Rate) | (Type::Rate, Type::Time) => Type::Number,
-        (left, right) => return fail(column, format!("a {left} cannot be multiplied by a {right}")),
-    };
-    Ok(Value { kind, number: left.number * right.number })
-}
-
-/// The ratio of two values of one type is a number; a number by a time is a rate, and the
-/// other way round.
-fn divide(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
-    if right.number == 0.0 {
-        return fail(column, "division by zero");
-    }
-    let kind = match (left.kind, right.kind) {
-        (kind, Type::Number) => kind,
-        (left, right) if left == right => Type::Number,
-        (Type::Number, Type::Time) => Type::Rate,
-        (Type::Number, Type::Rate) => Type::Time,
-        (left, right) => return fail(column, format!("a {left} cannot be divided by a {right}")),
-    };
-    Ok(Value { kind, number: left.number / right.number })
-}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -22,12 +22,16 @@
 //! is refused with its file, line and column. No value can break a safety invariant: what
 //! those rest on is not configurable.
 //!
+//! - `tokens`: splitting a line, and errors with a column
 //! - `expression`: grammar, parser and evaluation
+//! - `values`: types and arithmetic
 //! - `parameters`: the names that a policy sets
 //! - `variables`: the names that a policy reads
 
 mod expression;
 mod parameters;
+mod tokens;
+mod values;
 mod variables;
 
 use std::path::{Path, PathBuf};
@@ -36,8 +40,9 @@
 use thiserror::Error;
 
 use crate::settings::Cluster;
-use expression::{Assignment, ExpressionError};
+use expression::Assignment;
 use parameters::Parameter;
+use tokens::ExpressionError;
 
 /// The policy in force where no file is given. It sets every parameter.
 const DEFAULT: &str = include_str!("default.policy");
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Tuning;
-use super::expression::{Type, Value};
+use super::values::{Type, Value};
 use crate::settings::Workers;
 
 /// A day in seconds: the upper bound of times that nothing in the settings bounds.
--- a/src/policy/variables.rs
+++ b/src/policy/variables.rs
@@ -1,6 +1,6 @@
 //! The variables that a policy's expressions may read.
 
-use super::expression::{Type, Value};
+use super::values::{Type, Value};
 use crate::settings::Cluster;
 
 /// The value of a variable, from the settings; `None` if there is none of this name.
