--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -1,110 +1,131 @@
-//! Judges a whole history by every rule, from what showed outside the controllers.
+//! Judges a whole history by every rule, from what could be observed outside the controllers.
 //!
-//! A pure function over the history: it knows the users' jobs and the times that rules
-//! name, and nothing of what the controllers think.
+//! A pure function of the history: it knows the users' jobs and the times that the rules
+//! name, and nothing of the controllers' state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
 
-use super::history::{At, Entry, Event, JobState, Question, TaskOn};
+use super::history::{At, Entry, Event, JobState, TaskOnMachine, UserRequest};
 use super::jobs::{Job, LIMITED_TEAM};
 
-/// The rules, by the names that PROTOCOL and the users' later pages give them.
+/// A rule that can be broken. PROTOCOL and the users' later pages are their source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// A task ran on two machines at the same time.
     RanTwice,
+    /// A team used more CPUs than its quota.
     Quota,
+    /// A task ran in a zone or on a spot instance that its job does not allow.
     WrongPlace,
+    /// A task of a cancelled job ran on for too long, or started too late.
     RanCancelled,
-    /// A start that was carried out well after the user was told.
+    /// A worker received a start well after the user was told that the job is cancelled.
     StartedCancelled,
+    /// An accepted job was unknown or rejected later, or got no response any more.
     Forgotten,
+    /// A job that nobody has submitted was known, or started.
     Invented,
+    /// A job was called done although not all of its tasks had completed.
     NotDone,
+    /// A terminal state was taken back, a job was called cancelled that nobody had cancelled, or
+    /// a cancellation was confirmed without effect.
     WentBack,
+    /// No task was started in the whole run.
     NothingRan,
+    /// A task started before its job's dependencies had completed.
     TooEarly,
-    /// A job is called queued or running long after one before it was cancelled.
+    /// A job was called queued or running long after one of its dependencies was cancelled.
     OrphanedJob,
-    /// A task of a job that is over goes on.
+    /// A task ran on for too long after its job was called done.
     OrphanedTask,
-    /// What cannot run, or is malformed, was accepted.
-    AcceptedOdd,
-    /// Accepted, and not begun at the end though all was calm.
+    /// A submission that is malformed or cannot run was accepted, or rejected with another
+    /// status than is due.
+    AcceptedInvalid,
+    /// An accepted and ready job had not started by the end, long after the last fault.
     Starved,
-    /// A controller's process has ended by itself.
+    /// A controller's process exited by itself.
     ProcessEnded,
-    /// A controller had to refuse an act of its own.
+    /// A controller counted a violated invariant of its own.
     InvariantViolated,
 }
 
+/// A rule that was broken.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
+    /// Which rule.
     pub rule: Rule,
+    /// When it was broken.
     pub at: At,
-    pub what: String,
+    /// By which job, task or controller.
+    pub description: String,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.2} s: {}", self.rule, self.at.as_secs_f64(), self.what)
+        write!(f, "{:?} at {:.2} s: {}", self.rule, self.at.as_secs_f64(), self.description)
     }
 }
 
-/// What a history is judged by.
+/// Times and limits that a history is judged by.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct CheckParameters {
     /// CPUs that the limited team may use.
-    pub limit: f64,
-    pub cancel: Duration,
-    /// After a confirmed cancellation a start may still be on its way for so long.
-    pub start_on_its_way: Duration,
-    /// All troubles are over from then on.
-    pub calm_at: At,
+    pub team_cpu_limit: f64,
+    /// How long tasks of a cancelled job may run on.
+    pub cancel_within: Duration,
+    /// For how long a start command may be in flight after a confirmed cancellation.
+    pub start_in_flight: Duration,
+    /// When all faults had ended.
+    pub faults_end_at: At,
+    /// End of the run.
     pub end: At,
-    /// So long before the end all must have been settled that needs no more than time.
-    pub settled_before_end: Duration,
-    /// The harness's own lag, which is forgiven.
-    pub lag: Duration,
+    /// Jobs that were accepted and ready so long before the end must have started by then.
+    pub settle_time: Duration,
+    /// How late the harness's own timers may have been: allowed on top of every time.
+    pub max_lag: Duration,
 }
 
-/// What is known of a job at a point of the history.
+/// What has been observed of a job so far.
 #[derive(Debug, Default, Clone)]
 struct ObservedJob {
-    accepted: Option<At>,
-    calls_off: Option<At>,
-    told: Option<(JobState, At)>,
-    completed: BTreeSet<u32>,
-    begun: bool,
-    answered: At,
+    accepted_at: Option<At>,
+    cancel_requested_at: Option<At>,
+    /// The terminal state that a user was first given, and when.
+    reported: Option<(JobState, At)>,
+    completed_tasks: BTreeSet<u32>,
+    started: bool,
+    /// When a user last got a response with the job's state.
+    answered_at: At,
 }
 
 struct Checker<'a> {
     jobs: &'a [Job],
-    terms: &'a Terms,
-    states: Vec<ObservedJob>,
-    /// Every task on a machine, with its zone and since when.
-    on: BTreeMap<TaskOn, (&'static str, At)>,
-    /// All jobs that each one needs, directly or not.
+    parameters: &'a CheckParameters,
+    observed_jobs: Vec<ObservedJob>,
+    /// Every task on a machine, with its zone and its start.
+    running: BTreeMap<TaskOnMachine, (&'static str, At)>,
+    /// All dependencies of each job, direct and indirect.
     ancestors: Vec<BTreeSet<usize>>,
     findings: Vec<Finding>,
+    /// Number of tasks that were started.
     starts: usize,
 }
 
-/// Everything that breaks a rule in a history, whose entries are in the order of time.
-pub fn check(jobs: &[Job], terms: &Terms, history: &[Entry]) -> Vec<Finding> {
+/// All findings in a history, whose entries are in the order of time.
+pub fn check(jobs: &[Job], parameters: &CheckParameters, history: &[Entry]) -> Vec<Finding> {
     let mut checker = Checker {
         jobs,
-        terms,
-        states: vec![ObservedJob::default(); jobs.len()],
-        on: BTreeMap::new(),
+        parameters,
+        observed_jobs: vec![ObservedJob::default(); jobs.len()],
+        running: BTreeMap::new(),
         ancestors: ancestors(jobs),
         findings: Vec::new(),
         starts: 0,
     };
     for Entry { at, event } in history {
-        checker.take(*at, event);
+        checker.handle(*at, event);
     }
     checker.finish();
     checker.findings
@@ -113,223 +134,254 @@
 fn ancestors(jobs: &[Job]) -> Vec<BTreeSet<usize>> {
     let mut all: Vec<BTreeSet<usize>> = Vec::new();
     for job in jobs {
-        // A job names only earlier ones.
-        let mut needed: BTreeSet<usize> = job.awaits.iter().copied().collect();
-        for &need in &job.awaits {
-            needed.extend(all.get(need).into_iter().flatten().copied());
+        // A job depends only on earlier ones.
+        let mut all_dependencies: BTreeSet<usize> = job.dependencies.iter().copied().collect();
+        for &dependency in &job.dependencies {
+            all_dependencies.extend(all.get(dependency).into_iter().flatten().copied());
         }
-        all.push(needed);
+        all.push(all_dependencies);
     }
     all
 }
 
 impl Checker<'_> {
-    fn breaks(&mut self, rule: Rule, at: At, what: String) {
-        self.findings.push(Finding { rule, at, what });
+    fn add_finding(&mut self, rule: Rule, at: At, description: String) {
+        self.findings.push(Finding { rule, at, description });
     }
 
-    fn take(&mut self, at: At, event: &Event) {
+    fn handle(&mut self, at: At, event: &Event) {
         match event {
-            Event::Answered { job, question, asked, controller, status, standing } => {
-                let by = format!("c-{controller} answers {status} {standing:?} to {question:?}");
-                self.answered(at, *job, *question, *asked, (*status, *standing), &by);
+            Event::Answered { job, request, asked, controller, status, state } => {
+                let by = format!("c-{controller} answers {status} {state:?} to {request:?}");
+                self.handle_answer(at, *job, *request, *asked, (*status, *state), &by);
             }
-            Event::CallsOff { job } => drop(self.states[*job].calls_off.get_or_insert(at)),
-            Event::Odd { expected, status } => self.odd(at, *expected, *status),
-            Event::StartTaken { task, .. } => self.start_taken(at, task),
-            Event::UnknownStart { machine } => {
-                self.breaks(Rule::Invented, at, format!("a start of an unknown job on {machine}"));
+            Event::CancelRequested { job } => {
+                self.observed_jobs[*job].cancel_requested_at.get_or_insert(at);
             }
-            Event::Began { task, zone, spot } => self.began(at, task, zone, *spot),
-            Event::Completed { job, index } => drop(self.states[*job].completed.insert(*index)),
-            Event::Left { task } => self.left(at, task),
-            Event::Ended { controller, how } => {
-                self.breaks(Rule::ProcessEnded, at, format!("c-{controller}: {how}"));
+            Event::InvalidRequest { expected, status } => self.handle_invalid_request(at, *expected, *status),
+            Event::StartReceived { task, .. } => self.handle_start_received(at, task),
+            Event::UnknownStartReceived { machine } => {
+                self.add_finding(Rule::Invented, at, format!("a start of an unknown job on {machine}"));
             }
-            Event::Violated { controller, figure } => {
-                self.breaks(Rule::InvariantViolated, at, format!("{figure} of c-{controller}"));
+            Event::TaskStarted { task, zone, spot } => self.handle_task_started(at, task, zone, *spot),
+            Event::TaskCompleted { job, index } => {
+                self.observed_jobs[*job].completed_tasks.insert(*index);
+            }
+            Event::TaskRemoved { task } => self.handle_task_removed(at, task),
+            Event::ProcessExited { controller, status } => {
+                self.add_finding(Rule::ProcessEnded, at, format!("c-{controller}: {status}"));
+            }
+            Event::InvariantViolated { controller, metric } => {
+                self.add_finding(Rule::InvariantViolated, at, format!("{metric} of c-{controller}"));
             }
             Event::Committed { .. } | Event::Fault { .. } => {}
         }
     }
 
-    /// When users were told that a job, or one that it needs, is cancelled.
-    fn cancelled_since(&self, job: usize) -> Option<At> {
-        let told = |job: &usize| match self.states[*job].told {
+    /// When a user was first told that a job, or one of its dependencies, is cancelled.
+    fn cancellation_reported_at(&self, job: usize) -> Option<At> {
+        let reported = |job: &usize| match self.observed_jobs[*job].reported {
             Some((JobState::Cancelled, at)) => Some(at),
             _ => None,
         };
-        self.ancestors[job].iter().chain([&job]).filter_map(told).min()
+        self.ancestors[job].iter().chain([&job]).filter_map(reported).min()
     }
 
     fn name(&self, job: usize) -> &str {
         &self.jobs[job].id
     }
 
-    fn start_taken(&mut self, at: At, task: &TaskOn) {
-        let allowed = self.terms.start_on_its_way + self.terms.lag;
-        if self.cancelled_since(task.job).is_some_and(|told| at > told + allowed) {
-            let what = format!("{}/{} on {}", self.name(task.job), task.index, task.machine);
-            self.breaks(Rule::StartedCancelled, at, what);
+    fn handle_start_received(&mut self, at: At, task: &TaskOnMachine) {
+        let allowed = self.parameters.start_in_flight + self.parameters.max_lag;
+        if self.cancellation_reported_at(task.job).is_some_and(|reported| at > reported + allowed) {
+            let description = format!("{}/{} on {}", self.name(task.job), task.index, task.machine);
+            self.add_finding(Rule::StartedCancelled, at, description);
         }
     }
 
-    fn began(&mut self, at: At, task: &TaskOn, zone: &'static str, spot: bool) {
+    fn handle_task_started(&mut self, at: At, task: &TaskOnMachine, zone: &'static str, spot: bool) {
         self.starts += 1;
-        self.states[task.job].begun = true;
+        self.observed_jobs[task.job].started = true;
         let name = format!("{}/{} on {}", self.name(task.job), task.index, task.machine);
-        let same = |other: &&TaskOn| other.job == task.job && other.index == task.index;
-        if let Some(other) = self.on.keys().find(same) {
-            let what = format!("{name} while on {}", other.machine);
-            self.breaks(Rule::RanTwice, at, what);
+        let same = |other: &&TaskOnMachine| other.job == task.job && other.index == task.index;
+        if let Some(other) = self.running.keys().find(same) {
+            let description = format!("{name} while on {}", other.machine);
+            self.add_finding(Rule::RanTwice, at, description);
         }
         let job = &self.jobs[task.job];
-        let unmet = |need: &&usize| (self.states[**need].completed.len() as u32) < self.jobs[**need].tasks;
-        if let Some(&need) = job.awaits.iter().find(unmet) {
-            let what = format!("{name} before {} is done", self.name(need));
-            self.breaks(Rule::TooEarly, at, what);
+        let is_incomplete = |dependency: &&usize| {
+            (self.observed_jobs[**dependency].completed_tasks.len() as u32) < self.jobs[**dependency].tasks
+        };
+        if let Some(&dependency) = job.dependencies.iter().find(is_incomplete) {
+            let description = format!("{name} before {} is done", self.name(dependency));
+            self.add_finding(Rule::TooEarly, at, description);
         }
-        self.on.insert(task.clone(), (zone, at));
-        let zones: Vec<&str> =
-            self.on.iter().filter(|(on, _)| on.job == task.job).map(|(_, (zone, _))| *zone).collect();
-        let here = zones.iter().filter(|other| **other == zone).count() as u32;
-        let wrong = (spot && !job.spot)
+        self.running.insert(task.clone(), (zone, at));
+        let zones: Vec<&str> = self
+            .running
+            .iter()
+            .filter(|(other, _)| other.job == task.job)
+            .map(|(_, (zone, _))| *zone)
+            .collect();
+        let in_zone = zones.iter().filter(|other| **other == zone).count() as u32;
+        let is_misplaced = (spot && !job.spot)
             || job.zone.is_some_and(|allowed| allowed != zone)
             || (job.one_zone && zones.iter().any(|other| *other != zone))
-            || (job.spread && here > job.tasks.div_ceil(2));
-        if wrong {
-            self.breaks(Rule::WrongPlace, at, format!("{name} in {zone}, its tasks are in {zones:?}"));
+            || (job.spread && in_zone > job.tasks.div_ceil(2));
+        if is_misplaced {
+            self.add_finding(Rule::WrongPlace, at, format!("{name} in {zone}, its tasks are in {zones:?}"));
         }
-        let of_team = self.on.keys().map(|on| &self.jobs[on.job]).filter(|job| job.team == LIMITED_TEAM);
+        let of_team =
+            self.running.keys().map(|other| &self.jobs[other.job]).filter(|job| job.team == LIMITED_TEAM);
         let used: f64 = of_team.map(|job| job.cpus).sum();
-        if job.team == LIMITED_TEAM && used > self.terms.limit + 1e-6 {
-            self.breaks(Rule::Quota, at, format!("{used} CPUs of {}", self.terms.limit));
+        if job.team == LIMITED_TEAM && used > self.parameters.team_cpu_limit + 1e-6 {
+            self.add_finding(Rule::Quota, at, format!("{used} CPUs of {}", self.parameters.team_cpu_limit));
         }
-        if let Some(told) = self.cancelled_since(task.job)
-            && at > told + self.terms.cancel + self.terms.lag
+        if let Some(reported) = self.cancellation_reported_at(task.job)
+            && at > reported + self.parameters.cancel_within + self.parameters.max_lag
         {
-            self.breaks(Rule::RanCancelled, at, format!("{name} begins"));
+            self.add_finding(Rule::RanCancelled, at, format!("{name} begins"));
         }
     }
 
-    fn left(&mut self, at: At, task: &TaskOn) {
-        if let Some((_, since)) = self.on.remove(task) {
+    fn handle_task_removed(&mut self, at: At, task: &TaskOnMachine) {
+        if let Some((_, since)) = self.running.remove(task) {
             self.check_stay(task, since, at);
         }
     }
 
-    /// A task was on its machine from then until now.
-    fn check_stay(&mut self, task: &TaskOn, since: At, until: At) {
+    /// A task was on its machine from `since` to `until`.
+    fn check_stay(&mut self, task: &TaskOnMachine, since: At, until: At) {
         let name = format!("{}/{} on {}", self.name(task.job), task.index, task.machine);
-        let bound = self.terms.cancel + self.terms.lag;
-        if let Some(told) = self.cancelled_since(task.job)
-            && until > told + bound
-            && since <= told + bound
+        let bound = self.parameters.cancel_within + self.parameters.max_lag;
+        if let Some(reported) = self.cancellation_reported_at(task.job)
+            && until > reported + bound
+            && since <= reported + bound
         {
-            self.breaks(Rule::RanCancelled, until, format!("{name} until then, told at {told:?}"));
+            self.add_finding(
+                Rule::RanCancelled,
+                until,
+                format!("{name} until then, reported at {reported:?}"),
+            );
         }
-        if let Some((JobState::Done, told)) = self.states[task.job].told
-            && until > told + bound
+        if let Some((JobState::Done, reported)) = self.observed_jobs[task.job].reported
+            && until > reported + bound
         {
-            self.breaks(Rule::OrphanedTask, until, format!("{name} after its job was done"));
+            self.add_finding(Rule::OrphanedTask, until, format!("{name} after its job was done"));
         }
     }
 
-    fn odd(&mut self, at: At, expected: u16, status: u16) {
+    fn handle_invalid_request(&mut self, at: At, expected: u16, status: u16) {
         let refused = status == expected || matches!(status, 429 | 503 | 504);
         match (refused, expected) {
             (true, _) => {}
-            (false, 404) => self.breaks(Rule::Invented, at, format!("{status} for an unknown job")),
-            (false, _) => self.breaks(Rule::AcceptedOdd, at, format!("{status} where {expected} was due")),
+            (false, 404) => self.add_finding(Rule::Invented, at, format!("{status} for an unknown job")),
+            (false, _) => {
+                self.add_finding(Rule::AcceptedInvalid, at, format!("{status} where {expected} was due"))
+            }
         }
     }
 
-    fn answered(
+    fn handle_answer(
         &mut self,
         at: At,
         job: usize,
-        question: Question,
+        request: UserRequest,
         asked: At,
         answer: (u16, Option<JobState>),
         by: &str,
     ) {
-        let what = format!("{}: {by}, asked at {:.2} s", self.name(job), asked.as_secs_f64());
-        let accepted_before = self.states[job].accepted.is_some_and(|accepted| accepted < asked);
+        let description = format!("{}: {by}, asked at {:.2} s", self.name(job), asked.as_secs_f64());
+        let was_accepted = self.observed_jobs[job].accepted_at.is_some_and(|accepted_at| accepted_at < asked);
         match answer {
-            (404, _) if accepted_before => self.breaks(Rule::Forgotten, at, what),
-            (400 | 422, _) if accepted_before || question == Question::Submit => {
-                self.breaks(Rule::Forgotten, at, what);
+            (404, _) if was_accepted => self.add_finding(Rule::Forgotten, at, description),
+            (400 | 422, _) if was_accepted || request == UserRequest::Submit => {
+                self.add_finding(Rule::Forgotten, at, description);
             }
-            (200 | 201, Some(standing)) => {
-                let state = &mut self.states[job];
-                state.accepted.get_or_insert(at);
-                state.answered = at;
-                self.check_standing(at, job, question, asked, standing, what);
+            (200 | 201, Some(state)) => {
+                let observed = &mut self.observed_jobs[job];
+                observed.accepted_at.get_or_insert(at);
+                observed.answered_at = at;
+                self.check_state(at, job, request, asked, state, description);
             }
             _ => {}
         }
     }
 
-    fn check_standing(
+    fn check_state(
         &mut self,
         at: At,
         job: usize,
-        question: Question,
+        request: UserRequest,
         asked: At,
-        standing: JobState,
-        what: String,
+        state: JobState,
+        description: String,
     ) {
-        let state = &self.states[job];
-        let goes_back = state.told.is_some_and(|(told, when)| told != standing && when < asked);
+        let observed = &self.observed_jobs[job];
+        let goes_back = observed.reported.is_some_and(|(reported, when)| reported != state && when < asked);
         let may_be_cancelled = self.ancestors[job].iter().chain([&job]).any(|other| {
-            let other = &self.states[*other];
-            other.calls_off.is_some() && !matches!(other.told, Some((JobState::Done, _)))
+            let other = &self.observed_jobs[*other];
+            other.cancel_requested_at.is_some() && !matches!(other.reported, Some((JobState::Done, _)))
         });
-        let withdrawn_to_nothing = question == Question::Withdraw && !standing.is_terminal();
-        if goes_back || withdrawn_to_nothing || (standing == JobState::Cancelled && !may_be_cancelled) {
-            self.breaks(Rule::WentBack, at, what.clone());
+        let cancel_without_effect = request == UserRequest::Cancel && !state.is_terminal();
+        if goes_back || cancel_without_effect || (state == JobState::Cancelled && !may_be_cancelled) {
+            self.add_finding(Rule::WentBack, at, description.clone());
         }
-        let complete = self.states[job].completed.len() as u32 == self.jobs[job].tasks;
-        if standing == JobState::Done && !complete {
-            self.breaks(Rule::NotDone, at, what.clone());
+        let complete = self.observed_jobs[job].completed_tasks.len() as u32 == self.jobs[job].tasks;
+        if state == JobState::Done && !complete {
+            self.add_finding(Rule::NotDone, at, description.clone());
         }
-        let bound = self.terms.cancel + self.terms.lag;
-        let before = self.ancestors[job].iter().filter_map(|need| match self.states[*need].told {
-            Some((JobState::Cancelled, told)) => Some(told),
-            _ => None,
+        let bound = self.parameters.cancel_within + self.parameters.max_lag;
+        let cancelled_dependencies = self.ancestors[job].iter().filter_map(|dependency| {
+            match self.observed_jobs[*dependency].reported {
+                Some((JobState::Cancelled, reported)) => Some(reported),
+                _ => None,
+            }
         });
-        if !standing.is_terminal() && before.min().is_some_and(|told| asked > told + bound) {
-            self.breaks(Rule::OrphanedJob, at, what);
+        if !state.is_terminal()
+            && cancelled_dependencies.min().is_some_and(|reported| asked > reported + bound)
+        {
+            self.add_finding(Rule::OrphanedJob, at, description);
         }
-        if standing.is_terminal() {
-            self.states[job].told.get_or_insert((standing, at));
+        if state.is_terminal() {
+            self.observed_jobs[job].reported.get_or_insert((state, at));
         }
     }
 
     fn finish(&mut self) {
-        let end = self.terms.end;
-        for (task, (_, since)) in std::mem::take(&mut self.on) {
+        let end = self.parameters.end;
+        for (task, (_, since)) in std::mem::take(&mut self.running) {
             self.check_stay(&task, since, end);
         }
         if self.starts == 0 {
-            self.breaks(Rule::NothingRan, end, "no task was started".into());
+            self.add_finding(Rule::NothingRan, end, "no task was started".into());
         }
-        let due = end.saturating_sub(self.terms.settled_before_end);
+        let settled_by = end.saturating_sub(self.parameters.settle_time);
         for job in 0..self.jobs.len() {
-            let state = &self.states[job];
-            let Some(accepted) = state.accepted.filter(|accepted| *accepted < due) else { continue };
-            if state.answered < due.max(self.terms.calm_at) {
-                let what = format!("{}: no answer since {:?}", self.name(job), self.states[job].answered);
-                self.breaks(Rule::Forgotten, end, what);
+            let observed = &self.observed_jobs[job];
+            let Some(accepted_at) = observed.accepted_at.filter(|accepted_at| *accepted_at < settled_by)
+            else {
+                continue;
+            };
+            if observed.answered_at < settled_by.max(self.parameters.faults_end_at) {
+                let description =
+                    format!("{}: no answer since {:?}", self.name(job), self.observed_jobs[job].answered_at);
+                self.add_finding(Rule::Forgotten, end, description);
                 continue;
             }
-            let is_released = |need: &usize| {
-                self.states[*need].told.is_some_and(|(told, at)| told == JobState::Done && at < due)
+            let is_ready = |dependency: &usize| {
+                self.observed_jobs[*dependency]
+                    .reported
+                    .is_some_and(|(reported, at)| reported == JobState::Done && at < settled_by)
             };
-            let waits = self.jobs[job].awaits.iter().all(is_released);
-            if waits && !state.begun && state.told.is_none() && state.calls_off.is_none() {
-                let what = format!("{}: accepted at {accepted:?}", self.name(job));
-                self.breaks(Rule::Starved, end, what);
+            let ready = self.jobs[job].dependencies.iter().all(is_ready);
+            if ready
+                && !observed.started
+                && observed.reported.is_none()
+                && observed.cancel_requested_at.is_none()
+            {
+                let description = format!("{}: accepted at {accepted_at:?}", self.name(job));
+                self.add_finding(Rule::Starved, end, description);
             }
         }
     }
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud: rentals, deletions and lists that lag.
+//! Test double of the cloud provider: node pools, deletions, and an inventory that lags behind.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,40 +8,47 @@
 use ciborium::value::Value;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use shedtally::protocol::cbor::{Fields, MapBuilder, decode, encode, texts};
-use shedtally::transport::codec::{Limits, Request, Response};
-use shedtally::transport::server::{Handler, ServerOptions, serve};
-use tokio::net::TcpListener;
+use shedtally::protocol::cbor::{Fields, Malformed, MapBuilder, decode, texts};
+use shedtally::transport::codec::{Request, Response};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
+use super::http::{MAX_BODY, listen, response};
 use super::jobs::{MACHINE_CPUS, ZONES};
-use super::workers::{self, Identity, Mishap, Surroundings, WorkerHandle};
+use super::workers::{self, Identity, MachineFault, WorkerContext, WorkerHandle};
 
+/// The inventory shows a machine's creation and deletion late by this much.
 pub const LIST_LAG: Duration = Duration::from_secs(1);
-/// How long machines usually take to boot.
+/// How long machines usually take to boot, in seconds.
 const BOOT_S: f64 = 1.5;
-const MOST_IN_RENTAL: u64 = 50;
-const HTTP_LIMITS: Limits = Limits { head: 8192, body: 64 * 1024 };
+/// Most machines in a node pool.
+const MAX_POOL_SIZE: u64 = 50;
+/// Most connections to the cloud.
+const CONNECTIONS: usize = 64;
+/// Time that a response takes.
+const RESPONSE_DELAY: Duration = Duration::from_millis(20);
+/// Machines in a page of the inventory, if the request does not say.
+const DEFAULT_PAGE: usize = 500;
 
 enum Message {
-    Asked {
+    Request {
         request: Request,
         reply: oneshot::Sender<Response>,
     },
-    Up {
+    Booted {
         name: String,
         worker: WorkerHandle,
     },
-    Down {
+    Outage {
         lasts: Duration,
     },
-    Suffer {
+    /// This share of the machines has the fault.
+    InjectMachineFault {
         share: f64,
-        mishap: Mishap,
+        fault: MachineFault,
     },
-    /// That share of the machines ends, with all that is on them.
-    Die {
+    /// This share of the machines is lost, with all tasks on them.
+    EndMachines {
         share: f64,
     },
 }
@@ -49,94 +56,86 @@
 struct Machine {
     zone: &'static str,
     spot: bool,
-    rented: Instant,
-    /// None while it boots.
+    created_at: Instant,
+    /// `None` while it boots, and after its deletion.
     worker: Option<WorkerHandle>,
-    gone_at: Option<Instant>,
+    deleted_at: Option<Instant>,
 }
 
 struct State {
     machines: BTreeMap<String, Machine>,
-    rentals: BTreeMap<String, Vec<String>>,
-    most: u64,
-    next: u64,
-    down_until: Instant,
+    /// Names of the machines of each node pool, by the pool's name.
+    node_pools: BTreeMap<String, Vec<String>>,
+    /// Most machines at once.
+    capacity: u64,
+    machines_created: u64,
+    outage_until: Instant,
     rng: SmallRng,
-    surroundings: Arc<Surroundings>,
-    itself: mpsc::UnboundedSender<Message>,
+    context: Arc<WorkerContext>,
+    messages: mpsc::UnboundedSender<Message>,
 }
 
-/// Speaks to the cloud.
+/// Handle of the cloud.
 #[derive(Debug, Clone)]
 pub struct Cloud {
     messages: mpsc::UnboundedSender<Message>,
+    /// Where the cloud listens.
     pub address: SocketAddr,
 }
 
-#[derive(Clone)]
-struct Door(mpsc::UnboundedSender<Message>);
-
-impl Handler for Door {
-    async fn handle(&self, request: Request) -> Response {
-        let (reply, answer) = oneshot::channel();
-        let _ = self.0.send(Message::Asked { request, reply });
-        match answer.await {
-            Ok(response) => response,
-            Err(_) => std::future::pending().await,
-        }
-    }
-}
-
 impl Cloud {
-    /// Starts it with half of the machines up.
-    pub async fn start(seed: u64, most: u64, surroundings: Arc<Surroundings>) -> std::io::Result<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let address = listener.local_addr()?;
+    /// Starts the cloud with room for `capacity` machines, half of them running.
+    ///
+    /// # Errors
+    ///
+    /// If no port is free.
+    pub async fn start(seed: u64, capacity: u64, context: Arc<WorkerContext>) -> std::io::Result<Self> {
         let (messages, mut inbox) = mpsc::unbounded_channel();
-        let patience = Duration::from_secs(60);
-        let options = ServerOptions { limits: HTTP_LIMITS, connections: 64, idle: patience, patience };
-        tokio::spawn(serve(listener, options, Door(messages.clone())));
+        let to_actor = messages.clone();
+        let pass_on = move |request, reply| {
+            let _ = to_actor.send(Message::Request { request, reply });
+        };
+        let address = listen(CONNECTIONS, MAX_BODY, pass_on).await?.address;
         let now = Instant::now();
         let mut state = State {
             machines: BTreeMap::new(),
-            rentals: BTreeMap::new(),
-            most,
-            next: 0,
-            down_until: now,
+            node_pools: BTreeMap::new(),
+            capacity,
+            machines_created: 0,
+            outage_until: now,
             rng: SmallRng::seed_from_u64(seed ^ 0xc10d),
-            surroundings,
-            itself: messages.clone(),
+            context,
+            messages: messages.clone(),
         };
-        for n in 0..most / 2 {
-            state.rent(now, ZONES[n as usize % 2], n % 3 == 0, Duration::ZERO);
+        for n in 0..capacity / 2 {
+            state.create_machine(now, ZONES[n as usize % 2], n % 3 == 0, Duration::ZERO);
         }
         tokio::spawn(async move {
             while let Some(message) = inbox.recv().await {
-                state.take(message);
+                state.handle(message);
             }
         });
         Ok(Cloud { messages, address })
     }
 
-    pub fn go_down(&self, lasts: Duration) {
-        let _ = self.messages.send(Message::Down { lasts });
+    /// Every request gets 503 for so long.
+    pub fn begin_outage(&self, lasts: Duration) {
+        let _ = self.messages.send(Message::Outage { lasts });
     }
 
-    pub fn trouble_machines(&self, share: f64, mishap: Mishap) {
-        let _ = self.messages.send(Message::Suffer { share, mishap });
+    /// Begins a fault of this share of the machines.
+    pub fn inject_machine_fault(&self, share: f64, fault: MachineFault) {
+        let _ = self.messages.send(Message::InjectMachineFault { share, fault });
     }
 
+    /// This share of the machines is lost, with all tasks on them.
     pub fn end_machines(&self, share: f64) {
-        let _ = self.messages.send(Message::Die { share });
+        let _ = self.messages.send(Message::EndMachines { share });
     }
 }
 
-fn response(status: u16, body: MapBuilder) -> Response {
-    Response { status, body: encode(&body.build()), retry_after_s: None, close: false }
-}
-
-fn catalog() -> MapBuilder {
-    let kind = MapBuilder::new()
+fn catalog() -> Value {
+    let machine_type = MapBuilder::new()
         .set("name", "m8")
         .set("cores", MACHINE_CPUS)
         .set("accelerators", 0.0)
@@ -147,27 +146,31 @@
         .set("spotPrice", 0.4)
         .set("startupS", BOOT_S)
         .set("halls", texts(ZONES));
-    MapBuilder::new().set("builds", Value::Array(vec![kind.build()]))
+    MapBuilder::new().set("builds", Value::Array(vec![machine_type.build()])).build()
+}
+
+fn error_body(reason: &str) -> Value {
+    MapBuilder::new().set("error", reason).build()
 }
 
 impl State {
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now = Instant::now();
         match message {
-            Message::Asked { request, reply } => self.asked(now, &request, reply),
-            Message::Up { name, worker } => match self.machines.get_mut(&name) {
-                Some(machine) if machine.gone_at.is_none() => machine.worker = Some(worker),
+            Message::Request { request, reply } => self.handle_request(now, &request, reply),
+            Message::Booted { name, worker } => match self.machines.get_mut(&name) {
+                Some(machine) if machine.deleted_at.is_none() => machine.worker = Some(worker),
                 _ => drop(tokio::spawn(async move { worker.remove().await })),
             },
-            Message::Down { lasts } => self.down_until = now + lasts,
-            Message::Suffer { share, mishap } => {
+            Message::Outage { lasts } => self.outage_until = now + lasts,
+            Message::InjectMachineFault { share, fault } => {
                 for worker in self.machines.values().filter_map(|machine| machine.worker.as_ref()) {
                     if self.rng.random_bool(share) {
-                        worker.suffer(mishap);
+                        worker.inject(fault);
                     }
                 }
             }
-            Message::Die { share } => {
+            Message::EndMachines { share } => {
                 let names: Vec<String> = self.machines.keys().cloned().collect();
                 for name in names {
                     if self.rng.random_bool(share) {
@@ -178,27 +181,27 @@
         }
     }
 
-    fn asked(&mut self, now: Instant, request: &Request, reply: oneshot::Sender<Response>) {
-        let mut gone = Vec::new();
-        let answer = if now < self.down_until {
-            response(503, MapBuilder::new().set("error", "trouble"))
+    fn handle_request(&mut self, now: Instant, request: &Request, reply: oneshot::Sender<Response>) {
+        let mut deleted = Vec::new();
+        let answer = if now < self.outage_until {
+            response(503, &error_body("trouble"))
         } else {
             match request.target.split('?').next() {
-                Some("/catalog") => response(200, catalog()),
+                Some("/catalog") => response(200, &catalog()),
                 Some("/machines/delete") => {
-                    gone = self.delete(now, &request.body);
-                    response(200, MapBuilder::new())
+                    deleted = self.delete(now, &request.body);
+                    response(200, &MapBuilder::new().build())
                 }
-                Some("/machines") if request.method == "POST" => self.take_rental(now, &request.body),
+                Some("/machines") if request.method == "POST" => self.create_node_pool(now, &request.body),
                 _ => self.list(now, &request.target),
             }
         };
         tokio::spawn(async move {
-            // By the time of the answer everything on them is gone.
-            for worker in gone {
+            // By the time of the response no task is left on them.
+            for worker in deleted {
                 worker.remove().await;
             }
-            tokio::time::sleep(Duration::from_millis(20)).await;
+            tokio::time::sleep(RESPONSE_DELAY).await;
             let _ = reply.send(answer);
         });
     }
@@ -209,61 +212,57 @@
         names.unwrap_or_default().iter().filter_map(|name| self.remove(now, name)).collect()
     }
 
-    /// The machine is gone; its worker is told so.
+    /// Deletes a machine and ends its worker, which is returned if there is one.
     fn remove(&mut self, now: Instant, name: &str) -> Option<WorkerHandle> {
         let machine = self.machines.get_mut(name)?;
-        machine.gone_at.get_or_insert(now);
+        machine.deleted_at.get_or_insert(now);
         let worker = machine.worker.take()?;
         let ending = worker.clone();
         tokio::spawn(async move { ending.remove().await });
         Some(worker)
     }
 
-    fn take_rental(&mut self, now: Instant, body: &[u8]) -> Response {
+    fn create_node_pool(&mut self, now: Instant, body: &[u8]) -> Response {
         let body = decode(body).unwrap_or(Value::Null);
         let read = |fields: Fields<'_>| {
             let name = fields.text("hire")?.to_owned();
             let zone = if fields.text("hall")? == ZONES[1] { ZONES[1] } else { ZONES[0] };
-            Ok::<_, shedtally::protocol::cbor::Malformed>((
-                name,
-                zone,
-                fields.bool("loaners")?,
-                fields.count("howMany")?,
-            ))
+            Ok::<_, Malformed>((name, zone, fields.bool("loaners")?, fields.count("howMany")?))
         };
-        let Ok((name, zone, spot, asked)) = Fields::of(&body).and_then(read) else {
-            return response(400, MapBuilder::new());
+        let Ok((name, zone, spot, requested)) = Fields::of(&body).and_then(read) else {
+            return response(400, &MapBuilder::new().build());
         };
-        if !self.rentals.contains_key(&name) {
-            let there = self.machines.values().filter(|machine| machine.gone_at.is_none()).count() as u64;
-            let count = asked.min(MOST_IN_RENTAL).min(self.most.saturating_sub(there));
+        if !self.node_pools.contains_key(&name) {
+            let present =
+                self.machines.values().filter(|machine| machine.deleted_at.is_none()).count() as u64;
+            let count = requested.min(MAX_POOL_SIZE).min(self.capacity.saturating_sub(present));
             if count == 0 {
-                return response(503, MapBuilder::new().set("error", "no capacity"));
+                return response(503, &error_body("no capacity"));
             }
             let mut names = Vec::new();
             for _ in 0..count {
                 let boot = Duration::from_secs_f64(self.rng.random_range(0.2..BOOT_S * 1.6));
-                names.push(self.rent(now, zone, spot, boot));
+                names.push(self.create_machine(now, zone, spot, boot));
             }
-            self.rentals.insert(name.clone(), names);
+            self.node_pools.insert(name.clone(), names);
         }
-        let names = texts(self.rentals[&name].iter().map(String::as_str));
-        response(200, MapBuilder::new().set("benches", names))
+        let names = texts(self.node_pools[&name].iter().map(String::as_str));
+        response(200, &MapBuilder::new().set("benches", names).build())
     }
 
-    fn rent(&mut self, now: Instant, zone: &'static str, spot: bool, boot: Duration) -> String {
-        self.next += 1;
-        let name = format!("vm-{:06}", self.next);
-        let machine = Machine { zone, spot, rented: now, worker: None, gone_at: None };
+    /// Creates a machine whose worker starts once it has booted; returns its name.
+    fn create_machine(&mut self, now: Instant, zone: &'static str, spot: bool, boot: Duration) -> String {
+        self.machines_created += 1;
+        let name = format!("vm-{:06}", self.machines_created);
+        let machine = Machine { zone, spot, created_at: now, worker: None, deleted_at: None };
         self.machines.insert(name.clone(), machine);
         let identity = Identity { name: name.clone(), zone, spot };
-        let (itself, surroundings, seed) =
-            (self.itself.clone(), self.surroundings.clone(), self.rng.random());
-        let up = name.clone();
+        let (messages, context, seed) = (self.messages.clone(), self.context.clone(), self.rng.random());
+        let booted = name.clone();
         tokio::spawn(async move {
             tokio::time::sleep(boot).await;
-            if let Ok(worker) = workers::start(identity, seed, surroundings).await {
-                let _ = itself.send(Message::Up { name: up, worker });
+            if let Ok(worker) = workers::start(identity, seed, context).await {
+                let _ = messages.send(Message::Booted { name: booted, worker });
             }
         });
         name
@@ -273,13 +272,13 @@
         let query = target.split_once('?').map_or("", |(_, query)| query);
         let field = |name: &str| query.split('&').find_map(|part| part.strip_prefix(name));
         let from = field("from=").unwrap_or_default();
-        let most: usize = field("page=").and_then(|page| page.parse().ok()).unwrap_or(500);
+        let count: usize = field("page=").and_then(|page| page.parse().ok()).unwrap_or(DEFAULT_PAGE);
         let is_shown = |machine: &Machine| {
-            now >= machine.rented + LIST_LAG && machine.gone_at.is_none_or(|at| now < at + LIST_LAG)
+            now >= machine.created_at + LIST_LAG && machine.deleted_at.is_none_or(|at| now < at + LIST_LAG)
         };
         let mut shown =
             self.machines.iter().filter(|(name, machine)| name.as_str() > from && is_shown(machine));
-        let listed = shown.by_ref().take(most).map(|(name, machine)| {
+        let listed = shown.by_ref().take(count).map(|(name, machine)| {
             let address = machine.worker.as_ref().map(|worker| worker.address.to_string());
             MapBuilder::new()
                 .set("nameId", name.as_str())
@@ -288,11 +287,11 @@
                 .set("hall", machine.zone)
                 .set("loaners", machine.spot)
                 .set("standing", if machine.worker.is_some() { "running" } else { "starting" })
-                .set("heldS", (now - machine.rented).as_secs_f64())
+                .set("heldS", (now - machine.created_at).as_secs_f64())
                 .build()
         });
         let listed = Value::Array(listed.collect());
         let more = shown.next().is_some();
-        response(200, MapBuilder::new().set("benches", listed).set("more", more))
+        response(200, &MapBuilder::new().set("benches", listed).set("more", more).build())
     }
 }
--- a/tests/soak/jobs.rs
+++ b/tests/soak/jobs.rs
@@ -1,4 +1,4 @@
-//! What the users of a run submit: all of it follows from the seed.
+//! The jobs that the users of a run submit. All of them follow from the seed.
 
 use std::time::Duration;
 
@@ -9,38 +9,53 @@
 
 /// CPUs of every machine.
 pub const MACHINE_CPUS: f64 = 8.0;
+/// Zones of the fleet.
 pub const ZONES: [&str; 2] = ["z1", "z2"];
-/// The only team with a limit, and the part of the fleet's CPUs that it may use.
+/// The only team with a quota.
 pub const LIMITED_TEAM: &str = "red";
-pub const LIMITED_PART: f64 = 0.4;
+/// The part of the fleet's CPUs that the limited team may use.
+pub const LIMITED_SHARE: f64 = 0.4;
 const OTHER_TEAM: &str = "blue";
 
-/// A job and what its user does with it.
+/// A job, and when its user submits and cancels it.
 #[derive(Debug, Clone)]
 pub struct Job {
+    /// The job's name.
     pub id: String,
+    /// The team that submits it.
     pub team: &'static str,
+    /// Number of tasks.
     pub tasks: u32,
+    /// CPUs of each task.
     pub cpus: f64,
     /// How long a task runs; a service's tasks run until they are stopped.
     pub run: Duration,
+    /// Whether the job is a service rather than a job array.
     pub is_service: bool,
+    /// The only zone that its tasks may run in, if any.
     pub zone: Option<&'static str>,
+    /// Whether all of its tasks must run in one zone.
     pub one_zone: bool,
+    /// Whether its tasks must be spread over the zones.
     pub spread: bool,
+    /// Whether its tasks may run on spot instances.
     pub spot: bool,
-    /// Numbers of the jobs that it awaits.
-    pub awaits: Vec<usize>,
-    /// When it is submitted, from the beginning of the run.
-    pub at: Duration,
-    /// When its user calls it off, from its acceptance on.
+    /// Indices of the jobs that must complete before it starts; all of them are earlier.
+    pub dependencies: Vec<usize>,
+    /// When it is submitted, since the beginning of the run.
+    pub submit_at: Duration,
+    /// When its user cancels it, since its acceptance.
     pub cancel_after: Option<Duration>,
 }
 
 impl Job {
-    /// The body of its submission.
-    pub fn submission(&self, all: &[Job]) -> Value {
-        let awaits = self.awaits.iter().filter_map(|&need| all.get(need)).map(|need| need.id.as_str());
+    /// Encodes the request that submits it; `all` are the jobs of the run.
+    pub fn encode_submission(&self, all: &[Job]) -> Value {
+        let dependencies = self
+            .dependencies
+            .iter()
+            .filter_map(|&dependency| all.get(dependency))
+            .map(|dependency| dependency.id.as_str());
         let run = if self.is_service { 0.0 } else { self.run.as_secs_f64() };
         MapBuilder::new()
             .set("nameId", self.id.as_str())
@@ -61,44 +76,45 @@
             .set("reckonS", run)
             .set("bookmarkS", 0.0)
             .set("stashS", 0.0)
-            .set("awaits", texts(awaits))
+            .set("awaits", texts(dependencies))
             .build()
     }
 }
 
-/// The jobs of a run in the order of their submission.
+/// The jobs of a run, in the order of their submission, for a fleet of this many workers.
 pub fn plan(seed: u64, workers: u64, lasts: Duration) -> Vec<Job> {
-    let mut r = SmallRng::seed_from_u64(seed ^ 0x10b5);
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x10b5);
     // A few jobs a second for two dozen machines, more for more.
     let pause = (6.0 / workers as f64).clamp(0.08, 0.6);
     let mut jobs: Vec<Job> = Vec::new();
     let mut at = 0.5;
     while at < lasts.as_secs_f64() {
-        jobs.push(job(&mut r, &jobs, at));
-        at += pause * r.random_range(0.3..1.7);
+        jobs.push(random_job(&mut rng, &jobs, at));
+        at += pause * rng.random_range(0.3..1.7);
     }
     jobs
 }
 
-fn job(r: &mut SmallRng, before: &[Job], at: f64) -> Job {
-    let is_service = r.random_bool(0.08);
-    let team = if r.random_bool(0.5) { LIMITED_TEAM } else { OTHER_TEAM };
+/// A new job after the earlier ones, submitted `at` seconds after the beginning of the run.
+fn random_job(rng: &mut SmallRng, earlier: &[Job], at: f64) -> Job {
+    let is_service = rng.random_bool(0.08);
+    let team = if rng.random_bool(0.5) { LIMITED_TEAM } else { OTHER_TEAM };
     let mut job = Job {
-        id: format!("job-{:06}", before.len()),
+        id: format!("job-{:06}", earlier.len()),
         team,
-        tasks: [1, 1, 2, 3, 5, 9][r.random_range(0..6)],
-        cpus: [0.5, 1.0, 2.0, 4.0][r.random_range(0..4)],
-        run: Duration::from_secs_f64(r.random_range(0.3..5.0)),
+        tasks: [1, 1, 2, 3, 5, 9][rng.random_range(0..6)],
+        cpus: [0.5, 1.0, 2.0, 4.0][rng.random_range(0..4)],
+        run: Duration::from_secs_f64(rng.random_range(0.3..5.0)),
         is_service,
         zone: None,
         one_zone: false,
         spread: false,
-        spot: r.random_bool(0.6),
-        awaits: needs(r, before, is_service),
-        at: Duration::from_secs_f64(at),
+        spot: rng.random_bool(0.6),
+        dependencies: random_dependencies(rng, earlier, is_service),
+        submit_at: Duration::from_secs_f64(at),
         cancel_after: None,
     };
-    match r.random_range(0..12) {
+    match rng.random_range(0..12) {
         0 => job.one_zone = true,
         1 => job.spread = true,
         2 => job.zone = Some(ZONES[1]),
@@ -108,24 +124,25 @@
         job.tasks = job.tasks.min(3);
         job.cpus = 1.0;
     }
-    if is_service || r.random_bool(0.25) {
-        job.cancel_after = Some(Duration::from_secs_f64(r.random_range(0.05..8.0)));
+    if is_service || rng.random_bool(0.25) {
+        job.cancel_after = Some(Duration::from_secs_f64(rng.random_range(0.05..8.0)));
     }
     job
 }
 
-/// Mostly none, else some of the last jobs or of all before: chains, diamonds, fan-in.
-fn needs(r: &mut SmallRng, before: &[Job], is_service: bool) -> Vec<usize> {
-    if is_service || before.is_empty() || r.random_bool(0.55) {
+/// Dependencies of a new job: mostly none, else some of the last jobs or of all earlier ones,
+/// so that chains, diamonds and fan-in arise.
+fn random_dependencies(rng: &mut SmallRng, earlier: &[Job], is_service: bool) -> Vec<usize> {
+    if is_service || earlier.is_empty() || rng.random_bool(0.55) {
         return Vec::new();
     }
-    let mut needs = Vec::new();
-    for _ in 0..r.random_range(1..4) {
-        let first = if r.random_bool(0.85) { before.len().saturating_sub(6) } else { 0 };
-        let need = r.random_range(first..before.len());
-        if !before[need].is_service && !needs.contains(&need) {
-            needs.push(need);
+    let mut dependencies = Vec::new();
+    for _ in 0..rng.random_range(1..4) {
+        let first = if rng.random_bool(0.85) { earlier.len().saturating_sub(6) } else { 0 };
+        let dependency = rng.random_range(first..earlier.len());
+        if !earlier[dependency].is_service && !dependencies.contains(&dependency) {
+            dependencies.push(dependency);
         }
     }
-    needs
+    dependencies
 }
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -1,40 +1,47 @@
-//! How long and how large the soak is, by environment variables. One that cannot be used
-//! is refused in one line.
+//! Options of the soak, from environment variables. An invalid value is rejected with a
+//! message of one line.
 
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// How many seeds are played.
+/// Variable: how many seeds are run.
 pub const SEEDS: &str = "SHEDTALLY_SOAK_SEEDS";
-/// The first of them.
+/// Variable: the first seed.
 pub const FIRST_SEED: &str = "SHEDTALLY_SOAK_FIRST_SEED";
-/// Machines of the fleet.
+/// Variable: number of machines in the fleet.
 pub const WORKERS: &str = "SHEDTALLY_SOAK_WORKERS";
-/// For how many seconds faults begin; a run lasts longer, until all is calm.
+/// Variable: for how many seconds faults begin. A run lasts longer, until the cluster has
+/// recovered.
 pub const SECONDS: &str = "SHEDTALLY_SOAK_SECONDS";
-/// Seeds that are played at the same time.
+/// Variable: how many seeds are run at the same time.
 pub const AT_ONCE: &str = "SHEDTALLY_SOAK_AT_ONCE";
-/// The program under test, if it is another than the one that cargo built.
+/// Variable: path of the program under test, if it is not the one that cargo built.
 pub const PROGRAM: &str = "SHEDTALLY_SOAK_PROGRAM";
 
+/// Options of the soak.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
+    /// The first seed.
     pub first_seed: u64,
+    /// How many seeds are run.
     pub seeds: u64,
+    /// Number of machines in the fleet.
     pub workers: u64,
+    /// For how many seconds faults begin.
     pub seconds: u64,
+    /// How many seeds are run at the same time.
     pub at_once: u64,
 }
 
-/// A variable whose value cannot be used.
-pub struct Refused {
+/// A variable whose value is invalid.
+pub struct InvalidOption {
     variable: &'static str,
     text: String,
     allowed: RangeInclusive<u64>,
 }
 
 // A test that ends with an error prints it by its `Debug` form.
-impl fmt::Debug for Refused {
+impl fmt::Debug for InvalidOption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (least, most) = self.allowed.clone().into_inner();
         write!(f, "{}={:?} is no whole number from {least} to {most}", self.variable, self.text)
@@ -46,17 +53,21 @@
     text: Option<String>,
     default: u64,
     allowed: RangeInclusive<u64>,
-) -> Result<u64, Refused> {
+) -> Result<u64, InvalidOption> {
     let Some(text) = text else { return Ok(default) };
     match text.parse() {
         Ok(number) if allowed.contains(&number) => Ok(number),
-        _ => Err(Refused { variable, text, allowed }),
+        _ => Err(InvalidOption { variable, text, allowed }),
     }
 }
 
 impl Options {
-    /// By the variables that the function gives.
-    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, Refused> {
+    /// Reads the options, by a function that returns the value of a variable.
+    ///
+    /// # Errors
+    ///
+    /// [`InvalidOption`] if a value is not a whole number in the allowed range.
+    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, InvalidOption> {
         let read = |name: &'static str, default, allowed| number(name, variable(name), default, allowed);
         Ok(Options {
             first_seed: read(FIRST_SEED, 1, 0..=u64::MAX / 2)?,
@@ -69,7 +80,7 @@
 }
 
 #[test]
-fn bad_options_are_refused_in_one_line() {
+fn invalid_options_are_rejected_in_one_line() {
     let options = |name: &'static str, text: &'static str| {
         Options::read(move |asked| (asked == name).then(|| text.to_owned()))
     };
@@ -83,7 +94,7 @@
         (AT_ONCE, "1.5"),
         (SECONDS, ""),
     ] {
-        let refused = format!("{:?}", options(name, text).expect_err("no such number"));
-        assert!(refused.starts_with(name) && refused.lines().count() == 1, "{refused}");
+        let message = format!("{:?}", options(name, text).expect_err("no such number"));
+        assert!(message.starts_with(name) && message.lines().count() == 1, "{message}");
     }
 }
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -1,5 +1,5 @@
-//! The controllers: the built program, one process each, with settings written for the run
-//! and a link for each pair of parts that speak to each other.
+//! The controllers: the built program, one process each, with settings written for the run,
+//! and a link for each pair of parts that communicate.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -8,116 +8,141 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-use super::jobs::{LIMITED_PART, LIMITED_TEAM, MACHINE_CPUS, ZONES};
-use super::network::{Link, Passage};
-use super::state_service::{StateService, TXN_OPS, VALUE_KB};
-use super::workers::{LEASE, REPORT};
-use super::{CANCEL, cloud};
+use super::jobs::{LIMITED_SHARE, LIMITED_TEAM, MACHINE_CPUS, ZONES};
+use super::kv_server::{KvServer, TXN_OPS, VALUE_KB};
+use super::network::{Delivery, Link};
+use super::workers::{HEARTBEAT_INTERVAL, LEASE};
+use super::{CANCEL_WITHIN, cloud};
 
-/// How a controller's ways to others are cut.
+/// How the links of a controller are cut.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Cut {
+    /// Traffic arrives once the fault has ended.
     Held,
+    /// Traffic is lost, and so are the connections.
     Lost,
+    /// Connections end, and new ones are refused.
     Refused,
 }
 
-/// A controller, its process and the links to and from it.
+/// A controller: its process, and the links to and from it.
 #[derive(Debug)]
 struct Controller {
+    /// `None` while the process is not running.
     child: Option<Child>,
-    paused: bool,
+    /// How often the process was started; numbers its logs.
     starts: u32,
+    /// From users.
     users: Link,
+    /// From workers.
     workers: Link,
-    state: Link,
+    /// To the key-value store.
+    kv: Link,
+    /// To the cloud.
     cloud: Link,
-    /// From each other controller, in their order; its own place is never used.
+    /// From each other controller, by that one's index; the entry at its own index is unused.
     peers: Vec<Link>,
 }
 
-/// All controllers of a run. Dropping them ends their processes.
+/// All controllers of a run. Dropping this kills their processes.
 #[derive(Debug)]
 pub struct Controllers {
     controllers: Vec<Controller>,
     program: PathBuf,
     folder: PathBuf,
     workers: u64,
-    /// Users aim at a start within less than a report interval, so that answers to reports
-    /// are held.
-    prompt: bool,
+    /// Whether an objective asks for starts within less than a heartbeat interval, so that
+    /// controllers defer responses to heartbeats (long polling).
+    latency_sensitive: bool,
 }
 
-/// Where a controller is to listen. Connections go out from another loopback address, so
-/// none of them takes the port before the controller does.
+/// A free address for a controller to listen on. Outgoing connections use another loopback
+/// address, so that none of them takes the port before the controller does.
 async fn free_address() -> std::io::Result<SocketAddr> {
     tokio::net::TcpListener::bind("127.0.1.1:0").await?.local_addr()
 }
 
 /// What all controllers of a run have in common.
-pub struct Site<'a> {
+pub struct ClusterSetup<'a> {
+    /// Number of controllers.
     pub count: usize,
+    /// Number of machines in the fleet.
     pub workers: u64,
-    pub prompt: bool,
+    /// Whether an objective asks for starts within less than a heartbeat interval.
+    pub latency_sensitive: bool,
+    /// Folder for settings and logs.
     pub folder: &'a Path,
+    /// The program under test.
     pub program: &'a Path,
 }
 
 impl Controllers {
-    /// Opens the links; nothing runs yet.
-    pub async fn prepare(site: &Site<'_>, state: &StateService) -> std::io::Result<Self> {
+    /// Opens the links; no process is started yet.
+    ///
+    /// # Errors
+    ///
+    /// If no port is free.
+    pub async fn prepare(setup: &ClusterSetup<'_>, kv: &KvServer) -> std::io::Result<Self> {
         let mut controllers = Vec::new();
-        for at in 0..site.count {
+        for index in 0..setup.count {
             let mut peers = Vec::new();
-            for _ in 0..site.count {
+            for _ in 0..setup.count {
                 peers.push(Link::open(None).await?);
             }
             controllers.push(Controller {
                 child: None,
-                paused: false,
                 starts: 0,
                 users: Link::open(None).await?,
                 workers: Link::open(None).await?,
-                state: Link::open(Some(state.addresses[at])).await?,
+                kv: Link::open(Some(kv.addresses[index])).await?,
                 cloud: Link::open(None).await?,
                 peers,
             });
         }
         Ok(Controllers {
             controllers,
-            program: site.program.to_owned(),
-            folder: site.folder.to_owned(),
-            workers: site.workers,
-            prompt: site.prompt,
+            program: setup.program.to_owned(),
+            folder: setup.folder.to_owned(),
+            workers: setup.workers,
+            latency_sensitive: setup.latency_sensitive,
         })
     }
 
-    pub fn lead_to_cloud(&self, address: SocketAddr) {
-        self.controllers.iter().for_each(|c| c.cloud.lead_to(Some(address)));
+    /// Sets where the cloud listens.
+    pub fn connect_cloud(&self, address: SocketAddr) {
+        self.controllers.iter().for_each(|c| c.cloud.set_target(Some(address)));
     }
 
+    /// Number of controllers.
     pub fn count(&self) -> usize {
         self.controllers.len()
     }
 
+    /// Where users reach each controller.
     pub fn for_users(&self) -> Vec<SocketAddr> {
         self.controllers.iter().map(|c| c.users.address).collect()
     }
 
+    /// Where workers reach each controller.
     pub fn for_workers(&self) -> Vec<SocketAddr> {
         self.controllers.iter().map(|c| c.workers.address).collect()
     }
 
-    /// Starts a controller's process; its links lead there from now on.
-    pub async fn start(&mut self, at: usize) -> std::io::Result<()> {
-        if self.controllers[at].child.is_some() {
+    /// Starts a controller's process, unless it is running; its links lead there from now on.
+    ///
+    /// # Errors
+    ///
+    /// If its files cannot be written, or the process cannot be started.
+    pub async fn start(&mut self, index: usize) -> std::io::Result<()> {
+        if self.controllers[index].child.is_some() {
             return Ok(());
         }
         let (serving, internal) = (free_address().await?, free_address().await?);
-        self.controllers[at].starts += 1;
-        let file = self.folder.join(format!("c-{at}.toml"));
-        std::fs::write(&file, self.settings(at, serving, internal))?;
-        let log = File::create(self.folder.join(format!("c-{at}-{}.log", self.controllers[at].starts)))?;
+        self.controllers[index].starts += 1;
+        let file = self.folder.join(format!("c-{index}.toml"));
+        std::fs::write(&file, self.settings(index, serving, internal))?;
+        let log =
+            File::create(self.folder.join(format!("c-{index}-{}.log", self.controllers[index].starts)))?;
         let child = Command::new(&self.program)
             .arg("--config")
             .arg(&file)
@@ -126,30 +151,29 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn()?;
-        let controller = &mut self.controllers[at];
+        let controller = &mut self.controllers[index];
         controller.child = Some(child);
-        controller.paused = false;
-        controller.users.lead_to(Some(serving));
-        controller.workers.lead_to(Some(serving));
-        controller.peers.iter().for_each(|link| link.lead_to(Some(internal)));
+        controller.users.set_target(Some(serving));
+        controller.workers.set_target(Some(serving));
+        controller.peers.iter().for_each(|link| link.set_target(Some(internal)));
         Ok(())
     }
 
-    fn settings(&self, at: usize, serving: SocketAddr, internal: SocketAddr) -> String {
-        let this = &self.controllers[at];
-        let known = (0..self.count()).filter(|other| *other != at).map(|other| {
-            let (zone, link) = (zone_of(other), &self.controllers[other].peers[at]);
+    fn settings(&self, index: usize, serving: SocketAddr, internal: SocketAddr) -> String {
+        let this = &self.controllers[index];
+        let peers_settings = (0..self.count()).filter(|other| *other != index).map(|other| {
+            let (zone, link) = (zone_of(other), &self.controllers[other].peers[index]);
             format!(
                 "[[known]]\nhost_name = \"c-{other}\"\ndomain = \"{zone}\"\naddress = \"{}\"\n",
                 link.address
             )
         });
         let fleet = self.workers as f64 * MACHINE_CPUS;
-        let prompt =
+        let latency_objective =
             "[[cluster.objectives]]\nkind = \"wait\"\nclass = \"viewer\"\nwithin_s = 0.5\nshare = 0.9\n";
         format!(
-            "host_name = \"c-{at}\"\ndomain = \"{zone}\"\nserve_on = \"{serving}\"\ninternal_addr = \"{internal}\"\n\
-             {known}\
+            "host_name = \"c-{index}\"\ndomain = \"{zone}\"\nserve_on = \"{serving}\"\ninternal_addr = \"{internal}\"\n\
+             {peers}\
              [external]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n\
              [cluster]\nsize = {size}\nzones = [\"z1\", \"z2\"]\nskew_ms = 25.0\n\
              [[cluster.teams]]\nname = \"{LIMITED_TEAM}\"\ncpus = {guaranteed}\ncpus_max = {limit}\n\
@@ -159,111 +183,117 @@
              [cluster.state]\nrps = 4000.0\nwrite_rps = 1500.0\nvalue_kb = {VALUE_KB:.1}\ntxn_ops = {TXN_OPS}\n\
              [cluster.cloud]\nrps = 20.0\nlist_lag_s = {lag}\n\
              [cluster.quota]\ncore_share = 0.5\nram_mb = 256.0\nsockets = {sockets}\n",
-            zone = zone_of(at),
-            known = known.collect::<String>(),
+            zone = zone_of(index),
+            peers = peers_settings.collect::<String>(),
             cloud = this.cloud.address,
-            state = this.state.address,
+            state = this.kv.address,
             size = self.count(),
-            guaranteed = fleet * LIMITED_PART / 4.0,
-            limit = fleet * LIMITED_PART,
-            objectives = if self.prompt { prompt } else { "" },
-            report = REPORT.as_secs_f64(),
+            guaranteed = fleet * LIMITED_SHARE / 4.0,
+            limit = fleet * LIMITED_SHARE,
+            objectives = if self.latency_sensitive { latency_objective } else { "" },
+            report = HEARTBEAT_INTERVAL.as_secs_f64(),
             lease = LEASE.as_secs_f64(),
-            cancel = CANCEL.as_secs_f64(),
+            cancel = CANCEL_WITHIN.as_secs_f64(),
             lag = cloud::LIST_LAG.as_secs_f64(),
             sockets = self.workers * 8 + 800,
         )
     }
 
-    /// Ends a process without a word; its links lead nowhere.
-    pub fn kill(&mut self, at: usize) {
-        let controller = &mut self.controllers[at];
+    /// Kills a process with SIGKILL; its links refuse connections from now on.
+    pub fn kill(&mut self, index: usize) {
+        let controller = &mut self.controllers[index];
         let Some(mut child) = controller.child.take() else { return };
         let _ = child.kill();
         let _ = child.wait();
-        controller.users.lead_to(None);
-        controller.workers.lead_to(None);
-        controller.peers.iter().for_each(|link| link.lead_to(None));
+        controller.users.set_target(None);
+        controller.workers.set_target(None);
+        controller.peers.iter().for_each(|link| link.set_target(None));
     }
 
-    /// Lets a process stand still, or go on.
-    pub fn pause(&mut self, at: usize, paused: bool) {
-        let controller = &mut self.controllers[at];
+    /// Stops a process with SIGSTOP, or continues it.
+    pub fn pause(&mut self, index: usize, paused: bool) {
+        let controller = &mut self.controllers[index];
         let Some(child) = &controller.child else { return };
         let signal = if paused { Signal::STOP } else { Signal::CONT };
         if let Some(pid) = i32::try_from(child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
-            controller.paused = paused;
         }
     }
 
     fn cut(link: &Link, cut: Option<Cut>) {
         match cut {
-            None => link.mend(),
-            Some(Cut::Held) => link.set(Passage::Held, Passage::Held),
-            Some(Cut::Lost) => link.set(Passage::Lost, Passage::Lost),
-            Some(Cut::Refused) => link.refuse(true),
+            None => link.restore(),
+            Some(Cut::Held) => link.set_delivery(Delivery::Held, Delivery::Held),
+            Some(Cut::Lost) => link.set_delivery(Delivery::Lost, Delivery::Lost),
+            Some(Cut::Refused) => link.set_refusing(true),
         }
     }
 
-    pub fn cut_state(&self, at: usize, cut: Option<Cut>) {
-        Self::cut(&self.controllers[at].state, cut);
+    /// Cuts a controller from the key-value store, or restores the link.
+    pub fn cut_kv(&self, index: usize, cut: Option<Cut>) {
+        Self::cut(&self.controllers[index].kv, cut);
     }
 
-    pub fn cut_workers(&self, at: usize, cut: Option<Cut>) {
-        Self::cut(&self.controllers[at].workers, cut);
+    /// Cuts workers from a controller, or restores the link.
+    pub fn cut_workers(&self, index: usize, cut: Option<Cut>) {
+        Self::cut(&self.controllers[index].workers, cut);
     }
 
-    /// Answers to workers arrive later, or never; their reports arrive.
-    pub fn spoil_answers(&self, at: usize, back: Passage) {
-        self.controllers[at].workers.set(Passage::Open, back);
+    /// Delays or loses responses to workers, whose heartbeats arrive.
+    pub fn set_worker_responses(&self, index: usize, delivery: Delivery) {
+        self.controllers[index].workers.set_delivery(Delivery::Open, delivery);
     }
 
-    /// Cuts a controller from the others, both ways.
-    pub fn cut_peers(&self, at: usize, cut: Option<Cut>) {
-        for other in (0..self.count()).filter(|other| *other != at) {
-            Self::cut(&self.controllers[at].peers[other], cut);
-            Self::cut(&self.controllers[other].peers[at], cut);
+    /// Cuts a controller from the others in both directions, or restores the links.
+    pub fn cut_peers(&self, index: usize, cut: Option<Cut>) {
+        for other in (0..self.count()).filter(|other| *other != index) {
+            Self::cut(&self.controllers[index].peers[other], cut);
+            Self::cut(&self.controllers[other].peers[index], cut);
         }
     }
 
-    /// What controllers say to each other comes late.
-    pub fn delay_peers(&self, passage: Passage) {
+    /// Sets what happens to all traffic between controllers.
+    pub fn delay_peers(&self, passage: Delivery) {
         for controller in &self.controllers {
-            controller.peers.iter().for_each(|link| link.set(passage, passage));
+            controller.peers.iter().for_each(|link| link.set_delivery(passage, passage));
         }
     }
 
-    /// All troubles end: whoever stands still goes on, whoever is gone comes back.
-    pub async fn calm(&mut self) -> std::io::Result<()> {
-        for at in 0..self.count() {
-            self.pause(at, false);
-            self.cut_state(at, None);
-            self.cut_workers(at, None);
-            self.cut_peers(at, None);
-            self.start(at).await?;
+    /// Ends all faults: continues stopped processes, restores links, restarts what was killed.
+    ///
+    /// # Errors
+    ///
+    /// As [`Controllers::start`].
+    pub async fn recover(&mut self) -> std::io::Result<()> {
+        for index in 0..self.count() {
+            self.pause(index, false);
+            self.cut_kv(index, None);
+            self.cut_workers(index, None);
+            self.cut_peers(index, None);
+            self.start(index).await?;
         }
         Ok(())
     }
 
-    /// Controllers whose processes have ended by themselves since the last look.
-    pub fn ended(&mut self) -> Vec<(usize, String)> {
-        let mut ended = Vec::new();
-        for (at, controller) in self.controllers.iter_mut().enumerate() {
+    /// Controllers whose processes have exited by themselves since the last call, with their
+    /// exit status.
+    pub fn exited(&mut self) -> Vec<(usize, String)> {
+        let mut exited = Vec::new();
+        for (index, controller) in self.controllers.iter_mut().enumerate() {
             let status = controller.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
             if let Some(status) = status {
                 controller.child = None;
-                ended.push((at, status.to_string()));
+                exited.push((index, status.to_string()));
             }
         }
-        ended
+        exited
     }
 }
 
 impl Drop for Controllers {
     fn drop(&mut self) {
-        for at in 0..self.controllers.len() {
-            self.kill(at);
+        for index in 0..self.controllers.len() {
+            self.kill(index);
         }
     }
 }
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users: they submit, ask, repeat and call off through any controller,
-//! several at a time for one job.
+//! Test doubles of the users: they submit, poll, submit again and cancel through any
+//! controller, with several concurrent requests for one job.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,41 +9,54 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shedtally::protocol::cbor::{Fields, MapBuilder, decode, encode};
-use shedtally::transport::client::{Call, PreparedCall};
-use shedtally::transport::codec::{Limits, Response};
+use shedtally::transport::client::Call;
+use shedtally::transport::codec::Response;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::history::{Event, JobState, Question, Recorder};
+use super::history::{Event, JobState, Recorder, UserRequest};
+use super::http::send;
 use super::jobs::Job;
 
-const HTTP_LIMITS: Limits = Limits { head: 8192, body: 64 * 1024 };
-const SUBMIT_PATIENCE: Duration = Duration::from_secs(5);
-const POLL_PATIENCE: Duration = Duration::from_secs(2);
-
-/// Users call off that share of their unfinished jobs, each time the number rises.
-pub type CallOff = (u64, f64);
+/// How long users wait for the response to a submission or cancellation.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long users wait for the response to a poll.
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Asks users to cancel a share of their unfinished jobs, each time the number rises.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct MassCancellation {
+    /// How many times users were asked to cancel; each change is one more.
+    pub number: u64,
+    /// The share of their unfinished jobs that they cancel.
+    pub share: f64,
+}
 
 /// What the users of a run share.
 #[derive(Debug)]
 pub struct Users {
+    /// The users' jobs.
     pub jobs: Vec<Job>,
-    /// Where each controller takes users.
+    /// Where users reach each controller.
     pub controllers: Vec<SocketAddr>,
+    /// Records responses.
     pub recorder: Recorder,
+    /// When the run began.
     pub begin: Instant,
-    pub call_off: watch::Receiver<CallOff>,
-    /// Which jobs have been accepted, by their number.
+    /// Tells users to cancel many jobs.
+    pub mass_cancellations: watch::Receiver<MassCancellation>,
+    /// Whether each job has been accepted, by its index.
     pub accepted: Vec<watch::Sender<bool>>,
+    /// Seed of the run.
     pub seed: u64,
 }
 
-/// Starts all users; they go on until the runtime ends.
+/// Starts all users; they run until the runtime ends.
 pub fn start(users: Arc<Users>) {
     for job in 0..users.jobs.len() {
         tokio::spawn(User::new(users.clone(), job).run());
     }
-    tokio::spawn(odd_requests(users));
+    tokio::spawn(send_invalid_requests(users));
 }
 
 #[derive(Clone)]
@@ -64,30 +77,30 @@
     }
 
     async fn run(mut self) {
-        tokio::time::sleep_until(self.users.begin + self.plan().at).await;
-        for need in self.plan().awaits.clone() {
-            let mut accepted = self.users.accepted[need].subscribe();
+        tokio::time::sleep_until(self.users.begin + self.plan().submit_at).await;
+        for dependency in self.plan().dependencies.clone() {
+            let mut accepted = self.users.accepted[dependency].subscribe();
             let _ = accepted.wait_for(|accepted| *accepted).await;
         }
         loop {
-            let (status, standing) = self.ask_anybody(Question::Submit).await;
+            let (status, state) = self.ask_any_controller(UserRequest::Submit).await;
             match status {
-                200 | 201 if standing.is_some() => break,
+                200 | 201 if state.is_some() => break,
                 400 | 422 => return,
                 _ => self.pause(0.2..0.8).await,
             }
         }
         self.users.accepted[self.job].send_replace(true);
-        self.look_closely();
+        self.ask_all_controllers();
         if let Some(after) = self.plan().cancel_after {
-            tokio::spawn(self.other().call_off(after));
+            tokio::spawn(self.concurrent().cancel(after));
         }
-        tokio::spawn(self.other().follow_calls());
+        tokio::spawn(self.concurrent().follow_mass_cancellations());
         self.poll().await;
     }
 
-    /// The same user, doing something else at the same time.
-    fn other(&mut self) -> User {
+    /// The same user, for another request at the same time.
+    fn concurrent(&mut self) -> User {
         User { rng: SmallRng::seed_from_u64(self.rng.random()), ..self.clone() }
     }
 
@@ -96,112 +109,110 @@
         tokio::time::sleep(Duration::from_secs_f64(time)).await;
     }
 
-    /// Asks now and then, also long after the job is over.
+    /// Polls again and again, also long after the job has become terminal.
     async fn poll(mut self) {
-        let mut known = None;
+        let mut known_terminal = None;
         loop {
-            let repeats = self.rng.random_bool(0.06);
-            let question = if repeats { Question::Submit } else { Question::Poll };
-            let (_, standing) = self.ask_anybody(question).await;
-            if standing.is_some_and(JobState::is_terminal) && known != standing {
-                known = standing;
-                self.look_closely();
+            let resubmits = self.rng.random_bool(0.06);
+            let request = if resubmits { UserRequest::Submit } else { UserRequest::Poll };
+            let (_, state) = self.ask_any_controller(request).await;
+            if state.is_some_and(JobState::is_terminal) && known_terminal != state {
+                known_terminal = state;
+                self.ask_all_controllers();
             }
-            let often = if known.is_some() { 2.0..5.0 } else { 0.3..1.3 };
-            self.pause(often).await;
+            let interval = if known_terminal.is_some() { 2.0..5.0 } else { 0.3..1.3 };
+            self.pause(interval).await;
         }
     }
 
-    async fn call_off(mut self, after: Duration) {
+    /// Cancels the job after a while, and repeats the request until the job is terminal.
+    async fn cancel(mut self, after: Duration) {
         tokio::time::sleep(after).await;
-        self.users.recorder.note(Event::CallsOff { job: self.job });
+        self.users.recorder.record(Event::CancelRequested { job: self.job });
         loop {
-            let (_, standing) = self.ask_anybody(Question::Withdraw).await;
-            if standing.is_some_and(JobState::is_terminal) {
+            let (_, state) = self.ask_any_controller(UserRequest::Cancel).await;
+            if state.is_some_and(JobState::is_terminal) {
                 return;
             }
             self.pause(0.1..0.5).await;
         }
     }
 
-    /// Calls off when many users do at once.
-    async fn follow_calls(mut self) {
-        let mut calls = self.users.call_off.clone();
-        calls.mark_unchanged();
-        while calls.changed().await.is_ok() {
-            let (_, share) = *calls.borrow_and_update();
+    /// Cancels the job when many users cancel at once.
+    async fn follow_mass_cancellations(mut self) {
+        let mut mass_cancellations = self.users.mass_cancellations.clone();
+        mass_cancellations.mark_unchanged();
+        while mass_cancellations.changed().await.is_ok() {
+            let share = mass_cancellations.borrow_and_update().share;
             if self.rng.random_bool(share) {
-                return self.call_off(Duration::ZERO).await;
+                return self.cancel(Duration::ZERO).await;
             }
         }
     }
 
-    /// Asks all controllers within milliseconds.
-    fn look_closely(&mut self) {
+    /// Asks all controllers within milliseconds, which shows whether their responses agree.
+    fn ask_all_controllers(&mut self) {
         for controller in 0..self.users.controllers.len() {
-            let mut other = self.other();
+            let mut concurrent = self.concurrent();
             tokio::spawn(async move {
-                other.pause(0.0..0.05).await;
-                let question = if other.rng.random_bool(0.3) { Question::Submit } else { Question::Poll };
-                other.ask(question, controller).await;
+                concurrent.pause(0.0..0.05).await;
+                let request =
+                    if concurrent.rng.random_bool(0.3) { UserRequest::Submit } else { UserRequest::Poll };
+                concurrent.ask(request, controller).await;
             });
         }
     }
 
-    async fn ask_anybody(&mut self, question: Question) -> (u16, Option<JobState>) {
+    async fn ask_any_controller(&mut self, request: UserRequest) -> (u16, Option<JobState>) {
         let controller = self.rng.random_range(0..self.users.controllers.len());
-        self.ask(question, controller).await
+        self.ask(request, controller).await
     }
 
-    async fn ask(&mut self, question: Question, controller: usize) -> (u16, Option<JobState>) {
+    async fn ask(&mut self, request: UserRequest, controller: usize) -> (u16, Option<JobState>) {
         let asked = self.users.recorder.now();
         let id = &self.plan().id;
-        let (method, target, body) = match question {
-            Question::Submit => {
-                ("POST", "/api/jobs".to_owned(), encode(&self.plan().submission(&self.users.jobs)))
+        let (method, target, body) = match request {
+            UserRequest::Submit => {
+                ("POST", "/api/jobs".to_owned(), encode(&self.plan().encode_submission(&self.users.jobs)))
             }
-            Question::Poll => ("GET", format!("/api/jobs/{id}"), Vec::new()),
-            Question::Withdraw => ("POST", format!("/api/jobs/{id}/withdraw"), Vec::new()),
+            UserRequest::Poll => ("GET", format!("/api/jobs/{id}"), Vec::new()),
+            UserRequest::Cancel => ("POST", format!("/api/jobs/{id}/withdraw"), Vec::new()),
         };
-        let deadline = if question == Question::Poll { POLL_PATIENCE } else { SUBMIT_PATIENCE };
+        let deadline = if request == UserRequest::Poll { POLL_TIMEOUT } else { CHANGE_TIMEOUT };
         let call = Call { method, target, body, deadline };
-        let Some(answer) = send(self.users.controllers[controller], call).await else { return (0, None) };
-        let (status, job) = (answer.status, self.job);
-        let standing = standing_in(&answer);
-        self.users.recorder.note(Event::Answered { job, question, asked, controller, status, standing });
-        (status, standing)
+        let Some(response) = send(self.users.controllers[controller], call).await else { return (0, None) };
+        let (status, job) = (response.status, self.job);
+        let state = state_in(&response);
+        self.users.recorder.record(Event::Answered { job, request, asked, controller, status, state });
+        (status, state)
     }
 }
 
-fn standing_in(answer: &Response) -> Option<JobState> {
-    let body = decode(&answer.body).ok()?;
+fn state_in(response: &Response) -> Option<JobState> {
+    let body = decode(&response.body).ok()?;
     JobState::parse(Fields::of(&body).ok()?.text("standing").ok()?)
 }
 
-async fn send(to: SocketAddr, call: Call) -> Option<Response> {
-    PreparedCall::without_pool(to, HTTP_LIMITS, call).run().await.0.ok()
-}
-
-/// What must be refused, and questions about what nobody submitted.
-async fn odd_requests(users: Arc<Users>) {
+/// Sends submissions that must be rejected, and polls of jobs that nobody has submitted.
+async fn send_invalid_requests(users: Arc<Users>) {
     let mut rng = SmallRng::seed_from_u64(users.seed ^ 0x0dd);
     loop {
         tokio::time::sleep(Duration::from_secs_f64(rng.random_range(0.3..1.5))).await;
         let Some(sample) = users.jobs.first() else { return };
-        let odd = Job { id: "job-900000".into(), awaits: Vec::new(), ..sample.clone() };
-        let sound = odd.submission(&users.jobs);
+        let unsubmitted = Job { id: "job-900000".into(), dependencies: Vec::new(), ..sample.clone() };
+        let valid = unsubmitted.encode_submission(&users.jobs);
         let (method, target, body, expected) = match rng.random_range(0..5) {
             0 => ("GET", "/api/jobs/job-800000", Vec::new(), 404),
-            1 => ("POST", "/api/jobs", without_a_field(&mut rng, &sound), 400),
-            2 => ("POST", "/api/jobs", with_field(&sound, "awaits", Value::from("job-000001")), 400),
-            3 => ("POST", "/api/jobs", with_field(&sound, "awaits", list("job-777777")), 422),
-            _ => ("POST", "/api/jobs", with_field(&sound, "cores", Value::from(999.0)), 422),
+            1 => ("POST", "/api/jobs", without_a_field(&mut rng, &valid), 400),
+            2 => ("POST", "/api/jobs", with_field(&valid, "awaits", Value::from("job-000001")), 400),
+            3 => ("POST", "/api/jobs", with_field(&valid, "awaits", list("job-777777")), 422),
+            _ => ("POST", "/api/jobs", with_field(&valid, "cores", Value::from(999.0)), 422),
         };
-        let deadline = SUBMIT_PATIENCE;
+        let deadline = CHANGE_TIMEOUT;
         let call = Call { method, target: target.into(), body, deadline };
         let controller = users.controllers[rng.random_range(0..users.controllers.len())];
-        if let Some(answer) = send(controller, call).await {
-            users.recorder.note(Event::Odd { expected, status: answer.status });
+        if let Some(response) = send(controller, call).await {
+            users.recorder.record(Event::InvalidRequest { expected, status: response.status });
         }
     }
 }
@@ -222,12 +233,12 @@
     encode(&changed.set(name, value).build())
 }
 
-/// Any but those that may be left out.
+/// The submission without one of its required fields.
 fn without_a_field(rng: &mut SmallRng, submission: &Value) -> Vec<u8> {
     let Value::Map(mut fields) = submission.clone() else { return Vec::new() };
     let optional = ["builds", "hall", "dueS", "awaits"];
-    let needed = |at: &usize| fields[*at].0.as_text().is_some_and(|name| !optional.contains(&name));
-    let needed: Vec<usize> = (0..fields.len()).filter(needed).collect();
-    fields.remove(needed[rng.random_range(0..needed.len())]);
+    let required = |at: &usize| fields[*at].0.as_text().is_some_and(|name| !optional.contains(&name));
+    let required: Vec<usize> = (0..fields.len()).filter(required).collect();
+    fields.remove(required[rng.random_range(0..required.len())]);
     encode(&Value::Map(fields))
 }
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the machines' workers: reports, leases, tasks and orders as PROTOCOL
+//! Test doubles of the machines' workers: heartbeats, leases, tasks and commands as PROTOCOL
 //! describes them.
 
 use std::net::SocketAddr;
@@ -9,75 +9,82 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shedtally::protocol::cbor::{Fields, MapBuilder, decode, encode};
-use shedtally::transport::client::{Call, PreparedCall};
-use shedtally::transport::codec::{Limits, Request, Response};
-use shedtally::transport::server::{Handler, ServerOptions, serve};
-use tokio::net::TcpListener;
+use shedtally::transport::client::Call;
+use shedtally::transport::codec::{Request, Response};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::history::{Event, Recorder, TaskOn};
+use super::history::{Event, Recorder, TaskOnMachine};
+use super::http::{self, Listening, MAX_BODY, listen};
 use super::jobs::{Job, MACHINE_CPUS};
 
-pub const REPORT: Duration = Duration::from_secs(1);
+/// Usual time between two heartbeats.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// A worker that gets no response for so long kills its tasks and starts a new incarnation.
 pub const LEASE: Duration = Duration::from_secs(8);
-/// An answer that takes longer is dropped.
-const ANSWER_WITHIN: Duration = Duration::from_secs(4);
-/// Least time between two reports that are sent for a change.
-const CHANGE_PAUSE: Duration = Duration::from_millis(500);
-const HTTP_LIMITS: Limits = Limits { head: 8192, body: 64 * 1024 };
+/// A response that takes longer is dropped.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Least time between two heartbeats that are sent because of a change.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
+/// Most connections to a worker.
+const CONNECTIONS: usize = 64;
 
 /// What all workers of a run share.
 #[derive(Debug)]
-pub struct Surroundings {
+pub struct WorkerContext {
+    /// The users' jobs.
     pub jobs: Vec<Job>,
-    /// Where each controller takes reports, by its name's number.
+    /// Where each controller receives heartbeats, by the number in its name.
     pub controllers: Vec<SocketAddr>,
+    /// Records what happens to tasks.
     pub recorder: Recorder,
 }
 
-/// What goes wrong with a machine.
+/// A fault of a machine.
 #[derive(Debug, Clone, Copy)]
-pub enum Mishap {
-    /// Its reports arrive; answers and direct orders don't.
-    Deaf { lasts: Duration },
-    /// It reaches no controller; direct orders reach it.
-    Mute { lasts: Duration },
-    /// Nothing on it goes on.
+pub enum MachineFault {
+    /// Its heartbeats arrive; responses to them and pushed commands don't.
+    LosesIncoming { lasts: Duration },
+    /// Its heartbeats reach no controller; pushed commands reach it.
+    LosesOutgoing { lasts: Duration },
+    /// Its worker and tasks do not run meanwhile.
     Hang { lasts: Duration },
-    /// Copies of that share of its reports arrive again later.
-    LateReports { share: f64, lasts: Duration },
+    /// Copies of this share of its heartbeats arrive again later.
+    LateHeartbeats { share: f64, lasts: Duration },
 }
 
 enum Message {
-    /// An order sent straight to it, or a question for its report.
-    Direct {
+    /// A pushed command, or, without a body, a request for its status.
+    Pushed {
         body: Option<Vec<u8>>,
         reply: oneshot::Sender<Response>,
     },
-    Reported {
-        session: u64,
+    /// A heartbeat got a response, or none in time.
+    Responded {
+        incarnation: u64,
         sent: Instant,
-        answer: Option<Response>,
+        response: Option<Response>,
     },
-    Suffer(Mishap),
-    /// The cloud takes it away, with all that is on it.
+    Inject(MachineFault),
+    /// The cloud deletes the machine, with all tasks on it.
     Remove(oneshot::Sender<()>),
 }
 
-/// Speaks to a machine.
+/// Handle of a machine's worker.
 #[derive(Debug, Clone)]
 pub struct WorkerHandle {
     messages: mpsc::UnboundedSender<Message>,
+    /// Where the worker listens for pushed commands.
     pub address: SocketAddr,
 }
 
 impl WorkerHandle {
-    pub fn suffer(&self, mishap: Mishap) {
-        let _ = self.messages.send(Message::Suffer(mishap));
+    /// Begins a fault.
+    pub fn inject(&self, fault: MachineFault) {
+        let _ = self.messages.send(Message::Inject(fault));
     }
 
-    /// Returns once everything on it is gone.
+    /// Ends the worker; returns once no task is left on the machine.
     pub async fn remove(&self) {
         let (reply, gone) = oneshot::channel();
         if self.messages.send(Message::Remove(reply)).is_ok() {
@@ -86,26 +93,13 @@
     }
 }
 
-#[derive(Clone)]
-struct Door(mpsc::UnboundedSender<Message>);
-
-impl Handler for Door {
-    async fn handle(&self, request: Request) -> Response {
-        let (reply, answer) = oneshot::channel();
-        let body = (request.target == "/commands").then_some(request.body);
-        let _ = self.0.send(Message::Direct { body, reply });
-        match answer.await {
-            Ok(response) => response,
-            Err(_) => std::future::pending().await,
-        }
-    }
-}
-
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum TaskState {
+    /// Fetches its image until then.
     Fetching(Instant),
-    /// Until then; `None`: until it is stopped.
+    /// Runs until then; `None`: until it is stopped.
     Running(Option<Instant>),
+    /// Exited for this cause, as the protocol names it.
     Exited(&'static str),
 }
 
@@ -117,72 +111,87 @@
     state: TaskState,
 }
 
-/// What a machine is.
+/// What identifies a machine.
 #[derive(Debug, Clone)]
 pub struct Identity {
+    /// Name of the machine.
     pub name: String,
+    /// Zone of the machine.
     pub zone: &'static str,
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
+/// Copies of heartbeats that are to be sent late.
+#[derive(Debug, Clone, Copy)]
+struct LateHeartbeats {
+    share: f64,
+    until: Instant,
+}
+
 struct Worker {
     identity: Identity,
-    surroundings: Arc<Surroundings>,
+    context: Arc<WorkerContext>,
     address: SocketAddr,
     messages: mpsc::UnboundedSender<Message>,
     rng: SmallRng,
-    session: u64,
-    tick: u64,
-    token: u64,
-    /// The sending of the last answered report, or the session's begin.
-    lease_from: Instant,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
+    /// When the last heartbeat that got a response was sent, or the incarnation began.
+    lease_renewed_at: Instant,
     tasks: Vec<Task>,
-    target: usize,
-    next_report: Instant,
-    last_report: Instant,
+    controller: usize,
+    next_heartbeat: Instant,
+    last_heartbeat: Instant,
     in_flight: bool,
-    deaf_until: Instant,
-    mute_until: Instant,
+    incoming_lost_until: Instant,
+    outgoing_lost_until: Instant,
     hung_until: Instant,
-    late_reports: (f64, Instant),
-    /// Direct orders that wait for a hung machine to go on.
-    held: Vec<(Option<Vec<u8>>, oneshot::Sender<Response>)>,
+    late_heartbeats: LateHeartbeats,
+    /// Pushed commands that arrived while the machine hangs.
+    held_commands: Vec<(Option<Vec<u8>>, oneshot::Sender<Response>)>,
 }
 
-/// Starts a machine's worker; it reports from now on.
+/// Starts a machine's worker, which sends heartbeats from now on.
+///
+/// # Errors
+///
+/// If no port is free.
 pub async fn start(
     identity: Identity,
     seed: u64,
-    surroundings: Arc<Surroundings>,
+    context: Arc<WorkerContext>,
 ) -> std::io::Result<WorkerHandle> {
-    let listener = TcpListener::bind("127.0.0.1:0").await?;
-    let address = listener.local_addr()?;
     let (messages, inbox) = mpsc::unbounded_channel();
-    let patience = Duration::from_secs(60);
-    let options = ServerOptions { limits: HTTP_LIMITS, connections: 64, idle: patience, patience };
-    let serving = tokio::spawn(serve(listener, options, Door(messages.clone()))).abort_handle();
+    let to_actor = messages.clone();
+    let pass_on = move |request: Request, reply| {
+        let body = (request.target == "/commands").then_some(request.body);
+        let _ = to_actor.send(Message::Pushed { body, reply });
+    };
+    let Listening { address, serving } = listen(CONNECTIONS, MAX_BODY, pass_on).await?;
     let now = Instant::now();
     let mut rng = SmallRng::seed_from_u64(seed);
     let worker = Worker {
-        target: rng.random_range(0..surroundings.controllers.len()),
+        controller: rng.random_range(0..context.controllers.len()),
         identity,
-        surroundings,
+        context,
         address,
         messages: messages.clone(),
         rng,
-        session: 1,
-        tick: 0,
-        token: 0,
-        lease_from: now,
+        incarnation: 1,
+        sequence: 0,
+        fencing_token: 0,
+        lease_renewed_at: now,
         tasks: Vec::new(),
-        next_report: now,
-        last_report: now,
+        next_heartbeat: now,
+        last_heartbeat: now,
         in_flight: false,
-        deaf_until: now,
-        mute_until: now,
+        incoming_lost_until: now,
+        outgoing_lost_until: now,
         hung_until: now,
-        late_reports: (0.0, now),
-        held: Vec::new(),
+        late_heartbeats: LateHeartbeats { share: 0.0, until: now },
+        held_commands: Vec::new(),
     };
     tokio::spawn(async move {
         worker.run(inbox).await;
@@ -202,55 +211,59 @@
                         let _ = gone.send(());
                         return;
                     }
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle(message),
                     None => return,
                 },
                 () = tokio::time::sleep_until(wake) => {}
             }
-            self.go_on(Instant::now());
+            self.advance(Instant::now());
         }
     }
 
-    /// When something happens by itself.
+    /// When the worker must act although no message arrives.
     fn wakes_at(&self) -> Instant {
         let now = Instant::now();
         if now < self.hung_until {
-            return self.hung_until.min(self.lease_from + LEASE);
+            return self.hung_until.min(self.lease_renewed_at + LEASE);
         }
         let tasks = self.tasks.iter().filter_map(|task| match task.state {
             TaskState::Fetching(until) => Some(until),
             TaskState::Running(until) => until,
             TaskState::Exited(_) => None,
         });
-        let report = (!self.in_flight).then_some(self.next_report);
-        let first = tasks.chain(report).min();
-        first.map_or(self.lease_from + LEASE, |at| at.min(self.lease_from + LEASE))
+        let heartbeat = (!self.in_flight).then_some(self.next_heartbeat);
+        let first = tasks.chain(heartbeat).min();
+        first.map_or(self.lease_renewed_at + LEASE, |at| at.min(self.lease_renewed_at + LEASE))
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now = Instant::now();
         match message {
-            Message::Direct { body, reply } => {
-                if now < self.deaf_until {
+            Message::Pushed { body, reply } => {
+                if now < self.incoming_lost_until {
                     return;
                 }
                 if now < self.hung_until {
-                    return self.held.push((body, reply));
+                    return self.held_commands.push((body, reply));
                 }
-                self.direct(now, body, reply);
+                self.handle_pushed(now, body, reply);
             }
-            Message::Reported { session, sent, answer } => self.reported(now, session, sent, answer),
-            Message::Suffer(mishap) => match mishap {
-                Mishap::Deaf { lasts } => self.deaf_until = now + lasts,
-                Mishap::Mute { lasts } => self.mute_until = now + lasts,
-                Mishap::Hang { lasts } => self.hang(now, lasts),
-                Mishap::LateReports { share, lasts } => self.late_reports = (share, now + lasts),
+            Message::Responded { incarnation, sent, response } => {
+                self.handle_response(now, incarnation, sent, response)
+            }
+            Message::Inject(fault) => match fault {
+                MachineFault::LosesIncoming { lasts } => self.incoming_lost_until = now + lasts,
+                MachineFault::LosesOutgoing { lasts } => self.outgoing_lost_until = now + lasts,
+                MachineFault::Hang { lasts } => self.hang(now, lasts),
+                MachineFault::LateHeartbeats { share, lasts } => {
+                    self.late_heartbeats = LateHeartbeats { share, until: now + lasts };
+                }
             },
             Message::Remove(_) => {}
         }
     }
 
-    /// What it runs neither goes on nor ends meanwhile.
+    /// Stops the worker and its tasks for a while: tasks end later by as much.
     fn hang(&mut self, now: Instant, lasts: Duration) {
         self.hung_until = now + lasts;
         for task in &mut self.tasks {
@@ -261,38 +274,38 @@
         }
     }
 
-    fn task_on(&self, job: usize, index: u32) -> TaskOn {
-        TaskOn { job, index, machine: self.identity.name.clone() }
+    fn task_on(&self, job: usize, index: u32) -> TaskOnMachine {
+        TaskOnMachine { job, index, machine: self.identity.name.clone() }
     }
 
-    fn note(&self, event: Event) {
-        self.surroundings.recorder.note(event);
+    fn record(&self, event: Event) {
+        self.context.recorder.record(event);
     }
 
     fn kill_all(&mut self) {
         for task in std::mem::take(&mut self.tasks) {
             if matches!(task.state, TaskState::Running(_)) {
-                self.note(Event::Left { task: self.task_on(task.job, task.index) });
+                self.record(Event::TaskRemoved { task: self.task_on(task.job, task.index) });
             }
         }
     }
 
-    fn go_on(&mut self, now: Instant) {
-        if now > self.lease_from + LEASE {
+    fn advance(&mut self, now: Instant) {
+        if now > self.lease_renewed_at + LEASE {
             self.kill_all();
-            self.session += 1;
-            self.lease_from = now;
-            self.report_soon(now);
+            self.incarnation += 1;
+            self.lease_renewed_at = now;
+            self.heartbeat_soon(now);
         }
         if now < self.hung_until {
             return;
         }
-        for (body, reply) in std::mem::take(&mut self.held) {
-            self.direct(now, body, reply);
+        for (body, reply) in std::mem::take(&mut self.held_commands) {
+            self.handle_pushed(now, body, reply);
         }
         self.run_tasks(now);
-        if !self.in_flight && now >= self.next_report {
-            self.report(now);
+        if !self.in_flight && now >= self.next_heartbeat {
+            self.begin_heartbeat(now);
         }
     }
 
@@ -303,13 +316,13 @@
             let next = match state {
                 TaskState::Fetching(until) if now >= until => {
                     let (zone, spot) = (self.identity.zone, self.identity.spot);
-                    self.note(Event::Began { task: self.task_on(job, index), zone, spot });
-                    let planned = &self.surroundings.jobs[job];
+                    self.record(Event::TaskStarted { task: self.task_on(job, index), zone, spot });
+                    let planned = &self.context.jobs[job];
                     TaskState::Running((!planned.is_service).then(|| now + planned.run))
                 }
                 TaskState::Running(Some(until)) if now >= until => {
-                    self.note(Event::Completed { job, index });
-                    self.note(Event::Left { task: self.task_on(job, index) });
+                    self.record(Event::TaskCompleted { job, index });
+                    self.record(Event::TaskRemoved { task: self.task_on(job, index) });
                     TaskState::Exited("done")
                 }
                 _ => continue,
@@ -318,86 +331,86 @@
             changed = true;
         }
         if changed {
-            self.report_soon(now);
+            self.heartbeat_soon(now);
         }
     }
 
-    /// A change is reported at once, if the last report is not too young.
-    fn report_soon(&mut self, now: Instant) {
-        self.next_report = self.next_report.min(now.max(self.last_report + CHANGE_PAUSE));
+    /// Sends a heartbeat because of a change, at once unless the last one is too recent.
+    fn heartbeat_soon(&mut self, now: Instant) {
+        self.next_heartbeat = self.next_heartbeat.min(now.max(self.last_heartbeat + MIN_CHANGE_INTERVAL));
     }
 
-    fn report(&mut self, now: Instant) {
-        self.next_report = now + REPORT.mul_f64(self.rng.random_range(0.75..1.25));
-        self.last_report = now;
-        self.tick += 1;
-        let body = self.describe();
-        let (share, until) = self.late_reports;
-        if now < until && self.rng.random_bool(share) {
-            let controllers = &self.surroundings.controllers;
+    fn begin_heartbeat(&mut self, now: Instant) {
+        self.next_heartbeat = now + HEARTBEAT_INTERVAL.mul_f64(self.rng.random_range(0.75..1.25));
+        self.last_heartbeat = now;
+        self.sequence += 1;
+        let body = encode(&self.encode_heartbeat());
+        if now < self.late_heartbeats.until && self.rng.random_bool(self.late_heartbeats.share) {
+            let controllers = &self.context.controllers;
             let other = controllers[self.rng.random_range(0..controllers.len())];
             let after = Duration::from_secs_f64(self.rng.random_range(0.5..LEASE.as_secs_f64() * 1.5));
             let copy = body.clone();
             tokio::spawn(async move {
                 tokio::time::sleep(after).await;
-                let _ = send(other, copy).await;
+                let _ = send_heartbeat(other, copy).await;
             });
         }
         self.in_flight = true;
-        let (target, session) = (self.surroundings.controllers[self.target], self.session);
-        let (messages, mute) = (self.messages.clone(), now < self.mute_until);
+        let (controller, incarnation) = (self.context.controllers[self.controller], self.incarnation);
+        let (messages, outgoing_lost) = (self.messages.clone(), now < self.outgoing_lost_until);
         tokio::spawn(async move {
-            let answer = match mute {
+            let response = match outgoing_lost {
                 true => {
-                    tokio::time::sleep(REPORT).await;
+                    tokio::time::sleep(HEARTBEAT_INTERVAL).await;
                     None
                 }
-                false => send(target, body).await,
+                false => send_heartbeat(controller, body).await,
             };
-            let _ = messages.send(Message::Reported { session, sent: now, answer });
+            let _ = messages.send(Message::Responded { incarnation, sent: now, response });
         });
     }
 
-    fn reported(&mut self, now: Instant, session: u64, sent: Instant, answer: Option<Response>) {
+    fn handle_response(&mut self, now: Instant, incarnation: u64, sent: Instant, response: Option<Response>) {
         self.in_flight = false;
-        let unheard = now < self.deaf_until || now < self.hung_until || now > sent + ANSWER_WITHIN;
-        let answer = answer.filter(|_| !unheard);
-        let body = answer.as_ref().and_then(|answer| decode(&answer.body).ok()).unwrap_or(Value::Null);
-        let controllers = self.surroundings.controllers.len();
-        match answer.map(|answer| answer.status) {
-            Some(200) => self.obey_answer(now, session, sent, &body),
+        let ignored =
+            now < self.incoming_lost_until || now < self.hung_until || now > sent + RESPONSE_TIMEOUT;
+        let response = response.filter(|_| !ignored);
+        let body = response.as_ref().and_then(|response| decode(&response.body).ok()).unwrap_or(Value::Null);
+        let controllers = self.context.controllers.len();
+        match response.map(|response| response.status) {
+            Some(200) => self.handle_ok_response(now, incarnation, sent, &body),
             Some(421) => {
                 let named = Fields::of(&body).ok().and_then(|f| f.opt_text("foreman").ok().flatten());
                 let named = named.and_then(|name| name.strip_prefix("c-")?.parse().ok());
-                match named.filter(|&to: &usize| to < controllers && to != self.target) {
-                    Some(to) => self.turn_to(now, to, self.rng.clone().random_range(0.0..0.5)),
-                    None => self.turn_to(now, (self.target + 1) % controllers, 1.0),
+                match named.filter(|&to: &usize| to < controllers && to != self.controller) {
+                    Some(to) => self.switch_controller(now, to, self.rng.clone().random_range(0.0..0.5)),
+                    None => self.switch_controller(now, (self.controller + 1) % controllers, 1.0),
                 }
             }
-            _ => self.turn_to(now, (self.target + 1) % controllers, 1.0),
+            _ => self.switch_controller(now, (self.controller + 1) % controllers, 1.0),
         }
     }
 
-    fn turn_to(&mut self, now: Instant, target: usize, after_s: f64) {
-        self.target = target;
-        self.next_report = now + Duration::from_secs_f64(after_s);
+    fn switch_controller(&mut self, now: Instant, controller: usize, after_s: f64) {
+        self.controller = controller;
+        self.next_heartbeat = now + Duration::from_secs_f64(after_s);
     }
 
-    fn obey_answer(&mut self, now: Instant, session: u64, sent: Instant, body: &Value) {
-        let token = Fields::of(body).ok().and_then(|f| f.count("baton").ok()).unwrap_or(0);
-        if session != self.session || token < self.token {
+    fn handle_ok_response(&mut self, now: Instant, incarnation: u64, sent: Instant, body: &Value) {
+        let fencing_token = Fields::of(body).ok().and_then(|f| f.count("baton").ok()).unwrap_or(0);
+        if incarnation != self.incarnation || fencing_token < self.fencing_token {
             return;
         }
-        if token > self.token {
-            self.token = token;
-            self.report_soon(now);
+        if fencing_token > self.fencing_token {
+            self.fencing_token = fencing_token;
+            self.heartbeat_soon(now);
         }
-        self.lease_from = sent;
-        self.carry_out(now, body);
+        self.lease_renewed_at = sent;
+        self.execute_commands(now, body);
     }
 
-    fn direct(&mut self, now: Instant, body: Option<Vec<u8>>, reply: oneshot::Sender<Response>) {
-        self.tick += 1;
+    fn handle_pushed(&mut self, now: Instant, body: Option<Vec<u8>>, reply: oneshot::Sender<Response>) {
+        self.sequence += 1;
         let mut status = 200;
         if let Some(body) = body {
             let body = decode(&body).unwrap_or(Value::Null);
@@ -405,22 +418,26 @@
             let named = fields.and_then(|f| Ok((f.count("baton")?, f.count("shift")?)));
             status = match named {
                 Err(_) => 400,
-                Ok((token, session)) if token < self.token || session != self.session => 409,
-                Ok((token, _)) => {
-                    self.token = token;
-                    self.carry_out(now, &body);
+                Ok((fencing_token, incarnation))
+                    if fencing_token < self.fencing_token || incarnation != self.incarnation =>
+                {
+                    409
+                }
+                Ok((fencing_token, _)) => {
+                    self.fencing_token = fencing_token;
+                    self.execute_commands(now, &body);
                     200
                 }
             };
         }
-        let body = self.describe();
-        let _ = reply.send(Response { status, body, retry_after_s: None, close: false });
+        let body = self.encode_heartbeat();
+        let _ = reply.send(http::response(status, &body));
     }
 
-    fn carry_out(&mut self, now: Instant, body: &Value) {
-        let Some(orders) = Fields::of(body).ok().and_then(|f| f.list("orders").ok()) else { return };
-        for order in orders {
-            let Ok(fields) = Fields::of(order) else { continue };
+    fn execute_commands(&mut self, now: Instant, body: &Value) {
+        let Some(commands) = Fields::of(body).ok().and_then(|f| f.list("orders").ok()) else { return };
+        for command in commands {
+            let Ok(fields) = Fields::of(command) else { continue };
             let (Ok(verb), Ok(sheet), Ok(attempt)) =
                 (fields.text("verb"), fields.text("sheet"), fields.count("try"))
             else {
@@ -444,14 +461,14 @@
         if self.tasks.iter().any(|task| same(task) && task.attempt == attempt) {
             return;
         }
-        match job < self.surroundings.jobs.len() {
-            true => self.note(Event::StartTaken { task: self.task_on(job, index), attempt }),
-            false => self.note(Event::UnknownStart { machine: self.identity.name.clone() }),
+        match job < self.context.jobs.len() {
+            true => self.record(Event::StartReceived { task: self.task_on(job, index), attempt }),
+            false => self.record(Event::UnknownStartReceived { machine: self.identity.name.clone() }),
         }
         let is_there = |task: &&Task| !matches!(task.state, TaskState::Exited(_));
-        let cpus = |job: usize| self.surroundings.jobs.get(job).map_or(0.0, |job| job.cpus);
+        let cpus = |job: usize| self.context.jobs.get(job).map_or(0.0, |job| job.cpus);
         let used: f64 = self.tasks.iter().filter(is_there).map(|task| cpus(task.job)).sum();
-        let state = match self.surroundings.jobs.get(job) {
+        let state = match self.context.jobs.get(job) {
             Some(planned) if index < planned.tasks => {
                 if self.tasks.iter().filter(is_there).any(same) {
                     TaskState::Exited("in_use")
@@ -464,7 +481,7 @@
             _ => TaskState::Exited("unknown"),
         };
         self.tasks.push(Task { job, index, attempt, state });
-        self.report_soon(now);
+        self.heartbeat_soon(now);
     }
 
     fn stop_task(&mut self, now: Instant, job: usize, index: u32, attempt: u64) {
@@ -476,13 +493,13 @@
         }
         task.state = TaskState::Exited("halted");
         if matches!(was, TaskState::Running(_)) {
-            self.note(Event::Left { task: self.task_on(job, index) });
+            self.record(Event::TaskRemoved { task: self.task_on(job, index) });
         }
-        self.report_soon(now);
+        self.heartbeat_soon(now);
     }
 
-    /// Its report.
-    fn describe(&self) -> Vec<u8> {
+    /// The heartbeat with the status of all tasks.
+    fn encode_heartbeat(&self) -> Value {
         let tasks = self.tasks.iter().map(|task| {
             let (standing, cause) = match task.state {
                 TaskState::Fetching(_) => ("fetching", None),
@@ -496,17 +513,17 @@
                 .set_some("cause", cause)
                 .build()
         });
-        let report = MapBuilder::new()
+        let heartbeat = MapBuilder::new()
             .set("bench", self.identity.name.as_str())
             .set("address", self.address.to_string())
             .set("build", "m8")
             .set("hall", self.identity.zone)
             .set("loaners", self.identity.spot)
-            .set("shift", self.session)
-            .set("tick", self.tick)
-            .set("baton", self.token)
+            .set("shift", self.incarnation)
+            .set("tick", self.sequence)
+            .set("baton", self.fencing_token)
             .set("sheets", Value::Array(tasks.collect()));
-        encode(&report.build())
+        heartbeat.build()
     }
 }
 
@@ -515,7 +532,7 @@
     Some((job.parse().ok()?, index.parse().ok()?))
 }
 
-async fn send(to: SocketAddr, body: Vec<u8>) -> Option<Response> {
-    let call = Call { method: "POST", target: "/agent/beat".into(), body, deadline: ANSWER_WITHIN };
-    PreparedCall::without_pool(to, HTTP_LIMITS, call).run().await.0.ok()
+async fn send_heartbeat(to: SocketAddr, body: Vec<u8>) -> Option<Response> {
+    let call = Call { method: "POST", target: "/agent/beat".into(), body, deadline: RESPONSE_TIMEOUT };
+    http::send(to, call).await
 }
