--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -1,8 +1,7 @@
-//! How the cost of the leader's hot paths grows with the fleet: `cargo bench`.
+//! How the cost of the leader's hot paths grows with the size of the fleet: `cargo bench`.
 //!
-//! Absolute times mean little on a shared machine. What is printed is each
-//! cost as a multiple of the same cost on the smallest fleet, measured in the
-//! same run: 1.0 means that it does not grow.
+//! Absolute times mean little on a shared machine. Each cost is printed as a multiple of the
+//! same cost on the smallest fleet, measured in the same run: 1.0 means that it does not grow.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -21,6 +20,7 @@
 use shedtally::storage::records::NodePoolRecord;
 use tokio::time::Instant;
 
+/// Settings of the leader.
 const SETTINGS: &str = r#"
 host_name = "c-0"
 domain = "z1"
@@ -51,23 +51,35 @@
 sockets = 500
 "#;
 
+/// Epoch of the leader.
 const EPOCH: u64 = 7;
-const FLEETS: [usize; 3] = [50, 500, 4000];
+/// Added to an operation's number, it is the version that its write gets.
+const VERSION_OFFSET: u64 = 100;
+/// Numbers of machines.
+const FLEET_SIZES: [usize; 3] = [50, 500, 4000];
 /// Tasks that fit on each machine, with a little room left.
-const EACH: usize = 3;
+const TASKS_PER_MACHINE: usize = 3;
 
-struct World {
+/// A leader and a fleet whose machines do what it commands.
+struct Fixture {
+    /// The leader that is measured.
     leader: Leader,
+    /// The leader's clock.
     now: Instant,
-    seq: u64,
+    /// Sequence number of the last heartbeat.
+    sequence: u64,
+    /// By machine, the start commands of its tasks and the tasks' states.
     running: Vec<Vec<(Command, TaskState)>>,
+    /// Number of jobs submitted.
     jobs: u32,
 }
 
+/// Name of the machine with this index.
 fn name(machine: usize) -> MachineId {
     MachineId::parse(&format!("vm-{machine:06}")).expect("valid")
 }
 
+/// A job array of tasks that fit [`TASKS_PER_MACHINE`] times on a machine.
 fn spec(job: u32, tasks: u32) -> JobSpec {
     JobSpec {
         id: JobId::parse(&format!("job-{job}")).expect("valid"),
@@ -94,13 +106,13 @@
     }
 }
 
-impl World {
-    /// A leader that has just read the records of a fleet.
+impl Fixture {
+    /// A leader that has just read the records of a fleet of this many machines.
     fn new(machines: usize) -> Self {
         let settings = Settings::parse(SETTINGS, Path::new("bench.toml")).expect("sound settings");
         let tuning = Tuning::load(&settings.cluster, None).expect("a sound policy");
         let now = Instant::now();
-        let kind = MachineType {
+        let machine_type = MachineType {
             name: "m8".into(),
             cpus: 8.0,
             gpus: 0.0,
@@ -121,61 +133,61 @@
             count: machines as u32,
         };
         let used = ids.iter().cloned().collect();
-        let rentals = vec![(NodePoolRecord { request, machines: Some(ids), machines_used: used }, 3)];
-        let loaded = Snapshot { node_pools: rentals, catalog: Some((vec![kind], 2)), ..Snapshot::default() };
-        let mut leader = Leader::new(Arc::new(Config { settings, tuning }), EPOCH, now, 0, loaded);
+        let node_pools = vec![(NodePoolRecord { request, machines: Some(ids), machines_used: used }, 3)];
+        let snapshot = Snapshot { node_pools, catalog: Some((vec![machine_type], 2)), ..Snapshot::default() };
+        let mut leader = Leader::new(Arc::new(Config { settings, tuning }), EPOCH, now, 0, snapshot);
         leader.extend_lease(now, now + Duration::from_secs(1 << 20));
-        World { leader, now, seq: 0, running: vec![Vec::new(); machines], jobs: 0 }
+        Fixture { leader, now, sequence: 0, running: vec![Vec::new(); machines], jobs: 0 }
     }
 
-    /// Every write succeeds at once.
-    fn settle(&mut self) {
+    /// Lets every write succeed at once.
+    fn commit_writes(&mut self) {
         loop {
-            let actions = self.leader.drain_effects();
-            if actions.is_empty() {
+            let effects = self.leader.drain_effects();
+            if effects.is_empty() {
                 return;
             }
-            for action in actions {
-                if let Effect::Commit { operation: ticket, .. } = action {
-                    self.leader.handle_commit_result(self.now, ticket, Ok(ticket.0 + 100));
+            for effect in effects {
+                if let Effect::Commit { operation, .. } = effect {
+                    self.leader.handle_commit_result(self.now, operation, Ok(operation.0 + VERSION_OFFSET));
                 }
             }
         }
     }
 
+    /// Submits a job of so many tasks.
     fn submit(&mut self, tasks: u32) {
         self.jobs += 1;
         self.leader.submit(self.now, 0, ReplyId(u64::from(self.jobs)), spec(self.jobs, tasks));
-        self.settle();
+        self.commit_writes();
     }
 
-    /// One report; starts are taken up, and forgotten tasks dropped.
-    fn report(&mut self, machine: usize) {
-        self.seq += 1;
-        let tasks = self.running[machine].iter().filter_map(|(order, state)| match order {
+    /// One heartbeat of a machine, which then executes the commands of the response.
+    fn heartbeat(&mut self, machine: usize) {
+        self.sequence += 1;
+        let tasks = self.running[machine].iter().filter_map(|(command, state)| match command {
             Command::Start { task, attempt } => {
                 Some(TaskStatus { task: task.clone(), attempt: *attempt, state: *state })
             }
             _ => None,
         });
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: name(machine),
             address: "127.0.0.1:9".into(),
             machine_type: "m8".into(),
             zone: "z1".into(),
             spot: false,
             incarnation: 1,
-            sequence: self.seq,
+            sequence: self.sequence,
             fencing_token: EPOCH,
             preemption_notice_s: None,
             tasks: tasks.collect(),
         };
-        if let HeartbeatReply::Commands { commands: orders, .. } =
-            self.leader.handle_heartbeat(self.now, &report)
+        if let HeartbeatReply::Commands { commands, .. } = self.leader.handle_heartbeat(self.now, &heartbeat)
         {
-            for order in orders {
-                match &order {
-                    Command::Start { .. } => self.running[machine].push((order, TaskState::Running)),
+            for command in commands {
+                match &command {
+                    Command::Start { .. } => self.running[machine].push((command, TaskState::Running)),
                     Command::Stop { task, .. } | Command::Reap { task, .. } => self.running[machine]
                         .retain(|(o, _)| !matches!(o, Command::Start { task: t, .. } if t == task)),
                 }
@@ -183,107 +195,115 @@
         }
     }
 
-    fn all_report(&mut self) {
+    /// One heartbeat of each machine.
+    fn all_heartbeats(&mut self) {
         for machine in 0..self.running.len() {
-            self.report(machine);
+            self.heartbeat(machine);
         }
-        self.settle();
+        self.commit_writes();
     }
 
-    fn pass(&mut self, seconds: f64) {
+    /// Lets time pass on the leader's clock.
+    fn advance_clock(&mut self, seconds: f64) {
         self.now += Duration::from_secs_f64(seconds);
     }
 }
 
-/// The least time of several rounds for one operation.
-fn least(rounds: u32, mut round: impl FnMut() -> (Duration, usize)) -> f64 {
+/// What is measured.
+const COST_NAMES: [&str; 5] = [
+    "a failover, per machine",
+    "a heartbeat that changes nothing",
+    "a heartbeat that places a task",
+    "a poll",
+    "a second's tick, whole",
+];
+
+/// The least time for one operation, in seconds, in several rounds. A round returns the time of
+/// all of its operations, and their number.
+fn least_cost(rounds: u32, mut round: impl FnMut() -> (Duration, usize)) -> f64 {
     (0..rounds)
         .map(|_| {
-            let (took, operations) = round();
-            took.as_secs_f64() / operations.max(1) as f64
+            let (duration, operations) = round();
+            duration.as_secs_f64() / operations.max(1) as f64
         })
         .fold(f64::MAX, f64::min)
 }
 
-/// Costs of: a takeover's report, one that changes nothing, one that places, a
-/// poll, a second's tick.
-fn costs(machines: usize) -> [f64; 5] {
-    let takeover = least(5, || {
-        let begin = Clock::now();
-        let mut world = World::new(machines);
-        world.all_report();
-        (begin.elapsed(), machines)
+/// Costs in seconds, in the order of [`COST_NAMES`].
+fn costs(machines: usize) -> [f64; COST_NAMES.len()] {
+    let failover = least_cost(5, || {
+        let started = Clock::now();
+        let mut fixture = Fixture::new(machines);
+        fixture.all_heartbeats();
+        (started.elapsed(), machines)
     });
-    let mut world = World::new(machines);
-    world.all_report();
-    // All full but for a rest that nothing fits in, and behind them a backlog of
-    // several times as much: on the largest fleet a thousand jobs with 34,000
-    // tasks.
+    let mut fixture = Fixture::new(machines);
+    fixture.all_heartbeats();
+    // Every machine is full but for a rest that no task fits in, and the backlog is several
+    // times as large: on the largest fleet a thousand jobs with 34,000 tasks.
     for _ in 0..machines / 2 {
-        world.submit(40);
+        fixture.submit(40);
     }
     for _ in 0..3 {
-        world.pass(1.1);
-        world.leader.tick(world.now);
-        world.settle();
-        world.all_report();
+        fixture.advance_clock(1.1);
+        fixture.leader.tick(fixture.now);
+        fixture.commit_writes();
+        fixture.all_heartbeats();
     }
-    assert!(world.running.iter().all(|tasks| tasks.len() == EACH), "every machine is full");
-    let same = least(9, || {
-        world.pass(0.1);
-        let begin = Clock::now();
-        world.all_report();
-        (begin.elapsed(), machines)
+    assert!(fixture.running.iter().all(|tasks| tasks.len() == TASKS_PER_MACHINE), "every machine is full");
+    let unchanged = least_cost(9, || {
+        fixture.advance_clock(0.1);
+        let started = Clock::now();
+        fixture.all_heartbeats();
+        (started.elapsed(), machines)
     });
-    let placing = least(5, || {
-        for tasks in &mut world.running {
+    let placing = least_cost(5, || {
+        for tasks in &mut fixture.running {
             tasks[0].1 = TaskState::Exited(ExitCause::Done);
         }
-        world.pass(1.1);
-        let begin = Clock::now();
-        world.all_report();
-        let took = begin.elapsed();
-        world.pass(1.1);
-        world.leader.tick(world.now);
-        world.settle();
-        world.all_report();
-        (took, machines)
+        fixture.advance_clock(1.1);
+        let started = Clock::now();
+        fixture.all_heartbeats();
+        let duration = started.elapsed();
+        fixture.advance_clock(1.1);
+        fixture.leader.tick(fixture.now);
+        fixture.commit_writes();
+        fixture.all_heartbeats();
+        (duration, machines)
     });
-    let poll = least(9, || {
-        let ids: Vec<JobId> = (1..=world.jobs).map(|n| spec(n, 1).id).collect();
-        let begin = Clock::now();
+    let poll = least_cost(9, || {
+        let ids: Vec<JobId> = (1..=fixture.jobs).map(|n| spec(n, 1).id).collect();
+        let started = Clock::now();
         for id in &ids {
-            std::hint::black_box(world.leader.poll(world.now, id));
+            std::hint::black_box(fixture.leader.poll(fixture.now, id));
         }
-        (begin.elapsed(), ids.len())
+        (started.elapsed(), ids.len())
     });
-    let tick = least(9, || {
-        world.pass(1.1);
-        let begin = Clock::now();
-        world.leader.tick(world.now);
-        let took = begin.elapsed();
-        world.settle();
-        (took, 1)
+    let tick = least_cost(9, || {
+        fixture.advance_clock(1.1);
+        let started = Clock::now();
+        fixture.leader.tick(fixture.now);
+        let duration = started.elapsed();
+        fixture.commit_writes();
+        (duration, 1)
     });
-    [takeover, same, placing, poll, tick]
+    [failover, unchanged, placing, poll, tick]
 }
 
+/// Measures all fleets and prints the ratios.
 fn main() {
-    let all = FLEETS.map(costs);
-    let names = [
-        "a takeover, per machine",
-        "a report that changes nothing",
-        "a report that places a task",
-        "a poll",
-        "a second's tick, whole",
-    ];
-    println!("cost on a fleet of {FLEETS:?} machines, as a multiple of the first");
-    for (at, name) in names.iter().enumerate() {
+    let all = FLEET_SIZES.map(costs);
+    println!("cost on a fleet of {FLEET_SIZES:?} machines, as a multiple of the first");
+    for (at, name) in COST_NAMES.iter().enumerate() {
         let ratios = all.map(|costs| format!("{:7.2}", costs[at] / all[0][at]));
-        println!("{name:32}{}", ratios.join(" "));
+        println!("{name:34}{}", ratios.join(" "));
     }
-    let in_reports = all.map(|costs| format!("{:7.1}", costs[4] / costs[1]));
-    println!("{:32}{}  (in reports that change nothing)", "a second's tick", in_reports.join(" "));
+    let in_heartbeats = all.map(|costs| format!("{:7.1}", costs[4] / costs[1]));
+    println!("{:34}{}  (in heartbeats that change nothing)", "a second's tick", in_heartbeats.join(" "));
     let placing = all.map(|costs| format!("{:7.1}", costs[2] / costs[1]));
-    println!("{:32}{}  (in reports that change nothing)", "a report that places a task", placing.join(" "));
+    println!(
+        "{:34}{}  (in heartbeats that change nothing)",
+        "a heartbeat that places a task",
+        placing.join(" ")
+    );
 }
