--- a/src/coordination/authority/answers/tests.rs
+++ b/src/coordination/authority/answers/tests.rs
@@ -12,53 +12,53 @@
     PeerReply { status: 200, body: encode(&status(job, standing).encode()), retry_after_s: None, lease }
 }
 
-/// Decided under a lease and held up until it is over: another may have told more since.
+/// Decided under a lease and held up until it is over: another may have served more since.
 #[test]
-fn a_state_that_is_not_final_is_told_only_while_its_lease_holds() {
+fn a_state_that_is_not_final_is_served_only_while_its_lease_holds() {
     let until = Instant::now() + Duration::from_secs(2);
-    let basis = Validity { epoch: 7, valid_until: until };
+    let validity = Validity { epoch: 7, valid_until: until };
     let before = until - Duration::from_millis(1);
-    let running = Answer::job_state(200, status("job-1", JobState::Running), basis);
+    let running = Answer::job_state(200, status("job-1", JobState::Running), validity);
     assert_eq!(running.clone().checked_at_sending(before), running);
     let refused = running.clone().checked_at_sending(until);
     assert_eq!((refused.status, refused.retry_after_s), (503, Some(1)));
-    let done = Answer::job_state(200, status("job-1", JobState::Done), basis);
+    let done = Answer::job_state(200, status("job-1", JobState::Done), validity);
     assert_eq!(
         done.clone().checked_at_sending(until + Duration::from_secs(600)),
         done,
         "final states hold for good"
     );
-    // The same on the way to another controller, which is told what is left.
+    // The same on the way to another controller, which is served what is left.
     let lease = running.clone().into_reply(until - Duration::from_secs(1)).lease;
     assert_eq!(lease, Some(RemainingLease { epoch: 7, remaining: Duration::from_secs(1) }));
     assert_eq!(running.into_reply(until).status, 503);
     assert_eq!(done.into_reply(until).lease, None);
 }
 
-/// An answer that was decided, or read, before the final state was told here.
+/// An answer that was decided, or read, before the final state was served here.
 #[test]
-fn a_final_state_that_was_told_wins_over_every_other_answer() {
+fn a_served_terminal_state_replaces_every_other_answer() {
     let job = JobId::parse("job-1").expect("valid");
-    let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(2) };
-    let queued = Answer::job_state(200, status("job-1", JobState::Queued), basis);
-    let mut told = TerminalStates::new(4);
-    assert_eq!(told.resolve(&job, queued.clone()), queued);
+    let validity = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(2) };
+    let queued = Answer::job_state(200, status("job-1", JobState::Queued), validity);
+    let mut served = TerminalStates::new(4);
+    assert_eq!(served.resolve(&job, queued.clone()), queued);
     let done = Answer::terminal_state(status("job-1", JobState::Done));
-    assert_eq!(told.resolve(&job, done.clone()), done);
+    assert_eq!(served.resolve(&job, done.clone()), done);
     let cancelled = Answer::terminal_state(status("job-1", JobState::Cancelled));
     for late in [queued, cancelled, Answer::error(404, "no such job"), Answer::retry_later(503, "busy", 1)] {
-        assert_eq!(told.resolve(&job, late), done);
+        assert_eq!(served.resolve(&job, late), done);
     }
-    // Small memories turn over; what is told twice does not take two places.
+    // Small memories turn over; what is served twice does not take two places.
     for n in 2..6 {
-        assert_eq!(told.resolve(&job, done.clone()), done);
-        told.insert(status(&format!("job-{n}"), JobState::Done));
+        assert_eq!(served.resolve(&job, done.clone()), done);
+        served.insert(status(&format!("job-{n}"), JobState::Done));
     }
-    assert!(told.get(&job).is_none() && told.get(&JobId::parse("job-5").expect("valid")).is_some());
+    assert!(served.get(&job).is_none() && served.get(&JobId::parse("job-5").expect("valid")).is_some());
 }
 
 #[test]
-fn a_reply_of_another_controller_is_told_only_if_sound_and_while_its_lease_holds() {
+fn a_reply_of_another_controller_is_served_only_if_sound_and_while_its_lease_holds() {
     let job = JobId::parse("job-1").expect("valid");
     let asked = Instant::now();
     let fresh_until = asked + Duration::from_secs(3);
--- a/src/coordination/authority/tests.rs
+++ b/src/coordination/authority/tests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_right_ends_with_the_lease_and_with_the_epoch() {
+fn a_permit_ends_with_the_lease_and_with_the_epoch() {
     let now = Instant::now();
     assert!(term(now).leader_permit(now + SECOND * 2).is_ok());
     assert_eq!(term(now).leader_permit(now + SECOND * 3).err(), Some(Refusal::LeaseExpired));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn an_answer_that_decides_something_holds_as_long_as_the_lease() {
+fn a_reply_that_decides_something_is_valid_as_long_as_the_lease() {
     let now = Instant::now();
     let term = term(now);
     let stop = Command::Stop { task: task(), attempt: 1, grace_s: 0.0 };
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -1,13 +1,13 @@
-//! Which jobs wait for which: a directed acyclic graph of the unfinished jobs.
+//! Which jobs depend on which: a directed acyclic graph of the unfinished jobs.
 //!
-//! A job may name others that have to be done before any of its tasks starts. This module
-//! owns what follows from that: who is released when a job is done, who is cancelled with
-//! a job, and which urgency a job inherits from those that need it. It knows no time and
-//! no records; the leader tells it what has been committed, and asks.
+//! A job may name others that have to be done before any of its tasks starts. This module owns
+//! what follows from that: which jobs become ready when one is done, which are cancelled with
+//! one, and which urgency a job inherits from its dependents. It knows no time and no records;
+//! the leader tells it what has been committed, and asks.
 //!
-//! Only accepted jobs can be named, so no cycle can form. Every walk keeps a list of work
-//! instead of recursing, so chains may be of any length, and costs grow with the edges
-//! that a change touches.
+//! Only admitted jobs can be named, so no cycle can form. Every walk keeps a work list instead
+//! of recursing, so chains may be of any length, and costs grow with the edges that a change
+//! touches.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,11 +17,12 @@
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::jobs::{JobId, Priority};
 
-/// How urgent a job is: by its own description, or by that of the jobs that need it.
+/// How urgent a job is: by its own description, or by that of its dependents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
+    /// Its priority.
     pub priority: Priority,
-    /// When it is to be done, if anybody has said so.
+    /// When it is to be done, if there is a deadline.
     pub finish_by: Option<Instant>,
 }
 
@@ -29,14 +30,14 @@
     /// The higher priority and the earlier end of the two.
     pub fn most_urgent(self, other: Urgency) -> Urgency {
         let finish_by = match (self.finish_by, other.finish_by) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+            (Some(own), Some(others)) => Some(own.min(others)),
+            (own, others) => own.or(others),
         };
         Urgency { priority: self.priority.max(other.priority), finish_by }
     }
 }
 
-/// What the cancellation of jobs that it needs means for a job.
+/// What the cancellation of its dependencies means for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cancellation {
     /// None of them is cancelled, or about to be.
@@ -47,26 +48,29 @@
     Cancelled,
 }
 
-/// A job as it enters the graph.
+/// A job with dependencies as it enters the graph.
 #[derive(Debug)]
 pub struct NewDependent {
-    /// Its needs that are not over yet.
+    /// Its dependencies that are not terminal yet.
     pub unmet: BTreeSet<JobId>,
-    /// Whether one of its needs is known to be cancelled.
+    /// Whether one of its dependencies is known to be cancelled.
     pub cancellation: Cancellation,
+    /// Its own urgency.
     pub urgency: Urgency,
-    /// How long it is expected to take from its release to its end.
+    /// How long it is expected to take from when it is ready to its end.
     pub duration: Duration,
 }
 
 #[derive(Debug)]
 struct GraphNode {
-    /// Needs that are not over yet.
+    /// Dependencies that are not terminal yet.
     unmet: BTreeSet<JobId>,
     dependents: BTreeSet<JobId>,
     cancellation: Cancellation,
-    /// Its own; `None` for a job that awaits nothing, whose own the graph never needs.
+    /// Its own urgency and expected duration; `None` for a job without dependencies, whose own
+    /// the graph never needs.
     own_urgency: Option<(Urgency, Duration)>,
+    /// The urgency of its dependents.
     inherited: Option<Urgency>,
 }
 
@@ -81,100 +85,109 @@
         }
     }
 
-    /// What a job that this one awaits inherits from it.
+    fn is_cancelled(&self) -> bool {
+        self.cancellation == Cancellation::Cancelled
+    }
+
+    fn is_ready(&self) -> bool {
+        self.unmet.is_empty() && !self.is_cancelled()
+    }
+
+    /// The urgency that its dependencies inherit from it: they have to end earlier by the time
+    /// that it takes itself.
     fn urgency_for_dependencies(&self) -> Option<Urgency> {
         let (own, duration) = self.own_urgency?;
-        let all = self.inherited.map_or(own, |inherited| own.most_urgent(inherited));
-        let finish_by = all.finish_by.map(|at| at.checked_sub(duration).unwrap_or(at));
-        Some(Urgency { finish_by, ..all })
+        let combined = self.inherited.map_or(own, |inherited| own.most_urgent(inherited));
+        let finish_by = combined.finish_by.map(|at| at.checked_sub(duration).unwrap_or(at));
+        Some(Urgency { finish_by, ..combined })
     }
 }
 
-/// The graph of all unfinished jobs that wait, or are waited for.
+/// The graph of all unfinished jobs that have dependencies or dependents.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     nodes: HashMap<JobId, GraphNode>,
 }
 
 impl DependencyGraph {
-    /// A job that names others joins, before its acceptance is written or as it was read.
-    pub fn insert(&mut self, job: &JobId, entry: NewDependent) {
-        let NewDependent { unmet: awaited, cancellation: mut fate, urgency, duration } = entry;
-        for need in &awaited {
-            let node = self.nodes.entry(need.clone()).or_insert_with(GraphNode::without_dependencies);
+    /// A job with dependencies joins, before its admission is written or as it was read.
+    pub fn insert(&mut self, job: &JobId, dependent: NewDependent) {
+        let NewDependent { unmet, mut cancellation, urgency, duration } = dependent;
+        for dependency in &unmet {
+            let node = self.nodes.entry(dependency.clone()).or_insert_with(GraphNode::without_dependencies);
             node.dependents.insert(job.clone());
-            fate = fate.max(node.cancellation);
+            cancellation = cancellation.max(node.cancellation);
         }
         let node = self.nodes.entry(job.clone()).or_insert_with(GraphNode::without_dependencies);
-        node.unmet = awaited;
-        node.cancellation = node.cancellation.max(fate);
+        node.unmet = unmet;
+        node.cancellation = node.cancellation.max(cancellation);
         node.own_urgency = Some((urgency, duration));
         if node.cancellation > Cancellation::NotCancelled {
-            let fate = node.cancellation;
-            self.propagate_cancellation(job, fate);
+            let cancellation = node.cancellation;
+            self.propagate_cancellation(job, cancellation);
         }
         self.propagate_urgency(job);
     }
 
-    /// Whether a job that awaits others is known to wait for none of them any more. One
-    /// that the graph does not hold is not: absence proves nothing.
+    /// Whether a job with dependencies is known to wait for none of them any more. One that
+    /// the graph does not hold is not: absence proves nothing.
     pub fn is_ready(&self, job: &JobId) -> bool {
-        self.nodes
-            .get(job)
-            .is_some_and(|node| node.unmet.is_empty() && node.cancellation != Cancellation::Cancelled)
+        self.nodes.get(job).is_some_and(GraphNode::is_ready)
     }
 
-    /// What the cancellation of jobs that it needs means for a job.
+    /// What the cancellation of its dependencies means for a job.
     pub fn cancellation(&self, job: &JobId) -> Cancellation {
         self.nodes.get(job).map_or(Cancellation::NotCancelled, |node| node.cancellation)
     }
 
-    /// The urgency of the jobs that need this one, directly or not.
+    /// The urgency of a job's dependents, direct and indirect.
     pub fn inherited(&self, job: &JobId) -> Option<Urgency> {
         self.nodes.get(job).and_then(|node| node.inherited)
     }
 
-    /// A job is done, and that is committed. Returns those that wait for nothing more.
+    /// A job is done, and that is committed. Returns the dependents that became ready.
+    #[must_use]
     pub fn complete(&mut self, job: &JobId) -> Vec<JobId> {
-        let mut released = Vec::new();
+        let mut ready = Vec::new();
         for dependent in self.take_dependents(job) {
             let Some(node) = self.nodes.get_mut(&dependent) else { continue };
             node.unmet.remove(job);
-            if node.unmet.is_empty() && node.cancellation != Cancellation::Cancelled {
-                released.push(dependent);
+            if node.is_ready() {
+                ready.push(dependent);
             }
         }
-        released
+        ready
     }
 
-    /// The cancellation of a job is being written: whether those that need it are
-    /// cancelled with it is not known until the outcome is.
+    /// The cancellation of a job is being written: whether its dependents are cancelled with
+    /// it is not known until the outcome is.
     pub fn mark_cancellation_pending(&mut self, job: &JobId) {
         self.propagate_cancellation(job, Cancellation::Pending);
     }
 
-    /// A job is cancelled, and that is committed. Returns all that need it, directly or
-    /// not: they are cancelled with it.
+    /// A job is cancelled, and that is committed. Returns its dependents, direct and indirect:
+    /// they are cancelled with it.
+    #[must_use]
     pub fn cancel(&mut self, job: &JobId) -> Vec<JobId> {
-        let all = self.propagate_cancellation(job, Cancellation::Cancelled);
-        let gone: HashSet<&JobId> = all.iter().chain(std::iter::once(job)).collect();
-        // What those leave behind may have inherited from them.
-        let mut heirs: BTreeSet<JobId> = BTreeSet::new();
-        for member in &gone {
+        let dependents = self.propagate_cancellation(job, Cancellation::Cancelled);
+        let cancelled: HashSet<&JobId> = dependents.iter().chain(std::iter::once(job)).collect();
+        // Dependencies of theirs that go on may have inherited urgency from them.
+        let mut remaining: BTreeSet<JobId> = BTreeSet::new();
+        for member in &cancelled {
             let Some(node) = self.nodes.get(*member) else { continue };
-            heirs.extend(node.unmet.iter().filter(|need| !gone.contains(need)).cloned());
+            remaining.extend(node.unmet.iter().filter(|id| !cancelled.contains(id)).cloned());
         }
-        for heir in heirs {
-            if let Some(node) = self.nodes.get_mut(&heir) {
-                node.dependents.retain(|dependent| !gone.contains(dependent));
+        for dependency in remaining {
+            if let Some(node) = self.nodes.get_mut(&dependency) {
+                node.dependents.retain(|dependent| !cancelled.contains(dependent));
             }
-            self.recompute_inherited_urgency(&heir);
+            self.recompute_inherited_urgency(&dependency);
         }
-        all
+        dependents
     }
 
-    /// A job was not accepted now: what it names counts for nothing. Those that await it
-    /// know of an earlier acceptance, and still do.
+    /// A job's admission was not carried out: its dependencies count for nothing. Its
+    /// dependents know of an earlier admission, and stay.
     pub fn retract(&mut self, job: &JobId) {
         let Some(node) = self.nodes.get_mut(job) else { return };
         let dependents = std::mem::take(&mut node.dependents);
@@ -185,13 +198,13 @@
         }
     }
 
-    /// A job has left: its record is final.
+    /// A job is terminal and has left memory.
     pub fn remove(&mut self, job: &JobId) {
         let Some(node) = self.nodes.remove(job) else { return };
-        for need in &node.unmet {
-            if let Some(needed) = self.nodes.get_mut(need) {
-                needed.dependents.remove(job);
-                self.recompute_inherited_urgency(need);
+        for dependency in &node.unmet {
+            if let Some(node) = self.nodes.get_mut(dependency) {
+                node.dependents.remove(job);
+                self.recompute_inherited_urgency(dependency);
             }
         }
     }
@@ -200,58 +213,53 @@
         self.nodes.get_mut(job).map(|node| std::mem::take(&mut node.dependents)).unwrap_or_default()
     }
 
-    /// Gives a fate to all that need the job; returns those that had a lesser one.
-    fn propagate_cancellation(&mut self, job: &JobId, fate: Cancellation) -> Vec<JobId> {
-        let mut reached = Vec::new();
+    fn dependents_of(&self, job: &JobId) -> Vec<JobId> {
+        self.nodes.get(job).map(|node| node.dependents.iter().cloned().collect()).unwrap_or_default()
+    }
+
+    /// Raises the cancellation of all dependents, direct and indirect; returns those whose was
+    /// lower.
+    fn propagate_cancellation(&mut self, job: &JobId, cancellation: Cancellation) -> Vec<JobId> {
+        let mut raised = Vec::new();
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
-            let dependents: Vec<JobId> = self
-                .nodes
-                .get(&next)
-                .map(|node| node.dependents.iter().cloned().collect())
-                .unwrap_or_default();
-            for dependent in dependents {
+            for dependent in self.dependents_of(&next) {
                 let Some(node) = self.nodes.get_mut(&dependent) else { continue };
-                if node.cancellation < fate {
-                    node.cancellation = fate;
-                    reached.push(dependent.clone());
+                if node.cancellation < cancellation {
+                    node.cancellation = cancellation;
+                    raised.push(dependent.clone());
                     work.push(dependent);
                 }
             }
         }
-        reached
+        raised
     }
 
-    /// What a job that has joined means for those that it needs.
+    /// Passes the urgency of a job that has joined on to its dependencies.
     fn propagate_urgency(&mut self, job: &JobId) {
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
-            let Some(node) =
-                self.nodes.get(&next).filter(|node| node.cancellation != Cancellation::Cancelled)
-            else {
-                continue;
-            };
-            let Some(bequest) = node.urgency_for_dependencies() else { continue };
-            for need in node.unmet.clone() {
-                let Some(needed) = self.nodes.get_mut(&need) else { continue };
-                let inherited = needed.inherited.map_or(bequest, |before| before.most_urgent(bequest));
-                if needed.inherited != Some(inherited) {
-                    needed.inherited = Some(inherited);
-                    work.push(need);
+            let Some(node) = self.nodes.get(&next).filter(|node| !node.is_cancelled()) else { continue };
+            let Some(urgency) = node.urgency_for_dependencies() else { continue };
+            for id in node.unmet.clone() {
+                let Some(dependency) = self.nodes.get_mut(&id) else { continue };
+                let inherited = dependency.inherited.map_or(urgency, |before| before.most_urgent(urgency));
+                if dependency.inherited != Some(inherited) {
+                    dependency.inherited = Some(inherited);
+                    work.push(id);
                 }
             }
         }
     }
 
-    /// Counts again what a job inherits, and those that it needs, since one that needs it
-    /// has left.
+    /// Computes again what a job inherits, and its dependencies, since a dependent has left.
     fn recompute_inherited_urgency(&mut self, job: &JobId) {
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
             let Some(node) = self.nodes.get(&next) else { continue };
-            let bequests = node.dependents.iter().filter_map(|dependent| self.nodes.get(dependent));
-            let open = bequests.filter(|dependent| dependent.cancellation != Cancellation::Cancelled);
-            let inherited = open.filter_map(GraphNode::urgency_for_dependencies).reduce(Urgency::most_urgent);
+            let dependents = node.dependents.iter().filter_map(|dependent| self.nodes.get(dependent));
+            let live = dependents.filter(|dependent| !dependent.is_cancelled());
+            let inherited = live.filter_map(GraphNode::urgency_for_dependencies).reduce(Urgency::most_urgent);
             let Some(node) = self.nodes.get_mut(&next) else { continue };
             if node.inherited != inherited {
                 node.inherited = inherited;
--- a/src/coordination/jobs/dependency_graph/tests.rs
+++ b/src/coordination/jobs/dependency_graph/tests.rs
@@ -10,9 +10,9 @@
     names
 }
 
-fn plain(needs: &[&str]) -> NewDependent {
+fn plain(dependencies: &[&str]) -> NewDependent {
     NewDependent {
-        unmet: needs.iter().map(|need| id(need)).collect(),
+        unmet: dependencies.iter().map(|dependency| id(dependency)).collect(),
         cancellation: Cancellation::NotCancelled,
         urgency: Urgency { priority: Priority::BestEffort, finish_by: None },
         duration: Duration::from_secs(10),
@@ -21,14 +21,14 @@
 
 fn graph(edges: &[(&str, &[&str])]) -> DependencyGraph {
     let mut graph = DependencyGraph::default();
-    for (job, needs) in edges {
-        graph.insert(&id(job), plain(needs));
+    for (job, dependencies) in edges {
+        graph.insert(&id(job), plain(dependencies));
     }
     graph
 }
 
 #[test]
-fn a_job_is_released_by_the_last_of_its_needs() {
+fn a_job_is_ready_once_its_last_dependency_is_done() {
     let mut graph = graph(&[("b", &["a"]), ("c", &["a"]), ("d", &["b", "c"])]);
     assert_eq!(names(graph.complete(&id("a"))), ["b", "c"]);
     assert!(graph.complete(&id("b")).is_empty());
@@ -37,10 +37,10 @@
     assert!(graph.complete(&id("c")).is_empty(), "a second time says nothing new");
 }
 
-/// A chain, a diamond, fan-in and fan-out: all that need a cancelled job go with it, and
-/// nothing beside them.
+/// A chain, a diamond, fan-in and fan-out: all dependents of a cancelled job are cancelled,
+/// and nothing beside them.
 #[test]
-fn all_that_need_a_cancelled_job_are_cancelled_with_it() {
+fn all_dependents_of_a_cancelled_job_are_cancelled() {
     let mut graph = graph(&[
         ("b", &["a"]),
         ("c", &["a"]),
@@ -60,12 +60,12 @@
     }
     graph.insert(&id("g"), plain(&["f", "y"]));
     assert_eq!(graph.cancellation(&id("g")), Cancellation::Cancelled);
-    assert!(graph.complete(&id("c")).is_empty(), "a cancelled job is never released");
+    assert!(graph.complete(&id("c")).is_empty(), "a cancelled job is never ready");
     assert!(!graph.is_ready(&id("d")));
     assert_eq!(names(graph.complete(&id("x"))), ["y"]);
 }
 
-/// Read by a new leader, a job may come before those that it needs.
+/// Read by a new leader, a job may come before its dependencies.
 #[test]
 fn the_order_in_which_jobs_join_does_not_matter() {
     let mut graph = graph(&[("c", &["b"])]);
@@ -77,9 +77,9 @@
 fn urgency_is_inherited_along_the_path_and_falls_back() {
     let now = Instant::now();
     let due = |s| Some(now + Duration::from_secs(s));
-    let last = |needs: &[&str], priority, s| {
+    let last = |dependencies: &[&str], priority, s| {
         let urgency = Urgency { priority, finish_by: due(s) };
-        NewDependent { urgency, ..plain(needs) }
+        NewDependent { urgency, ..plain(dependencies) }
     };
     let mut graph = graph(&[("b", &["a"]), ("c", &["a"])]);
     assert_eq!(graph.inherited(&id("a")).map(|u| u.priority), Some(Priority::BestEffort));
@@ -117,27 +117,27 @@
     assert!(graph.nodes.is_empty());
 }
 
-/// A job that the graph does not hold may wait for anything.
+/// A job that the graph does not hold may depend on anything.
 #[test]
-fn absence_is_no_release() {
+fn a_job_that_the_graph_does_not_hold_is_not_ready() {
     let mut graph = DependencyGraph::default();
     assert!(!graph.is_ready(&id("a")));
     graph.insert(&id("b"), plain(&["a"]));
     assert!(!graph.is_ready(&id("b")));
-    graph.complete(&id("a"));
+    assert_eq!(graph.complete(&id("a")), [id("b")]);
     assert!(graph.is_ready(&id("b")));
     graph.remove(&id("b"));
     assert!(!graph.is_ready(&id("b")));
 }
 
-/// An acceptance that is refused takes nothing from the jobs that await the same job.
+/// An admission that was not carried out takes nothing from the job's dependents.
 #[test]
-fn a_job_that_is_not_accepted_keeps_its_dependents() {
+fn a_retracted_job_keeps_its_dependents() {
     let mut graph = DependencyGraph::default();
     graph.insert(&id("c"), plain(&["b"]));
     graph.insert(&id("b"), plain(&["a"]));
     graph.retract(&id("b"));
-    assert!(graph.cancel(&id("a")).is_empty(), "what it named counts for nothing");
+    assert!(graph.cancel(&id("a")).is_empty(), "its dependencies count for nothing");
     assert_eq!(graph.cancel(&id("b")), [id("c")]);
     graph.retract(&id("d"));
     graph.insert(&id("e"), plain(&[]));
