--- a/src/coordination/authority/answers.rs
+++ b/src/coordination/authority/answers.rs
@@ -62,12 +62,14 @@
     /// A job's state. One that is not terminal is valid for a bounded time.
     pub fn job_state(status: u16, job: JobStatus, validity: Validity) -> Self {
         let validity = (!job.state.is_terminal()).then_some(validity);
-        Answer { job_status: Some(job.clone()), validity, ..Answer::new(status, &job.encode()) }
+        let answer = Answer::new(status, &job.encode());
+        Answer { job_status: Some(job), validity, ..answer }
     }
 
     /// A job's terminal state: true whoever leads, and whenever it is sent.
     pub fn terminal_state(job: JobStatus) -> Self {
-        Answer { job_status: Some(job.clone()), ..Answer::new(200, &job.encode()) }
+        let answer = Answer::new(200, &job.encode());
+        Answer { job_status: Some(job), ..answer }
     }
 
     /// The last step before it is sent: an answer that is not valid any more is replaced.
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -3,6 +3,7 @@
 use tokio::time::Instant;
 
 use crate::coordination::authority::answers::Answer;
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::admissions::PendingAdmission;
 use crate::coordination::jobs::dag::{DependencyCheck, KnownDependencies};
 use crate::coordination::jobs::dependency_graph::Cancellation;
@@ -12,6 +13,7 @@
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::{Effect, PendingOperation, UncheckedSubmission};
+use crate::numeric::whole_usize;
 use crate::protocol::cbor::json_size;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
 use crate::protocol::kv::Compare;
@@ -103,8 +105,8 @@
     /// waiting.
     fn has_room_for_admission(&self) -> bool {
         let write_rps = self.record_writes.limits().write_rps;
-        let max_admissions = (write_rps / CHANGES_PER_ADMISSION).max(MIN_ADMISSIONS) as usize;
-        let max_jobs = (self.config.settings.cluster.limits.memory_mb * JOBS_PER_MB) as usize;
+        let max_admissions = whole_usize((write_rps / CHANGES_PER_ADMISSION).max(MIN_ADMISSIONS));
+        let max_jobs = whole_usize(self.config.settings.cluster.limits.memory_mb * JOBS_PER_MB);
         self.admissions.len() < max_admissions && self.jobs.len() < max_jobs
     }
 
@@ -144,7 +146,7 @@
     /// them, the first start should not wait for a second write; nor where nothing has been
     /// started on any machine yet, since then whatever comes up is for the jobs that come now.
     fn may_start_at_once(&self, spec: &JobSpec) -> bool {
-        self.could_start_now(spec) || !self.machines.values().any(|machine| machine.may_hold_tasks())
+        self.could_start_now(spec) || !self.machines.values().any(Machine::may_hold_tasks)
     }
 
     /// Rejects a job that can never run, unless it was admitted earlier: a repeated submission
--- a/src/coordination/jobs/cancellation.rs
+++ b/src/coordination/jobs/cancellation.rs
@@ -4,7 +4,7 @@
 
 use crate::coordination::authority::answers::Answer;
 use crate::coordination::jobs::dependency_graph::Cancellation;
-use crate::coordination::jobs::job::ReplyId;
+use crate::coordination::jobs::job::{Job, ReplyId};
 use crate::coordination::leader::Leader;
 use crate::protocol::jobs::JobId;
 
@@ -88,7 +88,7 @@
 
     /// Finishes what an earlier leader has left: dependents of cancelled jobs.
     pub(crate) fn cancel_restored_dependents(&mut self, now: Instant) {
-        let ids = self.jobs.values().map(|job| job.id());
+        let ids = self.jobs.values().map(Job::id);
         let is_cancelled = |id: &&JobId| self.dependencies.cancellation(id) == Cancellation::Cancelled;
         let cancelled: Vec<JobId> = ids.filter(is_cancelled).cloned().collect();
         for job_id in cancelled {
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -28,6 +28,7 @@
 
 impl Urgency {
     /// The higher priority and the earlier end of the two.
+    #[must_use]
     pub fn most_urgent(self, other: Urgency) -> Urgency {
         let finish_by = match (self.finish_by, other.finish_by) {
             (Some(own), Some(others)) => Some(own.min(others)),
--- a/src/coordination/jobs/record_state.rs
+++ b/src/coordination/jobs/record_state.rs
@@ -7,14 +7,18 @@
 use crate::storage::done_set::DoneSet;
 use crate::storage::records::JobRecord;
 
-/// What a write of a job's record contains, to be taken over once committed.
+/// A write of a job's record that is under way: what holds once it is committed.
 #[derive(Debug)]
 pub struct RecordWriteInFlight {
+    /// The record will say that the job is cancelled.
     pub cancelled: bool,
+    /// The record will say that all tasks are done.
     pub completed: bool,
-    /// Done tasks that are committed once this is.
+    /// The done tasks that will be in the store.
     pub done: DoneSet,
+    /// The bound on started tasks that the record will have.
     pub started_high_water: u32,
+    /// Which keys it changes.
     pub scope: WriteScope,
 }
 
@@ -22,17 +26,23 @@
 #[derive(Debug)]
 pub enum WriteScope {
     /// The record, and blocks of done tasks beside it.
-    Record { blocks: Vec<u32> },
+    Record {
+        /// The numbers of these blocks.
+        blocks: Vec<u32>,
+    },
     /// The record without its done tasks.
     WithoutDoneTasks,
-    /// So many further blocks of a conversion; the record does not name them yet.
-    NewBlocks { count: u32 },
+    /// Further blocks of a conversion; the record does not name them yet.
+    NewBlocks {
+        /// How many.
+        count: u32,
+    },
     /// The record that names a conversion's blocks.
     SwitchLayout,
 }
 
 impl RecordWriteInFlight {
-    /// What the record will say.
+    /// A write after which the record says this.
     pub fn new(record: &JobRecord, done: DoneSet, scope: WriteScope) -> Self {
         let JobRecord { cancelled, completed, started_high_water, .. } = *record;
         RecordWriteInFlight { cancelled, completed, done, started_high_water, scope }
@@ -47,6 +57,7 @@
 /// Done tasks that are being copied into smaller blocks.
 #[derive(Debug)]
 pub struct BlockConversion {
+    /// Tasks in each new block.
     pub block_tasks: u32,
     /// The done tasks as they were when it began.
     pub done: DoneSet,
@@ -55,6 +66,7 @@
 }
 
 impl BlockConversion {
+    /// A conversion of which nothing is written yet.
     pub fn new(block_tasks: u32, done: DoneSet) -> Self {
         BlockConversion { block_tasks, done, versions: Vec::new() }
     }
--- a/src/coordination/jobs/record_write.rs
+++ b/src/coordination/jobs/record_write.rs
@@ -9,6 +9,7 @@
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::record_state::{BlockConversion, RecordWriteInFlight, WriteScope};
+use crate::numeric::count_u32;
 use crate::protocol::kv::{Change, Compare};
 use crate::settings::State;
 use crate::storage::done_set::DoneSet;
@@ -39,17 +40,17 @@
         let is_terminal = record.terminal_state().is_some();
         let conversion = job.stored.conversion.take();
         let write = match &conversion {
-            Some(_) if is_terminal => RecordWrite::without_done_tasks(job, record),
+            Some(_) if is_terminal => RecordWrite::without_done_tasks(job, &record),
             Some(conversion) => RecordWrite::block_conversion(job, conversion, record, state),
-            None if is_terminal && job.stored.is_too_large => RecordWrite::without_done_tasks(job, record),
-            None => RecordWrite::with_blocks(job, record, state),
+            None if is_terminal && job.stored.is_too_large => RecordWrite::without_done_tasks(job, &record),
+            None => RecordWrite::with_blocks(job, &record, state),
         };
         job.stored.conversion = conversion.filter(|_| !is_terminal);
         write
     }
 
     /// The record with as many of its changed blocks as one transaction takes.
-    fn with_blocks(job: &mut Job, record: JobRecord, state: &State) -> RecordWrite {
+    fn with_blocks(job: &mut Job, record: &JobRecord, state: &State) -> RecordWrite {
         let value_kb = state.value_kb;
         let layout = record.layout(value_kb);
         let id = record.spec.id.clone();
@@ -64,17 +65,17 @@
             compares.push(Compare { key: key.clone(), version });
             changes.push(put(key, record.encode_block(block, value_kb)));
         }
-        let class = class_of(job, &record);
-        let done = done_once_committed(job, &record, layout, &blocks);
-        let in_flight = RecordWriteInFlight::new(&record, done, WriteScope::Record { blocks });
+        let class = class_of(job, record);
+        let done = done_once_committed(job, record, layout, &blocks);
+        let in_flight = RecordWriteInFlight::new(record, done, WriteScope::Record { blocks });
         RecordWrite { class, compares, changes, in_flight }
     }
 
     /// A terminal record without its done tasks, which nobody needs any more.
-    fn without_done_tasks(job: &Job, record: JobRecord) -> RecordWrite {
+    fn without_done_tasks(job: &Job, record: &JobRecord) -> RecordWrite {
         let changes = vec![put(job_record_key(&record.spec.id), record.encode_without_done_tasks())];
         let done = record.done.clone();
-        let in_flight = RecordWriteInFlight::new(&record, done, WriteScope::WithoutDoneTasks);
+        let in_flight = RecordWriteInFlight::new(record, done, WriteScope::WithoutDoneTasks);
         let class = RequestClass::Cancellation;
         RecordWrite { class, compares: vec![record_compare(job)], changes, in_flight }
     }
@@ -92,8 +93,8 @@
         record.done = conversion.done.clone();
         record.block_tasks = Some(conversion.block_tasks);
         let layout = Layout::NamedBlocks(conversion.block_tasks);
-        let first = conversion.versions.len() as u32;
-        let max_blocks = state.within_both().txn_ops as u32;
+        let first = count_u32(conversion.versions.len());
+        let max_blocks = count_u32(state.within_both().txn_ops);
         let end = layout.blocks(record.spec.tasks).min(first.saturating_add(max_blocks));
         let (scope, changes) = if first == end {
             let change = put(job_record_key(&id), record.encode(state.value_kb));
--- a/src/coordination/jobs/resources.rs
+++ b/src/coordination/jobs/resources.rs
@@ -1,17 +1,21 @@
 //! Amounts of CPUs, GPUs and memory.
 
+use crate::numeric::whole_u32;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobSpec;
 
-/// Amounts that a task takes, or that a machine or team has.
+/// Amounts that a task takes, or that a machine or a team has.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
+    /// CPUs; a part of one counts.
     pub cpus: f64,
+    /// GPUs; a part of one counts.
     pub gpus: f64,
+    /// Memory in GB.
     pub memory_gb: f64,
 }
 
-/// Sums of decimals are off by a little; this much is forgiven.
+/// Sums of decimals are inexact; differences up to this much are ignored.
 const EPSILON: f64 = 1e-6;
 
 impl Resources {
@@ -19,37 +23,43 @@
     pub const UNBOUNDED: Resources =
         Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY };
 
+    /// What one task of the job takes.
     pub fn of(spec: &JobSpec) -> Self {
         Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    pub fn of_type(kind: &MachineType) -> Self {
-        Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb }
+    /// What an empty machine of the type has.
+    pub fn of_type(machine_type: &MachineType) -> Self {
+        let MachineType { cpus, gpus, memory_gb, .. } = *machine_type;
+        Resources { cpus, gpus, memory_gb }
     }
 
-    pub fn fits(&self, room: &Resources) -> bool {
-        self.cpus <= room.cpus + EPSILON
-            && self.gpus <= room.gpus + EPSILON
-            && self.memory_gb <= room.memory_gb + EPSILON
+    /// Whether it fits into the capacity, in each amount.
+    pub fn fits(&self, capacity: &Resources) -> bool {
+        self.cpus <= capacity.cpus + EPSILON
+            && self.gpus <= capacity.gpus + EPSILON
+            && self.memory_gb <= capacity.memory_gb + EPSILON
     }
 
-    /// How many such tasks the room takes.
-    pub fn times_in(&self, room: &Resources) -> u32 {
-        let part = |need: f64, have: f64| {
-            if need <= 0.0 { f64::from(u32::MAX) } else { ((have + EPSILON) / need).floor().max(0.0) }
+    /// How many times it fits into the capacity.
+    pub fn times_in(&self, capacity: &Resources) -> u32 {
+        let times = |need: f64, has: f64| {
+            if need <= 0.0 { f64::from(u32::MAX) } else { ((has + EPSILON) / need).floor().max(0.0) }
         };
-        part(self.cpus, room.cpus)
-            .min(part(self.gpus, room.gpus))
-            .min(part(self.memory_gb, room.memory_gb))
-            .min(f64::from(u32::MAX)) as u32
+        let least = times(self.cpus, capacity.cpus)
+            .min(times(self.gpus, capacity.gpus))
+            .min(times(self.memory_gb, capacity.memory_gb));
+        whole_u32(least.min(f64::from(u32::MAX)))
     }
 
+    /// Adds another's amounts.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
+    /// Subtracts another's amounts.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
--- a/src/coordination/jobs/task_placements.rs
+++ b/src/coordination/jobs/task_placements.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::maps::HashMap;
+use crate::numeric::count_u32;
 use crate::protocol::workers::MachineId;
 use crate::storage::records::JobRecord;
 
@@ -29,7 +30,7 @@
 impl TaskPlacements {
     /// How many tasks are assigned to machines.
     pub fn assigned_count(&self) -> u32 {
-        self.assigned.len() as u32
+        count_u32(self.assigned.len())
     }
 
     /// The next task from `least` on that is neither done nor assigned.
--- a/src/coordination/jobs/write_queue.rs
+++ b/src/coordination/jobs/write_queue.rs
@@ -5,6 +5,7 @@
 
 use tokio::time::Instant;
 
+use crate::numeric::whole_usize;
 use crate::protocol::jobs::JobId;
 use crate::settings::StateLimits;
 
@@ -80,7 +81,7 @@
     pub(crate) fn begin_flush(&mut self, now: Instant) -> usize {
         let passed = now.saturating_duration_since(self.flushed_at).as_secs_f64().min(1.0);
         self.flushed_at = now;
-        (self.limits.write_rps * PROGRESS_WRITE_SHARE * passed).ceil().max(1.0) as usize
+        whole_usize((self.limits.write_rps * PROGRESS_WRITE_SHARE * passed).ceil().max(1.0))
     }
 
     /// The store rejects a job's record in every size.
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -67,31 +67,54 @@
     pub(crate) invariant_violations: u64,
 }
 
-/// The leader of one epoch.
+/// The leader of one epoch. All of it is dropped when the epoch ends.
 pub struct Leader {
+    /// Settings and policy.
     pub(crate) config: Arc<Config>,
+    /// The right to decide: epoch, lease, fencing.
     pub(crate) term: LeadershipTerm,
+    /// Numbers of task attempts.
     pub(crate) attempts: AttemptCounter,
+    /// The time of day.
     pub(crate) clock: WallClock,
+    /// All jobs that are unfinished, or terminal and not archived yet.
     pub(crate) jobs: HashMap<JobId, Job>,
+    /// Submissions whose first write is under way.
     pub(crate) admissions: Admissions,
+    /// Which jobs wait for which.
     pub(crate) dependencies: DependencyGraph,
+    /// What teams are guaranteed, may use, and use.
     pub(crate) quotas: Quotas,
+    /// Records and rows that wait to be written.
     pub(crate) record_writes: RecordWriteQueue,
     singletons: SingletonKeys,
+    /// The machines of all node pools.
     pub(crate) machines: MachineTable,
+    /// The node pools.
     pub(crate) node_pools: NodePools,
+    /// Machines that no node pool's record names yet.
     pub(crate) unregistered: UnregisteredMachines,
+    /// The cloud's machine types.
     pub(crate) catalog: Catalog,
+    /// The reading of the cloud's inventory.
     pub(crate) inventory: Inventory,
+    /// Whether the cloud answers.
     pub(crate) cloud_health: CloudHealth,
+    /// What scaling out and in is based on.
     pub(crate) autoscaler: Autoscaler,
+    /// How well the workers are heard.
     pub(crate) liveness: Liveness,
+    /// The waiting jobs in order.
     pub(crate) queue: WorkQueue,
+    /// Classes of jobs whose tasks are to start at once.
     pub(crate) latency_classes: LatencySensitiveClasses,
+    /// How long tasks are expected to run.
     pub(crate) run_estimates: RunEstimates,
+    /// What earlier leaders may have left on machines.
     pub(crate) failover: FailoverProgress,
+    /// Events counted for operators.
     pub(crate) counters: Counters,
+    /// Decisions to be carried out by the controller.
     pub(crate) outbox: Outbox,
     next_slow_tick: Instant,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -44,6 +44,7 @@
 pub mod cli;
 pub mod coordination;
 mod maps;
+mod numeric;
 pub mod policy;
 pub mod protocol;
 pub mod settings;
--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -55,12 +55,14 @@
     }
 
     /// Appends an entry.
+    #[must_use]
     pub fn set(mut self, key: &str, value: impl Into<Value>) -> Self {
         self.0.push((Value::Text(key.to_owned()), value.into()));
         self
     }
 
     /// Appends an entry if there is a value; leaves the key out if there is none.
+    #[must_use]
     pub fn set_some(self, key: &str, value: Option<impl Into<Value>>) -> Self {
         match value {
             Some(value) => self.set(key, value),
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -12,6 +12,7 @@
 use super::rates::{RateLimits, RateShare};
 use super::{HttpResult, KvClient, RequestClass};
 use crate::protocol::cbor::encode;
+use crate::protocol::kv::Change;
 use crate::settings::{State, StateLimits};
 use crate::storage::rate_limit::LogThrottle;
 use crate::transport::client::{Call, Connection, Pool, PreparedCall};
@@ -221,7 +222,7 @@
     /// attempt was committed.
     pub(super) fn read_back(&mut self, pending: PendingTransaction) {
         self.in_flight += 1;
-        let key = pending.transaction.changes.first().map(|change| change.key()).unwrap_or_default();
+        let key = pending.transaction.changes.first().map(Change::key).unwrap_or_default();
         let target = format!("/keys/{key}");
         let call = Call { method: "GET", target, body: Vec::new(), deadline: self.deadline };
         let prepared = self.pool.prepare(call);
--- a/src/storage/records/layout.rs
+++ b/src/storage/records/layout.rs
@@ -1,5 +1,6 @@
 //! Where a job's done tasks are stored: in its record, or in blocks beside it.
 
+use crate::numeric::whole_u32;
 use crate::protocol::jobs::JobId;
 
 /// Bytes in one KiB.
@@ -13,8 +14,7 @@
 /// Tasks in one block of done tasks where no value may exceed `value_kb` KiB: so many that
 /// even a bitmap of the block takes at most half a value.
 pub fn block_size(value_kb: f64) -> u32 {
-    // Limits are positive and far below 4 GiB; the cast saturates at both ends.
-    let bitmap_bytes = (value_kb * BYTES_PER_KIB * BITMAP_PART) as u32;
+    let bitmap_bytes = whole_u32(value_kb * BYTES_PER_KIB * BITMAP_PART);
     bitmap_bytes.saturating_mul(TASKS_PER_CHARACTER).max(TASKS_PER_CHARACTER)
 }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -135,7 +135,7 @@
         }
         let deadline = request_deadline.unwrap_or_else(|| Instant::now() + options.idle);
         match timeout_at(deadline, stream.read(&mut chunk)).await {
-            Ok(Ok(0)) | Ok(Err(_)) => return Received::Disconnected,
+            Ok(Ok(0) | Err(_)) => return Received::Disconnected,
             Ok(Ok(read)) => decoder.push(&chunk[..read]),
             Err(_) if decoder.is_empty() => return Received::Disconnected,
             Err(_) => return Received::Unreadable { status: 408 },
