--- a/src/coordination/controller/capacity.rs
+++ b/src/coordination/controller/capacity.rs
@@ -1,45 +1,54 @@
-//! How large the buffers of a controller are.
+//! The limits on what a controller queues, has under way or remembers.
 
 use crate::settings::Limits as Quota;
 
-/// Connections are for what runs now; as much again may just have been replaced.
+/// Machines remembered for each connection. Connections are for machines that run now; as
+/// many again may just have been replaced.
 const MACHINES_PER_CONNECTION: usize = 2;
+/// Machines remembered at least.
 const MIN_MACHINES: usize = 1024;
+/// Terminal states remembered for each MB of memory.
+const TERMINAL_STATES_PER_MB: f64 = 36.0;
+/// Terminal states remembered at least.
+const MIN_TERMINAL_STATES: usize = 256;
+/// Terminal states remembered at most.
+const MAX_TERMINAL_STATES: usize = 65_536;
 
-/// How much of each kind there may be at once, by the sockets and the memory
-/// that the settings give: they grow with the fleet, and so does what comes
-/// together.
+/// The limits that follow from the connections and the memory that the settings allow: those
+/// grow with the fleet, and so does what arrives at the same time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CapacityLimits {
-    /// Requests of users waiting for the actor; more are refused at once.
+    /// Users' requests that wait for the actor; more are refused at once.
     pub(crate) queued_requests: usize,
-    /// Reports waiting for the actor.
+    /// Heartbeats that wait for the actor; more are refused at once.
     pub(crate) queued_heartbeats: usize,
-    /// Reads for users under way.
+    /// Reads of records for users under way.
     pub(crate) lookups: usize,
-    /// Orders being sent straight to workers.
+    /// Pushes of commands to workers under way.
     pub(crate) pushes: usize,
-    /// Workers' reports being handed on to the leader.
+    /// Heartbeats being relayed to the leader.
     pub(crate) relays: usize,
-    /// Final standings kept in memory: they never change.
+    /// Terminal states of jobs kept in memory: they never change.
     pub(crate) terminal_states: usize,
-    /// Machines of which something is remembered that is not in the picture: those that
-    /// were deleted, and workers that were sent to the leader. Every machine of a fleet
-    /// has a connection to some controller, so a fleet is not larger than this.
+    /// Machines of which something is remembered that is not in the leader's memory: those
+    /// that were deleted, and workers that were redirected to the leader. Every machine of a
+    /// fleet has a connection to some controller, so a fleet is not larger than this.
     pub(crate) machines: usize,
 }
 
 impl CapacityLimits {
+    /// The limits for a quota of connections and memory.
     pub(crate) fn new(quota: &Quota) -> Self {
-        let part = |ratio: usize, least: usize| (quota.max_connections / ratio).max(least);
+        let connections_by = |divisor: usize, min: usize| (quota.max_connections / divisor).max(min);
         CapacityLimits {
-            queued_requests: part(12, 32),
-            queued_heartbeats: part(6, 64),
-            lookups: part(24, 16),
-            pushes: part(100, 8),
-            relays: part(8, 32),
+            queued_requests: connections_by(12, 32),
+            queued_heartbeats: connections_by(6, 64),
+            lookups: connections_by(24, 16),
+            pushes: connections_by(100, 8),
+            relays: connections_by(8, 32),
             machines: (quota.max_connections * MACHINES_PER_CONNECTION).max(MIN_MACHINES),
-            terminal_states: ((quota.memory_mb * 36.0) as usize).clamp(256, 65_536),
+            terminal_states: ((quota.memory_mb * TERMINAL_STATES_PER_MB) as usize)
+                .clamp(MIN_TERMINAL_STATES, MAX_TERMINAL_STATES),
         }
     }
 }
--- a/src/coordination/controller/effects.rs
+++ b/src/coordination/controller/effects.rs
@@ -1,62 +1,82 @@
-//! Carries out what the leader's state machine has left to be done outside.
+//! Carries out what the leader's state machine has decided.
 
-use super::*;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use crate::coordination::controller::Controller;
+use crate::coordination::controller::events::{InternalEvent, JobLookUp};
+use crate::coordination::fleet::cloud::CloudCall;
+use crate::coordination::leader::effects::{Effect, OperationId};
+use crate::protocol::cbor::encode;
+use crate::protocol::workers::encode_pushed_commands;
+use crate::protocol::{BODY_LIMIT, HEAD_LIMIT};
+use crate::storage::kv::Transaction;
+use crate::transport::client::{Call, PreparedCall};
+use crate::transport::codec::Limits;
+
+/// Deadline of one push of commands to a worker.
+const PUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Controller {
+    /// Carries out all effects, in the order in which they were decided. Those that take time
+    /// run in tasks of their own, whose results come back as events.
     pub(super) fn perform_effects(&mut self) {
         self.flush_decided_replies();
         let Some(leader) = &mut self.leader else { return };
         let epoch = leader.epoch();
-        for action in leader.drain_effects() {
-            match action {
-                Effect::Reply { reply: to, answer } => self.answer_pending(to, answer),
-                Effect::LookUpJob { reply: to, job, if_absent: otherwise } => {
-                    if let Some(PendingReply { reply, .. }) = self.pending_replies.remove(&to) {
-                        self.look_up(JobLookUp { reply, job, if_absent: otherwise, only_terminal: false });
-                    }
-                }
-                Effect::ReadDependencies(submission) => self.read_dependencies(epoch, submission),
-                Effect::Commit { operation, transaction } => {
-                    let (store, inner) = (self.store.clone(), self.events.clone());
-                    tokio::spawn(async move {
-                        let result = store.compare_and_swap(transaction).await;
-                        let _ = inner.send(InternalEvent::Committed { epoch, operation, result }).await;
-                    });
-                }
-                Effect::CallCloud { operation, call } => {
-                    let (cloud, inner) = (self.cloud.clone(), self.events.clone());
-                    tokio::spawn(async move {
-                        let result = cloud.call(call).await;
-                        let _ = inner.send(InternalEvent::CloudDone { epoch, operation, result }).await;
-                    });
-                }
-                Effect::PushCommands {
-                    address,
-                    fencing_token: token,
-                    incarnation: session,
-                    commands: orders,
-                } => {
-                    // Only a short cut: the same goes out with the next report.
-                    if self.pushes_in_flight >= self.capacity.pushes {
-                        continue;
-                    }
-                    self.pushes_in_flight += 1;
-                    let inner = self.events.clone();
-                    let body = encode(&encode_pushed_commands(token, session, &orders));
-                    let call = Call {
-                        method: "POST",
-                        target: "/commands".into(),
-                        body,
-                        deadline: Duration::from_secs(2),
-                    };
-                    let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
-                    tokio::spawn(async move {
-                        let _ = PreparedCall::without_pool(address, limits, call).run().await;
-                        let _ = inner.send(InternalEvent::PushDone).await;
-                    });
+        for effect in leader.drain_effects() {
+            self.perform(epoch, effect);
+        }
+    }
+
+    fn perform(&mut self, epoch: u64, effect: Effect) {
+        match effect {
+            Effect::Reply { reply, answer } => self.user_replies.answer_pending(reply, answer),
+            Effect::LookUpJob { reply, job, if_absent } => {
+                if let Some(pending) = self.user_replies.take(reply) {
+                    let reply = pending.reply;
+                    self.look_up(JobLookUp { reply, job, if_absent, only_terminal: false });
                 }
-                Effect::JobEvicted(status) => self.terminal_states.insert(status),
             }
+            Effect::ReadDependencies(submission) => self.read_dependencies(epoch, submission),
+            Effect::Commit { operation, transaction } => self.commit(epoch, operation, transaction),
+            Effect::CallCloud { operation, call } => self.call_cloud(epoch, operation, call),
+            Effect::PushCommands { address, fencing_token, incarnation, commands } => {
+                let body = encode(&encode_pushed_commands(fencing_token, incarnation, &commands));
+                self.push_commands(address, body);
+            }
+            Effect::JobEvicted(status) => self.user_replies.insert_terminal_state(status),
+        }
+    }
+
+    fn commit(&self, epoch: u64, operation: OperationId, transaction: Transaction) {
+        let (kv, events) = (self.kv.clone(), self.events.clone());
+        tokio::spawn(async move {
+            let result = kv.compare_and_swap(transaction).await;
+            let _ = events.send(InternalEvent::CommitFinished { epoch, operation, result }).await;
+        });
+    }
+
+    fn call_cloud(&self, epoch: u64, operation: OperationId, call: CloudCall) {
+        let (cloud, events) = (self.cloud.clone(), self.events.clone());
+        tokio::spawn(async move {
+            let result = cloud.call(call).await;
+            let _ = events.send(InternalEvent::CloudCallFinished { epoch, operation, result }).await;
+        });
+    }
+
+    /// Pushes commands to a worker, unless too many pushes are under way: it only saves time,
+    /// since the same commands are in the answer to the next heartbeat.
+    fn push_commands(&mut self, address: SocketAddr, body: Vec<u8>) {
+        if !self.pushes.try_begin() {
+            return;
         }
+        let events = self.events.clone();
+        let call = Call { method: "POST", target: "/commands".into(), body, deadline: PUSH_TIMEOUT };
+        let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
+        tokio::spawn(async move {
+            let _ = PreparedCall::without_pool(address, limits, call).run().await;
+            let _ = events.send(InternalEvent::PushFinished).await;
+        });
     }
 }
--- a/src/coordination/controller/handle.rs
+++ b/src/coordination/controller/handle.rs
@@ -1,11 +1,13 @@
-//! What speaks to the actor: takes HTTP requests and other controllers' calls, and makes
-//! the last check of an answer before it leaves.
+//! The way to the actor: takes HTTP requests and other controllers' calls, and checks the
+//! validity of an answer for the last time before it is sent.
 
+use ciborium::value::Value;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-use super::{HeartbeatMessage, Reply, RequestOrigin, UserMessage};
 use crate::coordination::authority::answers::Answer;
+use crate::coordination::controller::RETRY_AFTER_S;
+use crate::coordination::controller::events::{HeartbeatMessage, ReplySender, RequestOrigin, UserMessage};
 use crate::protocol::cbor::decode;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::Heartbeat;
@@ -13,7 +15,8 @@
 use crate::transport::peer::{PeerCall, PeerHandler, PeerReply};
 use crate::transport::server::Handler;
 
-/// Speaks to the actor; answers HTTP requests and other controllers.
+/// Sends messages to the actor and awaits its answers. Refuses at once when the actor's
+/// queues are full.
 #[derive(Clone)]
 pub struct ControllerHandle {
     pub(super) requests: mpsc::Sender<UserMessage>,
@@ -22,72 +25,74 @@
 }
 
 impl ControllerHandle {
+    /// Answers an HTTP request.
+    pub(super) async fn route(&self, request: Request) -> Answer {
+        let path = request.target.split('?').next().unwrap_or_default();
+        let is_post = request.method == "POST";
+        let is_get = request.method == "GET";
+        match path {
+            "/agent/beat" if is_post => self.heartbeat(request.body, false).await,
+            "/agent/beat" | "/api/jobs" if !is_post => Answer::error(405, "POST only"),
+            "/api/jobs" => self.request(PeerCall::Submit(request.body), RequestOrigin::User).await,
+            "/status" if is_get => self.ask(|reply| UserMessage::Status { reply }).await,
+            "/ready" if is_get => self.readiness(),
+            _ => match path.strip_prefix("/api/jobs/") {
+                Some(job_path) => self.route_job(job_path, is_post, is_get).await,
+                None => Answer::error(404, "no such path"),
+            },
+        }
+    }
+
+    /// Answers a request below `/api/jobs/`: `ID` or `ID/withdraw`.
+    async fn route_job(&self, job_path: &str, is_post: bool, is_get: bool) -> Answer {
+        let (id, is_cancellation) = match job_path.strip_suffix("/withdraw") {
+            Some(id) => (id, true),
+            None => (job_path, false),
+        };
+        if JobId::parse(id).is_none() {
+            return Answer::error(404, "no such job");
+        }
+        let call = match (is_cancellation, is_post, is_get) {
+            (true, true, _) => PeerCall::Cancel(id.to_owned()),
+            (false, _, true) => PeerCall::Poll(id.to_owned()),
+            _ => return Answer::error(405, "method not allowed here"),
+        };
+        self.request(call, RequestOrigin::User).await
+    }
+
+    fn readiness(&self) -> Answer {
+        if *self.ready.borrow() {
+            Answer { body: Vec::new(), ..Answer::new(200, &Value::Null) }
+        } else {
+            Answer::retry_later(503, "not ready", RETRY_AFTER_S)
+        }
+    }
+
     async fn request(&self, call: PeerCall, origin: RequestOrigin) -> Answer {
         self.ask(|reply| UserMessage::Call { call, reply, origin, arrived: Instant::now() }).await
     }
 
-    async fn ask(&self, message: impl FnOnce(Reply) -> UserMessage) -> Answer {
+    async fn ask(&self, message: impl FnOnce(ReplySender) -> UserMessage) -> Answer {
         let (reply, answer) = oneshot::channel();
-        // A full buffer holds nobody: the edge refuses at once.
+        // Nobody waits for room in a full queue: the request is refused at once.
         if self.requests.try_send(message(reply)).is_err() {
-            return Answer::retry_later(429, "too many requests at once", 1);
+            return Answer::retry_later(429, "too many requests at once", RETRY_AFTER_S);
         }
-        answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", 1))
+        answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", RETRY_AFTER_S))
     }
 
-    async fn heartbeat(&self, body: Vec<u8>, relayed: bool) -> Answer {
-        let report = match decode(&body).and_then(|value| Heartbeat::decode(&value)) {
-            Ok(report) => report,
+    async fn heartbeat(&self, body: Vec<u8>, was_relayed: bool) -> Answer {
+        let heartbeat = match decode(&body).and_then(|value| Heartbeat::decode(&value)) {
+            Ok(heartbeat) => heartbeat,
             Err(error) => return Answer::error(400, &error.to_string()),
         };
         let (reply, answer) = oneshot::channel();
-        let body = (!relayed).then_some(body);
-        let message = HeartbeatMessage { heartbeat: report, body, reply, arrived: Instant::now() };
+        let body = (!was_relayed).then_some(body);
+        let message = HeartbeatMessage { heartbeat, body, reply, arrived: Instant::now() };
         if self.heartbeats.try_send(message).is_err() {
-            return Answer::retry_later(503, "too many reports at once", 1);
-        }
-        answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", 1))
-    }
-
-    pub(super) async fn route(&self, request: Request) -> Answer {
-        let target = request.target.as_str();
-        let path = target.split('?').next().unwrap_or_default();
-        let post = request.method == "POST";
-        let get = request.method == "GET";
-        match path {
-            "/agent/beat" if post => self.heartbeat(request.body, false).await,
-            "/agent/beat" | "/api/jobs" if !post => Answer::error(405, "POST only"),
-            "/api/jobs" => self.request(PeerCall::Submit(request.body), RequestOrigin::User).await,
-            "/status" if get => self.ask(|reply| UserMessage::Status { reply }).await,
-            "/ready" if get => {
-                if *self.ready.borrow() {
-                    Answer { body: Vec::new(), ..Answer::new(200, &ciborium::value::Value::Null) }
-                } else {
-                    Answer::retry_later(503, "not ready", 1)
-                }
-            }
-            _ => {
-                let Some(rest) = path.strip_prefix("/api/jobs/") else {
-                    return Answer::error(404, "no such path");
-                };
-                let (id, withdraw) = match rest.strip_suffix("/withdraw") {
-                    Some(id) => (id, true),
-                    None => (rest, false),
-                };
-                if JobId::parse(id).is_none() {
-                    return Answer::error(404, "no such job");
-                }
-                match (withdraw, post, get) {
-                    (true, true, _) => {
-                        self.request(PeerCall::Cancel(id.to_owned()), RequestOrigin::User).await
-                    }
-                    (false, _, true) => {
-                        self.request(PeerCall::Poll(id.to_owned()), RequestOrigin::User).await
-                    }
-                    _ => Answer::error(405, "method not allowed here"),
-                }
-            }
+            return Answer::retry_later(503, "too many reports at once", RETRY_AFTER_S);
         }
+        answer.await.unwrap_or_else(|_| Answer::retry_later(503, "try again", RETRY_AFTER_S))
     }
 }
 
--- /dev/null
+++ b/src/coordination/controller/record_reads.rs
@@ -0,0 +1,89 @@
+//! Reads of jobs' records on behalf of users, bounded in number and in time.
+
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+use crate::coordination::controller::concurrency_limit::ConcurrencyLimit;
+use crate::coordination::controller::events::{InternalEvent, JobLookUp, RecordRead};
+use crate::coordination::controller::{POLL_TIMEOUT, REQUEST_TIMEOUT};
+use crate::coordination::leader::effects::UncheckedSubmission;
+use crate::coordination::recovery::snapshot;
+use crate::protocol::jobs::{JobId, JobState, JobStatus};
+use crate::storage::kv::{KvClient, KvError, RequestClass};
+
+/// Records of dependencies that are read for one answer at most; with more of them to look
+/// at, the user is asked to retry.
+const MAX_DEPENDENCIES_READ: usize = 64;
+
+/// Reads records in tasks of their own; results come as [`InternalEvent`]s.
+pub(super) struct RecordReads {
+    kv: KvClient,
+    events: mpsc::Sender<InternalEvent>,
+    limit: ConcurrencyLimit,
+}
+
+impl RecordReads {
+    /// Allows `limit` reads at once.
+    pub(super) fn new(kv: KvClient, events: mpsc::Sender<InternalEvent>, limit: usize) -> Self {
+        RecordReads { kv, events, limit: ConcurrencyLimit::new(limit) }
+    }
+
+    /// Reserves one read, unless there are too many. One that was reserved is to be started
+    /// by [`Self::look_up`] or [`Self::read_dependencies`].
+    #[must_use]
+    pub(super) fn try_begin(&mut self) -> bool {
+        self.limit.try_begin()
+    }
+
+    /// The result of a read has come.
+    pub(super) fn end(&mut self) {
+        self.limit.end();
+    }
+
+    /// Starts a reserved read of one job's record.
+    pub(super) fn look_up(&self, look_up: JobLookUp) {
+        let (kv, events) = (self.kv.clone(), self.events.clone());
+        tokio::spawn(async move {
+            let started = Instant::now();
+            let read = read_status(&kv, &look_up.job).await;
+            let _ = events.send(InternalEvent::JobLookedUp { look_up, started, read }).await;
+        });
+    }
+
+    /// Starts a reserved read of the records of the jobs that a submission depends on.
+    pub(super) fn read_dependencies(&self, epoch: u64, submission: Box<UncheckedSubmission>) {
+        let (kv, events) = (self.kv.clone(), self.events.clone());
+        tokio::spawn(async move {
+            let read = snapshot::read_dependency_states(&kv, submission.unread.clone());
+            let read = tokio::time::timeout(REQUEST_TIMEOUT, read).await;
+            let states = read.ok().and_then(Result::ok);
+            let _ = events.send(InternalEvent::DependenciesRead { epoch, submission, states }).await;
+        });
+    }
+}
+
+/// Reads a job's state from its record, within the time that its user waits.
+async fn read_status(kv: &KvClient, job: &JobId) -> RecordRead {
+    let read = tokio::time::timeout(POLL_TIMEOUT, status_by_records(kv, job)).await;
+    match read {
+        Ok(Ok(Some(status))) => RecordRead::Found(status),
+        Ok(Ok(None)) => RecordRead::Absent,
+        Ok(Err(KvError::Rejected)) => RecordRead::Unreadable,
+        _ => RecordRead::Unavailable,
+    }
+}
+
+/// A job's state by its record and, while it waits for others, by theirs: a job whose
+/// dependency is cancelled is cancelled too, whether or not a leader has written that yet.
+/// Otherwise the leader would answer "cancelled" and this controller "queued".
+async fn status_by_records(kv: &KvClient, job: &JobId) -> Result<Option<JobStatus>, KvError> {
+    let class = RequestClass::Completion;
+    let Some(record) = snapshot::read_record(kv, class, job).await? else { return Ok(None) };
+    let mut status = record.status();
+    if !status.state.is_terminal()
+        && snapshot::is_cancelled_by_dependencies(kv, class, &record, MAX_DEPENDENCIES_READ).await?
+    {
+        status.state = JobState::Cancelled;
+    }
+    Ok(Some(status))
+}
--- /dev/null
+++ b/src/coordination/controller/status.rs
@@ -0,0 +1,47 @@
+//! The metrics that `/status` shows to operators. The field names are part of the interface.
+
+use ciborium::value::Value;
+use tokio::time::Instant;
+
+use crate::coordination::controller::Controller;
+use crate::coordination::election::Role;
+use crate::protocol::cbor::MapBuilder;
+
+impl Controller {
+    /// The controller's metrics.
+    pub(super) fn status(&self) -> Value {
+        let metrics = MapBuilder::new()
+            .set("name", self.config.settings.name.as_str())
+            .set("build", env!("CARGO_PKG_VERSION"))
+            .set("role", self.role_description())
+            .set("epochsReused", self.epoch_guard.violations());
+        let metrics = match &self.leader {
+            Some(leader) => leader.metrics(metrics),
+            None => metrics,
+        };
+        self.latencies.metrics(metrics.set("stateService", self.store_limits())).build()
+    }
+
+    fn role_description(&self) -> String {
+        match self.routing.role() {
+            Role::Leaderless => match self.routing.leading_peer(Instant::now()) {
+                Some(leader) => format!("leaderless, {} says that it leads", leader.name),
+                None => "leaderless".to_owned(),
+            },
+            Role::Follower { leader, .. } => format!("follows {leader}"),
+            Role::Leader { .. } => "leads".to_owned(),
+        }
+    }
+
+    fn store_limits(&self) -> Value {
+        let limits = self.kv.limits();
+        let announced = self.config.settings.cluster.state.announced();
+        MapBuilder::new()
+            .set("changesPerSecond", limits.write_rps)
+            .set("valueKib", limits.value_kb)
+            .set("laterChangesPerSecond", announced.write_rps)
+            .set("laterValueKib", announced.value_kb)
+            .set("laterLimitsHold", limits == announced)
+            .build()
+    }
+}
