--- /dev/null
+++ b/src/coordination/election/runner.rs
@@ -0,0 +1,186 @@
+//! Carries out the steps of the election with requests to the key-value store.
+
+use tokio::sync::{mpsc, watch};
+use tokio::time::Instant;
+
+use crate::coordination::election::{
+    AcquireOutcome, Election, LeaderRead, RenewOutcome, Role, Step, WatchOutcome, decode_leader_record,
+};
+use crate::protocol::cbor::{MapBuilder, decode, encode};
+use crate::protocol::kv::{
+    Change, Compare, decode_commit_revision, decode_lease, decode_watch, encode_compare_and_swap,
+    encode_lease,
+};
+use crate::storage::kv::{KvClient, RequestClass, with_write_marker};
+use crate::storage::records::LEADER;
+use crate::transport::client::{Call, ClientError};
+use crate::transport::codec::Response;
+
+/// Runs the election, and sends each change of the role, for as long as somebody receives
+/// them.
+///
+/// `address` is written to the leader key, for operators. An epoch sent by `resigned_epoch`
+/// is given up before its lease expires.
+pub async fn run(
+    election: Election,
+    kv: KvClient,
+    address: String,
+    roles: mpsc::Sender<Role>,
+    resigned_epoch: watch::Receiver<u64>,
+) {
+    let mut runner = Runner { election, kv, address };
+    let mut published = Role::Leaderless;
+    loop {
+        runner.election.resign(*resigned_epoch.borrow());
+        runner.run_next_step().await;
+        let role = runner.election.role();
+        if role != published && runner.election.is_confirmed() {
+            log_role_change(&published, &role);
+            published = role.clone();
+            if roles.send(role).await.is_err() {
+                return;
+            }
+        }
+    }
+}
+
+fn log_role_change(before: &Role, after: &Role) {
+    match (before, after) {
+        // A renewal.
+        (Role::Leader { epoch: before, .. }, Role::Leader { epoch: after, .. }) if before == after => {}
+        (_, Role::Leader { epoch, .. }) => tracing::info!(epoch, "leadership acquired"),
+        (_, Role::Follower { leader, .. }) => tracing::info!(%leader, "following leader"),
+        (_, Role::Leaderless) => tracing::info!("no leader known"),
+    }
+}
+
+/// The election with what its requests need.
+struct Runner {
+    election: Election,
+    kv: KvClient,
+    address: String,
+}
+
+impl Runner {
+    async fn run_next_step(&mut self) {
+        match self.election.next_step(Instant::now()) {
+            Step::Wait { until } => tokio::time::sleep_until(until).await,
+            Step::ReadLeader => self.read_leader().await,
+            Step::GrantLease => self.grant_lease().await,
+            Step::Acquire { lease } => self.acquire(lease).await,
+            Step::RevokeLease { lease } => self.revoke_lease(lease).await,
+            Step::Renew { lease } => self.renew(lease).await,
+            Step::Watch { from } => {
+                self.watch(from).await;
+                self.read_leader().await;
+            }
+        }
+    }
+
+    async fn read_leader(&mut self) {
+        let read = match self.kv.get(RequestClass::Renewal, LEADER).await {
+            Ok(Some(entry)) => decode_leader_record(&entry).map_or(LeaderRead::Failed, LeaderRead::Held),
+            Ok(None) => LeaderRead::Vacant,
+            Err(_) => LeaderRead::Failed,
+        };
+        self.election.on_read(Instant::now(), read);
+    }
+
+    async fn grant_lease(&mut self) {
+        let sent = Instant::now();
+        let ttl_ms = u64::try_from(self.election.ttl().as_millis()).unwrap_or(u64::MAX);
+        let body = encode(&encode_lease(ttl_ms));
+        let lease = match self.send("POST", "/leases".to_owned(), body).await {
+            Ok(response) if response.status == 200 => {
+                decode(&response.body).ok().and_then(|value| decode_lease(&value).ok())
+            }
+            _ => None,
+        };
+        self.election.on_lease_granted(Instant::now(), sent, lease);
+    }
+
+    async fn acquire(&mut self, lease: u64) {
+        let body = self.encode_acquire(lease);
+        let outcome = match self.send("POST", "/commit".to_owned(), body).await {
+            Ok(response) => decode_acquire_outcome(&response),
+            Err(_) => AcquireOutcome::Unknown,
+        };
+        self.election.on_acquire(Instant::now(), outcome);
+    }
+
+    /// A transaction that writes the leader key if it is vacant.
+    fn encode_acquire(&self, lease: u64) -> Vec<u8> {
+        let record =
+            MapBuilder::new().set("name", self.election.name()).set("address", self.address.as_str());
+        let value = with_write_marker(record, self.election.incarnation());
+        let vacant = Compare { key: LEADER.into(), version: 0 };
+        let change = Change::Put { key: LEADER.into(), value, lease: Some(lease) };
+        encode(&encode_compare_and_swap([&vacant], [&change]))
+    }
+
+    async fn revoke_lease(&mut self, lease: u64) {
+        let answer = self.send("DELETE", format!("/leases/{lease}"), Vec::new()).await;
+        let ended = answer.is_ok_and(|response| response.status == 200 || response.status == 404);
+        self.election.on_lease_revoked(Instant::now(), lease, ended);
+    }
+
+    async fn renew(&mut self, lease: u64) {
+        let sent = Instant::now();
+        let outcome = match self.send("POST", format!("/leases/{lease}/extend"), Vec::new()).await {
+            Ok(response) if response.status == 200 => RenewOutcome::Renewed,
+            Ok(response) if response.status == 404 => RenewOutcome::LeaseExpired,
+            _ => RenewOutcome::Failed,
+        };
+        self.election.on_renew(Instant::now(), sent, outcome);
+    }
+
+    async fn watch(&mut self, from: u64) {
+        let wait = self.election.ttl();
+        let call = Call {
+            method: "GET",
+            target: format!("/watch?starts={LEADER}&from={from}&waitMs={}", wait.as_millis()),
+            body: Vec::new(),
+            deadline: wait * 2 + self.kv.deadline(),
+        };
+        let outcome = watch_outcome(self.kv.send_raw(RequestClass::Renewal, call).await);
+        self.election.on_watch(Instant::now(), outcome);
+    }
+
+    async fn send(
+        &self,
+        method: &'static str,
+        target: String,
+        body: Vec<u8>,
+    ) -> Result<Response, ClientError> {
+        let call = Call { method, target, body, deadline: self.kv.deadline() };
+        self.kv.send_raw(RequestClass::Renewal, call).await
+    }
+}
+
+fn decode_acquire_outcome(response: &Response) -> AcquireOutcome {
+    match response.status {
+        200 => match decode(&response.body).ok().and_then(|value| decode_commit_revision(&value).ok()) {
+            Some(epoch) => AcquireOutcome::Won { epoch },
+            None => AcquireOutcome::Unknown,
+        },
+        409 => AcquireOutcome::Lost,
+        400 => AcquireOutcome::LeaseExpired,
+        _ => AcquireOutcome::Unknown,
+    }
+}
+
+fn watch_outcome(answer: Result<Response, ClientError>) -> WatchOutcome {
+    match answer {
+        Ok(response) if response.status == 200 => {
+            match decode(&response.body).ok().and_then(|value| decode_watch(&value).ok()) {
+                Some(_) => WatchOutcome::Ended,
+                None => WatchOutcome::Failed,
+            }
+        }
+        // The version is too old to watch from: reading the key is enough.
+        Ok(response) if response.status == 410 => WatchOutcome::Ended,
+        Ok(_) | Err(ClientError::NotSent | ClientError::Lost(_)) => WatchOutcome::Failed,
+        // Whether the store can be reached is seen by reading the key, which follows.
+        Err(ClientError::TimedOut | ClientError::Unreadable(_)) => WatchOutcome::Ended,
+    }
+}
--- a/src/coordination/election/tests.rs
+++ b/src/coordination/election/tests.rs
@@ -1,3 +1,5 @@
+use std::time::Duration;
+
 use super::*;
 
 const TTL: Duration = Duration::from_secs(10);
@@ -7,139 +9,157 @@
 }
 
 fn leading(now: Instant) -> Election {
-    let mut e = Election::new("c-0", "mine", TTL);
-    e.on_read(now, Ok(None));
-    assert_eq!(e.next_step(now), Step::GrantLease);
-    e.on_lease_granted(now, now, Some(5));
-    assert_eq!(e.next_step(now), Step::Acquire { lease: 5 });
-    e.on_acquire(now, AcquireOutcome::Won { epoch: 40 });
-    e
+    let mut election = Election::new("c-0", "mine", TTL);
+    election.on_read(now, LeaderRead::Vacant);
+    assert_eq!(election.next_step(now), Step::GrantLease);
+    election.on_lease_granted(now, now, Some(5));
+    assert_eq!(election.next_step(now), Step::Acquire { lease: 5 });
+    election.on_acquire(now, AcquireOutcome::Won { epoch: 40 });
+    election
 }
 
 #[test]
-fn steps_down_by_its_own_clock_before_the_service_can() {
+fn the_lease_expires_by_the_local_clock_before_it_does_in_the_store() {
     let start = Instant::now();
-    let mut e = leading(start);
-    let Role::Leader { epoch: 40, lease_expiry: until } = e.role() else { panic!("leads") };
-    assert!(until < start + TTL, "the lease counts from the sending, less a margin");
-    // An answer that took long extends from its sending, not its arrival.
+    let mut election = leading(start);
+    let Role::Leader { epoch: 40, lease_expiry } = election.role() else { panic!("leads") };
+    assert!(lease_expiry < start + TTL, "the lease counts from the sending, less a margin");
+    // A renewal extends from when it was sent, not from when it was answered.
     let sent = start + TTL / 4;
-    e.on_renew(start + TTL / 2, sent, RenewOutcome::Renewed);
-    let Role::Leader { lease_expiry: until, .. } = e.role() else { panic!("leads") };
-    assert!(until < sent + TTL);
-    e.on_renew(start + TTL, start + TTL, RenewOutcome::Failed);
-    let Role::Leader { lease_expiry: same, .. } = e.role() else { panic!("leads") };
-    assert_eq!(until, same, "a renewal without an answer extends nothing");
-    e.on_renew(start + TTL, start + TTL, RenewOutcome::LeaseExpired);
-    assert_eq!(e.role(), Role::Leaderless);
+    election.on_renew(start + TTL / 2, sent, RenewOutcome::Renewed);
+    let Role::Leader { lease_expiry, .. } = election.role() else { panic!("leads") };
+    assert!(lease_expiry < sent + TTL);
+    election.on_renew(start + TTL, start + TTL, RenewOutcome::Failed);
+    let Role::Leader { lease_expiry: same, .. } = election.role() else { panic!("leads") };
+    assert_eq!(lease_expiry, same, "a renewal without an answer extends nothing");
+    election.on_renew(start + TTL, start + TTL, RenewOutcome::LeaseExpired);
+    assert_eq!(election.role(), Role::Leaderless);
 }
 
 #[test]
-fn a_lapsed_lease_resumes_only_once_the_key_is_seen_unchanged() {
+fn an_expired_lease_resumes_only_after_the_key_is_read_unchanged() {
     let start = Instant::now();
-    let mut e = leading(start);
+    let mut election = leading(start);
     let late = start + TTL * 2;
-    e.on_renew(late, late, RenewOutcome::Renewed);
-    assert!(!e.is_confirmed());
-    assert_eq!(e.next_step(late), Step::ReadLeader);
-    e.on_read(late, Ok(Some(holder_of("c-0", "mine", 40, 5))));
-    assert!(e.is_confirmed());
-    let mut e = leading(start);
-    e.on_renew(late, late, RenewOutcome::Renewed);
-    e.on_read(late, Ok(Some(holder_of("c-1", "other", 41, 6))));
-    assert_eq!(e.role(), Role::Follower { leader: "c-1".into(), epoch: 41 });
+    election.on_renew(late, late, RenewOutcome::Renewed);
+    assert!(!election.is_confirmed());
+    assert_eq!(election.next_step(late), Step::ReadLeader);
+    election.on_read(late, LeaderRead::Held(holder_of("c-0", "mine", 40, 5)));
+    assert!(election.is_confirmed());
+    let mut election = leading(start);
+    election.on_renew(late, late, RenewOutcome::Renewed);
+    election.on_read(late, LeaderRead::Held(holder_of("c-1", "other", 41, 6)));
+    assert_eq!(election.role(), Role::Follower { leader: "c-1".into(), epoch: 41 });
 }
 
 #[test]
-fn a_lost_answer_to_an_acquire_is_settled_by_reading() {
+fn an_acquire_with_unknown_outcome_is_settled_by_reading_the_key() {
     let now = Instant::now();
-    let begin = || {
-        let mut e = Election::new("c-0", "mine", TTL);
-        e.on_read(now, Ok(None));
-        e.on_lease_granted(now, now, Some(5));
-        e.on_acquire(now, AcquireOutcome::Unknown);
-        e
+    let with_unknown_outcome = || {
+        let mut election = Election::new("c-0", "mine", TTL);
+        election.on_read(now, LeaderRead::Vacant);
+        election.on_lease_granted(now, now, Some(5));
+        election.on_acquire(now, AcquireOutcome::Unknown);
+        election
     };
     let later = now + TTL / 10;
-    let mut carried_out = begin();
+    let mut carried_out = with_unknown_outcome();
     assert_eq!(carried_out.next_step(later), Step::ReadLeader);
-    carried_out.on_read(later, Ok(Some(holder_of("c-0", "mine", 41, 5))));
+    carried_out.on_read(later, LeaderRead::Held(holder_of("c-0", "mine", 41, 5)));
     assert!(
         matches!(carried_out.role(), Role::Leader { epoch: 41, lease_expiry } if lease_expiry < now + TTL)
     );
-    let mut not_yet = begin();
-    not_yet.on_read(later, Ok(None));
+    let mut not_yet = with_unknown_outcome();
+    not_yet.on_read(later, LeaderRead::Vacant);
     assert_eq!(not_yet.next_step(later), Step::Acquire { lease: 5 });
-    let mut beaten = begin();
-    beaten.on_read(later, Ok(Some(holder_of("c-1", "other", 41, 9))));
+    let mut beaten = with_unknown_outcome();
+    beaten.on_read(later, LeaderRead::Held(holder_of("c-1", "other", 41, 9)));
     assert_eq!(
         beaten.next_step(later),
         Step::RevokeLease { lease: 5 },
-        "its late copy must not win afterwards"
+        "a late copy of its acquire must not win afterwards"
     );
 }
 
 #[test]
-fn a_leader_that_drops_its_picture_gives_the_lease_up() {
+fn a_resigned_epoch_revokes_its_lease() {
     let now = Instant::now();
-    let mut e = leading(now);
-    e.resign(39);
-    assert!(matches!(e.role(), Role::Leader { epoch: 40, .. }), "an earlier epoch is no matter");
-    e.resign(40);
-    assert_eq!(e.role(), Role::Leaderless);
-    assert_eq!(e.next_step(now), Step::RevokeLease { lease: 5 });
-    e.on_lease_revoked(now, 5, true);
-    assert_eq!(e.next_step(now), Step::ReadLeader);
+    let mut election = leading(now);
+    election.resign(39);
+    assert!(matches!(election.role(), Role::Leader { epoch: 40, .. }), "an earlier epoch is ignored");
+    election.resign(40);
+    assert_eq!(election.role(), Role::Leaderless);
+    assert_eq!(election.next_step(now), Step::RevokeLease { lease: 5 });
+    election.on_lease_revoked(now, 5, true);
+    assert_eq!(election.next_step(now), Step::ReadLeader);
 }
 
-/// Back within a moment, several times in one election: what an earlier
-/// process of the same name still had under way may win before us, and is
-/// ended by its own lease, never by its name.
+/// A process that was restarted several times during one election: an acquire of an earlier
+/// incarnation may still be under way and win. It is ended by revoking its own lease, never
+/// by its name.
 #[test]
-fn late_acquires_of_former_processes_are_ended_one_by_one() {
+fn late_acquires_of_earlier_incarnations_are_revoked_one_by_one() {
     let now = Instant::now();
-    let mut e = Election::new("c-0", "third", TTL);
-    e.on_read(now, Ok(None));
-    e.on_lease_granted(now, now, Some(7));
-    // The first process' acquire, held back until now, was carried out.
-    e.on_acquire(now, AcquireOutcome::Lost);
-    assert_eq!(e.next_step(now), Step::ReadLeader);
-    e.on_read(now, Ok(Some(holder_of("c-0", "first", 40, 5))));
-    assert_eq!((e.role(), e.next_step(now)), (Role::Leaderless, Step::RevokeLease { lease: 5 }));
-    e.on_lease_revoked(now, 5, true);
-    e.on_read(now, Ok(Some(holder_of("c-0", "second", 41, 6))));
-    assert_eq!(e.next_step(now), Step::RevokeLease { lease: 6 });
-    e.on_lease_revoked(now, 6, true);
-    e.on_read(now, Ok(None));
-    assert_eq!(e.next_step(now), Step::Acquire { lease: 7 }, "our own was not ended with theirs");
-    // Its answer is lost, and the key tells: ours by incarnation.
-    e.on_acquire(now, AcquireOutcome::Unknown);
-    e.on_read(now, Ok(Some(holder_of("c-0", "third", 42, 7))));
-    assert!(matches!(e.role(), Role::Leader { epoch: 42, .. }));
+    let mut election = Election::new("c-0", "third", TTL);
+    election.on_read(now, LeaderRead::Vacant);
+    election.on_lease_granted(now, now, Some(7));
+    // The first incarnation's acquire was delayed until now, and carried out.
+    election.on_acquire(now, AcquireOutcome::Lost);
+    assert_eq!(election.next_step(now), Step::ReadLeader);
+    election.on_read(now, LeaderRead::Held(holder_of("c-0", "first", 40, 5)));
+    assert_eq!(
+        (election.role(), election.next_step(now)),
+        (Role::Leaderless, Step::RevokeLease { lease: 5 })
+    );
+    election.on_lease_revoked(now, 5, true);
+    election.on_read(now, LeaderRead::Held(holder_of("c-0", "second", 41, 6)));
+    assert_eq!(election.next_step(now), Step::RevokeLease { lease: 6 });
+    election.on_lease_revoked(now, 6, true);
+    election.on_read(now, LeaderRead::Vacant);
+    assert_eq!(
+        election.next_step(now),
+        Step::Acquire { lease: 7 },
+        "our own lease was not revoked with theirs"
+    );
+    // Its answer is lost; the key is ours by incarnation.
+    election.on_acquire(now, AcquireOutcome::Unknown);
+    election.on_read(now, LeaderRead::Held(holder_of("c-0", "third", 42, 7)));
+    assert!(matches!(election.role(), Role::Leader { epoch: 42, .. }));
 }
 
 #[test]
-fn a_follower_without_the_state_service_names_no_leader_for_long() {
+fn a_follower_without_the_store_names_its_leader_for_two_leases_at_most() {
     let now = Instant::now();
-    let mut e = Election::new("c-0", "mine", TTL);
-    e.on_read(now, Ok(Some(holder_of("c-1", "x", 41, 6))));
-    e.on_watch(now + TTL, Err(()));
-    assert_eq!(e.role(), Role::Follower { leader: "c-1".into(), epoch: 41 }, "a short outage costs nothing");
-    e.on_read(now + TTL * 2, Err(()));
-    assert_eq!(e.role(), Role::Leaderless);
-    assert!(matches!(e.next_step(now + TTL * 2), Step::Wait { .. }), "and it is not asked without a pause");
-    e.on_read(now + TTL * 3, Ok(Some(holder_of("c-2", "y", 45, 7))));
-    assert_eq!(e.role(), Role::Follower { leader: "c-2".into(), epoch: 45 });
+    let mut election = Election::new("c-0", "mine", TTL);
+    election.on_read(now, LeaderRead::Held(holder_of("c-1", "x", 41, 6)));
+    election.on_watch(now + TTL, WatchOutcome::Failed);
+    assert_eq!(
+        election.role(),
+        Role::Follower { leader: "c-1".into(), epoch: 41 },
+        "a short outage costs nothing"
+    );
+    election.on_read(now + TTL * 2, LeaderRead::Failed);
+    assert_eq!(election.role(), Role::Leaderless);
+    assert!(
+        matches!(election.next_step(now + TTL * 2), Step::Wait { .. }),
+        "the store is not asked again without a pause"
+    );
+    election.on_read(now + TTL * 3, LeaderRead::Held(holder_of("c-2", "y", 45, 7)));
+    assert_eq!(election.role(), Role::Follower { leader: "c-2".into(), epoch: 45 });
 }
 
 #[test]
-fn a_restarted_controller_ends_its_dead_predecessors_lease() {
+fn a_restarted_controller_revokes_the_lease_of_its_earlier_incarnation() {
     let now = Instant::now();
-    let mut e = Election::new("c-0", "second", TTL);
-    e.on_read(now, Ok(Some(holder_of("c-0", "first", 40, 5))));
-    assert_eq!(e.next_step(now), Step::RevokeLease { lease: 5 });
-    e.on_lease_revoked(now, 5, true);
-    assert_eq!(e.next_step(now), Step::ReadLeader);
-    e.on_read(now, Ok(Some(holder_of("c-1", "x", 41, 6))));
-    assert_eq!(e.next_step(now), Step::Watch { from: 41 }, "another's lease is left alone");
+    let mut election = Election::new("c-0", "second", TTL);
+    election.on_read(now, LeaderRead::Held(holder_of("c-0", "first", 40, 5)));
+    assert_eq!(election.next_step(now), Step::RevokeLease { lease: 5 });
+    election.on_lease_revoked(now, 5, true);
+    assert_eq!(election.next_step(now), Step::ReadLeader);
+    election.on_read(now, LeaderRead::Held(holder_of("c-1", "x", 41, 6)));
+    assert_eq!(
+        election.next_step(now),
+        Step::Watch { from: 41 },
+        "another controller's lease is not revoked"
+    );
 }
