--- /dev/null
+++ b/src/coordination/fleet/cloud/actor.rs
@@ -0,0 +1,172 @@
+//! The actor that makes the calls: their order, their rate and their connections.
+
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::time::Instant;
+
+use crate::coordination::fleet::cloud::codec::{decode_reply, encode_call};
+use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudResult};
+use crate::storage::rate_limit::{LogThrottle, TokenBucket};
+use crate::transport::client::{Connection, Pool};
+use crate::transport::codec::Limits;
+
+/// Requests that may wait for their turn; as many again may wait in the channel.
+pub(super) const QUEUE: usize = 32;
+
+/// Limits of an answer, in bytes.
+const ANSWER_LIMITS: Limits = Limits { head: 8 * 1024, body: 512 * 1024 };
+/// Requests under way at once.
+const MAX_IN_FLIGHT: usize = 4;
+/// Part of the cloud's rate that is used.
+const RATE_SHARE: f64 = 0.9;
+/// Shortest pause before the rate is looked at again.
+const MIN_RATE_PAUSE: Duration = Duration::from_millis(5);
+/// Pause with nothing to wait for but messages.
+const IDLE_PAUSE: Duration = Duration::from_secs(3600);
+
+/// A call and where its result goes.
+#[derive(Debug)]
+pub(super) struct Request {
+    /// The call.
+    pub(super) call: CloudCall,
+    /// Takes the result.
+    pub(super) reply: oneshot::Sender<CloudResult>,
+}
+
+impl Request {
+    /// Whether the call costs or saves money, rather than only reads.
+    fn is_change(&self) -> bool {
+        matches!(self.call, CloudCall::Provision(_) | CloudCall::Delete(_))
+    }
+}
+
+/// A request that is no longer under way.
+struct FinishedRequest {
+    /// The connection, if it can be used again.
+    connection: Option<Connection>,
+    failure: Option<Failure>,
+}
+
+/// A request that has failed for another reason than a refusal by the cloud.
+struct Failure {
+    /// The status of the answer, if there was one.
+    status: Option<u16>,
+}
+
+/// The state of the actor.
+pub(super) struct Actor {
+    requests: mpsc::Receiver<Request>,
+    /// Until when the controller leads.
+    lease_expiry: watch::Receiver<Instant>,
+    /// For each request.
+    deadline: Duration,
+    rate: TokenBucket,
+    pool: Pool,
+    waiting: VecDeque<Request>,
+    in_flight: usize,
+    finished_sender: mpsc::Sender<FinishedRequest>,
+    finished: mpsc::Receiver<FinishedRequest>,
+    failure_log: LogThrottle,
+}
+
+impl Actor {
+    /// An actor that calls this address with up to `rate` requests a second.
+    pub(super) fn new(
+        address: SocketAddr,
+        rate: f64,
+        deadline: Duration,
+        lease_expiry: watch::Receiver<Instant>,
+        requests: mpsc::Receiver<Request>,
+    ) -> Self {
+        let (finished_sender, finished) = mpsc::channel(MAX_IN_FLIGHT);
+        let rate = rate * RATE_SHARE;
+        Actor {
+            requests,
+            lease_expiry,
+            deadline,
+            // Others may have used up the rate before a failover: the bucket starts half full.
+            rate: TokenBucket::new(rate, rate.max(1.0), Instant::now()),
+            pool: Pool::new(address, ANSWER_LIMITS, MAX_IN_FLIGHT),
+            waiting: VecDeque::new(),
+            in_flight: 0,
+            finished_sender,
+            finished,
+            failure_log: LogThrottle::default(),
+        }
+    }
+
+    /// Makes calls until nobody can ask for any.
+    pub(super) async fn run(mut self) {
+        loop {
+            let now = Instant::now();
+            self.fail_waiting_past_lease(now);
+            let pause = self.start_waiting(now);
+            tokio::select! {
+                biased;
+                request = self.requests.recv(), if self.waiting.len() < QUEUE => match request {
+                    Some(request) => self.enqueue(request),
+                    None => return,
+                },
+                Some(finished) = self.finished.recv() => self.finish(finished),
+                () = tokio::time::sleep(pause) => {}
+            }
+        }
+    }
+
+    fn fail_waiting_past_lease(&mut self, now: Instant) {
+        if now < *self.lease_expiry.borrow() {
+            return;
+        }
+        for request in self.waiting.drain(..) {
+            let _ = request.reply.send(Err(CloudError::Failed));
+        }
+    }
+
+    /// Starts as many requests as are allowed now, and returns when to look again.
+    fn start_waiting(&mut self, now: Instant) -> Duration {
+        while self.in_flight < MAX_IN_FLIGHT && !self.waiting.is_empty() {
+            if !self.rate.allows(now, 1.0, 0.0) {
+                return self.rate.wait(1.0, 0.0).max(MIN_RATE_PAUSE);
+            }
+            self.rate.spend(1.0);
+            if let Some(request) = self.waiting.pop_front() {
+                self.start(request);
+            }
+        }
+        IDLE_PAUSE
+    }
+
+    fn start(&mut self, request: Request) {
+        let prepared = self.pool.prepare(encode_call(&request.call, self.deadline));
+        self.in_flight += 1;
+        let finished = self.finished_sender.clone();
+        tokio::spawn(async move {
+            let (result, connection) = prepared.run().await;
+            let status = result.as_ref().map(|response| response.status).ok();
+            let reply = decode_reply(&request.call, result);
+            let failure = (reply == Err(CloudError::Failed)).then_some(Failure { status });
+            let _ = request.reply.send(reply);
+            let _ = finished.send(FinishedRequest { connection, failure }).await;
+        });
+    }
+
+    /// Queues a request: changes before reads, else in the order of arrival.
+    fn enqueue(&mut self, request: Request) {
+        let is_read = |waiting: &Request| !waiting.is_change();
+        let first_read = self.waiting.iter().position(is_read).filter(|_| request.is_change());
+        self.waiting.insert(first_read.unwrap_or(self.waiting.len()), request);
+    }
+
+    fn finish(&mut self, finished: FinishedRequest) {
+        self.in_flight -= 1;
+        self.pool.put_back(finished.connection);
+        if let Some(Failure { status }) = finished.failure
+            && let Some(times) = self.failure_log.should_log(Instant::now())
+        {
+            tracing::error!(times, ?status, "cloud request failed");
+        }
+    }
+}
--- a/src/coordination/fleet/cloud/tests.rs
+++ b/src/coordination/fleet/cloud/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-/// A controller that stood still past its lease asks for nothing any more.
+/// A controller that was suspended past its lease makes no calls any more.
 #[tokio::test]
-async fn nothing_is_asked_of_the_cloud_once_the_lease_has_ended() {
+async fn no_call_is_made_after_the_lease_has_ended() {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     listener.set_nonblocking(true).expect("a listener");
     let address = listener.local_addr().expect("bound");
-    let (_term, until) = watch::channel(Instant::now());
-    let cloud = start(address, 10.0, Duration::from_secs(1), until);
+    let (_sender, lease_expiry) = watch::channel(Instant::now());
+    let cloud = start(address, 10.0, Duration::from_secs(1), lease_expiry);
     let machine = MachineId::parse("vm-1").expect("valid");
     assert_eq!(cloud.call(CloudCall::Delete(vec![machine])).await, Err(CloudError::Failed));
     assert!(listener.accept().is_err(), "not even a connection was made");
