--- a/src/coordination/controller/capacity.rs
+++ b/src/coordination/controller/capacity.rs
@@ -47,8 +47,14 @@
             pushes: connections_by(100, 8),
             relays: connections_by(8, 32),
             machines: (quota.max_connections * MACHINES_PER_CONNECTION).max(MIN_MACHINES),
-            terminal_states: ((quota.memory_mb * TERMINAL_STATES_PER_MB) as usize)
-                .clamp(MIN_TERMINAL_STATES, MAX_TERMINAL_STATES),
+            terminal_states: terminal_states(quota.memory_mb),
         }
     }
 }
+
+/// The terminal states that are kept in so much memory. The cast rounds down; beyond the range
+/// of the integer it saturates, which the bounds allow for.
+fn terminal_states(memory_mb: f64) -> usize {
+    let by_memory = (memory_mb * TERMINAL_STATES_PER_MB) as usize;
+    by_memory.clamp(MIN_TERMINAL_STATES, MAX_TERMINAL_STATES)
+}
--- a/src/coordination/controller/latencies.rs
+++ b/src/coordination/controller/latencies.rs
@@ -13,31 +13,31 @@
 
 /// Latencies in microseconds, since the controller started. Refusals at the edge, before the
 /// actor's queues, are not counted.
-pub struct LatencyHistograms {
+pub(super) struct LatencyHistograms {
     heartbeats: Histogram<u32>,
     requests: Histogram<u32>,
 }
 
 impl LatencyHistograms {
     /// Nothing recorded yet.
-    pub fn new() -> Self {
+    pub(super) fn new() -> Self {
         let histogram =
             || Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS).expect("constant and valid bounds");
         LatencyHistograms { heartbeats: histogram(), requests: histogram() }
     }
 
     /// A heartbeat was handled that entered the queue at that time.
-    pub fn record_heartbeat(&mut self, arrived: Instant) {
+    pub(super) fn record_heartbeat(&mut self, arrived: Instant) {
         self.heartbeats.saturating_record(micros_since(arrived));
     }
 
     /// A user's request was handled that entered the queue at that time.
-    pub fn record_request(&mut self, arrived: Instant) {
+    pub(super) fn record_request(&mut self, arrived: Instant) {
         self.requests.saturating_record(micros_since(arrived));
     }
 
     /// The part of a log line about latencies.
-    pub fn summary(&self) -> String {
+    pub(super) fn summary(&self) -> String {
         let part = |histogram: &Histogram<u32>| {
             format!("{} p99 {:.1} ms", histogram.len(), quantile_ms(histogram, 0.99))
         };
@@ -45,7 +45,7 @@
     }
 
     /// Adds the latencies to the metrics of `/status`.
-    pub fn metrics(&self, metrics: MapBuilder) -> MapBuilder {
+    pub(super) fn metrics(&self, metrics: MapBuilder) -> MapBuilder {
         metrics
             .set("reports", histogram_metrics(&self.heartbeats))
             .set("users", histogram_metrics(&self.requests))
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -28,7 +28,7 @@
 mod latencies;
 mod leader_lifecycle;
 mod leadership;
-pub mod peers;
+mod peers;
 mod readiness;
 mod reconciliation;
 mod record_reads;
--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -38,7 +38,7 @@
 
 /// Whether a controller leads, by its own statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PeerState {
+pub(super) enum PeerState {
     /// It leads in this epoch, under a valid lease.
     Leading(u64),
     /// Its lease has expired; it may still answer workers for the post-lease grace period.
@@ -49,16 +49,16 @@
 
 /// The controller that leads, as far as this one knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct KnownLeader<'a> {
+pub(super) struct KnownLeader<'a> {
     /// The leader's name.
-    pub name: &'a str,
+    pub(super) name: &'a str,
     /// Its epoch.
-    pub epoch: u64,
+    pub(super) epoch: u64,
 }
 
 /// The other controllers, by name.
 #[derive(Debug)]
-pub struct Peers {
+pub(super) struct Peers {
     /// Duration of the leader's lease.
     lease: Duration,
     peers: BTreeMap<String, Peer>,
@@ -68,18 +68,18 @@
 
 impl Peers {
     /// Knows nothing of these peers yet. `lease` is the leader's.
-    pub fn new(names: impl IntoIterator<Item = String>, lease: Duration) -> Self {
+    pub(super) fn new(names: impl IntoIterator<Item = String>, lease: Duration) -> Self {
         let peers = names.into_iter().map(|name| (name, Peer::default())).collect();
         Peers { lease, peers, querying_since: None }
     }
 
     /// A leader is known by other means: no peer need be queried.
-    pub fn stop_querying(&mut self) {
+    pub(super) fn stop_querying(&mut self) {
         self.querying_since = None;
     }
 
     /// No leader is known: returns the peers to query now, which count as queried.
-    pub fn peers_to_query(&mut self, now: Instant) -> Vec<String> {
+    pub(super) fn peers_to_query(&mut self, now: Instant) -> Vec<String> {
         self.querying_since.get_or_insert(now);
         let pause = self.lease / QUERY_LEASE_DIVISOR;
         let is_due =
@@ -94,7 +94,7 @@
     }
 
     /// Records the result of a query; `None` if the peer did not reply in time.
-    pub fn record_answer(&mut self, now: Instant, name: &str, answer: Option<PeerState>) {
+    pub(super) fn record_answer(&mut self, now: Instant, name: &str, answer: Option<PeerState>) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         peer.query_in_flight = false;
         match answer {
@@ -118,7 +118,7 @@
 
     /// The peer that recently said that it leads; of several the one with the highest epoch,
     /// as the others' are over.
-    pub fn known_leader(&self, now: Instant) -> Option<KnownLeader<'_>> {
+    pub(super) fn known_leader(&self, now: Instant) -> Option<KnownLeader<'_>> {
         let is_recent = |claim: &LeadershipClaim| self.is_recent(now, claim.claimed_at);
         self.peers
             .iter()
@@ -131,32 +131,32 @@
 
     /// When the last of all peers said that it answers no worker, if all have said so since
     /// that time.
-    pub fn all_idle_since(&self, since: Instant) -> Option<Instant> {
+    pub(super) fn all_idle_since(&self, since: Instant) -> Option<Instant> {
         let idle_at = |peer: &Peer| peer.idle_at.filter(|at| *at >= since);
         self.peers.values().map(idle_at).try_fold(since, |latest, at| Some(latest.max(at?)))
     }
 
     /// A call to the peer was not answered in time.
-    pub fn record_timeout(&mut self, now: Instant, name: &str) {
+    pub(super) fn record_timeout(&mut self, now: Instant, name: &str) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.failed_at = Some(now);
         }
     }
 
     /// Whether a call to the peer is worth its time: none has timed out recently.
-    pub fn is_reachable(&self, now: Instant, name: &str) -> bool {
+    pub(super) fn is_reachable(&self, now: Instant, name: &str) -> bool {
         self.peers.get(name).is_some_and(|peer| !peer.failed_at.is_some_and(|at| self.is_recent(now, at)))
     }
 
     /// Peers that may relay a call to a leader that cannot be reached from here.
-    pub fn relay_candidates(&self, now: Instant, leader: &str) -> Vec<String> {
+    pub(super) fn relay_candidates(&self, now: Instant, leader: &str) -> Vec<String> {
         let names = self.peers.keys().filter(|name| *name != leader && self.is_reachable(now, name));
         names.cloned().collect()
     }
 
     /// No leader is known, and no peer has answered for a lease: users and workers are better
     /// off with another controller.
-    pub fn is_isolated(&self, now: Instant) -> bool {
+    pub(super) fn is_isolated(&self, now: Instant) -> bool {
         let is_a_lease_ago = |at: Instant| now >= at + self.lease;
         !self.peers.is_empty()
             && self.querying_since.is_some_and(is_a_lease_ago)
--- a/src/coordination/controller/peers/tests.rs
+++ b/src/coordination/controller/peers/tests.rs
@@ -7,21 +7,21 @@
 }
 
 #[test]
-fn without_a_leader_the_others_are_asked_and_the_highest_epoch_counts() {
+fn without_a_leader_peers_are_queried_and_the_highest_epoch_counts() {
     let now = Instant::now();
     let mut peers = two_peers();
     assert_eq!(peers.peers_to_query(now), ["c-1", "c-2"]);
-    assert!(peers.peers_to_query(now + LEASE).is_empty(), "one question at a time");
+    assert!(peers.peers_to_query(now + LEASE).is_empty(), "one query at a time");
     peers.record_answer(now, "c-1", Some(PeerState::Leading(40)));
     peers.record_answer(now, "c-2", Some(PeerState::Leading(41)));
     assert_eq!(peers.known_leader(now), Some(KnownLeader { name: "c-2", epoch: 41 }));
-    assert_eq!(peers.known_leader(now + LEASE), None, "not heard of lately");
+    assert_eq!(peers.known_leader(now + LEASE), None, "its claim is too old");
     peers.record_answer(now + LEASE, "c-2", Some(PeerState::Idle));
     assert_eq!(peers.known_leader(now + LEASE), None);
 }
 
 #[test]
-fn a_controller_that_nobody_answers_is_cut_off() {
+fn a_controller_that_no_peer_answers_is_isolated() {
     let now = Instant::now();
     let mut peers = two_peers();
     assert!(!peers.is_isolated(now));
@@ -30,7 +30,7 @@
     assert!(!peers.is_isolated(now + LEASE / 2) && peers.is_isolated(now + LEASE));
     peers.peers_to_query(now + LEASE);
     peers.record_answer(now + LEASE, "c-1", Some(PeerState::Idle));
-    assert!(!peers.is_isolated(now + LEASE), "somebody is there");
+    assert!(!peers.is_isolated(now + LEASE), "a peer answers");
     peers.stop_querying();
     assert!(!peers.is_isolated(now + LEASE * 9), "a leader is known");
     let mut alone = Peers::new([], LEASE);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_peer_that_does_not_answer_is_spared_for_a_while() {
+fn a_peer_that_timed_out_is_not_called_for_a_while() {
     let now = Instant::now();
     let mut peers = two_peers();
     peers.record_timeout(now, "c-1");
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn all_others_must_say_that_they_answer_no_worker_and_after_the_takeover() {
+fn post_lease_graces_are_over_once_all_peers_were_idle_after_the_failover() {
     let now = Instant::now();
     let mut peers = two_peers();
     peers.record_answer(now, "c-1", Some(PeerState::Idle));
     peers.record_answer(now + LEASE, "c-1", Some(PeerState::LeaseExpired));
     peers.record_answer(now + LEASE, "c-2", Some(PeerState::Idle));
-    assert_eq!(peers.all_idle_since(now), Some(now + LEASE), "what was free takes no epoch up again");
-    assert_eq!(peers.all_idle_since(now + LEASE), None, "said before the takeover, it may have led since");
+    assert_eq!(peers.all_idle_since(now), Some(now + LEASE), "a peer that was idle resumes no earlier epoch");
+    assert_eq!(peers.all_idle_since(now + LEASE), None, "idle before the failover, it may have led since");
     peers.record_answer(now + LEASE * 2, "c-1", Some(PeerState::Idle));
     assert_eq!(peers.all_idle_since(now + LEASE), Some(now + LEASE * 2));
     assert_eq!(Peers::new([], LEASE).all_idle_since(now), Some(now));
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -68,9 +68,9 @@
     }
 }
 
-/// The edge refuses at once: nobody is held while the buffer is full.
+/// Requests are refused at once, rather than kept waiting, while the actor's queue is full.
 #[tokio::test]
-async fn a_full_buffer_refuses_at_once_with_a_time_to_come_back() {
+async fn a_full_queue_refuses_requests_at_once_with_a_time_to_retry() {
     let TestHarness { controller, inputs: _inputs, handle, .. } = TestHarness::start().await;
     for _ in 0..CapacityLimits::new(&controller.config.settings.cluster.limits).queued_requests {
         let (reply, _) = oneshot::channel();
@@ -90,15 +90,15 @@
     let answer = ask(&mut controller, &mut inputs, PeerCall::Cancel("job-1".into())).await;
     assert_eq!(answer.status, 503);
     let answer = ask(&mut controller, &mut inputs, PeerCall::Poll("job-1".into())).await;
-    assert_eq!(answer.status, 404, "the record is what decides it");
+    assert_eq!(answer.status, 404, "the record decides whether there is a job");
     let answer = ask(&mut controller, &mut inputs, PeerCall::Submit(b"junk".to_vec())).await;
     assert_eq!(answer.status, 400);
 }
 
-/// A cut between two controllers: the third hands calls on, once, and a
-/// controller that was taken for the leader hands nothing on.
+/// A network partition between two controllers: the third relays calls, once, and a
+/// controller that was taken for the leader forwards nothing.
 #[tokio::test]
-async fn calls_go_round_a_cut_through_one_other_controller() {
+async fn calls_are_relayed_around_a_partition_by_one_other_controller() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
     let now = Instant::now();
     let routes_from = |controller: &Controller, origin| -> Vec<(String, bool)> {
@@ -113,17 +113,17 @@
     assert_eq!(
         routes_from(&controller, RequestOrigin::User),
         [relayed],
-        "without waiting for the cut one again"
+        "without waiting for the unreachable leader again"
     );
     assert_eq!(routes_from(&controller, RequestOrigin::Relay), std::slice::from_ref(&direct));
     assert_eq!(routes_from(&controller, RequestOrigin::Peer), []);
     controller.routing.record_timeout(now, "c-2");
-    assert_eq!(routes_from(&controller, RequestOrigin::User), [direct], "what else is there to try");
+    assert_eq!(routes_from(&controller, RequestOrigin::User), [direct], "there is no other route to try");
 }
 
-/// Controllers that refuse each other: a follower that cannot reach the leader
-/// by any way can accept nothing. It says so, once the leader would have lost
-/// its lease if it were dead, and users turn to the one that can.
+/// Controllers that refuse each other's calls: a follower that cannot reach the leader by any
+/// route can admit nothing. It is not ready from when the leader would have lost its lease if
+/// it were dead, so that users turn to the controller that is.
 #[tokio::test]
 async fn a_follower_that_cannot_reach_the_leader_is_not_ready() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -132,7 +132,7 @@
     assert!(controller.readiness.is_ready());
     controller.handle_event(InternalEvent::LeaderNotReached);
     controller.tick();
-    assert!(controller.readiness.is_ready(), "a leader that has just died is followed by another soon");
+    assert!(controller.readiness.is_ready(), "a leader that has just died is soon followed by another");
     let a_lease_ago = Instant::now().checked_sub(controller.config.tuning.lease);
     controller.routing.record_leader_reached();
     controller.routing.record_leader_unreachable(a_lease_ago.expect("a clock that has run for a while"));
@@ -140,25 +140,25 @@
     assert!(!controller.readiness.is_ready());
     controller.handle_peer_state(Instant::now(), "c-2", Some(PeerState::Idle));
     controller.tick();
-    assert!(!controller.readiness.is_ready(), "another that can be reached is of no use by itself");
+    assert!(!controller.readiness.is_ready(), "a peer that can be reached and does not lead is of no use");
     controller.handle_peer_state(Instant::now(), "c-1", Some(PeerState::Leading(7)));
     controller.tick();
     assert!(controller.readiness.is_ready());
 }
 
-/// A leader cut off from the state service alone: its lapse window ends, and its
-/// workers are sent to the new leader, as soon as that one is heard of.
+/// A leader that cannot reach the store, but the other controllers: its post-lease grace
+/// period ends, and its workers are redirected, as soon as it learns of the new leader.
 #[tokio::test]
-async fn a_lapsed_leader_ends_its_lapse_window_when_it_hears_of_a_higher_epoch() {
+async fn a_leader_past_its_lease_steps_down_when_it_learns_of_a_higher_epoch() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
     let now = Instant::now();
-    let loaded = Snapshot::default();
-    controller.leader = Some(Leader::new(controller.config.clone(), 40, now, 0, loaded));
+    let snapshot = Snapshot::default();
+    controller.leader = Some(Leader::new(controller.config.clone(), 40, now, 0, snapshot));
     controller.routing.set_role(Role::Leader { epoch: 40, lease_expiry: now });
     controller.tick();
-    assert!(!controller.readiness.is_ready(), "it never was ready, and leads no more");
+    assert!(!controller.readiness.is_ready(), "it never was ready, and no longer leads");
     controller.handle_peer_state(now, "c-1", Some(PeerState::Leading(39)));
-    assert!(controller.leader.is_some(), "an earlier epoch is no news");
+    assert!(controller.leader.is_some(), "an earlier epoch is ignored");
     controller.handle_peer_state(now, "c-1", Some(PeerState::Leading(41)));
     assert!(controller.leader.is_none());
     assert_eq!(controller.routing.other_leader(now), Some(KnownLeader { name: "c-1", epoch: 41 }));
@@ -166,57 +166,60 @@
     assert!(controller.readiness.is_ready(), "it can serve users again, through the leader");
 }
 
-/// A zone that cannot reach the leader's: its workers' reports go through a
-/// controller that can; one that was handed on goes no further.
+/// A zone that cannot reach the leader's zone: heartbeats of its workers are relayed by a
+/// controller that can; one that was relayed is not relayed again.
 #[tokio::test]
-async fn reports_of_workers_that_come_back_are_handed_on_once() {
+async fn heartbeats_of_workers_that_come_back_are_relayed_once() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
     controller.routing.set_role(follower_of("c-1"));
-    let report = heartbeat(1);
+    let heartbeat = heartbeat(1);
     let send = |controller: &mut Controller, body: Option<Vec<u8>>| {
         let (reply, answer) = oneshot::channel();
         controller.handle_heartbeat(HeartbeatMessage {
-            heartbeat: report.clone(),
+            heartbeat: heartbeat.clone(),
             body,
             reply,
             arrived: Instant::now(),
         });
         answer
     };
-    let named = |answer: Answer| {
+    let answered_leader = |answer: Answer| {
         let body = decode(&answer.body).expect("CBOR");
         let name = Fields::of(&body).expect("a map").opt_text("foreman").expect("text").map(str::to_owned);
         (answer.status, name)
     };
     let first = send(&mut controller, Some(Vec::new())).await.expect("answered");
-    assert_eq!(named(first), (421, Some("c-1".into())));
-    let handed_on = send(&mut controller, None).await.expect("answered at once");
-    assert_eq!(named(handed_on), (421, None));
+    assert_eq!(answered_leader(first), (421, Some("c-1".into())));
+    let relayed = send(&mut controller, None).await.expect("answered at once");
+    assert_eq!(answered_leader(relayed), (421, None));
     assert_eq!(controller.routing.relays_in_flight(), 0);
     let _again = send(&mut controller, Some(Vec::new()));
-    assert_eq!(controller.routing.relays_in_flight(), 1, "it came back");
-    // One that was with the leader until now is not sent back there first.
-    let stayed =
-        Heartbeat { machine: MachineId::parse("vm-2").expect("valid"), fencing_token: 7, ..report.clone() };
+    assert_eq!(controller.routing.relays_in_flight(), 1, "the worker came back");
+    // A worker that was with the leader until now is not redirected there first.
+    let stayed = Heartbeat {
+        machine: MachineId::parse("vm-2").expect("valid"),
+        fencing_token: 7,
+        ..heartbeat.clone()
+    };
     let (reply, _answer) = oneshot::channel();
     let body = Some(Vec::new());
     controller.handle_heartbeat(HeartbeatMessage { heartbeat: stayed, body, reply, arrived: Instant::now() });
-    assert_eq!(controller.routing.relays_in_flight(), 2, "at once");
-    // What cannot be reached from here is not named either.
+    assert_eq!(controller.routing.relays_in_flight(), 2, "relayed at once");
+    // A leader that cannot be reached from here is not named.
     controller.routing.record_timeout(Instant::now(), "c-1");
     let lost = send(&mut controller, Some(Vec::new())).await.expect("answered at once");
-    assert_eq!(named(lost), (421, None));
-    // A new leader: the way to it may be open.
+    assert_eq!(answered_leader(lost), (421, None));
+    // Another leader may be reachable for the worker.
     controller.routing.record_peer_state(Instant::now(), "c-1", Some(PeerState::Idle));
     controller.handle_role(follower_of("c-2"));
     let next = send(&mut controller, Some(Vec::new())).await.expect("answered");
-    assert_eq!(named(next), (421, Some("c-2".into())));
+    assert_eq!(answered_leader(next), (421, Some("c-2".into())));
 }
 
-/// A controller that fell behind, or stood still, finds reports whose workers
-/// have long turned elsewhere.
+/// A controller that is overloaded, or was suspended, finds heartbeats in its queue whose
+/// workers have turned to another controller.
 #[tokio::test]
-async fn reports_that_waited_too_long_are_dropped_unread() {
+async fn heartbeats_that_waited_past_the_reply_timeout_are_dropped() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
     let now = Instant::now();
     let mut leader = Leader::new(controller.config.clone(), 40, now, 0, Snapshot::default());
@@ -237,7 +240,7 @@
     assert!(controller.kv.compare_and_swap(write).await.is_ok());
 }
 
-/// A user's call, with whatever the actor tells itself until it is answered.
+/// Makes a user's call, and handles the actor's events until it is answered.
 async fn ask(controller: &mut Controller, inputs: &mut Inputs, call: PeerCall) -> Answer {
     let (reply, answer) = oneshot::channel();
     controller.handle_request(call, reply, RequestOrigin::User);
@@ -252,45 +255,42 @@
     }
 }
 
-/// Nobody is forgotten: a follower whose leader cannot be reached, by any
-/// way, answers a poll from the record, within what a user waits.
+/// A follower that cannot reach its leader by any route answers a poll from the record,
+/// within the time that a user waits.
 #[tokio::test]
-async fn a_poll_that_no_way_is_left_for_is_answered_from_the_record() {
+async fn a_poll_that_cannot_be_forwarded_is_answered_from_the_record() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     let record = JobRecord::new(spec.clone(), 0).encode(8.0);
     put_record(&controller, job_record_key(&spec.id), record).await;
-    // Nothing listens where the other two controllers are said to be.
+    // Nothing listens at the addresses of the other two controllers.
     controller.routing.set_role(follower_of("c-1"));
     let answer = ask(&mut controller, &mut inputs, PeerCall::Poll("job-1".into())).await;
     assert_eq!(answer.status, 200);
 }
 
-/// The need of a job is cancelled, and nobody has come to write that into the job's own
-/// record: a controller that answers from records would say queued where the leader that
-/// wrote the cancellation has said cancelled.
+/// A job's dependency is cancelled, and no leader has written that into the job's own record
+/// yet: a controller that answered from that record alone would say "queued" after the leader
+/// that wrote the cancellation has said "cancelled".
 #[tokio::test]
-async fn a_job_is_told_from_the_records_of_its_needs_as_well() {
+async fn an_answer_from_records_takes_account_of_cancelled_dependencies() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
     controller.routing.set_role(follower_of("c-1"));
-    let mut put = Vec::new();
-    let chain = |job: u32, need: u32| {
-        let awaits = vec![JobId::parse(&format!("job-{need}")).expect("valid")];
-        JobSpec {
-            dependencies: awaits,
-            ..crate::protocol::jobs::tests::sample(&format!("job-{job}"), "red", 1, 1.0)
-        }
+    let mut records = Vec::new();
+    let dependent = |job: u32, dependency: u32| {
+        let dependencies = vec![JobId::parse(&format!("job-{dependency}")).expect("valid")];
+        JobSpec { dependencies, ..crate::protocol::jobs::tests::sample(&format!("job-{job}"), "red", 1, 1.0) }
     };
     let first = crate::protocol::jobs::tests::sample("job-0", "red", 1, 1.0);
-    put.push(JobRecord { cancelled: true, ..JobRecord::new(first, 0) });
-    put.extend((1..100).map(|n| JobRecord::new(chain(n, n - 1), 0)));
-    // One whose needs were done before it began, and one that waits for a job that goes on.
-    put.push(JobRecord { started_high_water: 1, ..JobRecord::new(chain(200, 2), 0) });
-    put.push(JobRecord::new(chain(201, 200), 0));
-    for record in put {
+    records.push(JobRecord { cancelled: true, ..JobRecord::new(first, 0) });
+    records.extend((1..100).map(|n| JobRecord::new(dependent(n, n - 1), 0)));
+    // One that has started, so its dependencies were done, and one that waits for that.
+    records.push(JobRecord { started_high_water: 1, ..JobRecord::new(dependent(200, 2), 0) });
+    records.push(JobRecord::new(dependent(201, 200), 0));
+    for record in records {
         put_record(&controller, job_record_key(&record.spec.id), record.encode(8.0)).await;
     }
-    for (job, status, standing) in [
+    for (job, status, state) in [
         ("job-1", 200, Some("cancelled")),
         ("job-40", 200, Some("cancelled")),
         ("job-200", 200, Some("queued")),
@@ -300,32 +300,32 @@
     ] {
         let answer = ask(&mut controller, &mut inputs, PeerCall::Poll(job.into())).await;
         assert_eq!(answer.status, status, "{job}");
-        assert_eq!(standing.map(|_| standing_of(&answer)).as_deref(), standing, "{job}");
-        assert_eq!(answer.retry_after_s.is_some(), standing.is_none(), "{job}");
+        assert_eq!(state.map(|_| state_of(&answer)).as_deref(), state, "{job}");
+        assert_eq!(answer.retry_after_s.is_some(), state.is_none(), "{job}");
     }
-    // What was told stays told, whatever a later look at the record says.
+    // A terminal state that was served is served again.
     let again = ask(&mut controller, &mut inputs, PeerCall::Poll("job-1".into())).await;
-    assert_eq!(standing_of(&again), "cancelled");
+    assert_eq!(state_of(&again), "cancelled");
 }
 
 #[tokio::test]
-async fn what_was_handed_on_cannot_be_handed_on_again() {
+async fn a_relayed_heartbeat_carries_no_body_to_be_relayed_again() {
     let TestHarness { controller: _controller, mut inputs, handle, .. } = TestHarness::start().await;
-    for handed_on in [false, true] {
-        let (handle, body) = (handle.clone(), beat(1));
+    for was_relayed in [false, true] {
+        let (handle, body) = (handle.clone(), encoded_heartbeat(1));
         tokio::spawn(async move {
-            match handed_on {
+            match was_relayed {
                 true => drop(PeerHandler::handle(&handle, PeerCall::Heartbeat(body), false).await),
                 false => drop(handle.route(request("POST", "/agent/beat", &body)).await),
             }
         });
-        let message = inputs.heartbeats.recv().await.expect("a report");
-        assert_eq!(message.body.is_none(), handed_on);
+        let message = inputs.heartbeats.recv().await.expect("a heartbeat");
+        assert_eq!(message.body.is_none(), was_relayed);
     }
 }
 
 #[tokio::test]
-async fn wrong_paths_and_methods_get_their_status() {
+async fn unknown_paths_and_methods_are_refused_with_their_status() {
     let TestHarness { controller: _controller, inputs: _inputs, handle, .. } = TestHarness::start().await;
     for (method, target, status) in [
         ("GET", "/nowhere", 404),
@@ -341,14 +341,14 @@
     }
 }
 
-/// A job whose record says that it lives, but that is not in the leader's picture:
-/// a cancellation of it is not answered from there, whatever may come of it.
+/// A job that is unfinished by its record, but not in the leader's memory: a cancellation is
+/// not answered from that record, since its outcome is open.
 #[tokio::test]
-async fn a_cancellation_is_answered_from_a_record_only_if_it_is_final() {
+async fn a_cancellation_is_answered_from_a_record_only_if_that_is_terminal() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
-    for (settled, status) in [(false, 503), (true, 200)] {
-        let record = JobRecord { completed: settled, ..JobRecord::new(spec.clone(), 0) }.encode(8.0);
+    for (completed, status) in [(false, 503), (true, 200)] {
+        let record = JobRecord { completed, ..JobRecord::new(spec.clone(), 0) }.encode(8.0);
         put_record(&controller, job_record_key(&spec.id), record).await;
         let now = Instant::now();
         let mut leader = Leader::new(controller.config.clone(), 40, now, 0, Snapshot::default());
@@ -359,16 +359,16 @@
     }
 }
 
-/// A leader that has a job of one task, whose final write is under way: sent, its
-/// outcome not heard. `settles`: the task has ended; otherwise its user has called it off.
-fn leading_with_a_final_write_under_way(controller: &mut Controller, spec: &JobSpec, settles: bool) {
+/// Makes the controller lead with a job of one task whose terminal write is in flight: sent,
+/// and its outcome not known. `completes`: the task is done; otherwise the job is cancelled.
+fn lead_with_terminal_write_in_flight(controller: &mut Controller, spec: &JobSpec, completes: bool) {
     let now = Instant::now();
     let record = JobRecord { started_high_water: 1, ..JobRecord::new(spec.clone(), 0) };
     let job = JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() };
-    let loaded = Snapshot { jobs: vec![job], ..Snapshot::default() };
-    let mut leader = Leader::new(controller.config.clone(), 40, now, 0, loaded);
+    let snapshot = Snapshot { jobs: vec![job], ..Snapshot::default() };
+    let mut leader = Leader::new(controller.config.clone(), 40, now, 0, snapshot);
     leader.extend_lease(now, now + Duration::from_secs(60));
-    if settles {
+    if completes {
         leader.mark_task_done(now, &spec.id, 0);
     } else {
         assert_eq!(leader.cancel(now, ReplyId(0), &spec.id), CancelOutcome::Accepted);
@@ -377,108 +377,108 @@
     controller.leader = Some(leader);
 }
 
-/// The cause of `went_back` (docs/incidents/inc-went-back.md): a transaction was carried
-/// out and only its answer lost, another controller read the record and told the final
-/// state, and the leader went on telling from memory what was before, under a valid lease.
+/// The cause of `went_back` (docs/incidents/inc-went-back.md): a transaction was committed and
+/// only its answer lost, another controller read the record and served the terminal state,
+/// and the leader went on answering with the earlier state from memory, under a valid lease.
 #[tokio::test]
-async fn a_leader_asks_the_record_while_a_final_write_of_its_own_is_under_way() {
+async fn a_leader_reads_the_record_while_a_terminal_write_of_its_own_is_in_flight() {
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
-    let repeat = || PeerCall::Submit(encode(&spec.encode().build()));
-    for (settles, standing) in [(true, "done"), (false, "cancelled")] {
-        for carried_out in [true, false] {
-            for call in [PeerCall::Poll("job-1".into()), repeat()] {
+    let resubmission = || PeerCall::Submit(encode(&spec.encode().build()));
+    for (completes, state) in [(true, "done"), (false, "cancelled")] {
+        for committed in [true, false] {
+            for call in [PeerCall::Poll("job-1".into()), resubmission()] {
                 let TestHarness { mut controller, mut inputs, handle: _handle, .. } =
                     TestHarness::start().await;
-                leading_with_a_final_write_under_way(&mut controller, &spec, settles);
-                let (settled, cancelled) = (carried_out && settles, carried_out && !settles);
+                lead_with_terminal_write_in_flight(&mut controller, &spec, completes);
+                let (completed, cancelled) = (committed && completes, committed && !completes);
                 let record = JobRecord {
-                    completed: settled,
+                    completed,
                     cancelled,
                     started_high_water: 1,
                     ..JobRecord::new(spec.clone(), 0)
                 };
                 put_record(&controller, job_record_key(&spec.id), record.encode(8.0)).await;
                 let answer = ask(&mut controller, &mut inputs, call.clone()).await;
-                let expected = if carried_out { standing } else { "queued" };
-                assert_eq!((answer.status, standing_of(&answer)), (200, expected.to_owned()), "{call:?}");
+                let expected = if committed { state } else { "queued" };
+                assert_eq!((answer.status, state_of(&answer)), (200, expected.to_owned()), "{call:?}");
             }
         }
     }
 }
 
-fn standing_of(answer: &Answer) -> String {
+fn state_of(answer: &Answer) -> String {
     let body = decode(&answer.body).expect("CBOR");
-    Fields::of(&body).expect("a map").text("standing").expect("a standing").to_owned()
+    Fields::of(&body).expect("a map").text("standing").expect("a state").to_owned()
 }
 
-/// A follower asked the leader, the answer was held up on the link, and meanwhile the
-/// final state was told from here: the held answer must not follow it.
+/// A follower forwarded a request, the leader's answer was delayed on the link, and meanwhile
+/// the follower has served the terminal state: the delayed answer must not be sent after it.
 #[tokio::test]
-async fn a_forwarded_answer_that_was_overtaken_here_is_not_told() {
+async fn a_forwarded_answer_does_not_follow_a_terminal_state_served_here() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
     controller.routing.set_role(follower_of("c-1"));
     let job = JobId::parse("job-1").expect("valid");
-    let status = |standing| JobStatus { id: job.clone(), state: standing, done: 0, running: 0 };
+    let status = |state| JobStatus { id: job.clone(), state, done: 0, running: 0 };
     let lease = RemainingLease { epoch: 7, remaining: Duration::from_secs(3) };
-    let forwarded = |controller: &mut Controller, standing, lease| {
+    let forwarded = |controller: &mut Controller, state, lease| {
         let (reply, answer) = oneshot::channel();
         let call = PeerCall::Poll("job-1".into());
         let request = UserRequest { call, job: job.clone(), reply, origin: RequestOrigin::User };
-        let body = encode(&status(standing).encode());
-        let answered = PeerReply { status: 200, body, retry_after_s: None, lease };
+        let body = encode(&status(state).encode());
+        let peer_reply = PeerReply { status: 200, body, retry_after_s: None, lease };
         let peer = "c-1".to_owned();
         controller.handle_forwarded_reply(ForwardedReply {
             request,
             peer,
             forwarded_at: Instant::now(),
-            peer_reply: answered,
+            peer_reply,
         });
         answer
     };
     let first = forwarded(&mut controller, JobState::Running, Some(lease)).await.expect("answered");
-    assert_eq!(standing_of(&first), "running");
+    assert_eq!(state_of(&first), "running");
     let stale = RemainingLease { epoch: 6, ..lease };
     let refused = forwarded(&mut controller, JobState::Running, Some(stale)).await.expect("answered");
-    assert_eq!(refused.status, 503, "of an epoch that is over");
+    assert_eq!(refused.status, 503, "decided in an earlier epoch");
     let last = forwarded(&mut controller, JobState::Cancelled, None).await.expect("answered");
-    assert_eq!(standing_of(&last), "cancelled");
-    let overtaken = forwarded(&mut controller, JobState::Running, Some(lease)).await.expect("answered");
-    assert_eq!(standing_of(&overtaken), "cancelled");
-    // So with a record that was read before.
+    assert_eq!(state_of(&last), "cancelled");
+    let delayed = forwarded(&mut controller, JobState::Running, Some(lease)).await.expect("answered");
+    assert_eq!(state_of(&delayed), "cancelled");
+    // The same holds for a record that was read before.
     let (reply, answer) = oneshot::channel();
     let absent = Answer::error(404, "no such job");
     let look_up = JobLookUp { reply, job: job.clone(), if_absent: absent, only_terminal: false };
     assert!(controller.record_reads.try_begin());
     controller.handle_job_looked_up(look_up, Instant::now(), RecordRead::Found(status(JobState::Queued)));
-    assert_eq!(standing_of(&answer.await.expect("answered")), "cancelled");
-    // And with a cancellation that another controller answers with something else.
+    assert_eq!(state_of(&answer.await.expect("answered")), "cancelled");
+    // And a cancellation must not be answered with another state.
     let (reply, answer) = oneshot::channel();
     let other = JobId::parse("job-2").expect("valid");
     let call = PeerCall::Cancel("job-2".into());
     let request = UserRequest { call, job: other.clone(), reply, origin: RequestOrigin::User };
     let queued = JobStatus { id: other, state: JobState::Queued, done: 0, running: 0 };
-    let answered =
+    let peer_reply =
         PeerReply { status: 200, body: encode(&queued.encode()), retry_after_s: None, lease: Some(lease) };
     controller.handle_forwarded_reply(ForwardedReply {
         request,
         peer: "c-1".into(),
         forwarded_at: Instant::now(),
-        peer_reply: answered,
+        peer_reply,
     });
     assert_eq!(answer.await.expect("answered").status, 503);
 }
 
-/// The actor decides under its lease, and the process stands still before the answer
-/// leaves: the last step, to users and to other controllers, looks at the lease again.
+/// The actor decides under its lease, and the process is suspended before the answer is sent:
+/// the last step, to users and to other controllers, checks the lease again.
 #[tokio::test(start_paused = true)]
-async fn an_answer_held_up_past_its_lease_does_not_leave() {
+async fn an_answer_delayed_past_its_lease_is_not_sent() {
     let TestHarness { controller: _controller, mut inputs, handle, .. } = TestHarness::start().await;
     let job = JobId::parse("job-1").expect("valid");
-    for (standing, held_up, status) in
+    for (state, is_delayed, status) in
         [(JobState::Running, false, 200), (JobState::Running, true, 503), (JobState::Done, true, 200)]
     {
         let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(1) };
-        let told = JobStatus { id: job.clone(), state: standing, done: 0, running: 0 };
+        let served = JobStatus { id: job.clone(), state, done: 0, running: 0 };
         let to_user = handle.clone();
         let user = tokio::spawn(async move {
             crate::transport::server::Handler::handle(&to_user, request("GET", "/api/jobs/job-1", b"")).await
@@ -491,88 +491,93 @@
             let Some(UserMessage::Call { reply, .. }) = inputs.requests.recv().await else {
                 panic!("no request")
             };
-            assert!(reply.send(Answer::job_state(200, told.clone(), basis)).is_ok());
+            assert!(reply.send(Answer::job_state(200, served.clone(), basis)).is_ok());
         }
-        if held_up {
+        if is_delayed {
             tokio::time::advance(Duration::from_secs(2)).await;
         }
-        assert_eq!(user.await.expect("answered").status, status, "{standing:?}");
-        assert_eq!(peer.await.expect("answered").status, status, "{standing:?}");
+        assert_eq!(user.await.expect("answered").status, status, "{state:?}");
+        assert_eq!(peer.await.expect("answered").status, status, "{state:?}");
     }
 }
 
-/// A worker's report under that token, as it comes.
-fn beat(token: u64) -> Vec<u8> {
-    let report = MapBuilder::new()
+/// A worker's heartbeat with this fencing token, as encoded on the wire.
+fn encoded_heartbeat(fencing_token: u64) -> Vec<u8> {
+    let heartbeat = MapBuilder::new()
         .set("bench", "vm-1")
         .set("address", "")
         .set("build", "m8")
         .set("hall", "z1")
         .set("shift", 1)
         .set("tick", 1)
-        .set("baton", token);
-    encode(&report.build())
+        .set("baton", fencing_token);
+    encode(&heartbeat.build())
 }
 
-/// A leader of epoch 40, for a second, with a machine and, if so, a task to start on it.
-fn leading_for_a_second(controller: &mut Controller, starts: bool) {
+/// Makes the controller lead in epoch 40 for a second, with a machine and, if `starts`, a task
+/// to start on it.
+fn lead_for_a_second(controller: &mut Controller, starts: bool) {
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     let jobs = if starts { vec![loaded_job(spec)] } else { Vec::new() };
-    let rentals = vec![rented("vm-1", true)];
-    let loaded = Snapshot { jobs, node_pools: rentals, catalog: Some((catalog(), 2)), ..Snapshot::default() };
+    let node_pools = vec![rented("vm-1", true)];
+    let snapshot = Snapshot { jobs, node_pools, catalog: Some((catalog(), 2)), ..Snapshot::default() };
     let now = Instant::now();
-    let mut leader = Leader::new(controller.config.clone(), 40, now, 0, loaded);
+    let mut leader = Leader::new(controller.config.clone(), 40, now, 0, snapshot);
     leader.extend_lease(now, now + Duration::from_secs(1));
     controller.leader = Some(leader);
 }
 
-/// A report is answered under the lease, and the process stands still before the answer
-/// leaves. By then another may lead, and may have confirmed the cancellation of what the
-/// answer starts; an answer that only renews the worker's lease leaves as long as a lapsed
-/// leader may give one. To a worker itself, and to a controller that handed the report on.
+/// A heartbeat is answered under the lease, and the process is suspended before the answer is
+/// sent. By then another controller may lead, and may have confirmed the cancellation of what
+/// the answer starts; an answer that only renews the worker's lease is sent for the post-lease
+/// grace period too. Both to the worker and to a controller that relayed the heartbeat.
 #[tokio::test(start_paused = true)]
-async fn an_answer_to_a_report_does_not_leave_past_its_lease() {
-    let lapse_window = TestHarness::start().await.controller.config.post_lease_grace();
+async fn an_answer_to_a_heartbeat_is_not_sent_past_its_lease() {
+    let post_lease_grace = TestHarness::start().await.controller.config.post_lease_grace();
     let second = Duration::from_secs(1);
-    for (starts, held_up, status) in [
+    for (starts, delay, status) in [
         (true, Duration::ZERO, 200),
         (true, second * 2, 503),
         (false, second * 2, 200),
-        (false, second * 2 + lapse_window, 503),
+        (false, second * 2 + post_lease_grace, 503),
     ] {
-        for handed_on in [false, true] {
+        for was_relayed in [false, true] {
             let TestHarness { mut controller, mut inputs, handle, .. } = TestHarness::start().await;
-            leading_for_a_second(&mut controller, starts);
+            lead_for_a_second(&mut controller, starts);
             let answered = tokio::spawn(async move {
-                match handed_on {
-                    true => PeerHandler::handle(&handle, PeerCall::Heartbeat(beat(40)), false).await.status,
+                match was_relayed {
+                    true => {
+                        PeerHandler::handle(&handle, PeerCall::Heartbeat(encoded_heartbeat(40)), false)
+                            .await
+                            .status
+                    }
                     false => {
-                        let beat = request("POST", "/agent/beat", &beat(40));
-                        crate::transport::server::Handler::handle(&handle, beat).await.status
+                        let post = request("POST", "/agent/beat", &encoded_heartbeat(40));
+                        crate::transport::server::Handler::handle(&handle, post).await.status
                     }
                 }
             });
-            let message = inputs.heartbeats.recv().await.expect("a report");
+            let message = inputs.heartbeats.recv().await.expect("a heartbeat");
             controller.handle_heartbeat(message);
-            tokio::time::advance(held_up).await;
-            assert_eq!(answered.await.expect("answered"), status, "{starts} {held_up:?} {handed_on}");
+            tokio::time::advance(delay).await;
+            assert_eq!(answered.await.expect("answered"), status, "{starts} {delay:?} {was_relayed}");
         }
     }
 }
 
-/// A leader that begins anew in an epoch that it had before would use its attempt numbers a
-/// second time: the epoch is given up instead.
+/// A leader that begins a second time in an epoch would use its attempt numbers a second time:
+/// the epoch is resigned instead.
 #[tokio::test]
-async fn no_leader_begins_twice_in_an_epoch() {
+async fn no_leader_begins_twice_in_one_epoch() {
     let TestHarness { mut controller, mut resigned_epoch, .. } = TestHarness::start().await;
     controller
         .routing
         .set_role(Role::Leader { epoch: 40, lease_expiry: Instant::now() + Duration::from_secs(9) });
-    for begun in [true, false] {
+    for begins in [true, false] {
         controller.leader = None;
         controller
             .handle_event(InternalEvent::SnapshotRead { epoch: 40, snapshot: Some(Snapshot::default()) });
-        assert_eq!(controller.leader.is_some(), begun);
+        assert_eq!(controller.leader.is_some(), begins);
     }
     assert_eq!((controller.epoch_guard.violations(), *resigned_epoch.borrow_and_update()), (1, 40));
 }
--- a/src/coordination/controller/worker_redirects/tests.rs
+++ b/src/coordination/controller/worker_redirects/tests.rs
@@ -13,19 +13,23 @@
     assert_eq!(
         redirects.decide(at(12), &worker, false),
         RedirectDecision::Relay,
-        "it stays with whom answers it"
+        "it stays with the controller that answers it"
     );
     assert_eq!(redirects.decide(at(13), &worker, false), RedirectDecision::Redirect);
     assert_eq!(
         redirects.decide(at(20), &worker, false),
         RedirectDecision::Redirect,
-        "it got through meanwhile"
+        "it reached the leader meanwhile"
     );
-    // One that was with the leader until now does not get through to it.
+    // A worker that was with the leader until now does not reach it any more.
     assert_eq!(redirects.decide(at(30), &worker, true), RedirectDecision::Relay);
     assert_eq!(redirects.decide(at(41), &worker, true), RedirectDecision::Relay);
-    assert_eq!(redirects.decide(at(42), &worker, true), RedirectDecision::Redirect, "it is to try again");
-    assert_eq!(redirects.decide(at(43), &worker, true), RedirectDecision::Relay, "and came back");
+    assert_eq!(
+        redirects.decide(at(42), &worker, true),
+        RedirectDecision::Redirect,
+        "it is to try the leader again"
+    );
+    assert_eq!(redirects.decide(at(43), &worker, true), RedirectDecision::Relay, "it came back");
     redirects.clear();
     assert_eq!(redirects.decide(at(44), &worker, false), RedirectDecision::Redirect, "to the new leader");
 }
