--- /dev/null
+++ b/src/coordination/controller/forwarding.rs
@@ -0,0 +1,89 @@
+//! The tasks that carry calls to the leader: a user's request along its routes, and a relayed
+//! heartbeat.
+
+use std::time::Duration;
+
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+use crate::coordination::controller::POLL_TIMEOUT;
+use crate::coordination::controller::events::{ForwardedReply, InternalEvent, ReplySender, UserRequest};
+use crate::coordination::controller::heartbeat_answers::{redirect_answer, relayed_answer};
+use crate::transport::peer::{PeerCall, PeerLink};
+
+/// One way for a call to the leader.
+pub(super) struct Route {
+    /// The controller that is called.
+    pub(super) peer: String,
+    /// Whether that controller is to relay the call to the leader.
+    pub(super) via_relay: bool,
+    /// The link to that controller.
+    pub(super) link: PeerLink,
+}
+
+/// The forwarding of one user's request.
+pub(super) struct Forwarding {
+    routes: Vec<Route>,
+    leader_was_unreachable: bool,
+    events: mpsc::Sender<InternalEvent>,
+    /// For each route.
+    timeout: Duration,
+}
+
+impl Forwarding {
+    /// Forwards along these routes, of which there must be one at least. What comes of it is
+    /// sent as events.
+    pub(super) fn new(
+        routes: Vec<Route>,
+        leader_was_unreachable: bool,
+        events: mpsc::Sender<InternalEvent>,
+    ) -> Self {
+        let route_count = u32::try_from(routes.len()).unwrap_or(u32::MAX);
+        Forwarding { routes, leader_was_unreachable, events, timeout: POLL_TIMEOUT / route_count }
+    }
+
+    /// Tries one route after the other until one replies.
+    pub(super) async fn run(self, request: UserRequest) {
+        let Forwarding { routes, leader_was_unreachable, events, timeout } = self;
+        for Route { peer, via_relay, link } in routes {
+            let forwarded_at = Instant::now();
+            if let Some(peer_reply) = link.call(request.call.clone(), via_relay, timeout).await {
+                let reply = ForwardedReply { request, peer, forwarded_at, peer_reply };
+                let _ = events.send(InternalEvent::RequestForwarded(Box::new(reply))).await;
+                if leader_was_unreachable {
+                    let _ = events.send(InternalEvent::LeaderReached).await;
+                }
+                return;
+            }
+            let _ = events.send(InternalEvent::PeerTimedOut { peer }).await;
+        }
+        let _ = events.send(InternalEvent::LeaderNotReached).await;
+        let _ = events.send(InternalEvent::RequestNotForwarded(request)).await;
+    }
+}
+
+/// The relay of one heartbeat to the leader.
+pub(super) struct HeartbeatRelay {
+    /// The leader's name.
+    pub(super) leader: String,
+    /// The link to the leader.
+    pub(super) link: PeerLink,
+}
+
+impl HeartbeatRelay {
+    /// Relays the heartbeat and answers the worker. The leader's answer, under its fencing
+    /// token and lease, goes back unchanged; one that takes too long the worker drops, as it
+    /// would any other.
+    pub(super) async fn run(self, body: Vec<u8>, reply: ReplySender, events: mpsc::Sender<InternalEvent>) {
+        let HeartbeatRelay { leader, link } = self;
+        let relayed_at = Instant::now();
+        let leader_reply = link.call(PeerCall::Heartbeat(body), false, POLL_TIMEOUT).await;
+        let timed_out_peer = leader_reply.is_none().then_some(leader);
+        let answer = match leader_reply {
+            Some(leader_reply) => relayed_answer(leader_reply, relayed_at),
+            None => redirect_answer(None),
+        };
+        let _ = reply.send(answer);
+        let _ = events.send(InternalEvent::HeartbeatRelayed { timed_out_peer }).await;
+    }
+}
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! | part | owns |
 //! | --- | --- |
-//! | `routing` | the role given by the election, the links to other controllers, relays |
+//! | `routing` | the role given by the election, the links to other controllers, relays; `forwarding` has its tasks |
 //! | `user_replies` | requests that wait for the leader, terminal states served |
 //! | `record_reads` | reads of records for users |
 //! | `snapshot_loader` | the read from which a new leader begins |
@@ -22,6 +22,7 @@
 mod concurrency_limit;
 mod effects;
 mod events;
+mod forwarding;
 mod handle;
 mod heartbeat_answers;
 mod heartbeats;
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -10,10 +10,8 @@
 use crate::coordination::controller::POLL_TIMEOUT;
 use crate::coordination::controller::capacity::CapacityLimits;
 use crate::coordination::controller::concurrency_limit::ConcurrencyLimit;
-use crate::coordination::controller::events::{
-    ForwardedReply, InternalEvent, ReplySender, RequestOrigin, UserRequest,
-};
-use crate::coordination::controller::heartbeat_answers::{redirect_answer, relayed_answer};
+use crate::coordination::controller::events::{InternalEvent, ReplySender, RequestOrigin, UserRequest};
+use crate::coordination::controller::forwarding::{Forwarding, HeartbeatRelay, Route};
 use crate::coordination::controller::peers::{KnownLeader, PeerState, Peers};
 use crate::coordination::controller::worker_redirects::{RedirectDecision, WorkerRedirects};
 use crate::coordination::election::Role;
@@ -27,15 +25,6 @@
 /// Part of the leader's lease that a peer has to reply to a query.
 const QUERY_TIMEOUT_LEASE_DIVISOR: u32 = 4;
 
-/// One way for a call to the leader.
-pub(super) struct Route {
-    /// The controller that is called.
-    pub(super) peer: String,
-    /// Whether that one is to relay the call to the leader.
-    pub(super) via_relay: bool,
-    link: PeerLink,
-}
-
 /// What to do with a heartbeat that the leader should answer.
 pub(super) enum HeartbeatRoute {
     /// There is no leader to name, or none that can be reached from here.
@@ -49,12 +38,6 @@
     Relay(HeartbeatRelay),
 }
 
-/// A reserved relay of one heartbeat to the leader.
-pub(super) struct HeartbeatRelay {
-    leader: String,
-    link: PeerLink,
-}
-
 /// Owns the role that the election has given this controller, the links to the others, and
 /// what is known of their state.
 pub(super) struct LeaderRouting {
@@ -234,13 +217,9 @@
     /// Forwards a user's request, in a task of its own, along the routes until one
     /// replies. There must be a route.
     pub(super) fn forward(&self, request: UserRequest, routes: Vec<Route>) {
-        let route_count = u32::try_from(routes.len()).unwrap_or(u32::MAX);
-        let forwarding = Forwarding {
-            events: self.events.clone(),
-            leader_was_unreachable: self.leader_unreachable_since.is_some(),
-            timeout: POLL_TIMEOUT / route_count,
-        };
-        tokio::spawn(forwarding.run(request, routes));
+        let leader_was_unreachable = self.leader_unreachable_since.is_some();
+        let forwarding = Forwarding::new(routes, leader_was_unreachable, self.events.clone());
+        tokio::spawn(forwarding.run(request));
     }
 
     /// Decides what to do with a heartbeat that the leader should answer.
@@ -265,19 +244,7 @@
     /// fencing token and lease, goes back unchanged; one that takes too long the worker drops,
     /// as it would any other.
     pub(super) fn relay_heartbeat(&self, relay: HeartbeatRelay, body: Vec<u8>, reply: ReplySender) {
-        let HeartbeatRelay { leader, link } = relay;
-        let events = self.events.clone();
-        tokio::spawn(async move {
-            let relayed_at = Instant::now();
-            let leader_reply = link.call(PeerCall::Heartbeat(body), false, POLL_TIMEOUT).await;
-            let timed_out_peer = leader_reply.is_none().then_some(leader);
-            let answer = match leader_reply {
-                Some(leader_reply) => relayed_answer(leader_reply, relayed_at),
-                None => redirect_answer(None),
-            };
-            let _ = reply.send(answer);
-            let _ = events.send(InternalEvent::HeartbeatRelayed { timed_out_peer }).await;
-        });
+        tokio::spawn(relay.run(body, reply, self.events.clone()));
     }
 
     /// A relayed heartbeat was answered, or the leader has timed out.
@@ -317,34 +284,3 @@
         _ => Some(PeerState::LeaseExpired),
     }
 }
-
-/// The forwarding of one user's request.
-struct Forwarding {
-    events: mpsc::Sender<InternalEvent>,
-    leader_was_unreachable: bool,
-    /// For each route.
-    timeout: Duration,
-}
-
-impl Forwarding {
-    async fn run(self, request: UserRequest, routes: Vec<Route>) {
-        for Route { peer, via_relay, link } in routes {
-            let forwarded_at = Instant::now();
-            if let Some(peer_reply) = link.call(request.call.clone(), via_relay, self.timeout).await {
-                let reply = ForwardedReply { request, peer, forwarded_at, peer_reply };
-                self.send(InternalEvent::RequestForwarded(Box::new(reply))).await;
-                if self.leader_was_unreachable {
-                    self.send(InternalEvent::LeaderReached).await;
-                }
-                return;
-            }
-            self.send(InternalEvent::PeerTimedOut { peer }).await;
-        }
-        self.send(InternalEvent::LeaderNotReached).await;
-        self.send(InternalEvent::RequestNotForwarded(request)).await;
-    }
-
-    async fn send(&self, event: InternalEvent) {
-        let _ = self.events.send(event).await;
-    }
-}
