--- a/src/coordination/controller/latencies.rs
+++ b/src/coordination/controller/latencies.rs
@@ -6,7 +6,7 @@
 
 use crate::protocol::cbor::MapBuilder;
 
-/// Longest latency that is told apart, in microseconds; longer ones count as this.
+/// Longest latency that is recorded as it is, in microseconds; longer ones count as this.
 const MAX_MICROS: u64 = 60_000_000;
 /// Significant decimal digits of a latency; two take a few kilobytes a histogram.
 const SIGNIFICANT_DIGITS: u8 = 2;
--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -7,6 +7,7 @@
 
 mod runner;
 mod state;
+mod steps;
 
 use tokio::time::Instant;
 
@@ -14,7 +15,8 @@
 use crate::protocol::kv::Entry;
 
 pub use runner::run;
-pub use state::{AcquireOutcome, Election, LeaderRead, RenewOutcome, Step, WatchOutcome};
+pub use state::Election;
+pub use steps::{AcquireOutcome, LeaderRead, RenewOutcome, Step, WatchOutcome};
 
 /// The result of the election as other parts of the controller see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -4,6 +4,7 @@
 
 use tokio::time::Instant;
 
+use crate::coordination::election::steps::{AcquireOutcome, LeaderRead, RenewOutcome, Step, WatchOutcome};
 use crate::coordination::election::{LeaderRecord, Role};
 
 /// Part of the lease that is given up as a margin for clock drift, timer steps and late
@@ -19,87 +20,6 @@
 /// Leases without contact to the store after which a follower no longer names its leader.
 const STALE_CONTACT_LEASES: u32 = 2;
 
-/// The next request to the store, or a pause.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
-    /// Read the leader key.
-    ReadLeader,
-    /// Ask for a new lease.
-    GrantLease,
-    /// Write the leader key if it is vacant.
-    Acquire {
-        /// The lease to attach it to.
-        lease: u64,
-    },
-    /// End a lease, and with it the keys attached to it.
-    RevokeLease {
-        /// The lease.
-        lease: u64,
-    },
-    /// Wait for a change of the leader key, then read it.
-    Watch {
-        /// The version of the key that is known.
-        from: u64,
-    },
-    /// Extend the lease.
-    Renew {
-        /// The lease.
-        lease: u64,
-    },
-    /// Do nothing for a while.
-    Wait {
-        /// Until then.
-        until: Instant,
-    },
-}
-
-/// The result of [`Step::ReadLeader`].
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum LeaderRead {
-    /// The key is there.
-    Held(LeaderRecord),
-    /// The key is not there: nobody leads.
-    Vacant,
-    /// The store did not answer, or the key cannot be decoded.
-    Failed,
-}
-
-/// The result of [`Step::Acquire`].
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AcquireOutcome {
-    /// This controller leads.
-    Won {
-        /// The epoch that the store has assigned.
-        epoch: u64,
-    },
-    /// Another controller holds the key.
-    Lost,
-    /// The lease had expired; the key was not written.
-    LeaseExpired,
-    /// There was no answer: the key may have been written.
-    Unknown,
-}
-
-/// The result of [`Step::Renew`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RenewOutcome {
-    /// The lease was extended.
-    Renewed,
-    /// The lease has expired.
-    LeaseExpired,
-    /// There was no answer: the lease may have been extended.
-    Failed,
-}
-
-/// The result of [`Step::Watch`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WatchOutcome {
-    /// The key has changed, or the time to wait has passed.
-    Ended,
-    /// The store did not answer.
-    Failed,
-}
-
 /// A lease of the store that belongs to this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Lease {
@@ -116,8 +36,8 @@
     Vacant,
     /// Another controller holds it.
     Following { holder: LeaderRecord },
-    /// This controller holds it. `needs_confirmation`: the lease had lapsed before it was
-    /// renewed, so the key must be read before anything is done in the epoch's name.
+    /// This controller holds it. `needs_confirmation`: the lease had expired before it
+    /// was renewed, so the key must be read before anything is done in the epoch's name.
     Leading { epoch: u64, renew_at: Instant, lease_expiry: Instant, needs_confirmation: bool },
     /// A lease is to be ended, and the key with it.
     Revoking { lease: u64 },
@@ -332,7 +252,7 @@
         };
         match outcome {
             RenewOutcome::Renewed => {
-                // After a lapse the epoch goes on only if the key is still ours; that is read
+                // If it had expired, the epoch goes on only if the key is still ours; that is read
                 // before anything is done in its name.
                 *needs_confirmation = now >= *lease_expiry;
                 *lease_expiry = new_expiry;
