--- a/src/coordination/controller/requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -11,6 +11,7 @@
 use crate::coordination::controller::user_replies::PendingReply;
 use crate::coordination::controller::wall_clock::wall_ms;
 use crate::coordination::controller::{Controller, POLL_TIMEOUT, REQUEST_TIMEOUT, RETRY_AFTER_S};
+use crate::coordination::jobs::cancellation::CancelOutcome;
 use crate::coordination::jobs::dependency_state::DependencyStates;
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::UncheckedSubmission;
@@ -89,8 +90,9 @@
     fn cancel(&mut self, now: Instant, request: UserRequest) {
         let UserRequest { job, reply, .. } = request;
         let id = self.user_replies.register(now, reply, job.clone());
-        let is_known = self.leader.as_mut().is_some_and(|leader| leader.cancel(now, id, &job));
-        if !is_known && let Some(PendingReply { reply, job, .. }) = self.user_replies.take(id) {
+        let outcome = self.leader.as_mut().map(|leader| leader.cancel(now, id, &job));
+        let is_in_memory = outcome == Some(CancelOutcome::Accepted);
+        if !is_in_memory && let Some(PendingReply { reply, job, .. }) = self.user_replies.take(id) {
             self.look_up(JobLookUp { reply, job, if_absent: no_such_job(), only_terminal: true });
         }
     }
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -4,6 +4,7 @@
     ForwardedReply, JobLookUp, RecordRead, RequestOrigin, UserRequest,
 };
 use crate::coordination::controller::peers::{KnownLeader, PeerState};
+use crate::coordination::jobs::cancellation::CancelOutcome;
 use crate::coordination::jobs::job::ReplyId;
 use crate::coordination::leader::effects::Effect;
 use crate::coordination::recovery::snapshot::{JobSnapshot, Snapshot};
