--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -8,9 +8,9 @@
 use crate::coordination::fleet::image_cache::ImageCache;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::effects::Effect;
-use crate::coordination::workers::slot::{Slot, SlotKey};
+use crate::coordination::workers::slot::Slot;
 use crate::maps::HashMap;
-use crate::protocol::jobs::JobId;
+use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -160,7 +160,7 @@
     /// When the cloud takes it back, once it has announced that.
     pub preempted_at: Option<Instant>,
     /// The tasks that are, or may be, on it.
-    pub slots: HashMap<SlotKey, Slot>,
+    pub slots: HashMap<TaskId, Slot>,
     /// What is left beside the slots.
     pub free: Resources,
     /// Tasks are on it whose job is unknown; nothing is placed beside them.
--- a/src/coordination/scheduling/descheduler.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -11,8 +11,9 @@
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
-use crate::coordination::workers::slot::{SlotKey, SlotState};
+use crate::coordination::workers::slot::SlotState;
 use crate::maps::HashMap;
+use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::MachineId;
 
 /// A replica stays where it started for this many report intervals.
@@ -33,7 +34,7 @@
         let Some(machine) = self.choose_machine_to_drain(now) else { return };
         let Some(emptied) = self.machines.get_mut(&machine) else { return };
         emptied.need.is_draining = true;
-        let replicas: Vec<SlotKey> = emptied.slots.keys().cloned().collect();
+        let replicas: Vec<TaskId> = emptied.slots.keys().cloned().collect();
         tracing::info!(%machine, replicas = replicas.len(), "moving replicas elsewhere");
         for replica in replicas {
             self.stop_task(now, &machine, &replica, 0.0);
@@ -64,15 +65,15 @@
                     && slot.assigned
                     && slot.stop_grace_s.is_none()
                     && now >= slot.since + settled
-                    && self.jobs.get(&key.0).is_some_and(|job| job.is_startable() && job.is_service())
+                    && self.jobs.get(&key.job).is_some_and(|job| job.is_startable() && job.is_service())
             })
     }
 
     /// Whether machines that stay have room, and the images, for all its replicas.
     fn others_can_host(&self, machine: &Machine) -> bool {
         let mut taken: HashMap<&MachineId, Resources> = HashMap::default();
-        machine.slots.keys().all(|(id, _)| {
-            let Some(job) = self.jobs.get(id) else { return false };
+        machine.slots.keys().all(|task| {
+            let Some(job) = self.jobs.get(&task.job) else { return false };
             let need = Resources::of(job.spec());
             let target = self.machines.values().find(|other| {
                 let mut room = other.free;
--- a/src/coordination/scheduling/filters.rs
+++ b/src/coordination/scheduling/filters.rs
@@ -13,7 +13,10 @@
         if !machine.is_schedulable()
             || !Resources::of(spec).fits(&machine.free)
             || !self.allows_machine(spec, machine)
-            || machine.slots.keys().any(|(j, t)| j == job.id() && !job.tasks.assigned.contains_key(t))
+            || machine
+                .slots
+                .keys()
+                .any(|task| &task.job == job.id() && !job.tasks.assigned.contains_key(&task.index))
         {
             return false;
         }
@@ -25,7 +28,7 @@
         let zones = || {
             self.machines
                 .values()
-                .flat_map(|m| m.slots.keys().filter(|k| k.0 == spec.id).map(|_| m.zone.as_str()))
+                .flat_map(|m| m.slots.keys().filter(|task| task.job == spec.id).map(|_| m.zone.as_str()))
         };
         if spec.one_zone && zones().any(|zone| zone != machine.zone) {
             return false;
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -12,7 +12,7 @@
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::scheduling::queue::QueuedJob;
-use crate::coordination::workers::slot::{SlotKey, SlotState};
+use crate::coordination::workers::slot::SlotState;
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::{Command, MachineId};
 
@@ -47,7 +47,9 @@
                 let Some(job) = self.jobs.get_mut(&ranked.job) else { break };
                 let least = if recovered { 0 } else { job.tasks.unreconciled_below };
                 let Some(index) = job.next_pending(least) else { break };
-                let Some(order) = self.start_task(now, machine, sequence, (ranked.job.clone(), index)) else {
+                let Some(order) =
+                    self.start_task(now, machine, sequence, TaskId { job: ranked.job.clone(), index })
+                else {
                     break;
                 };
                 orders.push(order);
@@ -73,18 +75,17 @@
         now: Instant,
         machine: &MachineId,
         sequence: u64,
-        key: SlotKey,
+        key: TaskId,
     ) -> Option<Command> {
         let Some(attempt) = self.attempts.next() else {
             tracing::error!("attempt numbers of this epoch are used up");
             return None;
         };
         let evidence = self.start_evidence(machine, &key)?;
-        let task = TaskId { job: key.0.clone(), index: key.1 };
-        let permit = match self.term.start_permit(now, task, attempt, evidence) {
+        let permit = match self.term.start_permit(now, key.clone(), attempt, evidence) {
             Ok(permit) => permit,
             Err(refusal) => {
-                self.record_violation(Violation::Start(refusal), &key.0);
+                self.record_violation(Violation::Start(refusal), &key.job);
                 return None;
             }
         };
@@ -93,8 +94,8 @@
             epoch = self.term.epoch(),
             lease_left_ms = self.term.lease_expiry().saturating_duration_since(now).as_millis() as u64,
             %machine,
-            job = %key.0,
-            task = key.1,
+            job = %key.job,
+            task = key.index,
             attempt,
             "start"
         );
@@ -103,8 +104,8 @@
     }
 
     /// What is known for and against starting a task on a machine.
-    fn start_evidence(&self, machine: &MachineId, key: &SlotKey) -> Option<StartEvidence> {
-        let (job_id, task) = (&key.0, key.1);
+    fn start_evidence(&self, machine: &MachineId, key: &TaskId) -> Option<StartEvidence> {
+        let (job_id, task) = (&key.job, key.index);
         let job = self.jobs.get(job_id)?;
         let machine = self.machines.get(machine)?;
         let awaits_others = !job.spec().dependencies.is_empty();
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -8,9 +8,9 @@
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::scheduling::queue::QueuedJob;
-use crate::coordination::workers::slot::{SlotKey, SlotState};
+use crate::coordination::workers::slot::SlotState;
 use crate::maps::{HashMap, HashSet};
-use crate::protocol::jobs::Priority;
+use crate::protocol::jobs::{Priority, TaskId};
 use crate::protocol::workers::MachineId;
 
 /// Jobs at the head of the queue for which room may be made.
@@ -36,7 +36,7 @@
 /// A task to be stopped.
 struct Preemption {
     machine: MachineId,
-    task: SlotKey,
+    task: TaskId,
     /// Seconds to save a checkpoint.
     grace_s: f64,
 }
@@ -56,7 +56,7 @@
         let mut preemptions = head.map(|queued| self.preemptions_for(now, queued, &preemptible));
         let preemptions = preemptions.find(|preemptions| !preemptions.is_empty()).unwrap_or_default();
         for Preemption { machine, task, grace_s } in preemptions {
-            tracing::debug!(%machine, job = %task.0, task = task.1, "preempted");
+            tracing::debug!(%machine, job = %task.job, task = task.index, "preempted");
             self.stop_task(now, &machine, &task, grace_s);
         }
     }
@@ -139,7 +139,7 @@
             if loss_s > max_loss_s || !is_due {
                 continue;
             }
-            let Some(victim) = self.jobs.get(&task.0) else { continue };
+            let Some(victim) = self.jobs.get(&task.job) else { continue };
             if !is_lower && !self.takes_from_excess(victim, &mut used) {
                 continue;
             }
@@ -169,7 +169,7 @@
         ranked: &QueuedJob,
         job: &Job,
         over_guarantee: &HashSet<QuotaId>,
-    ) -> Vec<(MachineId, SlotKey, f64, bool)> {
+    ) -> Vec<(MachineId, TaskId, f64, bool)> {
         let need = Resources::of(job.spec());
         let mut found = Vec::new();
         for machine in
@@ -179,7 +179,7 @@
                 if slot.stop_grace_s.is_some() || slot.resources.cpus < need.cpus {
                     continue;
                 }
-                let Some(victim) = self.jobs.get(&key.0) else { continue };
+                let Some(victim) = self.jobs.get(&key.job) else { continue };
                 let borrowed =
                     slot.team != job.team && slot.team.is_some_and(|team| over_guarantee.contains(&team));
                 let lower = self.priority(victim) < ranked.priority;
--- a/src/coordination/workers/commands.rs
+++ b/src/coordination/workers/commands.rs
@@ -6,20 +6,20 @@
 use crate::coordination::fleet::machine::{Machine, Phase};
 use crate::coordination::leader::Leader;
 use crate::coordination::workers::heartbeats::MAX_COMMANDS;
-use crate::coordination::workers::slot::{SlotKey, SlotState};
+use crate::coordination::workers::slot::SlotState;
 use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
 
 impl Leader {
     /// Has a task stopped: at once, and again with every report until it is gone.
-    pub(crate) fn stop_task(&mut self, now: Instant, machine: &MachineId, key: &SlotKey, grace_s: f64) {
+    pub(crate) fn stop_task(&mut self, now: Instant, machine: &MachineId, key: &TaskId, grace_s: f64) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let Some(slot) = m.slots.get_mut(key) else { return };
         if slot.stop_grace_s.is_some_and(|before| before <= grace_s) {
             return;
         }
         slot.stop_grace_s = Some(grace_s);
-        let task = TaskId { job: key.0.clone(), index: key.1 };
+        let task = key.clone();
         let order = Command::Stop { task, attempt: slot.attempt, grace_s };
         self.outbox.extend(m.push_commands(now, self.term.epoch(), vec![order]));
         self.outbox.add_machine_with_command(machine.clone());
@@ -29,12 +29,13 @@
     pub(crate) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
         let Some(j) = self.jobs.get(job) else { return };
         let all_counted = j.tasks.assigned.len() as u32 == j.tasks.slot_count;
-        let found: Vec<(MachineId, SlotKey)> = if all_counted {
-            j.tasks.assigned.iter().map(|(task, machine)| (machine.clone(), (job.clone(), *task))).collect()
+        let found: Vec<(MachineId, TaskId)> = if all_counted {
+            let task_id = |index: &u32| TaskId { job: job.clone(), index: *index };
+            j.tasks.assigned.iter().map(|(index, machine)| (machine.clone(), task_id(index))).collect()
         } else {
             // Some are where they should not be, and known to their machines alone.
             let slots = |m: &Machine| {
-                let of_job = m.slots.keys().filter(|key| &key.0 == job);
+                let of_job = m.slots.keys().filter(|key| &key.job == job);
                 of_job.map(|key| (m.id.clone(), key.clone())).collect::<Vec<_>>()
             };
             self.machines.values().flat_map(slots).collect()
@@ -63,9 +64,9 @@
             let stops: Vec<(Instant, Command)> = m
                 .slots
                 .iter()
-                .filter_map(|((job, index), slot)| {
-                    let at = self.jobs.get(job)?.cancellation.committed_at?;
-                    let task = TaskId { job: job.clone(), index: *index };
+                .filter_map(|(task, slot)| {
+                    let at = self.jobs.get(&task.job)?.cancellation.committed_at?;
+                    let task = task.clone();
                     Some((at, Command::Stop { task, attempt: slot.attempt, grace_s: 0.0 }))
                 })
                 .collect();
@@ -108,7 +109,7 @@
         let left = taken_at.saturating_duration_since(now).as_secs_f64();
         let mut stops = Vec::new();
         for (key, slot) in &m.slots {
-            let Some(job) = self.jobs.get(&key.0) else { continue };
+            let Some(job) = self.jobs.get(&key.job) else { continue };
             let spec = job.spec();
             let saves = spec.checkpoint_interval_s > 0.0
                 && slot.state == SlotState::Running
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -10,7 +10,7 @@
 
 use crate::coordination::fleet::machine::{HeartbeatStamp, Phase, UseRecord};
 use crate::coordination::leader::Leader;
-use crate::coordination::workers::slot::{SlotKey, SlotState};
+use crate::coordination::workers::slot::SlotState;
 use crate::maps::HashSet;
 use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
@@ -302,10 +302,10 @@
 
     fn reconcile_tasks(&mut self, now: Instant, report: &Heartbeat) {
         let machine = &report.machine;
-        let mut listed: HashSet<SlotKey> = HashSet::default();
+        let mut listed: HashSet<TaskId> = HashSet::default();
         let mut foreign = false;
         for task in &report.tasks {
-            let key = (task.task.job.clone(), task.task.index);
+            let key = task.task.clone();
             match task.state {
                 TaskState::Exited(cause) => self.handle_task_exit(now, machine, &key, task.attempt, cause),
                 state => {
@@ -323,7 +323,7 @@
         // A slot that is not listed is free: either its start went into the
         // answer to an earlier report, which the worker has dropped by now, or
         // it has ended. A start in answer to this very report is not there yet.
-        let missing: Vec<SlotKey> = m
+        let missing: Vec<TaskId> = m
             .slots
             .iter()
             .filter(|(key, slot)| {
@@ -372,7 +372,7 @@
         &mut self,
         now: Instant,
         machine: &MachineId,
-        key: &SlotKey,
+        key: &TaskId,
         task: &TaskStatus,
         state: TaskState,
     ) -> bool {
@@ -392,7 +392,7 @@
                     slot.state = state;
                     slot.since = now;
                     let is = state == SlotState::Running;
-                    if let Some(job) = self.jobs.get_mut(&key.0) {
+                    if let Some(job) = self.jobs.get_mut(&key.job) {
                         job.tasks.running_count =
                             (job.tasks.running_count + u32::from(is)).saturating_sub(u32::from(was));
                         if is {
@@ -406,11 +406,11 @@
             // refused there as in use. What is there counts.
             self.remove_slot(now, machine, key);
         }
-        let Some(job) = self.jobs.get(&key.0) else { return false };
+        let Some(job) = self.jobs.get(&key.job) else { return false };
         // Adopted from an earlier leader, unless it should not be here.
         let wanted = job.is_startable()
-            && !job.record.done.contains(key.1)
-            && !job.tasks.assigned.contains_key(&key.1);
+            && !job.record.done.contains(key.index)
+            && !job.tasks.assigned.contains_key(&key.index);
         self.add_slot(now, machine, key.clone(), task.attempt, state, wanted);
         if !wanted && let Some(slot) = self.machines.get_mut(machine).and_then(|m| m.slots.get_mut(key)) {
             slot.stop_grace_s = Some(0.0);
@@ -422,7 +422,7 @@
         &mut self,
         now: Instant,
         machine: &MachineId,
-        key: &SlotKey,
+        key: &TaskId,
         attempt: u64,
         cause: ExitCause,
     ) {
@@ -431,28 +431,29 @@
         let acknowledged = slot.is_some_and(|s| matches!(s.state, SlotState::StartSent { .. }));
         if let Some(slot) = slot.filter(|s| cause == ExitCause::Done && s.state == SlotState::Running) {
             let seconds = now.saturating_duration_since(slot.since).as_secs_f64();
-            self.record_run(&key.0, seconds);
+            self.record_run(&key.job, seconds);
         }
         match cause {
             ExitCause::Done => {
-                self.mark_task_done(now, &key.0, key.1);
+                self.mark_task_done(now, &key.job, key.index);
                 if let Some(m) = self.machines.get_mut(machine) {
                     m.failures.clear();
                 }
                 // Its result is kept; whoever runs it besides wastes work.
-                let elsewhere = self.jobs.get(&key.0).and_then(|j| j.tasks.assigned.get(&key.1)).cloned();
+                let elsewhere =
+                    self.jobs.get(&key.job).and_then(|j| j.tasks.assigned.get(&key.index)).cloned();
                 if let Some(other) = elsewhere.filter(|other| other != machine) {
                     self.stop_task(now, &other, key, 0.0);
                 }
             }
-            ExitCause::Error | ExitCause::Unknown if held => self.record_task_failure(now, machine, &key.0),
+            ExitCause::Error | ExitCause::Unknown if held => self.record_task_failure(now, machine, &key.job),
             _ => {}
         }
         if acknowledged && let Some(m) = self.machines.get_mut(machine) {
             m.agent.acks.record_acknowledged();
         }
         if held {
-            tracing::debug!(%machine, job = %key.0, task = key.1, ?cause, "exited");
+            tracing::debug!(%machine, job = %key.job, task = key.index, ?cause, "exited");
             self.remove_slot(now, machine, key);
         }
     }
@@ -490,7 +491,7 @@
         let Some(m) = self.machines.get(&report.machine) else { return Vec::new() };
         let mut orders = Vec::new();
         for task in &report.tasks {
-            let (job, attempt) = (&task.task.job, task.attempt);
+            let attempt = task.attempt;
             let name = task.task.clone();
             match task.state {
                 TaskState::Exited(cause) => {
@@ -498,7 +499,7 @@
                         orders.push(Command::Reap { task: name, attempt });
                     }
                 }
-                state => match m.slots.get(&(job.clone(), name.index)) {
+                state => match m.slots.get(&name) {
                     Some(slot) => {
                         if let Some(grace_s) = slot.stop_grace_s
                             && (state != TaskState::Saving || grace_s <= 0.0)
--- a/src/coordination/workers/slot.rs
+++ b/src/coordination/workers/slot.rs
@@ -4,7 +4,6 @@
 
 use crate::coordination::jobs::quota::QuotaId;
 use crate::coordination::jobs::resources::Resources;
-use crate::protocol::jobs::JobId;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SlotState {
@@ -31,5 +30,3 @@
     /// The job counts on this slot; otherwise the task should not be here.
     pub assigned: bool,
 }
-
-pub type SlotKey = (JobId, u32);
--- a/src/coordination/workers/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -4,7 +4,8 @@
 
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
-use crate::coordination::workers::slot::{Slot, SlotKey, SlotState};
+use crate::coordination::workers::slot::{Slot, SlotState};
+use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::MachineId;
 
 impl Leader {
@@ -12,12 +13,12 @@
         &mut self,
         now: Instant,
         machine: &MachineId,
-        key: SlotKey,
+        key: TaskId,
         attempt: u64,
         state: SlotState,
         wanted: bool,
     ) {
-        let (Some(m), Some(job)) = (self.machines.get_mut(machine), self.jobs.get_mut(&key.0)) else {
+        let (Some(m), Some(job)) = (self.machines.get_mut(machine), self.jobs.get_mut(&key.job)) else {
             return;
         };
         let room = Resources::of(job.spec());
@@ -31,7 +32,7 @@
             m.images.record_use(&job.record.spec, self.catalog.get(m.machine_type));
         }
         if wanted {
-            job.tasks.assigned.insert(key.1, machine.clone());
+            job.tasks.assigned.insert(key.index, machine.clone());
         }
         let slot = Slot {
             attempt,
@@ -46,7 +47,7 @@
     }
 
     /// The task is provably not on the machine any more.
-    pub(crate) fn remove_slot(&mut self, now: Instant, machine: &MachineId, key: &SlotKey) {
+    pub(crate) fn remove_slot(&mut self, now: Instant, machine: &MachineId, key: &TaskId) {
         let Some(m) = self.machines.get_mut(machine) else { return };
         let Some(slot) = m.slots.remove(key) else { return };
         m.free.add(&slot.resources);
@@ -57,14 +58,14 @@
         if let Some(team) = slot.team {
             self.quotas.release(team, &slot.resources);
         }
-        let Some(job) = self.jobs.get_mut(&key.0) else { return };
+        let Some(job) = self.jobs.get_mut(&key.job) else { return };
         job.tasks.slot_count = job.tasks.slot_count.saturating_sub(1);
         job.tasks.running_count =
             job.tasks.running_count.saturating_sub(u32::from(slot.state == SlotState::Running));
-        if slot.assigned && job.tasks.assigned.get(&key.1) == Some(machine) {
-            job.tasks.assigned.remove(&key.1);
-            if !job.record.done.contains(key.1) {
-                job.tasks.requeued.insert(key.1);
+        if slot.assigned && job.tasks.assigned.get(&key.index) == Some(machine) {
+            job.tasks.assigned.remove(&key.index);
+            if !job.record.done.contains(key.index) {
+                job.tasks.requeued.insert(key.index);
                 if job.is_service() {
                     self.latency_classes.announce_work();
                 }
@@ -75,12 +76,12 @@
             }
         }
         if job.tasks.slot_count == 0 {
-            self.try_archive(&key.0);
+            self.try_archive(&key.job);
         }
     }
 
     pub(crate) fn clear_slots(&mut self, now: Instant, machine: &MachineId) {
-        let keys: Vec<SlotKey> =
+        let keys: Vec<TaskId> =
             self.machines.get(machine).map(|m| m.slots.keys().cloned().collect()).unwrap_or_default();
         for key in keys {
             self.remove_slot(now, machine, &key);
