--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -1,549 +1,325 @@
-//! Reports of workers, and the orders in answer to them.
+//! Heartbeats of workers: which of them count, and what is replied.
 //!
-//! Starts go only into answers to reports: a worker drops an answer that comes
-//! more than a few seconds late, while an order sent straight to it may be
-//! carried out minutes later.
+//! Starts go only into replies to heartbeats: a worker drops a reply that comes more than a
+//! few seconds late, while a pushed command may be carried out minutes later.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::coordination::fleet::machine::{HeartbeatStamp, Phase, UseRecord};
+use crate::coordination::fleet::machine::{HeartbeatStamp, Machine, Phase};
 use crate::coordination::leader::Leader;
-use crate::coordination::workers::slot::SlotState;
-use crate::maps::HashSet;
-use crate::protocol::jobs::{JobId, TaskId};
-use crate::protocol::workers::{Command, ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
+use crate::coordination::workers::reply_commands::MAX_COMMANDS;
+use crate::protocol::jobs::JobId;
+use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
 
-/// Most orders in one answer; more follow with the next report. Keeps the
-/// answer well below its size limit.
-pub(crate) const MAX_COMMANDS: usize = 200;
-/// Failures on one machine, from several jobs, that condemn it.
-const FAILURES_TO_CORDON: usize = 3;
-/// Machines on which one job must have failed to slow it down.
-const FAILED_MACHINES_TO_BACK_OFF: usize = 3;
+/// Longest time to a preemption that is taken from a heartbeat, in seconds. Keeps the sum
+/// with the clock in range, whatever a worker sends.
+const MAX_PREEMPTION_NOTICE_S: f64 = 1e6;
 
+/// What is replied to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
+    /// The heartbeat is accepted, which renews the worker's lease.
     Commands {
+        /// The epoch of the leader that replies.
         fencing_token: u64,
+        /// What the worker is to do; may be empty.
         commands: Vec<Command>,
     },
-    /// Not entitled to answer: the worker must turn elsewhere.
+    /// The leader may not, or does not want to, renew the worker's lease: the worker must
+    /// try another controller.
     Redirect,
 }
 
+/// Whether a machine's replies seem to reach it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ReplyDelivery {
+    /// Nothing speaks against it.
+    Unsuspected,
+    /// Heartbeats arrive, but nothing in them shows that replies do: a one-way partition.
+    Suspected {
+        /// Whether it is time to try a single start all the same.
+        may_probe: bool,
+    },
+}
+
+impl ReplyDelivery {
+    /// How many tasks may be started in a reply that already has `commands` commands. A
+    /// suspected machine is probed with a single start now and then.
+    fn max_starts(self, commands: usize) -> usize {
+        let room = MAX_COMMANDS.saturating_sub(commands);
+        match self {
+            ReplyDelivery::Unsuspected => room,
+            ReplyDelivery::Suspected { may_probe: true } => room.min(1),
+            ReplyDelivery::Suspected { may_probe: false } => 0,
+        }
+    }
+}
+
 impl Leader {
-    pub fn handle_heartbeat(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
-        // An answer with a lower token would be dropped and only hold the
-        // worker here while its lease runs out.
-        if report.fencing_token > self.term.epoch() || self.is_fenced() {
+    /// Takes a worker's heartbeat and decides the reply.
+    ///
+    /// The checks come first, from the leader's own term to the heartbeat's token. A
+    /// heartbeat that passes all of them updates the machine and its slots, and its reply
+    /// carries stops, reaps and starts.
+    pub fn handle_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
+        // A reply with a lower token would be dropped and only hold the worker here while
+        // its lease runs out.
+        if heartbeat.fencing_token > self.term.epoch() || self.is_fenced() {
             return HeartbeatReply::Redirect;
         }
         if !self.holds_lease(now) {
-            return self.handle_heartbeat_after_lease(now, report);
+            return self.handle_heartbeat_after_lease(now, heartbeat);
         }
-        if self.machines.is_deleted(&report.machine) {
-            // A late copy from a machine whose deletion was confirmed.
+        // A late copy from a machine whose deletion was confirmed.
+        if self.machines.is_deleted(&heartbeat.machine) {
             return HeartbeatReply::Redirect;
         }
-        let epoch = self.term.epoch();
+        // Without machine types its capacity cannot be counted yet, so its lease must not be
+        // renewed.
         if self.catalog.is_empty() {
-            // Not counted yet, so it must not be told that it may go on.
             return HeartbeatReply::Redirect;
         }
-        let Some(m) = self.machines.get_mut(&report.machine) else {
-            // Under an earlier token it may be a late copy, of a machine long
-            // deleted. A live one shows our token with its next report, and
-            // only then it is entered. No machine that no record names was
-            // ever given a start, so the answer keeps nothing alive; unless a
-            // record cannot be read.
-            if self.failover.unlisted_machines_possible()
-                && !self.failover.may_reply_to_unlisted(now, self.config.settings.cluster.workers.lease())
-            {
-                return HeartbeatReply::Redirect;
-            }
-            if report.fencing_token == epoch {
-                self.record_unregistered(
-                    now,
-                    &report.machine,
-                    &report.machine_type,
-                    &report.zone,
-                    report.spot,
-                );
-            }
-            return self.reply_with_terminal_stops(report);
+        let Some(machine) = self.machines.get(&heartbeat.machine) else {
+            return self.handle_unlisted_heartbeat(now, heartbeat);
         };
-        let stamp = HeartbeatStamp::of(report);
-        // A copy, or a machine that was back so quickly that its numbers are
-        // behind those of its former life. Either proves nothing. A 200 would
-        // hold the latter here without being counted; so it looks elsewhere,
-        // until its lease has run out and its session has risen, or until it
-        // has been silent for long enough to be replaced.
-        if m.agent.last_heartbeat.is_some_and(|seen| stamp <= seen)
-            || report.incarnation < m.agent.min_incarnation
-        {
+        if is_outdated(machine, heartbeat) {
             return HeartbeatReply::Redirect;
         }
-        let outlives = self.ignores_its_stops(now, report);
-        if report.fencing_token < epoch {
-            return if outlives {
+        let must_lose_lease = self.ignores_its_stops(now, heartbeat);
+        if heartbeat.fencing_token < self.term.epoch() {
+            return if must_lose_lease {
                 HeartbeatReply::Redirect
             } else {
-                self.handle_stale_heartbeat(now, report)
+                self.handle_stale_heartbeat(now, heartbeat)
             };
         }
-        let renewed = self.record_heartbeat(now, report, !outlives);
-        if renewed {
-            // A new session begins without tasks.
-            self.clear_slots(now, &report.machine);
-        }
-        self.reconcile_tasks(now, report);
-        self.mark_machine_reconciled(&report.machine);
-        if outlives {
+        self.reconcile_machine(now, heartbeat, !must_lose_lease);
+        if must_lose_lease {
             return HeartbeatReply::Redirect;
         }
-        let mut orders = self.stop_and_reap_commands(report);
-        self.record_machine_use(&report.machine);
-        self.stop_for_preemption_notice(now, &report.machine);
-        let (doubted, probe) = self.check_acknowledgements(now, &report.machine);
-        if orders.len() < MAX_COMMANDS && (!doubted || probe) {
-            // A doubted machine is tried with a single start now and then.
-            let room = if doubted { 1 } else { MAX_COMMANDS - orders.len() };
-            self.place_tasks(now, &report.machine, report.sequence, room, &mut orders);
-        }
-        HeartbeatReply::Commands { fencing_token: epoch, commands: orders }
+        self.reply_with_commands(now, heartbeat)
     }
 
-    /// Notes that a machine was heard under this epoch's token, and whether it is answered.
-    /// Returns whether its session is a new one.
-    fn record_heartbeat(&mut self, now: Instant, report: &Heartbeat, answers: bool) -> bool {
-        let stamp = HeartbeatStamp::of(report);
-        let Some(m) = self.machines.get_mut(&report.machine) else { return false };
-        let lease = self.config.settings.cluster.workers.lease();
-        // The first effect of ours that can be seen is the token.
-        if m.agent.last_heartbeat.is_none() || m.agent.last_stale_heartbeat.take().is_some() {
-            m.agent.acks.record_acknowledged();
-        }
-        let earlier = m.agent.last_heartbeat.replace(stamp);
-        let renewed = earlier.is_some_and(|stamp| stamp.incarnation < report.incarnation);
-        if renewed && m.agent.replied_at.is_some_and(|at| now < at + lease) {
-            // Its lease has run out although it was answered.
-            m.agent.acks.record_missed(now);
-        }
-        if answers {
-            m.agent.replied_at = Some(now);
-        }
-        m.agent.heartbeat_at = Some(now);
-        m.agent.address.clone_from(&report.address);
-        if m.phase == Phase::Booting {
-            m.phase = Phase::Up;
-            m.idle_since = now;
+    /// A heartbeat of a machine that is in none of the node pools' records.
+    ///
+    /// Under an earlier token it may be a late copy, of a machine long deleted. A live
+    /// machine shows our token with its next heartbeat, and only then it is registered. No
+    /// machine that no record names was ever given a start, so the reply keeps no task
+    /// alive; unless a record cannot be read.
+    fn handle_unlisted_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
+        let worker_lease = self.config.settings.cluster.workers.lease();
+        if self.failover.unlisted_machines_possible()
+            && !self.failover.may_reply_to_unlisted(now, worker_lease)
+        {
+            return HeartbeatReply::Redirect;
         }
-        if let Some(seconds) = report.preemption_notice_s {
-            if m.preempted_at.is_none() {
-                tracing::info!(machine = %m.id, seconds, "the cloud takes a machine back");
-            }
-            m.preempted_at = Some(now + Duration::from_secs_f64(seconds.min(1e6)));
+        if heartbeat.fencing_token == self.term.epoch() {
+            self.record_unregistered(
+                now,
+                &heartbeat.machine,
+                &heartbeat.machine_type,
+                &heartbeat.zone,
+                heartbeat.spot,
+            );
         }
-        renewed
+        self.reply_with_terminal_stops(heartbeat)
     }
 
-    /// Whether the empty answer to a report that was just taken is to be held, since a
-    /// prompt start on the machine is likely. A machine with tasks that end by
-    /// themselves is not held up: its next report may tell of room or results.
-    pub fn may_defer_reply(&self, report: &Heartbeat) -> bool {
-        report.fencing_token == self.term.epoch()
-            && report.preemption_notice_s.is_none()
-            && report.tasks.iter().all(|task| {
-                task.state == TaskState::Running
-                    && self.jobs.get(&task.task.job).is_some_and(|job| job.is_startable() && job.is_service())
-            })
-            && self.machines.get(&report.machine).is_some_and(|m| self.expects_latency_sensitive_start(m))
+    /// Updates the machine and its slots from a heartbeat under this epoch's token.
+    /// `is_replied`: whether its reply renews the worker's lease.
+    fn reconcile_machine(&mut self, now: Instant, heartbeat: &Heartbeat, is_replied: bool) {
+        let has_new_incarnation = self.record_heartbeat(now, heartbeat, is_replied);
+        if has_new_incarnation {
+            // A new incarnation begins without tasks.
+            self.clear_slots(now, &heartbeat.machine);
+        }
+        self.reconcile_tasks(now, heartbeat);
+        self.mark_machine_reconciled(&heartbeat.machine);
     }
 
-    /// Decides the answer to a report that was taken before and held since: what it
-    /// listed is in the picture already, unless a newer one was taken.
-    pub fn decide_deferred_reply(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
-        let stamp = HeartbeatStamp::of(report);
-        let current =
-            self.machines.get(&report.machine).is_some_and(|m| m.agent.last_heartbeat == Some(stamp));
-        if self.is_fenced() || !current || self.ignores_its_stops(now, report) {
-            return HeartbeatReply::Redirect;
-        }
-        if !self.holds_lease(now) {
-            return self.handle_heartbeat_after_lease(now, report);
-        }
-        let mut orders = self.stop_and_reap_commands(report);
-        if orders.len() < MAX_COMMANDS
-            && !self.machines.get(&report.machine).is_some_and(|m| m.agent.one_way_partitioned)
-        {
-            let room = MAX_COMMANDS - orders.len();
-            self.place_tasks(now, &report.machine, report.sequence, room, &mut orders);
-        }
-        HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands: orders }
+    /// The reply to a heartbeat that was accepted: stops and reaps, then starts as far as
+    /// there is room for them.
+    fn reply_with_commands(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
+        let machine = &heartbeat.machine;
+        let mut commands = self.stop_and_reap_commands(heartbeat);
+        self.record_machine_use(machine);
+        self.stop_for_preemption_notice(now, machine);
+        let max_starts = self.check_reply_delivery(now, machine).max_starts(commands.len());
+        if max_starts > 0 {
+            self.place_tasks(now, machine, heartbeat.sequence, max_starts, &mut commands);
+        }
+        HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands }
     }
 
-    /// Machines with held answers that should be decided anew, those first whose room
-    /// should be used first.
-    pub fn deferred_replies_to_decide<'a>(
-        &mut self,
-        held: impl Iterator<Item = &'a MachineId>,
-    ) -> Vec<MachineId> {
-        let ordered = self.outbox.take_machines_with_commands();
-        if !self.latency_classes.take_announcement() {
-            return ordered;
-        }
-        let waiting: Vec<&str> = self
-            .jobs
-            .values()
-            .filter(|job| job.pending() > 0 && self.is_latency_sensitive(job.spec()))
-            .map(|job| job.spec().image.as_str())
-            .collect();
-        let mut machines: Vec<MachineId> = held.cloned().collect();
-        machines.sort_by_cached_key(|id| {
-            let m = self.machines.get(id);
-            let lacks_image = !m.is_some_and(|m| waiting.iter().any(|image| m.images.contains(image)));
-            let free = m.map_or(0.0, |m| m.free.cpus).max(0.0).to_bits();
-            (lacks_image, m.is_none_or(|m| !m.need.is_needed), free, id.clone())
-        });
-        machines
+    /// Records the arrival of a heartbeat under this epoch's token, and whether its reply
+    /// renews the worker's lease. Returns whether the worker has a new incarnation.
+    fn record_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat, is_replied: bool) -> bool {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return false };
+        let worker_lease = self.config.settings.cluster.workers.lease();
+        let agent = &mut machine.agent;
+        // The first effect of our replies that can be seen is the token.
+        if agent.last_heartbeat.is_none() || agent.last_stale_heartbeat.take().is_some() {
+            agent.acks.record_acknowledged();
+        }
+        let earlier = agent.last_heartbeat.replace(HeartbeatStamp::of(heartbeat));
+        let has_new_incarnation = earlier.is_some_and(|earlier| earlier.incarnation < heartbeat.incarnation);
+        if has_new_incarnation && agent.replied_at.is_some_and(|at| now < at + worker_lease) {
+            // Its lease has expired although a reply had renewed it.
+            agent.acks.record_missed(now);
+        }
+        if is_replied {
+            agent.replied_at = Some(now);
+        }
+        agent.heartbeat_at = Some(now);
+        agent.address.clone_from(&heartbeat.address);
+        mark_up(machine, now);
+        record_preemption_notice(machine, now, heartbeat);
+        has_new_incarnation
     }
 
-    /// Whether the machine is doubted to hear us, and may be tried all the same.
-    fn check_acknowledgements(&mut self, now: Instant, machine: &MachineId) -> (bool, bool) {
+    /// Whether replies seem to reach the machine; records the outcome on it.
+    fn check_reply_delivery(&mut self, now: Instant, machine: &MachineId) -> ReplyDelivery {
         let workers = &self.config.settings.cluster.workers;
-        let (report, pause) = (workers.report(), workers.lease() / 2);
-        let Some(m) = self.machines.get_mut(machine) else { return (true, false) };
-        let doubted = m.agent.acks.suspects_one_way_partition(now, report);
-        if doubted && !m.agent.one_way_partitioned {
-            tracing::info!(%machine, "reports arrive, but nothing shows that it hears the answers");
-        }
-        m.agent.one_way_partitioned = doubted;
-        (doubted, m.agent.acks.may_probe(now, pause))
-    }
-
-    /// A report under an earlier token: of a worker that has not had our first
-    /// answer yet, or a late copy. Only a report under our own token is younger
-    /// than anything that an earlier leader could still order, since such
-    /// orders carry a lower one and are refused from then on. So nothing is
-    /// taken from it; it is answered, so that a live worker learns the token.
-    fn handle_stale_heartbeat(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
-        let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
-        let stamp = HeartbeatStamp::of(report);
-        // Tokens do not sink within a session: a copy from before.
-        let behind = m.agent.last_heartbeat.is_some_and(|stamp| report.incarnation <= stamp.incarnation);
-        // Each copy may put off the proof that its machine is gone only once.
-        if behind || m.agent.last_stale_heartbeat.is_some_and(|hinted| stamp <= hinted) {
-            return HeartbeatReply::Redirect;
-        }
-        let before = m.agent.last_stale_heartbeat.replace(stamp);
-        if before.is_some() {
-            // The former answer should have shown.
-            m.agent.acks.record_missed(now);
+        let (heartbeat_interval, probe_pause) = (workers.report(), workers.lease() / 2);
+        let Some(entry) = self.machines.get_mut(machine) else {
+            return ReplyDelivery::Suspected { may_probe: false };
+        };
+        let is_suspected = entry.agent.acks.suspects_one_way_partition(now, heartbeat_interval);
+        if is_suspected && !entry.agent.one_way_partitioned {
+            tracing::info!(%machine, "one-way partition suspected: heartbeats arrive, replies show no effect");
         }
-        // A deaf machine is answered no more, so that its lease proof runs.
-        // Once that is over nothing is on it, and an answer puts off nothing.
-        let may_hold = !m.reconciled || !m.slots.is_empty();
-        let (doubted, _) = self.check_acknowledgements(now, &report.machine);
-        let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
-        if doubted && may_hold {
-            return HeartbeatReply::Redirect;
+        entry.agent.one_way_partitioned = is_suspected;
+        if is_suspected {
+            ReplyDelivery::Suspected { may_probe: entry.agent.acks.may_probe(now, probe_pause) }
+        } else {
+            ReplyDelivery::Unsuspected
         }
-        m.agent.replied_at = Some(now);
-        // Its first start is near: the mark it needs takes a write.
-        self.record_machine_use(&report.machine);
-        self.reply_with_terminal_stops(report)
     }
 
-    /// An answer that decides nothing, and stops what is decided already.
+    /// A heartbeat under an earlier token: of a worker that has not had our first reply yet,
+    /// or a late copy.
     ///
-    /// Every answer keeps a worker's lease alive, and what it runs with it. Were
-    /// the stops of cancelled jobs left out of the first answer after a takeover
-    /// and of those in a lapse, a chain of short-lived leaders that each give
-    /// only such answers could keep a cancelled task alive for ever. Stopping
-    /// what is over, or what its user has called off, is right under any epoch,
-    /// at any time, and as an answer to any copy of a report: the order names
-    /// task and attempt. A worker that gets the answer gets the stop with it, and
-    /// one that does not is not kept alive.
-    fn reply_with_terminal_stops(&self, report: &Heartbeat) -> HeartbeatReply {
-        let over = |job: &JobId| self.jobs.get(job).is_none_or(|j| !j.is_startable());
-        let orders = report
-            .tasks
-            .iter()
-            .filter(|t| !matches!(t.state, TaskState::Exited(_)) && over(&t.task.job))
-            .map(|t| Command::Stop { task: t.task.clone(), attempt: t.attempt, grace_s: 0.0 })
-            .take(MAX_COMMANDS)
-            .collect();
-        HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands: orders }
-    }
-
-    /// An answer with nothing but stops while the lease has lapsed, for a bounded
-    /// time.
-    ///
-    /// An outage of the state service lapses every lease of ours, and would
-    /// take the workers' along if it lasted. Kept alive, they finish what they
-    /// have. Nothing is decided here; and whoever leads next waits for silent
-    /// machines that much longer, see [`crate::coordination::config::Config::takeover_proof`].
-    fn handle_heartbeat_after_lease(&mut self, now: Instant, report: &Heartbeat) -> HeartbeatReply {
-        let until = self.term.grace_expiry();
-        if self.ignores_its_stops(now, report) {
+    /// Only a heartbeat under our own token is younger than anything that an earlier leader
+    /// could still command, since such commands carry a lower token and are refused from
+    /// then on. So nothing that a stale heartbeat lists is used; it is replied to, so that a
+    /// live worker learns the token.
+    fn handle_stale_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return HeartbeatReply::Redirect;
-        }
-        let Some(m) = self.machines.get_mut(&report.machine) else { return HeartbeatReply::Redirect };
-        // Only machines that this epoch has heard are surely counted by it.
-        if now >= until || m.agent.replied_at.is_none() || report.fencing_token < self.term.epoch() {
+        };
+        if is_stale_copy(machine, heartbeat) {
             return HeartbeatReply::Redirect;
         }
-        m.agent.replied_at = Some(now);
-        m.agent.heartbeat_at = Some(now);
-        self.reply_with_terminal_stops(report)
-    }
-
-    fn reconcile_tasks(&mut self, now: Instant, report: &Heartbeat) {
-        let machine = &report.machine;
-        let mut listed: HashSet<TaskId> = HashSet::default();
-        let mut foreign = false;
-        for task in &report.tasks {
-            let key = task.task.clone();
-            match task.state {
-                TaskState::Exited(cause) => self.handle_task_exit(now, machine, &key, task.attempt, cause),
-                state => {
-                    foreign |= !self.reconcile_present_task(now, machine, &key, task, state);
-                    listed.insert(key);
-                }
-            }
-        }
-        let Some(m) = self.machines.get_mut(machine) else { return };
-        if foreign && !m.has_orphan_tasks {
-            self.record_orphan_tasks(report);
-        }
-        let Some(m) = self.machines.get_mut(machine) else { return };
-        m.has_orphan_tasks = foreign;
-        // A slot that is not listed is free: either its start went into the
-        // answer to an earlier report, which the worker has dropped by now, or
-        // it has ended. A start in answer to this very report is not there yet.
-        let missing: Vec<TaskId> = m
-            .slots
-            .iter()
-            .filter(|(key, slot)| {
-                let sent_later =
-                    matches!(slot.state, SlotState::StartSent { sequence } if sequence >= report.sequence);
-                !listed.contains(*key) && !sent_later
-            })
-            .map(|(key, _)| key.clone())
-            .collect();
-        let vanished = missing.iter().any(|key| {
-            m.slots.get(key).is_some_and(|slot| matches!(slot.state, SlotState::StartSent { .. }))
-        });
-        if vanished {
-            // A start went into an answer that it did not get.
-            m.agent.acks.record_missed(now);
-        }
-        for key in missing {
-            self.remove_slot(now, machine, &key);
-        }
-    }
-
-    /// A machine shows tasks whose jobs are not in the picture: they are stopped, and its
-    /// room counts as taken, against every limit, until they are gone.
-    fn record_orphan_tasks(&mut self, report: &Heartbeat) {
-        let is_there = |task: &&TaskStatus| !matches!(task.state, TaskState::Exited(_));
-        let unknown = report.tasks.iter().filter(is_there).filter(|t| !self.jobs.contains_key(&t.task.job));
-        let count = unknown.clone().count();
-        if let Some(first) = unknown.clone().next() {
-            tracing::error!(
-                epoch = self.term.epoch(),
-                machine = %report.machine,
-                count,
-                job = %first.task.job,
-                task = first.task.index,
-                attempt = first.attempt,
-                "tasks of jobs that are not in the picture; stopping them"
-            );
+        let earlier = machine.agent.last_stale_heartbeat.replace(HeartbeatStamp::of(heartbeat));
+        if earlier.is_some() {
+            // The reply to the earlier one should have shown in the token.
+            machine.agent.acks.record_missed(now);
+        }
+        // A machine that replies do not reach gets no further ones, so that the proof of its
+        // lease's expiry can complete. After that no task is on it, and a reply delays
+        // no proof.
+        let may_hold_tasks = !machine.reconciled || !machine.slots.is_empty();
+        let delivery = self.check_reply_delivery(now, &heartbeat.machine);
+        if may_hold_tasks && delivery != ReplyDelivery::Unsuspected {
+            return HeartbeatReply::Redirect;
         }
-        self.counters.orphan_tasks += count as u64;
-        // What they take is counted with the queue's order.
-        self.queue.invalidate();
-    }
-
-    /// A task that is on the machine. False if its job is not known.
-    fn reconcile_present_task(
-        &mut self,
-        now: Instant,
-        machine: &MachineId,
-        key: &TaskId,
-        task: &TaskStatus,
-        state: TaskState,
-    ) -> bool {
-        let state = match state {
-            TaskState::Fetching => SlotState::Fetching,
-            TaskState::Saving => SlotState::Saving,
-            _ => SlotState::Running,
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
+            return HeartbeatReply::Redirect;
         };
-        let Some(m) = self.machines.get_mut(machine) else { return true };
-        if let Some(slot) = m.slots.get_mut(key) {
-            if slot.attempt == task.attempt {
-                if matches!(slot.state, SlotState::StartSent { .. }) {
-                    m.agent.acks.record_acknowledged();
-                }
-                if slot.state != state {
-                    let was = slot.state == SlotState::Running;
-                    slot.state = state;
-                    slot.since = now;
-                    let is = state == SlotState::Running;
-                    if let Some(job) = self.jobs.get_mut(&key.job) {
-                        job.tasks.running_count =
-                            (job.tasks.running_count + u32::from(is)).saturating_sub(u32::from(was));
-                        if is {
-                            m.images.record_use(&job.record.spec, self.catalog.get(m.machine_type));
-                        }
-                    }
-                }
-                return true;
-            }
-            // The worker has another attempt than the one we sent: ours is
-            // refused there as in use. What is there counts.
-            self.remove_slot(now, machine, key);
-        }
-        let Some(job) = self.jobs.get(&key.job) else { return false };
-        // Adopted from an earlier leader, unless it should not be here.
-        let wanted = job.is_startable()
-            && !job.record.done.contains(key.index)
-            && !job.tasks.assigned.contains_key(&key.index);
-        self.add_slot(now, machine, key.clone(), task.attempt, state, wanted);
-        if !wanted && let Some(slot) = self.machines.get_mut(machine).and_then(|m| m.slots.get_mut(key)) {
-            slot.stop_grace_s = Some(0.0);
-        }
-        true
+        machine.agent.replied_at = Some(now);
+        // Its first start is near: the record of its use takes a write.
+        self.record_machine_use(&heartbeat.machine);
+        self.reply_with_terminal_stops(heartbeat)
     }
 
-    fn handle_task_exit(
+    /// A reply for the post-lease grace: nothing but stops, for a bounded time after the
+    /// leader's lease has expired.
+    ///
+    /// An outage of the key-value store lets every leader's lease expire, and would take the
+    /// workers' leases along if it lasted. Kept alive, the workers finish what they run.
+    /// Nothing is decided here; and the next leader waits for silent machines that much
+    /// longer, see [`crate::coordination::config::Config::failover_lease_timeout`].
+    pub(super) fn handle_heartbeat_after_lease(
         &mut self,
         now: Instant,
-        machine: &MachineId,
-        key: &TaskId,
-        attempt: u64,
-        cause: ExitCause,
-    ) {
-        let slot = self.machines.get(machine).and_then(|m| m.slots.get(key)).filter(|s| s.attempt == attempt);
-        let held = slot.is_some();
-        let acknowledged = slot.is_some_and(|s| matches!(s.state, SlotState::StartSent { .. }));
-        if let Some(slot) = slot.filter(|s| cause == ExitCause::Done && s.state == SlotState::Running) {
-            let seconds = now.saturating_duration_since(slot.since).as_secs_f64();
-            self.record_run(&key.job, seconds);
-        }
-        match cause {
-            ExitCause::Done => {
-                self.mark_task_done(now, &key.job, key.index);
-                if let Some(m) = self.machines.get_mut(machine) {
-                    m.failures.clear();
-                }
-                // Its result is kept; whoever runs it besides wastes work.
-                let elsewhere =
-                    self.jobs.get(&key.job).and_then(|j| j.tasks.assigned.get(&key.index)).cloned();
-                if let Some(other) = elsewhere.filter(|other| other != machine) {
-                    self.stop_task(now, &other, key, 0.0);
-                }
-            }
-            ExitCause::Error | ExitCause::Unknown if held => self.record_task_failure(now, machine, &key.job),
-            _ => {}
-        }
-        if acknowledged && let Some(m) = self.machines.get_mut(machine) {
-            m.agent.acks.record_acknowledged();
+        heartbeat: &Heartbeat,
+    ) -> HeartbeatReply {
+        if self.ignores_its_stops(now, heartbeat) {
+            return HeartbeatReply::Redirect;
         }
-        if held {
-            tracing::debug!(%machine, job = %key.job, task = key.index, ?cause, "exited");
-            self.remove_slot(now, machine, key);
+        let (epoch, grace_expiry) = (self.term.epoch(), self.term.grace_expiry());
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
+            return HeartbeatReply::Redirect;
+        };
+        // Only the tasks of machines that this epoch has replied to are surely counted by it.
+        if now >= grace_expiry || machine.agent.replied_at.is_none() || heartbeat.fencing_token < epoch {
+            return HeartbeatReply::Redirect;
         }
+        machine.agent.replied_at = Some(now);
+        machine.agent.heartbeat_at = Some(now);
+        self.reply_with_terminal_stops(heartbeat)
     }
 
-    /// Learns from a task that has run to its end, for so many seconds.
-    pub(crate) fn record_run(&mut self, job: &JobId, run_s: f64) {
-        let Some(job) = self.jobs.get_mut(job) else { return };
-        job.record_run(run_s);
-        self.run_estimates.record(job.spec(), run_s);
+    /// A reply that decides nothing, and stops the tasks of terminal or cancelled jobs.
+    ///
+    /// Every reply renews a worker's lease, and keeps what it runs alive. Were the stops of
+    /// cancelled jobs left out of the first reply after a failover and of those in the
+    /// post-lease grace, a chain of short-lived leaders that each give only such replies
+    /// could keep a cancelled task alive for ever. Stopping a task of a job that is terminal,
+    /// or that its user has cancelled, is right under any epoch, at any time, and in reply to
+    /// any copy of a heartbeat: the command names task and attempt. A worker that gets the
+    /// reply gets the stop with it, and one that does not is not kept alive.
+    fn reply_with_terminal_stops(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
+        let has_ended = |job: &JobId| self.jobs.get(job).is_none_or(|job| !job.is_startable());
+        let commands = heartbeat
+            .tasks
+            .iter()
+            .filter(|status| !matches!(status.state, TaskState::Exited(_)) && has_ended(&status.task.job))
+            .map(|status| Command::Stop { task: status.task.clone(), attempt: status.attempt, grace_s: 0.0 })
+            .take(MAX_COMMANDS)
+            .collect();
+        HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands }
     }
+}
 
-    fn record_task_failure(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
-        let report = self.config.settings.cluster.workers.report();
-        if let Some(j) = self.jobs.get_mut(job) {
-            j.failures.machines.insert(machine.clone());
-            // A job that fails everywhere is slowed down, never given up.
-            if j.failures.machines.len() >= FAILED_MACHINES_TO_BACK_OFF {
-                let factor = (j.failures.machines.len() as u32).min(10);
-                j.failures.backoff_until = Some(now + report * factor);
-            }
-        }
-        let bad_job = |j: &JobId| {
-            self.jobs.get(j).is_some_and(|j| j.failures.machines.len() >= FAILED_MACHINES_TO_BACK_OFF)
-        };
-        let Some(m) = self.machines.get_mut(machine) else { return };
-        m.failures.push(job.clone());
-        let counted = m.failures.iter().filter(|j| !bad_job(j)).count();
-        if counted >= FAILURES_TO_CORDON && !m.cordoned {
-            tracing::info!(machine = %m.id, "tasks keep failing on a machine; replacing it");
-            m.cordoned = true;
-        }
-    }
+/// Whether a heartbeat is a copy of one that was taken before, or of an incarnation that is
+/// void: either proves nothing.
+///
+/// A machine that was back so quickly that its numbers are behind those of its former
+/// incarnation also looks like this. A reply would renew its lease here without its tasks
+/// being counted; so it is redirected, until its lease has expired and its incarnation has
+/// risen, or until it has been silent for long enough to be replaced.
+fn is_outdated(machine: &Machine, heartbeat: &Heartbeat) -> bool {
+    let stamp = HeartbeatStamp::of(heartbeat);
+    machine.agent.last_heartbeat.is_some_and(|last| stamp <= last)
+        || heartbeat.incarnation < machine.agent.min_incarnation
+}
 
-    fn stop_and_reap_commands(&mut self, report: &Heartbeat) -> Vec<Command> {
-        let Some(m) = self.machines.get(&report.machine) else { return Vec::new() };
-        let mut orders = Vec::new();
-        for task in &report.tasks {
-            let attempt = task.attempt;
-            let name = task.task.clone();
-            match task.state {
-                TaskState::Exited(cause) => {
-                    if !(cause == ExitCause::Done && self.may_be_uncommitted(&name)) {
-                        orders.push(Command::Reap { task: name, attempt });
-                    }
-                }
-                state => match m.slots.get(&name) {
-                    Some(slot) => {
-                        if let Some(grace_s) = slot.stop_grace_s
-                            && (state != TaskState::Saving || grace_s <= 0.0)
-                        {
-                            orders.push(Command::Stop { task: name, attempt, grace_s });
-                        }
-                    }
-                    // Of a job that is over or was never accepted.
-                    None => orders.push(Command::Stop { task: name, attempt, grace_s: 0.0 }),
-                },
-            }
-        }
-        // No answer may leave a stop out for want of room: it renews the lease
-        // under which the task runs.
-        orders.sort_by_key(|order| matches!(order, Command::Reap { .. }));
-        orders.truncate(MAX_COMMANDS);
-        orders
-    }
+/// Whether a heartbeat under an earlier token is a late copy.
+fn is_stale_copy(machine: &Machine, heartbeat: &Heartbeat) -> bool {
+    // Tokens do not fall within an incarnation: it was sent before one that was taken.
+    let precedes_last =
+        machine.agent.last_heartbeat.is_some_and(|last| heartbeat.incarnation <= last.incarnation);
+    // Each copy may delay the proof of its machine's lease expiry only once.
+    let stamp = HeartbeatStamp::of(heartbeat);
+    precedes_last || machine.agent.last_stale_heartbeat.is_some_and(|last| stamp <= last)
+}
 
-    /// Whether the record of a job may not say yet that a task of it is done: the worker
-    /// must not forget it before. A job that is not in the picture is over, or cannot be
-    /// read.
-    fn may_be_uncommitted(&self, task: &TaskId) -> bool {
-        match self.jobs.get(&task.job) {
-            Some(job) => {
-                job.record.terminal_state().is_none()
-                    && !job.is_service()
-                    && !job.stored.done.contains(task.index)
-            }
-            None => self.failover.unreadable().contains_job(&task.job),
-        }
+/// The first heartbeat of a machine ends its boot.
+fn mark_up(machine: &mut Machine, now: Instant) {
+    if machine.phase == Phase::Booting {
+        machine.phase = Phase::Up;
+        machine.idle_since = now;
     }
+}
 
-    /// Before the first start on a machine its record says so.
-    fn record_machine_use(&mut self, machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
-        if m.use_record != UseRecord::NotRecorded {
-            return;
-        }
-        m.use_record = UseRecord::InFlight;
-        let name = m.node_pool.clone();
-        if let Some(rental) = self.node_pools.get_mut(&name) {
-            rental.record.machines_used.insert(machine.clone());
-        }
-        self.write_node_pool(&name);
+/// Takes over when the cloud preempts the machine, if the heartbeat announces it.
+fn record_preemption_notice(machine: &mut Machine, now: Instant, heartbeat: &Heartbeat) {
+    let Some(seconds) = heartbeat.preemption_notice_s else { return };
+    if machine.preempted_at.is_none() {
+        tracing::info!(machine = %machine.id, seconds, "preemption notice received");
     }
+    machine.preempted_at = Some(now + Duration::from_secs_f64(seconds.min(MAX_PREEMPTION_NOTICE_S)));
 }
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -1,8 +1,19 @@
-//! Workers: their heartbeats, the commands they get, the slots their tasks take, and which of them are alive.
+//! Workers: their heartbeats, the commands in reply, the slots that their tasks take, and
+//! which of them are alive.
+//!
+//! A heartbeat passes through [`heartbeats`], which decides whether it counts, then through
+//! `task_reconciliation`, which squares the tasks that it lists with the leader's slots, then
+//! through `reply_commands`, which collects the commands of the reply. Starts are added to
+//! the reply by [`crate::coordination::scheduling`].
 
-pub mod commands;
 pub mod deferred_replies;
 pub mod failure_detector;
 pub mod heartbeats;
+mod machine_use;
+mod reply_commands;
+mod reply_deferral;
 pub mod slot;
 pub mod slots;
+mod stops;
+mod task_failures;
+mod task_reconciliation;
--- /dev/null
+++ b/src/coordination/workers/reply_deferral.rs
@@ -0,0 +1,93 @@
+//! Which replies are deferred for a start that is likely to come, and what is replied once
+//! they are decided. The deferred replies themselves are kept by the controller, in
+//! [`super::deferred_replies::DeferredReplies`].
+
+use tokio::time::Instant;
+
+use crate::coordination::fleet::machine::HeartbeatStamp;
+use crate::coordination::leader::Leader;
+use crate::coordination::workers::heartbeats::HeartbeatReply;
+use crate::coordination::workers::reply_commands::MAX_COMMANDS;
+use crate::protocol::workers::{Heartbeat, MachineId, TaskState, TaskStatus};
+
+impl Leader {
+    /// Whether the empty reply to a heartbeat that was just handled is to be deferred, since
+    /// a latency-sensitive start on the machine is likely. A machine with tasks that end by
+    /// themselves is not deferred: its next heartbeat may show free capacity or results.
+    pub fn may_defer_reply(&self, heartbeat: &Heartbeat) -> bool {
+        heartbeat.fencing_token == self.term.epoch()
+            && heartbeat.preemption_notice_s.is_none()
+            && heartbeat.tasks.iter().all(|status| self.is_running_replica(status))
+            && self
+                .machines
+                .get(&heartbeat.machine)
+                .is_some_and(|machine| self.expects_latency_sensitive_start(machine))
+    }
+
+    /// Whether the task is a running replica of a service that is not being cancelled.
+    fn is_running_replica(&self, status: &TaskStatus) -> bool {
+        status.state == TaskState::Running
+            && self.jobs.get(&status.task.job).is_some_and(|job| job.is_startable() && job.is_service())
+    }
+
+    /// Decides the reply to a heartbeat that was handled before and whose reply was deferred.
+    /// What it listed is reconciled already. It is redirected if a newer heartbeat of the
+    /// machine was handled since: that one's reply counts.
+    pub fn decide_deferred_reply(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
+        if self.is_fenced() || !self.is_last_heartbeat(heartbeat) || self.ignores_its_stops(now, heartbeat) {
+            return HeartbeatReply::Redirect;
+        }
+        if !self.holds_lease(now) {
+            return self.handle_heartbeat_after_lease(now, heartbeat);
+        }
+        let machine = &heartbeat.machine;
+        let mut commands = self.stop_and_reap_commands(heartbeat);
+        let max_starts = MAX_COMMANDS.saturating_sub(commands.len());
+        let is_partitioned =
+            self.machines.get(machine).is_some_and(|machine| machine.agent.one_way_partitioned);
+        if max_starts > 0 && !is_partitioned {
+            self.place_tasks(now, machine, heartbeat.sequence, max_starts, &mut commands);
+        }
+        HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands }
+    }
+
+    /// Whether no newer heartbeat of the machine has been handled.
+    fn is_last_heartbeat(&self, heartbeat: &Heartbeat) -> bool {
+        let stamp = HeartbeatStamp::of(heartbeat);
+        self.machines
+            .get(&heartbeat.machine)
+            .is_some_and(|machine| machine.agent.last_heartbeat == Some(stamp))
+    }
+
+    /// Machines whose deferred replies should be decided now, those first whose free capacity
+    /// should be used first: the machines that have got commands; or all, if
+    /// latency-sensitive work has come to wait since the last call.
+    pub fn deferred_replies_to_decide<'a>(
+        &mut self,
+        deferred: impl Iterator<Item = &'a MachineId>,
+    ) -> Vec<MachineId> {
+        let with_commands = self.outbox.take_machines_with_commands();
+        if !self.latency_classes.take_announcement() {
+            return with_commands;
+        }
+        let waiting_images = self.images_of_latency_sensitive_work();
+        let mut machines: Vec<MachineId> = deferred.cloned().collect();
+        machines.sort_by_cached_key(|id| {
+            let machine = self.machines.get(id);
+            let has_image = machine
+                .is_some_and(|machine| waiting_images.iter().any(|image| machine.images.contains(image)));
+            let is_needed = machine.is_some_and(|machine| machine.need.is_needed);
+            // Not negative, so that the bits of the number sort as the number does.
+            let free_cpus = machine.map_or(0.0, |machine| machine.free.cpus).max(0.0).to_bits();
+            (!has_image, !is_needed, free_cpus, id.clone())
+        });
+        machines
+    }
+
+    /// The images of latency-sensitive jobs that have tasks to start.
+    fn images_of_latency_sensitive_work(&self) -> Vec<&str> {
+        let waiting = self.jobs.values().filter(|job| job.pending() > 0);
+        let sensitive = waiting.filter(|job| self.is_latency_sensitive(job.spec()));
+        sensitive.map(|job| job.spec().image.as_str()).collect()
+    }
+}
--- a/src/coordination/workers/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -1,4 +1,5 @@
-//! Slots: the single place where room on machines and of teams is counted.
+//! The one place that enters and removes slots, and with them counts what tasks take of
+//! machines' capacity and of teams' quotas.
 
 use tokio::time::Instant;
 
@@ -9,82 +10,92 @@
 use crate::protocol::workers::MachineId;
 
 impl Leader {
+    /// Enters a slot for an attempt of a task, and charges what it takes to the machine and to
+    /// the team's quota. `is_assigned`: the task belongs there; otherwise it is there although
+    /// it should not be. Does nothing if machine or job is not in memory.
     pub(crate) fn add_slot(
         &mut self,
         now: Instant,
-        machine: &MachineId,
-        key: TaskId,
+        machine_id: &MachineId,
+        task: TaskId,
         attempt: u64,
         state: SlotState,
-        wanted: bool,
+        is_assigned: bool,
     ) {
-        let (Some(m), Some(job)) = (self.machines.get_mut(machine), self.jobs.get_mut(&key.job)) else {
-            return;
-        };
-        let room = Resources::of(job.spec());
-        m.free.sub(&room);
+        let Some(machine) = self.machines.get_mut(machine_id) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let resources = Resources::of(job.spec());
+        machine.free.sub(&resources);
         if let Some(team) = job.team {
-            self.quotas.charge(team, &room);
+            self.quotas.charge(team, &resources);
         }
         job.tasks.slot_count += 1;
         if state == SlotState::Running {
             job.tasks.running_count += 1;
-            m.images.record_use(&job.record.spec, self.catalog.get(m.machine_type));
+            machine.images.record_use(&job.record.spec, self.catalog.get(machine.machine_type));
         }
-        if wanted {
-            job.tasks.assigned.insert(key.index, machine.clone());
+        if is_assigned {
+            job.tasks.assigned.insert(task.index, machine_id.clone());
         }
         let slot = Slot {
             attempt,
             state,
-            resources: room,
+            resources,
             team: job.team,
             since: now,
             stop_grace_s: None,
-            assigned: wanted,
+            assigned: is_assigned,
         };
-        m.slots.insert(key, slot);
+        machine.slots.insert(task, slot);
     }
 
-    /// The task is provably not on the machine any more.
-    pub(crate) fn remove_slot(&mut self, now: Instant, machine: &MachineId, key: &TaskId) {
-        let Some(m) = self.machines.get_mut(machine) else { return };
-        let Some(slot) = m.slots.remove(key) else { return };
-        m.free.add(&slot.resources);
-        if m.slots.is_empty() {
-            m.idle_since = now;
-            m.free = self.catalog.resources(m.machine_type);
+    /// Removes a slot whose task is provably not on the machine any more, and gives back what
+    /// it took. A task that was assigned to it and is not done waits again.
+    pub(crate) fn remove_slot(&mut self, now: Instant, machine_id: &MachineId, task: &TaskId) {
+        let Some(machine) = self.machines.get_mut(machine_id) else { return };
+        let Some(slot) = machine.slots.remove(task) else { return };
+        machine.free.add(&slot.resources);
+        if machine.slots.is_empty() {
+            machine.idle_since = now;
+            // Sums of decimals drift: an empty machine begins anew.
+            machine.free = self.catalog.resources(machine.machine_type);
         }
         if let Some(team) = slot.team {
             self.quotas.release(team, &slot.resources);
         }
-        let Some(job) = self.jobs.get_mut(&key.job) else { return };
+        self.release_task(machine_id, task, &slot);
+    }
+
+    /// Updates the job after the removal of a slot: its counts, and its assignment.
+    fn release_task(&mut self, machine_id: &MachineId, task: &TaskId, slot: &Slot) {
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let was_running = u32::from(slot.state == SlotState::Running);
         job.tasks.slot_count = job.tasks.slot_count.saturating_sub(1);
-        job.tasks.running_count =
-            job.tasks.running_count.saturating_sub(u32::from(slot.state == SlotState::Running));
-        if slot.assigned && job.tasks.assigned.get(&key.index) == Some(machine) {
-            job.tasks.assigned.remove(&key.index);
-            if !job.record.done.contains(key.index) {
-                job.tasks.requeued.insert(key.index);
+        job.tasks.running_count = job.tasks.running_count.saturating_sub(was_running);
+        if slot.assigned && job.tasks.assigned.get(&task.index) == Some(machine_id) {
+            job.tasks.assigned.remove(&task.index);
+            if !job.record.done.contains(task.index) {
+                job.tasks.requeued.insert(task.index);
                 if job.is_service() {
                     self.latency_classes.announce_work();
                 }
-                // A job that had nothing waiting is not in the queue.
+                // A job that had no task to start is not in the queue.
                 if job.pending() == 1 {
                     self.queue.invalidate();
                 }
             }
         }
         if job.tasks.slot_count == 0 {
-            self.try_archive(&key.job);
+            self.try_archive(&task.job);
         }
     }
 
-    pub(crate) fn clear_slots(&mut self, now: Instant, machine: &MachineId) {
-        let keys: Vec<TaskId> =
-            self.machines.get(machine).map(|m| m.slots.keys().cloned().collect()).unwrap_or_default();
-        for key in keys {
-            self.remove_slot(now, machine, &key);
+    /// Removes all slots of a machine on which provably no task is left.
+    pub(crate) fn clear_slots(&mut self, now: Instant, machine_id: &MachineId) {
+        let Some(machine) = self.machines.get(machine_id) else { return };
+        let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
+        for task in tasks {
+            self.remove_slot(now, machine_id, &task);
         }
     }
 }
--- /dev/null
+++ b/src/coordination/workers/stops.rs
@@ -0,0 +1,173 @@
+//! Stopping tasks: those of terminal and cancelled jobs, until they are proven gone, and those
+//! on machines that the cloud preempts.
+
+use tokio::time::Instant;
+
+use crate::coordination::fleet::machine::{Machine, Phase};
+use crate::coordination::jobs::job::Job;
+use crate::coordination::leader::Leader;
+use crate::coordination::workers::reply_commands::MAX_COMMANDS;
+use crate::coordination::workers::slot::{Slot, SlotState};
+use crate::maps::HashMap;
+use crate::protocol::jobs::{JobId, TaskId};
+use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
+
+/// The stop of a cancelled job's task.
+struct CancellationStop {
+    /// When the job's cancellation was committed.
+    committed_at: Instant,
+    /// The stop.
+    command: Command,
+}
+
+impl Leader {
+    /// Stops a task: at once by a pushed command, and again with every reply to its machine
+    /// until the task is gone. `grace_s`: seconds that it has for saving a checkpoint. A task
+    /// that is to stop with no more grace already is left as it is.
+    pub(crate) fn stop_task(&mut self, now: Instant, machine: &MachineId, task: &TaskId, grace_s: f64) {
+        let Some(entry) = self.machines.get_mut(machine) else { return };
+        let Some(slot) = entry.slots.get_mut(task) else { return };
+        if slot.stop_grace_s.is_some_and(|earlier| earlier <= grace_s) {
+            return;
+        }
+        slot.stop_grace_s = Some(grace_s);
+        let command = Command::Stop { task: task.clone(), attempt: slot.attempt, grace_s };
+        self.outbox.extend(entry.push_commands(now, self.term.epoch(), vec![command]));
+        self.outbox.add_machine_with_command(machine.clone());
+    }
+
+    /// Stops all tasks of a job that is terminal: whatever still runs of it is of no use.
+    pub(crate) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
+        for (machine, task) in self.slots_of(job) {
+            self.stop_task(now, &machine, &task, 0.0);
+        }
+    }
+
+    /// Every slot of the job, with its machine.
+    fn slots_of(&self, job_id: &JobId) -> Vec<(MachineId, TaskId)> {
+        let Some(job) = self.jobs.get(job_id) else { return Vec::new() };
+        let are_all_assigned = job.tasks.assigned_count() == job.tasks.slot_count;
+        if are_all_assigned {
+            let task_id = |index: u32| TaskId { job: job_id.clone(), index };
+            let assigned = job.tasks.assigned.iter();
+            return assigned.map(|(index, machine)| (machine.clone(), task_id(*index))).collect();
+        }
+        // Some are where they should not be, and only their machines name them.
+        let slots = |machine: &Machine| {
+            let of_job = machine.slots.keys().filter(|task| &task.job == job_id);
+            of_job.map(|task| (machine.id.clone(), task.clone())).collect::<Vec<_>>()
+        };
+        self.machines.values().flat_map(slots).collect()
+    }
+
+    /// Pushes the stops of cancelled jobs to their machines again, until the tasks are proven
+    /// gone: a command can be lost, and a machine that reaches no controller may still be
+    /// reached. Also without a valid lease, since nothing is decided by it.
+    ///
+    /// A machine that has sent no heartbeat since the cancellation, when half of the time
+    /// that a cancellation may take is over, is deleted: the cloud's answer is the proof.
+    pub(crate) fn resend_stops(&mut self, now: Instant) {
+        if self.is_fenced() || !self.has_cancelled_tasks() {
+            return;
+        }
+        let workers = &self.config.settings.cluster.workers;
+        let (push_interval, delete_after) = (workers.report(), workers.cancellation() / 2);
+        let may_delete = self.holds_lease(now) && !self.cloud_health.is_down(now);
+        let mut silent_machines = Vec::new();
+        for machine in self.machines.values_mut().filter(|machine| !machine.slots.is_empty()) {
+            let stops = cancellation_stops(&self.jobs, machine);
+            let Some(first_commit) = stops.iter().map(|stop| stop.committed_at).min() else { continue };
+            let is_silent = machine.agent.heartbeat_at.is_none_or(|at| at < first_commit);
+            let is_overdue = now >= first_commit + delete_after;
+            if may_delete && is_silent && is_overdue && machine.phase == Phase::Up {
+                silent_machines.push(machine.id.clone());
+            }
+            if machine.agent.stops_pushed_at.is_some_and(|at| now < at + push_interval) {
+                continue;
+            }
+            let commands = stops.into_iter().map(|stop| stop.command).take(MAX_COMMANDS).collect();
+            self.outbox.extend(machine.push_commands(now, self.term.epoch(), commands));
+        }
+        if !silent_machines.is_empty() {
+            tracing::info!(
+                count = silent_machines.len(),
+                "silent machines may hold cancelled tasks; deleting them"
+            );
+            self.delete_machines(now, silent_machines);
+        }
+    }
+
+    /// Whether a task of a job whose cancellation is committed may be on a machine.
+    fn has_cancelled_tasks(&self) -> bool {
+        self.jobs.values().any(|job| job.cancellation.committed_at.is_some() && job.tasks.slot_count > 0)
+    }
+
+    /// Whether the heartbeat shows that stops of a cancelled job have no effect, so late that
+    /// the worker must now lose its lease for it. Counted from the cancellation, not from
+    /// stops that were missed.
+    pub(crate) fn ignores_its_stops(&self, now: Instant, heartbeat: &Heartbeat) -> bool {
+        let reply_window = self.config.cancelled_task_reply_window();
+        let cancelled_at = |job: &JobId| self.jobs.get(job).and_then(|job| job.cancellation.committed_at);
+        heartbeat.tasks.iter().any(|status| {
+            !matches!(status.state, TaskState::Exited(_))
+                && cancelled_at(&status.task.job).is_some_and(|at| now >= at + reply_window)
+        })
+    }
+
+    /// Stops tasks on a machine that the cloud has announced to preempt.
+    pub(super) fn stop_for_preemption_notice(&mut self, now: Instant, machine: &MachineId) {
+        let Some(entry) = self.machines.get(machine) else { return };
+        let Some(preempted_at) = entry.preempted_at else { return };
+        let left_s = preempted_at.saturating_duration_since(now).as_secs_f64();
+        let mut stops = Vec::new();
+        for (task, slot) in &entry.slots {
+            let Some(job) = self.jobs.get(&task.job) else { continue };
+            if let Some(grace_s) = self.stop_grace_before_preemption(now, job, slot, left_s) {
+                stops.push((task.clone(), grace_s));
+            }
+        }
+        for (task, grace_s) in stops {
+            self.stop_task(now, machine, &task, grace_s);
+        }
+    }
+
+    /// Whether a task is stopped for its machine's preemption in `left_s` seconds: the
+    /// seconds of grace if so.
+    ///
+    /// What can be saved before the cloud takes the machine is saved now. What cannot be
+    /// saved may still finish in time; what will not is stopped at once, since its work is
+    /// lost anyway, and it starts elsewhere that much sooner than once the machine has been
+    /// taken and is proven gone.
+    fn stop_grace_before_preemption(&self, now: Instant, job: &Job, slot: &Slot, left_s: f64) -> Option<f64> {
+        if slot.stop_grace_s.is_some() {
+            return None;
+        }
+        match slot.state {
+            SlotState::StartSent { .. } | SlotState::Fetching => Some(0.0),
+            SlotState::Saving => None,
+            SlotState::Running => {
+                let spec = job.spec();
+                let can_save = spec.checkpoint_interval_s > 0.0 && spec.checkpoint_save_s < left_s;
+                if can_save {
+                    return Some(left_s);
+                }
+                let ran_s = now.saturating_duration_since(slot.since).as_secs_f64();
+                let run_s = job.mean_run_s().unwrap_or_else(|| self.run_estimates.expected_run_s(spec));
+                // Past the announced time it may be taken at any moment, or later: then the
+                // task may still finish.
+                let ends_too_late = left_s > 0.0 && run_s - ran_s > left_s;
+                (!job.is_service() && ends_too_late).then_some(0.0)
+            }
+        }
+    }
+}
+
+/// Stops for all tasks on the machine whose job's cancellation is committed.
+fn cancellation_stops(jobs: &HashMap<JobId, Job>, machine: &Machine) -> Vec<CancellationStop> {
+    let stop = |(task, slot): (&TaskId, &Slot)| {
+        let committed_at = jobs.get(&task.job)?.cancellation.committed_at?;
+        let command = Command::Stop { task: task.clone(), attempt: slot.attempt, grace_s: 0.0 };
+        Some(CancellationStop { committed_at, command })
+    };
+    machine.slots.iter().filter_map(stop).collect()
+}
--- /dev/null
+++ b/src/coordination/workers/task_reconciliation.rs
@@ -0,0 +1,216 @@
+//! Reconciliation of the tasks that a heartbeat lists with the slots that the leader holds of
+//! the machine. What the worker lists is what is on the machine: slots follow it.
+
+use tokio::time::Instant;
+
+use crate::coordination::leader::Leader;
+use crate::coordination::workers::slot::SlotState;
+use crate::maps::HashSet;
+use crate::protocol::jobs::{JobId, TaskId};
+use crate::protocol::workers::{ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
+
+impl Leader {
+    /// Squares the machine's slots with the tasks that a heartbeat under this epoch's token
+    /// lists.
+    pub(super) fn reconcile_tasks(&mut self, now: Instant, heartbeat: &Heartbeat) {
+        let machine = &heartbeat.machine;
+        let mut present: HashSet<&TaskId> = HashSet::default();
+        let mut has_orphan_tasks = false;
+        for status in &heartbeat.tasks {
+            let state = match status.state {
+                TaskState::Exited(cause) => {
+                    self.handle_task_exit(now, machine, status, cause);
+                    continue;
+                }
+                TaskState::Fetching => SlotState::Fetching,
+                TaskState::Running => SlotState::Running,
+                TaskState::Saving => SlotState::Saving,
+            };
+            let has_job = self.reconcile_present_task(now, machine, status, state);
+            has_orphan_tasks |= !has_job;
+            present.insert(&status.task);
+        }
+        self.set_orphan_tasks(heartbeat, has_orphan_tasks);
+        self.remove_unlisted_slots(now, heartbeat, &present);
+    }
+
+    /// Notes on the machine whether it has orphan tasks: tasks whose job is not in memory.
+    fn set_orphan_tasks(&mut self, heartbeat: &Heartbeat, has_orphan_tasks: bool) {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
+        let had_orphan_tasks = std::mem::replace(&mut machine.has_orphan_tasks, has_orphan_tasks);
+        if has_orphan_tasks && !had_orphan_tasks {
+            self.record_orphan_tasks(heartbeat);
+        }
+    }
+
+    /// A machine has begun to show orphan tasks: they are stopped, and its capacity counts as
+    /// used, against every limit, until they are gone.
+    fn record_orphan_tasks(&mut self, heartbeat: &Heartbeat) {
+        let is_present = |status: &&TaskStatus| !matches!(status.state, TaskState::Exited(_));
+        let mut orphans = heartbeat
+            .tasks
+            .iter()
+            .filter(is_present)
+            .filter(|status| !self.jobs.contains_key(&status.task.job));
+        let count = orphans.clone().count();
+        if let Some(first) = orphans.next() {
+            tracing::error!(
+                epoch = self.term.epoch(),
+                machine = %heartbeat.machine,
+                count,
+                job = %first.task.job,
+                task = first.task.index,
+                attempt = first.attempt,
+                "orphan tasks found, whose job is not in memory; stopping them"
+            );
+        }
+        self.counters.orphan_tasks += count as u64;
+        // The capacity that they take is counted when the queue is ordered.
+        self.queue.invalidate();
+    }
+
+    /// A slot whose task is not listed is free: either its start went into the reply to an
+    /// earlier heartbeat, which the worker has dropped by now, or the task has ended. A start
+    /// in the reply to this very heartbeat is not there yet.
+    fn remove_unlisted_slots(&mut self, now: Instant, heartbeat: &Heartbeat, present: &HashSet<&TaskId>) {
+        let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
+        let is_sent_later = |state: SlotState| matches!(state, SlotState::StartSent { sequence } if sequence >= heartbeat.sequence);
+        let unlisted =
+            machine.slots.iter().filter(|(task, slot)| !present.contains(task) && !is_sent_later(slot.state));
+        let has_lost_start =
+            unlisted.clone().any(|(_, slot)| matches!(slot.state, SlotState::StartSent { .. }));
+        let unlisted: Vec<TaskId> = unlisted.map(|(task, _)| task.clone()).collect();
+        if has_lost_start {
+            // A start went into a reply that the worker did not get.
+            machine.agent.acks.record_missed(now);
+        }
+        for task in unlisted {
+            self.remove_slot(now, &heartbeat.machine, &task);
+        }
+    }
+
+    /// Reconciles a task that is on the machine, in this state. Returns false if its job is
+    /// not in memory.
+    fn reconcile_present_task(
+        &mut self,
+        now: Instant,
+        machine: &MachineId,
+        status: &TaskStatus,
+        state: SlotState,
+    ) -> bool {
+        if self.update_slot_state(now, machine, status, state) {
+            return true;
+        }
+        // The worker has another attempt than the one that was sent, if any: ours is refused
+        // there because the task is in use. What is there counts.
+        self.remove_slot(now, machine, &status.task);
+        self.adopt_task(now, machine, status, state)
+    }
+
+    /// Updates the slot of the listed attempt. Returns false if the machine has no slot of
+    /// this attempt.
+    fn update_slot_state(
+        &mut self,
+        now: Instant,
+        machine: &MachineId,
+        status: &TaskStatus,
+        state: SlotState,
+    ) -> bool {
+        let Some(machine) = self.machines.get_mut(machine) else { return false };
+        let slot = machine.slots.get_mut(&status.task);
+        let Some(slot) = slot.filter(|slot| slot.attempt == status.attempt) else { return false };
+        if matches!(slot.state, SlotState::StartSent { .. }) {
+            machine.agent.acks.record_acknowledged();
+        }
+        if slot.state == state {
+            return true;
+        }
+        let was_running = slot.state == SlotState::Running;
+        let is_running = state == SlotState::Running;
+        slot.state = state;
+        slot.since = now;
+        if let Some(job) = self.jobs.get_mut(&status.task.job) {
+            job.tasks.running_count =
+                (job.tasks.running_count + u32::from(is_running)).saturating_sub(u32::from(was_running));
+            if is_running {
+                machine.images.record_use(&job.record.spec, self.catalog.get(machine.machine_type));
+            }
+        }
+        true
+    }
+
+    /// Enters a slot for a task that an earlier leader started. It is assigned to the machine
+    /// unless it should not be there; then it is stopped. Returns false if its job is not in
+    /// memory.
+    fn adopt_task(
+        &mut self,
+        now: Instant,
+        machine: &MachineId,
+        status: &TaskStatus,
+        state: SlotState,
+    ) -> bool {
+        let task = &status.task;
+        let Some(job) = self.jobs.get(&task.job) else { return false };
+        let is_wanted = job.is_startable()
+            && !job.record.done.contains(task.index)
+            && !job.tasks.assigned.contains_key(&task.index);
+        self.add_slot(now, machine, task.clone(), status.attempt, state, is_wanted);
+        if !is_wanted
+            && let Some(slot) = self.machines.get_mut(machine).and_then(|machine| machine.slots.get_mut(task))
+        {
+            slot.stop_grace_s = Some(0.0);
+        }
+        true
+    }
+
+    /// A listed task has exited. Its slot is removed if it is of this attempt.
+    fn handle_task_exit(&mut self, now: Instant, machine: &MachineId, status: &TaskStatus, cause: ExitCause) {
+        let task = &status.task;
+        let slot = self
+            .machines
+            .get(machine)
+            .and_then(|machine| machine.slots.get(task))
+            .filter(|slot| slot.attempt == status.attempt);
+        let has_slot = slot.is_some();
+        let shows_start = slot.is_some_and(|slot| matches!(slot.state, SlotState::StartSent { .. }));
+        if let Some(slot) = slot.filter(|slot| cause == ExitCause::Done && slot.state == SlotState::Running) {
+            let run_s = now.saturating_duration_since(slot.since).as_secs_f64();
+            self.record_run(&task.job, run_s);
+        }
+        match cause {
+            ExitCause::Done => self.handle_task_done(now, machine, task),
+            ExitCause::Error | ExitCause::Unknown if has_slot => {
+                self.record_task_failure(now, machine, &task.job);
+            }
+            _ => {}
+        }
+        if shows_start && let Some(machine) = self.machines.get_mut(machine) {
+            machine.agent.acks.record_acknowledged();
+        }
+        if has_slot {
+            tracing::debug!(%machine, job = %task.job, task = task.index, ?cause, "task exited");
+            self.remove_slot(now, machine, task);
+        }
+    }
+
+    /// A task was completed on the machine, by whichever attempt.
+    fn handle_task_done(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
+        self.mark_task_done(now, &task.job, task.index);
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.failures.clear();
+        }
+        // Its result is kept; another machine that runs it as well wastes work.
+        let job = self.jobs.get(&task.job);
+        let assigned = job.and_then(|job| job.tasks.assigned.get(&task.index)).cloned();
+        if let Some(other) = assigned.filter(|assigned| assigned != machine) {
+            self.stop_task(now, &other, task, 0.0);
+        }
+    }
+
+    /// Learns from a task that has run to its end in `run_s` seconds.
+    fn record_run(&mut self, job: &JobId, run_s: f64) {
+        let Some(job) = self.jobs.get_mut(job) else { return };
+        job.record_run(run_s);
+        self.run_estimates.record(job.spec(), run_s);
+    }
+}
