--- a/src/coordination/scheduling/filters.rs
+++ b/src/coordination/scheduling/filters.rs
@@ -1,4 +1,5 @@
-//! Filters: which machines a task may be placed on at all.
+//! Filters: which machines a task may be placed on at all, and whether its team's quota
+//! allows it.
 
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
@@ -7,37 +8,15 @@
 use crate::protocol::jobs::JobSpec;
 
 impl Leader {
-    /// What the rules demand of a machine for the job's next task.
+    /// Whether the machine passes all filters for the job's next task.
     pub(crate) fn passes_filters(&self, job: &Job, machine: &Machine) -> bool {
         let spec = job.spec();
-        if !machine.is_schedulable()
-            || !Resources::of(spec).fits(&machine.free)
-            || !self.allows_machine(spec, machine)
-            || machine
-                .slots
-                .keys()
-                .any(|task| &task.job == job.id() && !job.tasks.assigned.contains_key(&task.index))
-        {
-            return false;
-        }
-        if !spec.one_zone && !spec.spread {
-            return true;
-        }
-        // Every task that may be on a machine counts, wherever it is in its
-        // life; so do those that should not be there.
-        let zones = || {
-            self.machines
-                .values()
-                .flat_map(|m| m.slots.keys().filter(|task| task.job == spec.id).map(|_| m.zone.as_str()))
-        };
-        if spec.one_zone && zones().any(|zone| zone != machine.zone) {
-            return false;
-        }
-        if spec.spread {
-            let here = zones().filter(|zone| *zone == machine.zone).count() as u32;
-            return here < spec.tasks.div_ceil(2);
-        }
-        true
+        machine.is_schedulable()
+            && Resources::of(spec).fits(&machine.free)
+            && self.allows_machine(spec, machine)
+            && !has_unassigned_task(job, machine)
+            && (!spec.one_zone || self.is_in_zone_of_job(spec, machine))
+            && (!spec.spread || self.leaves_job_spread(spec, machine))
     }
 
     /// Whether the job allows the machine: its type, its zone, spot or not.
@@ -47,20 +26,48 @@
             && self.catalog.is_allowed_by(spec, machine.machine_type)
     }
 
+    /// Whether no task of the job is in another zone than the machine's.
+    fn is_in_zone_of_job(&self, spec: &JobSpec, machine: &Machine) -> bool {
+        self.zones_of_tasks(spec).all(|zone| zone == machine.zone)
+    }
+
+    /// Whether at most half of the job's tasks are in the machine's zone with one more.
+    fn leaves_job_spread(&self, spec: &JobSpec, machine: &Machine) -> bool {
+        let in_zone = self.zones_of_tasks(spec).filter(|zone| *zone == machine.zone).count();
+        in_zone < spec.tasks.div_ceil(2) as usize
+    }
+
+    /// The zone of each task of the job that may be on a machine. Every one counts, whatever
+    /// its state; so do those that should not be there.
+    fn zones_of_tasks<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a str> + 'a {
+        self.machines.values().flat_map(|machine| {
+            let of_job = machine.slots.keys().filter(|task| task.job == spec.id);
+            of_job.map(|_| machine.zone.as_str())
+        })
+    }
+
+    /// Whether the quota of the job's team has capacity for one more task. A job whose team
+    /// the settings do not name has none.
     pub(crate) fn is_within_quota(&self, job: &Job) -> bool {
-        let Some(team) = job.team.map(|team| self.quotas.get(team)) else { return false };
-        let mut used = team.used;
-        // What is on unheard machines, or is of unknown jobs, may all be this team's.
+        let Some(quota) = job.team.map(|team| self.quotas.get(team)) else { return false };
+        let mut used = quota.used;
+        // What is on unreconciled machines, or belongs to orphan tasks, may all be this team's.
         used.add(self.queue.unreconciled_capacity());
         used.add(&Resources::of(job.spec()));
-        used.fits(&team.limit)
+        used.fits(&quota.limit)
     }
 
-    /// Whether a task of a new job could start now.
+    /// Whether some machine has free capacity for a task of a new job now.
     pub(crate) fn could_start_now(&self, spec: &JobSpec) -> bool {
-        let need = Resources::of(spec);
-        self.machines
-            .values()
-            .any(|m| m.has_usable_capacity() && need.fits(&m.free) && self.allows_machine(spec, m))
+        let task = Resources::of(spec);
+        self.machines.values().any(|machine| {
+            machine.has_usable_capacity() && task.fits(&machine.free) && self.allows_machine(spec, machine)
+        })
     }
 }
+
+/// Whether a slot on the machine holds a task of the job that is assigned nowhere: it should
+/// not be there, and it is being stopped.
+fn has_unassigned_task(job: &Job, machine: &Machine) -> bool {
+    machine.slots.keys().any(|task| &task.job == job.id() && !job.tasks.assigned.contains_key(&task.index))
+}
--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -1,22 +1,31 @@
-//! Orders the queue, and has the records say in time which jobs may start.
+//! Orders the queue, and has the records say in time which jobs may have started tasks.
 
 use tokio::time::Instant;
 
 use crate::coordination::fleet::machine::Machine;
+use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::scheduling::queue::QueuedJob;
+use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
 
-/// A machine with fewer free CPUs has no room.
-pub(crate) const MIN_ROOM_CPUS: f64 = 1e-3;
+/// A machine with fewer free CPUs counts as full.
+pub(crate) const MIN_FREE_CPUS: f64 = 1e-3;
+/// The order is kept for this part of a heartbeat interval.
+const MAX_AGE_DIVISOR: u32 = 12;
+/// A machine is a candidate for so many heartbeat intervals after its last heartbeat.
+const CANDIDATE_INTERVALS: f64 = 1.5;
+/// The part of a machine's CPUs that is expected to be freed until the next round of
+/// [`Leader::record_upcoming_starts`].
+const FREED_SHARE: f64 = 0.1;
 
 impl Leader {
-    /// Orders the waiting jobs: guarantees first, then priority, then the time by which a job
-    /// must start to be done when it is due, or its age. An order that is fresh is kept.
+    /// Orders the waiting jobs: starved ones and guarantees first, then priority, then the
+    /// latest start at which an objective is met, or age. An order that is fresh is kept.
     pub(crate) fn order_queue(&mut self, now: Instant) {
         let heartbeat_interval = self.config.settings.cluster.workers.report();
-        if self.queue.is_fresh(now, heartbeat_interval / 12) {
+        if self.queue.is_fresh(now, heartbeat_interval / MAX_AGE_DIVISOR) {
             return;
         }
         let guaranteed = self.within_guarantees();
@@ -24,14 +33,14 @@
         let queued = waiting.map(|job| QueuedJob {
             job: job.id().clone(),
             starved: self.is_starved(job, now),
-            guaranteed: guaranteed.contains_key(job.id()),
+            guaranteed: guaranteed.contains(job.id()),
             priority: self.priority(job),
             latest_start: self.latest_start(job, now),
             task_resources: Resources::of(job.spec()),
             allows_spot: job.spec().spot,
         });
         let queued: Vec<QueuedJob> = queued.collect();
-        let (candidates, unreconciled) = (self.machines_with_room(now), self.unreconciled_capacity());
+        let (candidates, unreconciled) = (self.find_candidates(now), self.unreconciled_capacity());
         self.queue.order(now, queued, candidates, unreconciled);
     }
 
@@ -52,37 +61,49 @@
         capacity
     }
 
-    /// Machines that have room. One that has missed its time to send a heartbeat may be dead.
-    fn machines_with_room(&self, now: Instant) -> Vec<MachineId> {
-        let timeout = self.config.settings.cluster.workers.report().mul_f64(1.5);
+    /// Machines that have free capacity. One whose heartbeat is overdue may be dead, and is
+    /// left out.
+    fn find_candidates(&self, now: Instant) -> Vec<MachineId> {
+        let timeout = self.config.settings.cluster.workers.report().mul_f64(CANDIDATE_INTERVALS);
         let is_live = |machine: &Machine| machine.agent.heartbeat_at.is_some_and(|at| now < at + timeout);
         let has_room = |machine: &&Machine| {
-            machine.free.cpus > MIN_ROOM_CPUS && machine.has_usable_capacity() && is_live(machine)
+            machine.free.cpus > MIN_FREE_CPUS && machine.has_usable_capacity() && is_live(machine)
         };
         self.machines.values().filter(has_room).map(|machine| machine.id.clone()).collect()
     }
 
-    /// Has the records of the jobs whose turn comes next say that they begin,
-    /// so that no start waits for the write. Those behind them stay free for a
-    /// next leader to start at once.
+    /// Raises the started high-water marks of the jobs whose turn comes next, so that no start
+    /// waits for the write. Those behind them are left as they are: a next leader may start
+    /// them at once.
     pub(crate) fn record_upcoming_starts(&mut self, now: Instant) {
         self.order_queue(now);
-        // Room that is there, and what comes free until the next round.
-        let kinds = |m: &Machine| self.catalog.cpus(m.machine_type);
-        let open = self.machines.values().filter(|m| m.has_usable_capacity());
-        let mut room: f64 = open.map(|m| m.free.cpus + 0.1 * kinds(m)).sum();
-        let mut due = Vec::new();
-        for job in self.queue.jobs().iter().filter_map(|ranked| self.jobs.get(&ranked.job)) {
-            if room <= 0.0 {
+        for job in self.jobs_starting_soon() {
+            self.raise_started_high_water(now, &job);
+        }
+    }
+
+    /// Jobs at the head of the queue for which there is free capacity, or will be until the
+    /// next round, and whose record does not say yet that all their tasks may have started.
+    fn jobs_starting_soon(&self) -> Vec<JobId> {
+        let expected_cpus =
+            |machine: &Machine| machine.free.cpus + FREED_SHARE * self.catalog.cpus(machine.machine_type);
+        let usable = self.machines.values().filter(|machine| machine.has_usable_capacity());
+        let mut left_cpus: f64 = usable.map(expected_cpus).sum();
+        let mut found = Vec::new();
+        for job in self.queue.jobs().iter().filter_map(|queued| self.jobs.get(&queued.job)) {
+            if left_cpus <= 0.0 {
                 break;
             }
-            room -= job.spec().cpus * f64::from(job.pending());
+            left_cpus -= waiting_cpus(job);
             if job.stored.started_high_water < job.spec().tasks {
-                due.push(job.id().clone());
+                found.push(job.id().clone());
             }
         }
-        for job in due {
-            self.raise_started_high_water(now, &job);
-        }
+        found
     }
 }
+
+/// CPUs that all waiting tasks of the job take.
+fn waiting_cpus(job: &Job) -> f64 {
+    job.spec().cpus * f64::from(job.pending())
+}
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,22 +1,30 @@
-//! Which running tasks give way to waiting work of higher priority, or to work within a
-//! guarantee.
+//! Preemption: which running tasks give way to waiting work of higher priority, or to work
+//! within its team's guarantee.
 
 use tokio::time::Instant;
 
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::quota::QuotaId;
 use crate::coordination::jobs::resources::Resources;
 use crate::coordination::leader::Leader;
 use crate::coordination::scheduling::queue::QueuedJob;
-use crate::coordination::workers::slot::SlotState;
+use crate::coordination::workers::slot::{Slot, SlotState};
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::jobs::{Priority, TaskId};
 use crate::protocol::workers::MachineId;
 
-/// Jobs at the head of the queue for which room may be made.
+/// Jobs at the head of the queue that tasks may be preempted for.
 const MAX_JOBS: usize = 16;
+/// Heartbeat intervals that a job waits before it may preempt: machines that have free
+/// capacity get their chance to send a heartbeat first.
+const MIN_WAIT_INTERVALS: f64 = 0.5;
+/// Heartbeat intervals that a job waits before it may preempt for its team's guarantee.
+const GUARANTEE_WAIT_INTERVALS: f64 = 1.5;
+/// A start is pressing if its latest time is within so many heartbeat intervals.
+const PRESSING_INTERVALS: f64 = 2.5;
 
-/// What could give way at all, looked at once for all jobs.
+/// What could give way at all, determined once for all waiting jobs.
 struct Preemptible {
     /// Teams that use more than they are guaranteed.
     over_guarantee: HashSet<QuotaId>,
@@ -25,25 +33,41 @@
 }
 
 /// Why a job may preempt others. A guarantee is less pressing than a priority, and waits
-/// longer for room that comes free by itself.
+/// longer for capacity that is freed by itself.
 struct PreemptionReason {
-    /// Its start is pressing, and tasks of lower priority run.
+    /// Its start is pressing: tasks of lower priority may give way.
     by_priority: bool,
-    /// It has waited, and teams use more than they are guaranteed.
+    /// It has waited for long enough: tasks beyond their team's guarantee may give way.
     by_guarantee: bool,
 }
 
+/// A task that may give way.
+struct Victim {
+    /// The machine that it is on.
+    machine: MachineId,
+    /// The task.
+    task: TaskId,
+    /// Work that is lost if it is stopped now, in seconds of run time.
+    lost_work_s: f64,
+    /// Whether its priority is lower than that of the waiting job; otherwise its team uses
+    /// more than its guarantee.
+    has_lower_priority: bool,
+}
+
 /// A task to be stopped.
 struct Preemption {
+    /// The machine that it is on.
     machine: MachineId,
+    /// The task.
     task: TaskId,
     /// Seconds to save a checkpoint.
     grace_s: f64,
 }
 
 impl Leader {
-    /// Frees room for work within its guarantee from work beyond another's, and for work of
-    /// higher priority from lower. Only tasks that lose little.
+    /// Frees capacity for work within its guarantee from work beyond another's, and for work
+    /// of higher priority from lower. Stops tasks for one job at a time, and only tasks that
+    /// lose little.
     pub(crate) fn preempt(&mut self, now: Instant) {
         let tuning = &self.config.tuning;
         let is_enabled = tuning.preempt_loss_s.max(tuning.preempt_lower_loss_s) > 0.0;
@@ -56,11 +80,12 @@
         let mut preemptions = head.map(|queued| self.preemptions_for(now, queued, &preemptible));
         let preemptions = preemptions.find(|preemptions| !preemptions.is_empty()).unwrap_or_default();
         for Preemption { machine, task, grace_s } in preemptions {
-            tracing::debug!(%machine, job = %task.job, task = task.index, "preempted");
+            tracing::debug!(%machine, job = %task.job, task = task.index, "task preempted");
             self.stop_task(now, &machine, &task, grace_s);
         }
     }
 
+    /// What could give way to any job.
     fn preemptible(&self) -> Preemptible {
         let over = self.quotas.iter().filter(|(_, quota)| quota.exceeds_guarantee());
         let on_machines = self.jobs.values().filter(|job| job.tasks.slot_count > 0);
@@ -70,6 +95,39 @@
         }
     }
 
+    /// Tasks to be stopped for a waiting job.
+    fn preemptions_for(
+        &self,
+        now: Instant,
+        queued: &QueuedJob,
+        preemptible: &Preemptible,
+    ) -> Vec<Preemption> {
+        let mut preemptions = Vec::new();
+        let Some(job) = self.jobs.get(&queued.job) else { return preemptions };
+        let Some(reason) = self.preemption_reason(now, queued, job, preemptible) else { return preemptions };
+        let missing = self.tasks_without_room(job) as usize;
+        if missing == 0 {
+            return preemptions;
+        }
+        // What each team uses, less what is stopped of it here.
+        let mut used: HashMap<QuotaId, Resources> = HashMap::default();
+        for victim in self.preemption_victims(now, queued, job, &preemptible.over_guarantee) {
+            if preemptions.len() >= missing {
+                break;
+            }
+            if !self.may_preempt(&victim, &reason) {
+                continue;
+            }
+            let Some(victim_job) = self.jobs.get(&victim.task.job) else { continue };
+            if !victim.has_lower_priority && !self.takes_from_excess(victim_job, &mut used) {
+                continue;
+            }
+            let grace_s = victim_job.spec().checkpoint_save_s;
+            preemptions.push(Preemption { machine: victim.machine, task: victim.task, grace_s });
+        }
+        preemptions
+    }
+
     /// Why a job may preempt others now, if it may.
     fn preemption_reason(
         &self,
@@ -84,69 +142,45 @@
         if !(has_lower || has_borrowed) {
             return None;
         }
-        // Machines that have room get their chance to send a heartbeat first.
         let heartbeat_interval = self.config.settings.cluster.workers.report();
         let waiting_since = job.waiting_since(now);
-        if now < waiting_since + heartbeat_interval.mul_f64(0.5) || !self.is_within_quota(job) {
+        let may_start_by_itself = now < waiting_since + heartbeat_interval.mul_f64(MIN_WAIT_INTERVALS);
+        if may_start_by_itself || !self.is_within_quota(job) {
             return None;
         }
-        let has_waited = now >= waiting_since + heartbeat_interval.mul_f64(1.5);
-        // Room comes free by itself all the time: what is stopped is lost only for an
-        // objective that would be missed otherwise.
-        let is_pressing = queued.latest_start <= now + heartbeat_interval.mul_f64(2.5);
+        let has_waited = now >= waiting_since + heartbeat_interval.mul_f64(GUARANTEE_WAIT_INTERVALS);
+        // Capacity is freed by itself all the time: work is lost for a priority only where an
+        // objective would be missed otherwise.
+        let is_pressing = queued.latest_start <= now + heartbeat_interval.mul_f64(PRESSING_INTERVALS);
         if !((has_lower && is_pressing) || (has_borrowed && has_waited)) {
             return None;
         }
         Some(PreemptionReason { by_priority: is_pressing, by_guarantee: has_waited })
     }
 
-    /// Tasks of a job for which there is no room, neither free nor being made.
+    /// Tasks of a job for which there is no capacity, neither free nor being freed.
     fn tasks_without_room(&self, job: &Job) -> u32 {
-        let need = Resources::of(job.spec());
-        let usable =
-            self.machines.values().filter(|m| !m.agent.one_way_partitioned && self.passes_filters(job, m));
-        let free = usable.map(|m| need.times_in(&m.free)).fold(0, u32::saturating_add);
-        let slots = self.machines.values().flat_map(|m| m.slots.values());
+        let task = Resources::of(job.spec());
+        let usable = self
+            .machines
+            .values()
+            .filter(|machine| !machine.agent.one_way_partitioned && self.passes_filters(job, machine));
+        let free = usable.map(|machine| task.times_in(&machine.free)).fold(0, u32::saturating_add);
+        let slots = self.machines.values().flat_map(|machine| machine.slots.values());
         let stopping = slots.filter(|slot| slot.stop_grace_s.is_some()).count();
-        job.pending().saturating_sub(free).saturating_sub(stopping as u32)
+        let stopping = u32::try_from(stopping).unwrap_or(u32::MAX);
+        job.pending().saturating_sub(free).saturating_sub(stopping)
     }
 
-    /// Tasks to be stopped for a waiting job.
-    fn preemptions_for(
-        &self,
-        now: Instant,
-        queued: &QueuedJob,
-        preemptible: &Preemptible,
-    ) -> Vec<Preemption> {
-        let mut preemptions = Vec::new();
-        let Some(job) = self.jobs.get(&queued.job) else { return preemptions };
-        let Some(reason) = self.preemption_reason(now, queued, job, preemptible) else { return preemptions };
-        let missing = self.tasks_without_room(job) as usize;
-        if missing == 0 {
-            return preemptions;
-        }
+    /// Whether the victim may be stopped for this reason, and loses little enough work.
+    fn may_preempt(&self, victim: &Victim, reason: &PreemptionReason) -> bool {
         let tuning = &self.config.tuning;
-        // What each team uses, less what is stopped of it here.
-        let mut used: HashMap<QuotaId, Resources> = HashMap::default();
-        for (machine, task, loss_s, is_lower) in
-            self.preemption_victims(now, queued, job, &preemptible.over_guarantee)
-        {
-            if preemptions.len() >= missing {
-                break;
-            }
-            let max_loss_s = if is_lower { tuning.preempt_lower_loss_s } else { tuning.preempt_loss_s };
-            let is_due = if is_lower { reason.by_priority } else { reason.by_guarantee };
-            if loss_s > max_loss_s || !is_due {
-                continue;
-            }
-            let Some(victim) = self.jobs.get(&task.job) else { continue };
-            if !is_lower && !self.takes_from_excess(victim, &mut used) {
-                continue;
-            }
-            let grace_s = victim.spec().checkpoint_save_s;
-            preemptions.push(Preemption { machine, task, grace_s });
-        }
-        preemptions
+        let (max_lost_work_s, has_reason) = if victim.has_lower_priority {
+            (tuning.preempt_lower_loss_s, reason.by_priority)
+        } else {
+            (tuning.preempt_loss_s, reason.by_guarantee)
+        };
+        victim.lost_work_s <= max_lost_work_s && has_reason
     }
 
     /// Whether a task of the job is beyond its team's own guarantee; counts it as stopped
@@ -166,50 +200,52 @@
     fn preemption_victims(
         &self,
         now: Instant,
-        ranked: &QueuedJob,
+        queued: &QueuedJob,
         job: &Job,
         over_guarantee: &HashSet<QuotaId>,
-    ) -> Vec<(MachineId, TaskId, f64, bool)> {
-        let need = Resources::of(job.spec());
-        let mut found = Vec::new();
-        for machine in
-            self.machines.values().filter(|m| m.is_schedulable() && self.allows_machine(job.spec(), m))
-        {
-            for (key, slot) in &machine.slots {
-                if slot.stop_grace_s.is_some() || slot.resources.cpus < need.cpus {
+    ) -> Vec<Victim> {
+        let may_run_on =
+            |machine: &&Machine| machine.is_schedulable() && self.allows_machine(job.spec(), machine);
+        let mut victims = Vec::new();
+        for machine in self.machines.values().filter(may_run_on) {
+            for (task, slot) in &machine.slots {
+                // One task has to make room for another.
+                if slot.stop_grace_s.is_some() || slot.resources.cpus < queued.task_resources.cpus {
                     continue;
                 }
-                let Some(victim) = self.jobs.get(&key.job) else { continue };
-                let borrowed =
+                let Some(victim) = self.jobs.get(&task.job) else { continue };
+                let is_borrowed =
                     slot.team != job.team && slot.team.is_some_and(|team| over_guarantee.contains(&team));
-                let lower = self.priority(victim) < ranked.priority;
-                let may = lower || (ranked.guaranteed && borrowed);
-                // The only one that a job has begun with is left alone.
-                let first = victim.tasks.assigned.len() == 1
-                    && victim.record.done.is_empty()
-                    && now >= victim.waiting_since(now) + self.config.tuning.begin_within / 2;
-                if !may || first || victim.is_service() {
+                let has_lower_priority = self.priority(victim) < queued.priority;
+                let has_reason = has_lower_priority || (queued.guaranteed && is_borrowed);
+                if !has_reason || self.is_only_start(victim, now) || victim.is_service() {
                     continue;
                 }
-                found.push((
-                    machine.id.clone(),
-                    key.clone(),
-                    lost_work_s(now, victim, slot.state, slot.since),
-                    lower,
-                ));
+                victims.push(Victim {
+                    machine: machine.id.clone(),
+                    task: task.clone(),
+                    lost_work_s: lost_work_s(now, victim, slot),
+                    has_lower_priority,
+                });
             }
         }
-        found.sort_by(|a, b| a.2.total_cmp(&b.2));
-        found
+        victims.sort_by(|a, b| a.lost_work_s.total_cmp(&b.lost_work_s));
+        victims
+    }
+
+    /// Whether the job has one task on machines and none done, so late that without that task
+    /// it would be starved.
+    fn is_only_start(&self, job: &Job, now: Instant) -> bool {
+        job.tasks.assigned.len() == 1 && job.record.done.is_empty() && self.has_waited_too_long(job, now)
     }
 }
 
-/// Work that is lost if a task is stopped now.
-fn lost_work_s(now: Instant, job: &Job, state: SlotState, since: Instant) -> f64 {
-    match state {
+/// Work that is lost if the task in the slot is stopped now, in seconds of run time.
+fn lost_work_s(now: Instant, job: &Job, slot: &Slot) -> f64 {
+    match slot.state {
         SlotState::Running if job.spec().checkpoint_interval_s > 0.0 => job.spec().checkpoint_save_s,
         // A fetch may have to be done again elsewhere.
-        SlotState::Running | SlotState::Fetching => now.saturating_duration_since(since).as_secs_f64(),
-        _ => 0.0,
+        SlotState::Running | SlotState::Fetching => now.saturating_duration_since(slot.since).as_secs_f64(),
+        SlotState::StartSent { .. } | SlotState::Saving => 0.0,
     }
 }
--- a/src/coordination/scheduling/run_estimates.rs
+++ b/src/coordination/scheduling/run_estimates.rs
@@ -1,22 +1,23 @@
-//! How long tasks are expected to run.
+//! How long tasks are expected to run: their owners' estimates, corrected by what was measured.
 
 use crate::maps::HashMap;
 use crate::protocol::jobs::JobSpec;
 
-/// Classes whose ratio is remembered at most.
+/// Most classes whose ratio is remembered; later ones are not.
 const MAX_CLASSES: usize = 256;
-/// Classes whose ratio is stored for the next leader at most.
+/// Most classes whose ratio is stored for the next leader.
 const MAX_STORED_CLASSES: usize = 64;
-/// The part of the way that one run moves its class's ratio.
+/// Weight of one run in its class's ratio (exponential smoothing).
 const SMOOTHING: f64 = 0.02;
-/// Bounds of one run's ratio of measured to estimated time.
+/// Least and largest ratio of measured to estimated time that is taken from one run.
 const RATIO_BOUNDS: (f64, f64) = (0.05, 20.0);
 /// The longest run expected of any task, in seconds.
 const MAX_RUN_S: f64 = 1e6;
 
-/// Measured run times against the owners' estimates, by class.
+/// Ratios of measured run times to the owners' estimates, by class.
 #[derive(Debug, Default)]
 pub(crate) struct RunEstimates {
+    /// Smoothed ratio of measured to estimated run time, by the name of the class.
     ratios: HashMap<String, f64>,
 }
 
@@ -26,7 +27,7 @@
         self.ratios = ratios.into_iter().collect();
     }
 
-    /// What is stored for the next leader.
+    /// The ratios that are stored for the next leader, by class.
     pub(crate) fn to_stored(&self) -> Vec<(String, f64)> {
         let stored = self.ratios.iter().take(MAX_STORED_CLASSES);
         stored.map(|(class, ratio)| (class.clone(), *ratio)).collect()
@@ -39,14 +40,15 @@
         (spec.estimated_run_s * ratio).min(MAX_RUN_S)
     }
 
-    /// Learns from a task that has run for so many seconds.
+    /// Learns from a task that has run to its end in `run_s` seconds. A job without an
+    /// estimate teaches nothing.
     pub(crate) fn record(&mut self, spec: &JobSpec, run_s: f64) {
         let is_full = self.ratios.len() >= MAX_CLASSES && !self.ratios.contains_key(&spec.class);
         if spec.estimated_run_s <= 0.0 || is_full {
             return;
         }
-        let (least, most) = RATIO_BOUNDS;
-        let measured = (run_s / spec.estimated_run_s).clamp(least, most);
+        let (min_ratio, max_ratio) = RATIO_BOUNDS;
+        let measured = (run_s / spec.estimated_run_s).clamp(min_ratio, max_ratio);
         let ratio = self.ratios.entry(spec.class.clone()).or_insert(1.0);
         *ratio += (measured - *ratio) * SMOOTHING;
     }
--- a/src/coordination/scheduling/sampling.rs
+++ b/src/coordination/scheduling/sampling.rs
@@ -1,5 +1,5 @@
-//! Sampling: a few other machines stand for all of them, so that a placement costs the same
-//! on a fleet of any size.
+//! Sampling: a few other machines stand for all of them (power-of-k sampling), so that a
+//! placement costs the same on a fleet of any size.
 
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
@@ -7,53 +7,64 @@
 use crate::coordination::leader::Leader;
 use crate::protocol::workers::MachineId;
 
+/// Candidates drawn at most for each machine that is wanted in a sample: not every candidate
+/// has free capacity for the task.
+const DRAWS_PER_MACHINE: usize = 4;
+
+/// Machines that stand for all that have free capacity for a task.
+pub(crate) struct CandidateSample {
+    /// The machines drawn.
+    pub(crate) machines: Vec<MachineId>,
+    /// About how many machines they stand for.
+    pub(crate) population: f64,
+}
+
 impl Leader {
-    /// A few other machines that last reported room for a task, and about how
-    /// many such there are. Drawn from what the last ordering of the queue found,
-    /// so that a placement costs the same on a fleet of any size.
-    pub(crate) fn sample_candidates(
-        &mut self,
-        machine: &MachineId,
-        need: &Resources,
-    ) -> (Vec<MachineId>, f64) {
-        let most = self.config.tuning.sample.saturating_sub(1);
-        let tries = (most * 4).min(self.queue.candidates().len());
-        let mut found = Vec::with_capacity(most);
-        let mut tried: u32 = 0;
-        for at in self.queue.draw_candidates(tries) {
-            if found.len() >= most {
+    /// Draws a few machines other than this one that last had free capacity for a task, from
+    /// the candidates of the last ordering of the queue.
+    pub(crate) fn sample_candidates(&mut self, machine: &MachineId, task: &Resources) -> CandidateSample {
+        let max_machines = self.config.tuning.sample.saturating_sub(1);
+        let max_draws = (max_machines * DRAWS_PER_MACHINE).min(self.queue.candidates().len());
+        let mut machines = Vec::with_capacity(max_machines);
+        let mut drawn: u32 = 0;
+        for position in self.queue.draw_candidates(max_draws) {
+            if machines.len() >= max_machines {
                 break;
             }
-            tried += 1;
-            let id = &self.queue.candidates()[at];
-            if id != machine
-                && self.machines.get(id).is_some_and(|m| m.has_usable_capacity() && need.fits(&m.free))
-            {
-                found.push(id.clone());
+            drawn += 1;
+            let id = &self.queue.candidates()[position];
+            let has_room = |other: &Machine| other.has_usable_capacity() && task.fits(&other.free);
+            if id != machine && self.machines.get(id).is_some_and(has_room) {
+                machines.push(id.clone());
             }
         }
-        let share = found.len() as f64 / f64::from(tried.max(1));
-        (found, share * self.queue.candidates().len() as f64)
+        let share = machines.len() as f64 / f64::from(drawn.max(1));
+        let population = share * self.queue.candidates().len() as f64;
+        CandidateSample { machines, population }
     }
 
-    /// Whether all that waits of the job fits on machines that demand counts on.
+    /// Whether all waiting tasks of the job fit on machines that demand needs.
     pub(crate) fn fits_on_needed_machines(&self, job: &Job) -> bool {
-        self.fits_on_machines_where(job, |m| m.need.is_needed)
+        self.fits_on_machines_where(job, |machine| machine.need.is_needed)
     }
 
-    /// Whether all that waits of the job fits on machines that have its image.
+    /// Whether all waiting tasks of the job fit on machines that have its image.
     pub(crate) fn fits_on_machines_with_image(&self, job: &Job) -> bool {
-        self.fits_on_machines_where(job, |m| m.images.contains(&job.spec().image))
+        self.fits_on_machines_where(job, |machine| machine.images.contains(&job.spec().image))
     }
 
-    /// Whether all that waits of the job fits on such machines, of those that had room
-    /// when the queue was last ordered.
-    fn fits_on_machines_where(&self, job: &Job, suits: impl Fn(&Machine) -> bool) -> bool {
-        let need = Resources::of(job.spec());
+    /// Whether all waiting tasks of the job fit on such machines, among those that had free
+    /// capacity when the queue was last ordered.
+    fn fits_on_machines_where(&self, job: &Job, is_suitable: impl Fn(&Machine) -> bool) -> bool {
+        let task = Resources::of(job.spec());
         let mut left = job.pending();
-        for m in self.queue.candidates().iter().filter_map(|id| self.machines.get(id)) {
-            if suits(m) && need.fits(&m.free) && !m.agent.one_way_partitioned && self.passes_filters(job, m) {
-                left = left.saturating_sub(need.times_in(&m.free));
+        for machine in self.queue.candidates().iter().filter_map(|id| self.machines.get(id)) {
+            if is_suitable(machine)
+                && task.fits(&machine.free)
+                && !machine.agent.one_way_partitioned
+                && self.passes_filters(job, machine)
+            {
+                left = left.saturating_sub(task.times_in(&machine.free));
                 if left == 0 {
                     return true;
                 }
--- a/src/coordination/scheduling/score.rs
+++ b/src/coordination/scheduling/score.rs
@@ -1,38 +1,37 @@
-//! Scores: how good a place a machine is for a task.
+//! Scores: how good a place a machine is for a task. Each summand is a time lost, in seconds.
 
 use tokio::time::Instant;
 
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::leader::Leader;
+use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobSpec;
 
+/// Seconds that a machine which stays empty beside the task costs against one that it fills
+/// up: tasks are packed on few machines (bin packing).
+const EMPTINESS_WEIGHT_S: f64 = 1.5;
+/// Seconds that a regular machine costs a task that may run on spot machines.
+const NON_SPOT_PENALTY_S: f64 = 2.0;
+/// Seconds that a machine costs which no demand needs.
+const UNNEEDED_PENALTY_S: f64 = 2.0;
+
 impl Leader {
-    /// How good a place is, in seconds saved: larger is better.
-    pub(crate) fn score(&self, now: Instant, job: &Job, machine: &Machine, report: Instant) -> f64 {
+    /// How good a place the machine is for a task of the job, in seconds saved: larger is
+    /// better. `starts_at`: when the reply to the machine's heartbeat can carry the start.
+    pub(crate) fn score(&self, now: Instant, job: &Job, machine: &Machine, starts_at: Instant) -> f64 {
         let spec = job.spec();
-        let Some(kind) = self.catalog.get(machine.machine_type) else { return f64::MIN };
-        let wait = report.saturating_duration_since(now).as_secs_f64();
-        let fetch = self.image_fetch_s(spec, machine);
-        let left = machine.free.cpus - spec.cpus;
-        let emptiness = if kind.cpus > 0.0 { left / kind.cpus } else { 0.0 };
-        // Work that may run on spot machines leaves the others to work that
-        // may not.
-        let dear = if spec.spot && !machine.spot { 2.0 } else { 0.0 };
-        // What nobody counts on is left to run empty and be returned.
-        let spare = if machine.need.is_needed { 0.0 } else { 2.0 };
-        // Without checkpoints all of a task's work is lost with the machine;
-        // the longer it runs, the likelier and the more.
-        let risk = if machine.spot && spec.checkpoint_interval_s <= 0.0 {
-            let run = self.run_estimates.expected_run_s(spec);
-            self.autoscaler.spot_losses.rate_per_s() * run * run * self.config.tuning.spot_risk
-        } else {
-            0.0
-        };
-        -(wait + fetch + 1.5 * emptiness + dear + spare + risk)
+        let Some(machine_type) = self.catalog.get(machine.machine_type) else { return f64::MIN };
+        let wait_s = starts_at.saturating_duration_since(now).as_secs_f64();
+        let fetch_s = self.image_fetch_s(spec, machine);
+        let emptiness_s = EMPTINESS_WEIGHT_S * emptiness(spec, machine, machine_type);
+        let non_spot_s = non_spot_penalty_s(spec, machine);
+        let unneeded_s = unneeded_penalty_s(machine);
+        let spot_loss_s = self.expected_spot_loss_s(spec, machine);
+        -(wait_s + fetch_s + emptiness_s + non_spot_s + unneeded_s + spot_loss_s)
     }
 
-    /// How long the machine is expected to fetch the image of the job.
+    /// How long the machine is expected to fetch the image of the job, in seconds.
     pub(crate) fn image_fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
         if machine.images.contains(&spec.image) {
             0.0
@@ -40,4 +39,32 @@
             self.catalog.image_fetch_s(spec, machine.machine_type)
         }
     }
+
+    /// Work that is expected to be lost with a spot machine, in weighted seconds. Without
+    /// checkpoints all of a task's work is lost with the machine; the longer it runs, the
+    /// likelier and the more.
+    fn expected_spot_loss_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
+        let may_lose_all_work = machine.spot && spec.checkpoint_interval_s <= 0.0;
+        if !may_lose_all_work {
+            return 0.0;
+        }
+        let run_s = self.run_estimates.expected_run_s(spec);
+        self.autoscaler.spot_losses.rate_per_s() * run_s * run_s * self.config.tuning.spot_risk
+    }
+}
+
+/// The share of the machine's CPUs that are free beside the task.
+fn emptiness(spec: &JobSpec, machine: &Machine, machine_type: &MachineType) -> f64 {
+    let left_cpus = machine.free.cpus - spec.cpus;
+    if machine_type.cpus > 0.0 { left_cpus / machine_type.cpus } else { 0.0 }
+}
+
+/// Work that may run on spot machines leaves the others to work that may not.
+fn non_spot_penalty_s(spec: &JobSpec, machine: &Machine) -> f64 {
+    if spec.spot && !machine.spot { NON_SPOT_PENALTY_S } else { 0.0 }
+}
+
+/// A machine that no demand needs is left to run empty and be deleted.
+fn unneeded_penalty_s(machine: &Machine) -> f64 {
+    if machine.need.is_needed { 0.0 } else { UNNEEDED_PENALTY_S }
 }
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -48,10 +48,10 @@
     /// How many tasks may be started in a reply that already has `commands` commands. A
     /// suspected machine is probed with a single start now and then.
     fn max_starts(self, commands: usize) -> usize {
-        let room = MAX_COMMANDS.saturating_sub(commands);
+        let limit = MAX_COMMANDS.saturating_sub(commands);
         match self {
-            ReplyDelivery::Unsuspected => room,
-            ReplyDelivery::Suspected { may_probe: true } => room.min(1),
+            ReplyDelivery::Unsuspected => limit,
+            ReplyDelivery::Suspected { may_probe: true } => limit.min(1),
             ReplyDelivery::Suspected { may_probe: false } => 0,
         }
     }
@@ -140,7 +140,7 @@
     }
 
     /// The reply to a heartbeat that was accepted: stops and reaps, then starts as far as
-    /// there is room for them.
+    /// the reply's limit and the machine's free capacity allow.
     fn reply_with_commands(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
         let machine = &heartbeat.machine;
         let mut commands = self.stop_and_reap_commands(heartbeat);
