--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -66,10 +66,10 @@
     fn find_candidates(&self, now: Instant) -> Vec<MachineId> {
         let timeout = self.config.settings.cluster.workers.report().mul_f64(CANDIDATE_INTERVALS);
         let is_live = |machine: &Machine| machine.agent.heartbeat_at.is_some_and(|at| now < at + timeout);
-        let has_room = |machine: &&Machine| {
+        let has_free_capacity = |machine: &&Machine| {
             machine.free.cpus > MIN_FREE_CPUS && machine.has_usable_capacity() && is_live(machine)
         };
-        self.machines.values().filter(has_room).map(|machine| machine.id.clone()).collect()
+        self.machines.values().filter(has_free_capacity).map(|machine| machine.id.clone()).collect()
     }
 
     /// Raises the started high-water marks of the jobs whose turn comes next, so that no start
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -105,7 +105,7 @@
         let mut preemptions = Vec::new();
         let Some(job) = self.jobs.get(&queued.job) else { return preemptions };
         let Some(reason) = self.preemption_reason(now, queued, job, preemptible) else { return preemptions };
-        let missing = self.tasks_without_room(job) as usize;
+        let missing = self.tasks_without_capacity(job) as usize;
         if missing == 0 {
             return preemptions;
         }
@@ -159,7 +159,7 @@
     }
 
     /// Tasks of a job for which there is no capacity, neither free nor being freed.
-    fn tasks_without_room(&self, job: &Job) -> u32 {
+    fn tasks_without_capacity(&self, job: &Job) -> u32 {
         let task = Resources::of(job.spec());
         let usable = self
             .machines
@@ -209,7 +209,7 @@
         let mut victims = Vec::new();
         for machine in self.machines.values().filter(may_run_on) {
             for (task, slot) in &machine.slots {
-                // One task has to make room for another.
+                // A stopped task has to free the CPUs for at least one of the job.
                 if slot.stop_grace_s.is_some() || slot.resources.cpus < queued.task_resources.cpus {
                     continue;
                 }
--- a/src/coordination/scheduling/sampling.rs
+++ b/src/coordination/scheduling/sampling.rs
@@ -33,8 +33,8 @@
             }
             drawn += 1;
             let id = &self.queue.candidates()[position];
-            let has_room = |other: &Machine| other.has_usable_capacity() && task.fits(&other.free);
-            if id != machine && self.machines.get(id).is_some_and(has_room) {
+            let has_free_capacity = |other: &Machine| other.has_usable_capacity() && task.fits(&other.free);
+            if id != machine && self.machines.get(id).is_some_and(has_free_capacity) {
                 machines.push(id.clone());
             }
         }
--- a/src/coordination/scheduling/start_decision.rs
+++ b/src/coordination/scheduling/start_decision.rs
@@ -81,7 +81,7 @@
         let task = queued.task_resources;
         let sample = self.sample_candidates(machine_id, &task);
         let Some(job) = self.jobs.get(&queued.job) else { return true };
-        let better_room: u32 = sample
+        let better_slots: u32 = sample
             .machines
             .iter()
             .filter_map(|id| self.machines.get(id))
@@ -94,8 +94,8 @@
             .map(|other| task.times_in(&other.free))
             .fold(0, u32::saturating_add);
         let sampled = sample.machines.len().max(1) as f64;
-        let better_room_of_all = f64::from(better_room) * sample.population / sampled;
-        better_room_of_all >= f64::from(job.pending())
+        let better_slots_of_all = f64::from(better_slots) * sample.population / sampled;
+        better_slots_of_all >= f64::from(job.pending())
     }
 }
 
