--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -59,7 +59,7 @@
     let (_is_leader, is_leader_seen) = watch::channel(false);
     let store = kv::start(
         config.settings.services.state,
-        cluster.state.clone(),
+        &cluster.state,
         cluster.size,
         lease_ttl / KV_DEADLINES_PER_LEASE,
         is_leader_seen,
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -106,7 +106,7 @@
 fn start_kv_client(config: &Config, is_leader: watch::Receiver<bool>) -> KvClient {
     let Settings { services, cluster, .. } = &config.settings;
     let deadline = config.tuning.lease / KV_DEADLINES_PER_LEASE;
-    kv::start(services.state, cluster.state.clone(), cluster.size, deadline, is_leader)
+    kv::start(services.state, &cluster.state, cluster.size, deadline, is_leader)
 }
 
 fn start_cloud_client(settings: &Settings, lease_expiry: watch::Receiver<Instant>) -> Cloud {
--- a/src/coordination/controller/capacity.rs
+++ b/src/coordination/controller/capacity.rs
@@ -1,5 +1,6 @@
 //! The limits on what a controller queues, has under way or remembers.
 
+use crate::numeric::whole_usize;
 use crate::settings::Limits as Quota;
 
 /// Machines remembered for each connection. Connections are for machines that run now; as
@@ -52,9 +53,8 @@
     }
 }
 
-/// The terminal states that are kept in so much memory. The cast rounds down; beyond the range
-/// of the integer it saturates, which the bounds allow for.
+/// The terminal states that are kept in so much memory.
 fn terminal_states(memory_mb: f64) -> usize {
-    let by_memory = (memory_mb * TERMINAL_STATES_PER_MB) as usize;
+    let by_memory = whole_usize(memory_mb * TERMINAL_STATES_PER_MB);
     by_memory.clamp(MIN_TERMINAL_STATES, MAX_TERMINAL_STATES)
 }
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -58,10 +58,10 @@
     pub(crate) fn handle_node_pool_written(
         &mut self,
         now: Instant,
-        name: String,
+        name: &str,
         result: Result<u64, KvError>,
     ) {
-        let Some(pool) = self.node_pools.get_mut(&name) else { return };
+        let Some(pool) = self.node_pools.get_mut(name) else { return };
         pool.write_in_flight = false;
         match result {
             Ok(version) => pool.version = version,
@@ -74,10 +74,10 @@
         }
         if pool.rewrite_needed {
             // What was marked since is not recorded yet; wait for the next.
-            return self.write_node_pool(&name);
+            return self.write_node_pool(name);
         }
         if pool.is_empty() {
-            self.node_pools.remove(&name);
+            self.node_pools.remove(name);
             return;
         }
         for id in pool.record.machines_used.clone() {
@@ -85,8 +85,8 @@
                 m.use_record = UseRecord::Recorded;
             }
         }
-        if self.node_pools.get(&name).is_some_and(NodePool::is_pending) {
-            self.provision_node_pool(now, &name);
+        if self.node_pools.get(name).is_some_and(NodePool::is_pending) {
+            self.provision_node_pool(now, name);
         }
     }
 
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -172,28 +172,28 @@
     pub(crate) fn handle_admission_written(
         &mut self,
         now: Instant,
-        job: JobId,
+        job: &JobId,
         result: Result<u64, KvError>,
     ) {
-        let Some(PendingAdmission { record, waiters }) = self.admissions.end(&job) else { return };
+        let Some(PendingAdmission { record, waiters }) = self.admissions.end(job) else { return };
         match result {
             Ok(version) => self.admit(now, job, record, version, waiters),
             // It was admitted earlier and is terminal: the record tells.
             Err(KvError::Conflict) => {
-                self.retract_admission(&job);
+                self.retract_admission(job);
                 for reply in waiters {
                     self.answer_from_record(reply, job.clone());
                 }
             }
             Err(KvError::Rejected) => {
-                self.retract_admission(&job);
+                self.retract_admission(job);
                 for reply in waiters {
                     let reason = "its description is too large for a record";
                     self.reject_unless_admitted(reply, job.clone(), reason);
                 }
             }
             Err(_) => {
-                self.retract_admission(&job);
+                self.retract_admission(job);
                 for reply in waiters {
                     self.reply(reply, Answer::retry_later(503, "could not be recorded", 1));
                 }
@@ -201,15 +201,22 @@
         }
     }
 
-    fn admit(&mut self, now: Instant, job_id: JobId, record: JobRecord, version: u64, waiters: Vec<ReplyId>) {
+    fn admit(
+        &mut self,
+        now: Instant,
+        job_id: &JobId,
+        record: JobRecord,
+        version: u64,
+        waiters: Vec<ReplyId>,
+    ) {
         let waited_ms = self.clock.at_ms(now).saturating_sub(record.submitted_ms);
         tracing::debug!(job = %job_id, waited_ms, "job admitted");
         self.insert_job(now, record, version);
-        if self.dependencies.cancellation(&job_id) == Cancellation::Cancelled {
-            self.cancel_by_dependency(now, &job_id);
-            self.try_archive(&job_id);
+        if self.dependencies.cancellation(job_id) == Cancellation::Cancelled {
+            self.cancel_by_dependency(now, job_id);
+            self.try_archive(job_id);
         }
-        let Some(status) = self.jobs.get(&job_id).map(Job::status) else { return };
+        let Some(status) = self.jobs.get(job_id).map(Job::status) else { return };
         for reply in waiters {
             self.reply(reply, Answer::job_state(201, status.clone(), self.term.validity()));
         }
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -61,7 +61,7 @@
     }
 
     /// The move of a row has ended: the job leaves memory.
-    pub(crate) fn handle_row_archived(&mut self, job_id: JobId, result: Result<u64, KvError>) {
+    pub(crate) fn handle_row_archived(&mut self, job_id: &JobId, result: Result<u64, KvError>) {
         self.record_writes.archive_ended();
         match result {
             Ok(_) => {}
@@ -70,13 +70,13 @@
                 tracing::error!(job = %job_id, ?error, "row not archived: it differs from what was read; see `audit`");
             }
         }
-        match self.jobs.get_mut(&job_id).filter(|job| job.tasks.slot_count > 0) {
+        match self.jobs.get_mut(job_id).filter(|job| job.tasks.slot_count > 0) {
             // A machine has shown a task of it since. Out of memory, nobody would stop it.
             Some(job) => {
                 job.stored.row = RowState::Archived;
-                self.record_violation(Violation::JobEvictedWithTasks, &job_id);
+                self.record_violation(Violation::JobEvictedWithTasks, job_id);
             }
-            None => self.evict_job(&job_id),
+            None => self.evict_job(job_id),
         }
         self.archive_queued_rows();
     }
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -120,15 +120,15 @@
     pub(crate) fn handle_record_written(
         &mut self,
         now: Instant,
-        job_id: JobId,
+        job_id: &JobId,
         result: Result<u64, KvError>,
     ) {
-        let Some(job) = self.jobs.get_mut(&job_id) else { return };
+        let Some(job) = self.jobs.get_mut(job_id) else { return };
         let Some(write) = job.stored.write_in_flight.take() else { return };
         match result {
-            Ok(version) => self.apply_committed_write(now, &job_id, write, version),
+            Ok(version) => self.apply_committed_write(now, job_id, write, version),
             Err(KvError::Fenced) => {}
-            Err(KvError::Rejected) => self.handle_record_rejected(now, &job_id, &write),
+            Err(KvError::Rejected) => self.handle_record_rejected(now, job_id, &write),
             Err(error) => {
                 // Somebody else has written under our epoch, or the record is not the one that
                 // was read: going on could not mend it.
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -255,11 +255,11 @@
             self.term.fence();
         }
         match self.outbox.complete(operation) {
-            Some(PendingOperation::AdmitJob(job)) => self.handle_admission_written(now, job, result),
-            Some(PendingOperation::WriteJobRecord(job)) => self.handle_record_written(now, job, result),
-            Some(PendingOperation::ArchiveRow(job)) => self.handle_row_archived(job, result),
+            Some(PendingOperation::AdmitJob(job)) => self.handle_admission_written(now, &job, result),
+            Some(PendingOperation::WriteJobRecord(job)) => self.handle_record_written(now, &job, result),
+            Some(PendingOperation::ArchiveRow(job)) => self.handle_row_archived(&job, result),
             Some(PendingOperation::WriteSingleton(key)) => self.singletons.end_write(key, result.ok()),
-            Some(PendingOperation::WriteNodePool(name)) => self.handle_node_pool_written(now, name, result),
+            Some(PendingOperation::WriteNodePool(name)) => self.handle_node_pool_written(now, &name, result),
             _ => {}
         }
     }
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -24,7 +24,7 @@
         let tuning = policy::Tuning::load(&cluster, None).expect("the default policy is sound");
         let ttl = tuning.lease;
         let (leads, leading) = watch::channel(false);
-        let store = kv::start(settings.services.state, cluster.state, cluster.size, ttl / 6, leading);
+        let store = kv::start(settings.services.state, &cluster.state, cluster.size, ttl / 6, leading);
         let (term, until) = watch::channel(now);
         let cloud = cloud_client::start(settings.services.cloud, cluster.cloud.rps, seconds(4.0), until);
         let incarnation = format!("{at}-{}", c.incarnation);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -39,7 +39,20 @@
 //! The state machines of `coordination` do no input or output, so tests run them, and whole
 //! simulated clusters of them, in simulated time.
 
-#![cfg_attr(test, allow(clippy::unwrap_used))] // A test may panic: that is how it fails.
+#![cfg_attr(
+    test,
+    allow(
+        missing_docs,
+        clippy::unwrap_used,
+        clippy::cast_possible_truncation,
+        clippy::items_after_statements,
+        clippy::missing_docs_in_private_items,
+        clippy::missing_errors_doc,
+        clippy::needless_pass_by_value,
+        clippy::wildcard_imports,
+        reason = "see `Cargo.toml`, lints"
+    )
+)] // A test may panic: that is how it fails.
 
 pub mod cli;
 pub mod coordination;
--- a/src/storage/in_memory_kv.rs
+++ b/src/storage/in_memory_kv.rs
@@ -230,7 +230,7 @@
     let (leads, leading) = tokio::sync::watch::channel(true);
     // The actor would stop if this end were dropped.
     std::mem::forget(leads);
-    kv::start(address, limits, 1, Duration::from_millis(50), leading)
+    kv::start(address, &limits, 1, Duration::from_millis(50), leading)
 }
 
 /// A transaction of one put, on condition that the key has this version.
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -96,7 +96,7 @@
 /// * `leads`: whether this controller leads. The actor stops when its sender is dropped.
 pub fn start(
     address: SocketAddr,
-    state: State,
+    state: &State,
     controllers: u32,
     deadline: Duration,
     leads: watch::Receiver<bool>,
