--- a/src/coordination/controller/reconciliation.rs
+++ b/src/coordination/controller/reconciliation.rs
@@ -9,7 +9,9 @@
 use crate::coordination::config::Config;
 use crate::coordination::controller::events::InternalEvent;
 use crate::coordination::leader::Leader;
-use crate::coordination::recovery::snapshot::{self, Snapshot, reconcile_page, reread_unreadable};
+use crate::coordination::recovery::snapshot::{
+    self, ReconciledPage, Snapshot, reconcile_page, reread_unreadable,
+};
 use crate::storage::kv::KvClient;
 
 /// Where the scans are, and when the next page is due. At most one page is under way.
@@ -63,7 +65,8 @@
         self.reread_cursor = unreadable.last().cloned().unwrap_or_default();
         tokio::spawn(async move {
             let page = reconcile_page(&kv, epoch, &cursor, value_kb).await;
-            let (next_cursor, restored) = page.unwrap_or((cursor, Snapshot::default()));
+            let nothing = ReconciledPage { next: cursor, restored: Snapshot::default() };
+            let ReconciledPage { next: next_cursor, restored } = page.unwrap_or(nothing);
             let _ = events.send(InternalEvent::RowsReconciled { epoch, next_cursor, restored }).await;
             if let Ok(restored) = reread_unreadable(&kv, unreadable, value_kb).await {
                 let _ = events.send(InternalEvent::UnreadableReread { epoch, restored }).await;
--- a/src/coordination/recovery/failover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -1,14 +1,15 @@
-//! What a new leader takes over: the records as it has read them, and when it knows what
-//! is on every machine that an earlier leader may have used.
+//! Failover: a new leader restores jobs and node pools from its snapshot, and reconciles
+//! every machine that an earlier leader may have used.
 //!
-//! A machine is known by a report under this epoch's token, or once its lease is provably
-//! over. Until all are, tasks that may have begun in earlier epochs wait.
+//! A machine is reconciled by a heartbeat under this epoch's fencing token, or once its lease
+//! has provably expired. Until all of them are, tasks that may have started in earlier epochs
+//! wait.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::coordination::fleet::machine::Phase;
+use crate::coordination::fleet::machine::{AgentContact, Phase};
 use crate::coordination::fleet::node_pool::NodePool;
 use crate::coordination::jobs::dependency_state::DependencyStates;
 use crate::coordination::jobs::job::Job;
@@ -19,30 +20,36 @@
 use crate::storage::records::{NodePoolRecord, job_record_key, node_pool_key};
 
 impl Leader {
-    /// Whether it would help to know that no earlier leader is in its post-lease grace.
+    /// Whether a confirmation that no earlier leader is in its post-lease grace would shorten
+    /// the failover.
     pub fn awaits_post_lease_graces(&self) -> bool {
         self.failover.awaits_post_lease_graces()
     }
 
-    /// Every other controller has said, by then and after this epoch began, that it is no
-    /// leader and so replies to no worker. What it held before, a dead process' included, is
-    /// over: a name is used by one process at a time, and a process only becomes a leader
-    /// with a new epoch.
+    /// Records that no earlier leader can have replied to a worker since `at`: every other
+    /// controller has stated, between the start of this epoch and `at`, that it is no leader
+    /// and so replies to no worker. That covers earlier terms of the same controllers, also of
+    /// processes that have died: a name is used by one process at a time, and a process only
+    /// becomes a leader with a new epoch.
     pub fn record_post_lease_graces_over(&mut self, at: Instant) {
         self.failover.record_post_lease_graces_over(at);
     }
 
-    /// What is on the machine is known from now on.
+    /// Marks the machine as reconciled: from now on the leader knows which tasks are on it.
     pub(crate) fn mark_machine_reconciled(&mut self, machine: &MachineId) {
-        let Some(m) = self.machines.get_mut(machine).filter(|m| !m.reconciled) else { return };
-        m.reconciled = true;
-        tracing::debug!(epoch = self.term.epoch(), %machine, tasks = m.slots.len(), "what is on the machine is known");
-        let room = self.catalog.resources(m.machine_type);
-        self.queue.subtract_reconciled(&room);
+        let Some(unreconciled) = self.machines.get_mut(machine).filter(|machine| !machine.reconciled) else {
+            return;
+        };
+        unreconciled.reconciled = true;
+        let tasks = unreconciled.slots.len();
+        tracing::debug!(epoch = self.term.epoch(), %machine, tasks, "machine reconciled");
+        let capacity = self.catalog.resources(unreconciled.machine_type);
+        self.queue.subtract_reconciled(&capacity);
         self.check_failover_complete();
     }
 
-    /// Notes when all that was on machines before is known; what waited for it goes on.
+    /// Completes the failover once every machine that may hold tasks is reconciled, and
+    /// archives the terminal jobs that waited for that.
     pub(crate) fn check_failover_complete(&mut self) {
         if self.failover.is_complete()
             || self.failover.unlisted_machines_possible()
@@ -52,20 +59,21 @@
             return;
         }
         self.failover.complete();
-        tracing::info!(epoch = self.term.epoch(), "every machine is accounted for");
-        let over: Vec<JobId> = self
+        tracing::info!(epoch = self.term.epoch(), "failover complete");
+        let terminal: Vec<JobId> = self
             .jobs
             .values()
-            .filter(|j| j.record.terminal_state().is_some())
-            .map(|j| j.id().clone())
+            .filter(|job| job.record.terminal_state().is_some())
+            .map(|job| job.id().clone())
             .collect();
-        for job in over {
+        for job in terminal {
             self.try_archive(&job);
         }
     }
 
-    /// Takes in what was read after the takeover: jobs that the reconciler brought back
-    /// among the living, and what could not be read before.
+    /// Restores what was read after the failover: jobs that the reconciler has made live
+    /// again, and records that could not be read before. Nothing is started of these jobs
+    /// before the leases of an earlier leader's workers have expired.
     pub fn restore_snapshot(&mut self, now: Instant, now_ms: u64, restored: Snapshot) {
         for key in &restored.deleted_keys {
             self.failover.unreadable_mut().remove(key);
@@ -75,8 +83,8 @@
         }
         self.failover.unreadable_mut().extend(restored.unreadable);
         self.restore_node_pools(now, restored.node_pools);
-        let new = |job: &JobSnapshot| !self.jobs.contains_key(&job.record.spec.id);
-        let jobs: Vec<JobSnapshot> = restored.jobs.into_iter().filter(new).collect();
+        let is_new = |job: &JobSnapshot| !self.jobs.contains_key(&job.record.spec.id);
+        let jobs: Vec<JobSnapshot> = restored.jobs.into_iter().filter(is_new).collect();
         let ids: Vec<JobId> = jobs.iter().map(|job| job.record.spec.id.clone()).collect();
         self.restore_jobs(now, now_ms, jobs, &restored.dependency_states);
         for id in ids {
@@ -86,10 +94,10 @@
         }
     }
 
-    /// Enters fleet records that could not be read at the takeover. Whether their machines
-    /// hold tasks is known of each from its own reports from now on.
-    fn restore_node_pools(&mut self, now: Instant, rentals: Vec<(NodePoolRecord, u64)>) {
-        for (record, version) in rentals {
+    /// Registers node pools whose records could not be read at the failover. From now on each
+    /// of their machines is reconciled on its own, by its heartbeats.
+    fn restore_node_pools(&mut self, now: Instant, node_pools: Vec<(NodePoolRecord, u64)>) {
+        for (record, version) in node_pools {
             let name = record.request.name.clone();
             self.failover.unreadable_mut().remove(&node_pool_key(&name));
             if self.node_pools.get(&name).is_none() {
@@ -99,87 +107,100 @@
         }
     }
 
-    /// What cannot be read and is to be read again, after that key.
-    pub fn unreadable_after(&self, key: &str, most: usize) -> Vec<String> {
-        self.failover.unreadable().next_keys(key, most)
+    /// Up to `max` keys of unreadable records that follow `key`, to be read again; the first
+    /// ones if none follows.
+    pub fn unreadable_after(&self, key: &str, max: usize) -> Vec<String> {
+        self.failover.unreadable().next_keys(key, max)
     }
 
-    /// Takes in jobs as they were read, all of them before what they wait for.
+    /// Restores jobs as they were read. All of them are entered before their dependencies are
+    /// resolved, since they may depend on one another.
     pub(crate) fn restore_jobs(
         &mut self,
         now: Instant,
         now_ms: u64,
         jobs: Vec<JobSnapshot>,
-        needs: &DependencyStates,
+        dependency_states: &DependencyStates,
     ) {
         let ids: Vec<JobId> = jobs.iter().map(|job| job.record.spec.id.clone()).collect();
         for job in jobs {
             self.restore_job(now, now_ms, job);
         }
         for id in ids {
-            self.restore_dependencies(now, now_ms, &id, needs);
+            self.restore_dependencies(now, now_ms, &id, dependency_states);
         }
         self.cancel_restored_dependents(now);
     }
 
-    fn restore_job(&mut self, now: Instant, now_ms: u64, job: JobSnapshot) {
-        let age = Duration::from_millis(now_ms.saturating_sub(job.record.submitted_ms));
+    /// Enters one job. Its tasks below the started high-water mark may still run somewhere:
+    /// they wait until every machine is reconciled.
+    fn restore_job(&mut self, now: Instant, now_ms: u64, snapshot: JobSnapshot) {
+        let JobSnapshot { record, record_version, live_row_version, block_versions } = snapshot;
+        let age = Duration::from_millis(now_ms.saturating_sub(record.submitted_ms));
         let submitted = now.checked_sub(age).unwrap_or(now);
-        let mut entry = Job::new(job.record, job.record_version, job.live_row_version, submitted, 0);
-        entry.stored.block_versions = job.block_versions;
-        entry.tasks.unreconciled_below = entry.stored.started_high_water;
-        entry.cancellation.committed_at = entry.record.cancelled.then_some(now);
-        entry.team = self.quotas.find(&entry.spec().team);
-        self.record_latency_sensitive_class(entry.spec());
-        self.jobs.insert(entry.id().clone(), entry);
+        let mut job = Job::new(record, record_version, live_row_version, submitted, 0);
+        job.stored.block_versions = block_versions;
+        job.tasks.unreconciled_below = job.stored.started_high_water;
+        job.cancellation.committed_at = job.record.cancelled.then_some(now);
+        job.team = self.quotas.find(&job.spec().team);
+        self.record_latency_sensitive_class(job.spec());
+        self.jobs.insert(job.id().clone(), job);
     }
 
-    /// Machines whose node pool's record cannot be read, and that have not been heard, have
-    /// lost their leases by now.
+    /// Once the leases of unlisted machines have expired (machines of unreadable node pool
+    /// records, which may have sent no heartbeat), stops waiting for them.
     pub(crate) fn expire_unlisted_machines(&mut self, now: Instant) {
         if !self.failover.expire_unlisted(now, &self.config) {
             return;
         }
-        tracing::info!(epoch = self.epoch(), "machines of unreadable fleet records have lost their leases");
+        tracing::info!(epoch = self.epoch(), "leases of machines in unreadable node pool records expired");
         self.queue.invalidate();
         self.check_failover_complete();
     }
 
-    /// A machine that has not been answered for its whole lease, and a margin,
-    /// has killed all its tasks.
+    /// Clears the machines whose leases have expired: an agent that has received no reply for
+    /// its whole lease, and a margin, has killed all its tasks.
     pub(crate) fn expire_silent_machines(&mut self, now: Instant) {
-        let proof = self.config.worker_lease_timeout();
-        let unheard = self.failover.unreplied_lease_expiry(&self.config);
-        let silent: Vec<MachineId> = self
+        let lease_timeout = self.config.worker_lease_timeout();
+        let unreplied_expiry = self.failover.unreplied_lease_expiry(&self.config);
+        let expired: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| m.phase != Phase::Booting || !m.reconciled)
-            .filter(|m| !m.reconciled || !m.slots.is_empty())
-            // A machine that has shown our token drops the answers of an earlier
-            // leader. One that has not may never have got ours, and an earlier
-            // leader in its lapse window may have kept it alive since.
-            .filter(|m| {
-                now >= match m.agent.replied_at.map(|at| at + proof) {
-                    Some(own) if m.agent.last_heartbeat.is_some() => own,
-                    Some(own) => own.max(unheard),
-                    None => unheard,
-                }
-            })
-            .map(|m| m.id.clone())
+            .filter(|machine| machine.phase != Phase::Booting || !machine.reconciled)
+            .filter(|machine| !machine.reconciled || !machine.slots.is_empty())
+            .filter(|machine| now >= lease_expiry(&machine.agent, lease_timeout, unreplied_expiry))
+            .map(|machine| machine.id.clone())
             .collect();
-        for machine in silent {
-            tracing::info!(%machine, "silent for its whole lease; its tasks are gone");
-            self.clear_slots(now, &machine);
-            if let Some(m) = self.machines.get_mut(&machine) {
-                // A report that was held back may still list them.
-                m.agent.min_incarnation = m
-                    .agent
-                    .last_heartbeat
-                    .max(m.agent.last_stale_heartbeat)
-                    .map_or(0, |stamp| stamp.incarnation + 1);
-                m.free = self.catalog.resources(m.machine_type);
-            }
-            self.mark_machine_reconciled(&machine);
+        for machine in expired {
+            self.clear_expired_machine(now, &machine);
+        }
+    }
+
+    /// Removes the tasks of a machine whose lease has expired, and marks it as reconciled.
+    fn clear_expired_machine(&mut self, now: Instant, machine: &MachineId) {
+        tracing::info!(%machine, "machine lease expired; its tasks are lost");
+        self.clear_slots(now, machine);
+        if let Some(expired) = self.machines.get_mut(machine) {
+            let agent = &mut expired.agent;
+            let newest_heartbeat = agent.last_heartbeat.max(agent.last_stale_heartbeat);
+            // A delayed heartbeat of an incarnation until now may still list the lost tasks.
+            agent.min_incarnation = newest_heartbeat.map_or(0, |stamp| stamp.incarnation + 1);
+            expired.free = self.catalog.resources(expired.machine_type);
         }
+        self.mark_machine_reconciled(machine);
+    }
+}
+
+/// When the agent's lease has provably expired. `unreplied_expiry`: when the lease of an agent
+/// has expired to which this epoch has never replied.
+///
+/// An agent that has sent a heartbeat under this epoch's fencing token ignores the replies of
+/// earlier leaders. Any other may never have received a reply of this epoch, and an earlier
+/// leader in its post-lease grace may have renewed its lease since.
+fn lease_expiry(agent: &AgentContact, lease_timeout: Duration, unreplied_expiry: Instant) -> Instant {
+    match agent.replied_at.map(|at| at + lease_timeout) {
+        Some(own_expiry) if agent.last_heartbeat.is_some() => own_expiry,
+        Some(own_expiry) => own_expiry.max(unreplied_expiry),
+        None => unreplied_expiry,
     }
 }
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -1,4 +1,5 @@
-//! Recovery: what a new leader reads, when it knows what runs, and rows that lag behind records.
+//! Recovery: the snapshot that a new leader reads, the failover that follows, records that
+//! cannot be read, and the reconciliation of rows with records.
 
 pub mod failover;
 pub mod progress;
--- a/src/coordination/recovery/progress.rs
+++ b/src/coordination/recovery/progress.rs
@@ -1,4 +1,4 @@
-//! How far a failover has come: whether all that may run on machines is known.
+//! The progress of a failover: which machines are reconciled, and which records cannot be read.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::coordination::recovery::unreadable::UnreadableRecords;
 use crate::protocol::workers::MachineId;
 
-/// A new leader's knowledge of what earlier leaders have left.
+/// What is still unknown about the machines and records of earlier leaders.
 ///
 /// The failover is complete once every machine that an earlier leader may have used is
 /// reconciled: by a heartbeat under this epoch's fencing token, or by the proof that its
@@ -19,21 +19,24 @@
 pub(crate) struct FailoverProgress {
     /// When the snapshot had been read.
     snapshot_at: Instant,
-    /// Since when no earlier leader can have replied to a worker.
+    /// Since when no earlier leader can have replied to a worker, once that is confirmed.
     post_lease_graces_over_at: Option<Instant>,
+    /// Every machine that may hold tasks is reconciled. Never reset within an epoch.
     is_complete: bool,
+    /// Records that exist and cannot be used.
     unreadable: UnreadableRecords,
-    /// Machines that no readable record names may hold tasks.
+    /// Unlisted machines, which no readable record names, may hold tasks.
     unlisted_machines_possible: bool,
-    /// When a machine that is not known was last replied to while that was so.
+    /// When an unlisted machine was last replied to while such machines may have held tasks.
     unlisted_replied_at: Option<Instant>,
-    /// A machine that was not reconciled when that was last looked at: while it is not,
-    /// there is nothing to look for.
+    /// A machine that was not reconciled at the last check: as long as it is not, the next
+    /// check need not look at the others.
     unreconciled_machine: Option<MachineId>,
 }
 
 impl FailoverProgress {
-    /// The failover begins. `unreadable`: what of the snapshot could not be read.
+    /// The state at the beginning of a failover. `unreadable`: the records of the snapshot that
+    /// could not be used.
     pub(crate) fn new(now: Instant, unreadable: UnreadableRecords) -> Self {
         let mut progress = FailoverProgress {
             snapshot_at: now,
@@ -44,7 +47,7 @@
             unlisted_replied_at: None,
             unreconciled_machine: None,
         };
-        // Logs each of them.
+        // Added one by one, since that logs each of them.
         progress.unreadable.extend(unreadable);
         progress
     }
@@ -54,51 +57,56 @@
         self.snapshot_at
     }
 
-    /// Whether all that may be on machines from before this epoch is known.
+    /// Whether every machine that an earlier leader may have used is reconciled.
     pub(crate) fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// All machines are reconciled.
+    /// Ends the failover: every machine is reconciled.
     pub(crate) fn complete(&mut self) {
         self.is_complete = true;
     }
 
-    /// Records that are there and cannot be read.
+    /// The records that exist and cannot be used.
     pub(crate) fn unreadable(&self) -> &UnreadableRecords {
         &self.unreadable
     }
 
-    /// The same, to be changed as they are read again.
+    /// The records that exist and cannot be used, to be updated as they are read again.
     pub(crate) fn unreadable_mut(&mut self) -> &mut UnreadableRecords {
         &mut self.unreadable
     }
 
-    /// Whether machines that no readable record names may hold tasks.
+    /// Whether unlisted machines, which no readable record names, may hold tasks.
     pub(crate) fn unlisted_machines_possible(&self) -> bool {
         self.unlisted_machines_possible
     }
 
-    /// Whether it would help to know that no earlier leader is in its post-lease grace.
+    /// Whether a confirmation that no earlier leader is in its post-lease grace would shorten
+    /// the failover.
     pub(crate) fn awaits_post_lease_graces(&self) -> bool {
         !self.is_complete && self.post_lease_graces_over_at.is_none()
     }
 
-    /// No earlier leader can have replied to a worker since then.
+    /// Records that no earlier leader can have replied to a worker since `at`. The first
+    /// confirmation counts.
     pub(crate) fn record_post_lease_graces_over(&mut self, at: Instant) {
         self.post_lease_graces_over_at.get_or_insert(at);
     }
 
-    /// When a machine that this epoch has never replied to has lost its lease.
+    /// When the lease of a machine expires to which this epoch has never replied: a lease after
+    /// the end of all post-lease graces, by the configured bound or by an earlier confirmation.
     pub(crate) fn unreplied_lease_expiry(&self, config: &Config) -> Instant {
         let after_graces = self.snapshot_at + config.failover_lease_timeout();
         self.post_lease_graces_over_at
             .map_or(after_graces, |at| after_graces.min(at + config.worker_lease_timeout()))
     }
 
-    /// Whether a machine that is not known may be replied to while a node pool's record
-    /// cannot be read. Each reply may keep alive tasks that nobody counts, so they end
-    /// after a lease: by then a live machine has been registered.
+    /// Whether an unlisted machine may be replied to while a node pool's record cannot be read.
+    ///
+    /// Each reply renews the lease of an agent whose tasks are counted nowhere. So replies are
+    /// only given for the time of one `lease` after the snapshot: by then a live machine has
+    /// been registered.
     pub(crate) fn may_reply_to_unlisted(&mut self, now: Instant, lease: Duration) -> bool {
         let may_reply = now < self.snapshot_at + lease;
         if may_reply {
@@ -107,8 +115,8 @@
         may_reply
     }
 
-    /// Whether machines of unreadable node pools have lost their leases by now. From then
-    /// on none of them can hold tasks.
+    /// Whether the leases of unlisted machines have just expired: from now on none of them can
+    /// hold tasks. True at most once.
     pub(crate) fn expire_unlisted(&mut self, now: Instant, config: &Config) -> bool {
         let replied_expiry = self.unlisted_replied_at.map(|at| at + config.worker_lease_timeout());
         let has_expired = self.unlisted_machines_possible
@@ -122,13 +130,15 @@
 
     /// Whether every machine that may hold tasks is reconciled.
     ///
-    /// Machines are reconciled in about the order of the walk or in any other; it goes on
-    /// where it stopped, so that a failover's heartbeats do not each walk the whole fleet.
+    /// The search continues at the machine where the last one stopped, so that not every
+    /// heartbeat of a failover iterates over the whole fleet. The result does not depend on the
+    /// order in which machines are reconciled: a search that reaches the end starts again with
+    /// the first machine.
     pub(crate) fn all_machines_reconciled(&mut self, machines: &MachineTable) -> bool {
         let is_unreconciled = |machine: &&Machine| machine.may_hold_tasks() && !machine.reconciled;
         let last = self.unreconciled_machine.take();
-        let rest = last.and_then(|last| machines.starting_at(last).find(is_unreconciled));
-        let found = rest.or_else(|| machines.values().find(is_unreconciled));
+        let at_or_after_last = last.and_then(|last| machines.starting_at(last).find(is_unreconciled));
+        let found = at_or_after_last.or_else(|| machines.values().find(is_unreconciled));
         self.unreconciled_machine = found.map(|machine| machine.id.clone());
         self.unreconciled_machine.is_none()
     }
--- a/src/coordination/recovery/reconciler.rs
+++ b/src/coordination/recovery/reconciler.rs
@@ -1,171 +1,208 @@
-//! Compares summary rows with records.
+//! The reconciler: compares the rows of jobs with their records.
 //!
-//! Two classes can be repaired soundly from the record: a row that lags behind
-//! it, and a row that calls live work over. Everything else is reported and
-//! left alone.
+//! Two kinds of difference can be repaired soundly from the record: a row that lags behind
+//! it, and an archived row of a job whose record is live. Any other is reported and not
+//! changed.
 
 use std::collections::BTreeSet;
 
 use crate::protocol::jobs::{JobId, JobState};
-use crate::protocol::kv::{Change, Compare};
+use crate::protocol::kv::{Change, Compare, Entry};
 use crate::storage::kv::{KvClient, KvError, RequestClass, Transaction};
 use crate::storage::records::{
     ARCHIVED_ROWS, JOB_RECORDS, JobRecord, LIVE_ROWS, NODE_POOLS, NodePoolRecord, archived_row_key,
     decode_row, encode_row, job_record_key, live_row_key,
 };
 
+/// Keys that one request of [`all_jobs`] reads.
+const KEYS_PER_PAGE: usize = 200;
+
 /// What the store holds of one job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
-    /// `None`: no record. Inside: the final standing that it supports, if any.
+    /// The terminal state that the record supports, if any; the outer `None` if there is no
+    /// record.
     pub record: Option<Option<JobState>>,
+    /// Whether there is a live row.
     pub live_row: bool,
+    /// The terminal state in the archived row, if there is one.
     pub archived_row: Option<JobState>,
 }
 
+/// What a comparison of a job's rows with its record has found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
+    /// Record and rows agree.
     Consistent,
-    /// The record is final, the row not yet: the row follows the record.
+    /// The record is in this terminal state and the rows do not say so: they are to follow the
+    /// record.
     RowBehind(JobState),
-    /// A row says over where the record says live: back among the live.
+    /// A row says terminal where the record says live: the job is to be made live again.
     Stranded,
-    /// Cannot be derived soundly.
+    /// The state cannot be derived soundly, for this reason.
     Suspect(&'static str),
 }
 
 impl Finding {
+    /// Whether the finding can be repaired from the record alone.
     pub fn is_sound(self) -> bool {
         matches!(self, Finding::RowBehind(_) | Finding::Stranded)
     }
 }
 
+/// Compares what the store holds of one job.
 pub fn judge(evidence: Evidence) -> Finding {
-    let Evidence { record, live_row, archived_row: over_row } = evidence;
-    match (record, live_row, over_row) {
+    let Evidence { record, live_row, archived_row } = evidence;
+    match (record, live_row, archived_row) {
         (None, false, None) => Finding::Consistent,
         (None, _, _) => Finding::Suspect("a row without a record"),
         (Some(_), false, None) => Finding::Suspect("a record without a row"),
         (Some(None), true, None) => Finding::Consistent,
         (Some(None), _, Some(_)) => Finding::Stranded,
-        (Some(Some(settled)), false, Some(row)) if settled == row => Finding::Consistent,
-        // Also with both rows: the move from one to the other is one
+        (Some(Some(terminal)), false, Some(row)) if terminal == row => Finding::Consistent,
+        // Also where both rows exist: the move from one to the other is one
         // transaction, so this is damage, but the record decides it.
-        (Some(Some(settled)), _, _) => Finding::RowBehind(settled),
+        (Some(Some(terminal)), _, _) => Finding::RowBehind(terminal),
     }
 }
 
-/// What was found of one job, with what a repair is conditional on.
+/// The finding on one job, with the versions on which a repair is conditional (0: no such
+/// key).
 #[derive(Debug, Clone, PartialEq)]
 pub struct Examined {
+    /// The job.
     pub job: JobId,
+    /// What the comparison has found.
     pub finding: Finding,
-    /// Its tasks wait for other jobs.
+    /// Whether its tasks wait for other jobs.
     pub waits_for_dependencies: bool,
-    /// Its record names the size of its blocks of done tasks.
+    /// Whether its record names the size of its blocks of done tasks.
     pub names_blocks: bool,
+    /// The version of the record.
     record_version: u64,
+    /// The version of the live row.
     live_version: u64,
+    /// The version of the archived row.
     archived_version: u64,
 }
 
 impl Examined {
-    /// The repair, for the sound classes. It holds only while record and rows
-    /// are as they were read.
+    /// The repair under `epoch`, if the finding is sound. It is only committed while record and
+    /// rows are as they were read.
     pub fn repair(&self, epoch: u64) -> Option<Transaction> {
-        let conditions = vec![
+        let compares = vec![
             Compare { key: job_record_key(&self.job), version: self.record_version },
             Compare { key: live_row_key(&self.job), version: self.live_version },
             Compare { key: archived_row_key(&self.job), version: self.archived_version },
         ];
-        let put = |key: String, standing| Change::Put { key, value: encode_row(standing), lease: None };
+        let put_row = |key: String, state| Change::Put { key, value: encode_row(state), lease: None };
         let mut changes = Vec::new();
         match self.finding {
-            Finding::RowBehind(standing) => {
-                changes.push(put(archived_row_key(&self.job), standing));
+            Finding::RowBehind(terminal) => {
+                changes.push(put_row(archived_row_key(&self.job), terminal));
                 if self.live_version > 0 {
                     changes.push(Change::Delete { key: live_row_key(&self.job) });
                 }
             }
             Finding::Stranded => {
                 if self.live_version == 0 {
-                    changes.push(put(live_row_key(&self.job), JobState::Queued));
+                    changes.push(put_row(live_row_key(&self.job), JobState::Queued));
                 }
                 changes.push(Change::Delete { key: archived_row_key(&self.job) });
             }
             Finding::Consistent | Finding::Suspect(_) => return None,
         }
-        Some(Transaction { class: RequestClass::Background, epoch, compares: conditions, changes })
+        Some(Transaction { class: RequestClass::Background, epoch, compares, changes })
     }
 }
 
-/// Reads and judges what the store holds of one job.
+/// Reads and compares what the store holds of one job.
+///
+/// The rows are read before the record: a row is only ever written after the record that it
+/// follows, so a row that is ahead of a record read later is damage and not a write in flight.
+///
+/// # Errors
 ///
-/// The rows are read before the record: a row is only ever written after the
-/// record that it follows, so a row that is ahead of a record read later is
-/// damage and not a write under way.
+/// If the store cannot be read. A record or row that cannot be decoded is no error but a
+/// [`Finding::Suspect`].
 pub async fn examine(store: &KvClient, job: &JobId) -> Result<Examined, KvError> {
-    let over = store.get(RequestClass::Background, &archived_row_key(job)).await?;
+    let archived = store.get(RequestClass::Background, &archived_row_key(job)).await?;
     let live = store.get(RequestClass::Background, &live_row_key(job)).await?;
     let record = store.get(RequestClass::Background, &job_record_key(job)).await?;
-    let version = |entry: &Option<crate::protocol::kv::Entry>| entry.as_ref().map_or(0, |e| e.version);
-    let unreadable = Finding::Suspect("an unreadable record or row");
-    let over_row = over.as_ref().map(|e| decode_row(&e.value));
-    let decoded = record.as_ref().map(|e| JobRecord::decode(&e.value));
-    let decoded = decoded.transpose();
-    let known = decoded.as_ref().ok().and_then(Option::as_ref);
-    let waiting = known.filter(|record| record.may_wait_for_dependencies());
-    let waits = waiting.is_some();
-    let names_blocks = known.is_some_and(|record| record.block_tasks.is_some());
-    let lost_need = match waiting {
+    let archived_row = archived.as_ref().map(|entry| decode_row(&entry.value)).transpose();
+    let decoded = record.as_ref().map(|entry| JobRecord::decode(&entry.value)).transpose();
+    let readable = decoded.as_ref().ok().and_then(Option::as_ref);
+    let waiting = readable.filter(|record| record.may_wait_for_dependencies());
+    let waits_for_dependencies = waiting.is_some();
+    let names_blocks = readable.is_some_and(|record| record.block_tasks.is_some());
+    let has_missing_dependency = match waiting {
         Some(record) => has_missing_dependency(store, record).await?,
         None => false,
     };
-    let finding = match (over_row.transpose(), decoded) {
-        _ if lost_need => Finding::Suspect("it awaits a job without a record"),
-        (Ok(over_row), Ok(decoded)) => judge(Evidence {
-            record: decoded.map(|r| r.terminal_state()),
+    let finding = match (archived_row, decoded) {
+        _ if has_missing_dependency => Finding::Suspect("it awaits a job without a record"),
+        (Ok(archived_row), Ok(record)) => judge(Evidence {
+            record: record.map(|record| record.terminal_state()),
             live_row: live.is_some(),
-            archived_row: over_row,
+            archived_row,
         }),
-        _ => unreadable,
+        _ => Finding::Suspect("an unreadable record or row"),
     };
+    let version = |entry: &Option<Entry>| entry.as_ref().map_or(0, |entry| entry.version);
     Ok(Examined {
         job: job.clone(),
         finding,
-        waits_for_dependencies: waits,
+        waits_for_dependencies,
         names_blocks,
         record_version: version(&record),
         live_version: version(&live),
-        archived_version: version(&over),
+        archived_version: version(&archived),
     })
 }
 
-/// Whether a job waits for one that has no record, and so for ever.
+/// Whether a job depends on one that has no record, and so would wait for ever.
 async fn has_missing_dependency(store: &KvClient, record: &JobRecord) -> Result<bool, KvError> {
-    for need in &record.spec.dependencies {
-        if store.get(RequestClass::Background, &job_record_key(need)).await?.is_none() {
+    for dependency in &record.spec.dependencies {
+        if store.get(RequestClass::Background, &job_record_key(dependency)).await?.is_none() {
             return Ok(true);
         }
     }
     Ok(false)
 }
 
-/// The jobs named by one page of keys with a prefix, and where to go on.
+/// The jobs that one page of keys names.
+#[derive(Debug)]
+pub struct JobPage {
+    /// The jobs, in the order of their keys. Keys that name no job are left out.
+    pub jobs: Vec<JobId>,
+    /// The key after which the next page begins; `None` after the last page.
+    pub next: Option<String>,
+}
+
+/// Reads a page of at most `max_keys` keys with this prefix, after the key `from`.
+///
+/// # Errors
+///
+/// If the store cannot be read.
 pub async fn page_of_jobs(
     store: &KvClient,
     prefix: &str,
     from: &str,
-    most: usize,
-) -> Result<(Vec<JobId>, Option<String>), KvError> {
-    let page = store.read_page(prefix, from, most).await?;
-    let next = page.more.then(|| page.entries.last().map(|e| e.key.clone())).flatten();
-    let jobs = page.entries.iter().filter_map(|e| JobId::parse(e.key.strip_prefix(prefix)?)).collect();
-    Ok((jobs, next))
+    max_keys: usize,
+) -> Result<JobPage, KvError> {
+    let page = store.read_page(prefix, from, max_keys).await?;
+    let next = page.more.then(|| page.entries.last().map(|entry| entry.key.clone())).flatten();
+    let job_of = |entry: &Entry| JobId::parse(entry.key.strip_prefix(prefix)?);
+    let jobs = page.entries.iter().filter_map(job_of).collect();
+    Ok(JobPage { jobs, next })
 }
 
-/// The keys of fleet records that cannot be used: whether their machines hold tasks is not
-/// known, and a takeover waits for them.
+/// The keys of node pool records that cannot be decoded: whether their machines hold tasks is
+/// unknown, and a failover waits for them.
+///
+/// # Errors
+///
+/// If the store cannot be read.
 pub async fn unreadable_node_pools(store: &KvClient) -> Result<Vec<String>, KvError> {
     let entries = store.scan(NODE_POOLS).await?;
     let unreadable = entries.into_iter().filter(|entry| NodePoolRecord::decode(&entry.value).is_err());
@@ -173,20 +210,24 @@
 }
 
 /// Every job that a record or a row names.
+///
+/// # Errors
+///
+/// If the store cannot be read.
 pub async fn all_jobs(store: &KvClient) -> Result<BTreeSet<JobId>, KvError> {
-    let mut found = BTreeSet::new();
+    let mut all = BTreeSet::new();
     for prefix in [JOB_RECORDS, LIVE_ROWS, ARCHIVED_ROWS] {
         let mut from = String::new();
         loop {
-            let (jobs, next) = page_of_jobs(store, prefix, &from, 200).await?;
-            found.extend(jobs);
-            match next {
+            let page = page_of_jobs(store, prefix, &from, KEYS_PER_PAGE).await?;
+            all.extend(page.jobs);
+            match page.next {
                 Some(next) => from = next,
                 None => break,
             }
         }
     }
-    Ok(found)
+    Ok(all)
 }
 
 #[cfg(test)]
--- a/src/coordination/recovery/reconciler/tests.rs
+++ b/src/coordination/recovery/reconciler/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
 #[test]
-fn a_repair_holds_only_while_all_is_as_it_was_read() {
+fn a_repair_is_conditional_on_the_versions_that_were_read() {
     let job = JobId::parse("job-1").expect("valid");
-    let examined = |finding, live_version, over_version| Examined {
+    let examined = |finding, live_version, archived_version| Examined {
         job: job.clone(),
         finding,
         waits_for_dependencies: false,
         names_blocks: false,
         record_version: 7,
         live_version,
-        archived_version: over_version,
+        archived_version,
     };
     let stranded = examined(Finding::Stranded, 0, 9).repair(40).expect("sound");
     assert_eq!(stranded.epoch, 40);
-    let versions: Vec<u64> = stranded.compares.iter().map(|c| c.version).collect();
+    let versions: Vec<u64> = stranded.compares.iter().map(|compare| compare.version).collect();
     assert_eq!(versions, [7, 0, 9]);
     let keys: Vec<&str> = stranded.changes.iter().map(Change::key).collect();
     assert_eq!(keys, ["live/job-1", "over/job-1"]);
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn only_sound_cases_are_repaired_and_all_from_the_record() {
+fn only_sound_findings_are_repaired_and_only_from_the_record() {
     use JobState::{Cancelled, Done};
-    let judge = |record, live_row, over_row| judge(Evidence { record, live_row, archived_row: over_row });
+    let judge = |record, live_row, archived_row| judge(Evidence { record, live_row, archived_row });
     assert_eq!(judge(Some(None), true, None), Finding::Consistent);
     assert_eq!(judge(Some(Some(Done)), false, Some(Done)), Finding::Consistent);
     assert_eq!(judge(Some(Some(Done)), true, None), Finding::RowBehind(Done));
--- a/src/coordination/recovery/snapshot.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -1,11 +1,12 @@
-//! What a leader reads from the store: all unfinished work and the fleet when
-//! it takes over, and later, page by page, what is over.
+//! Reads of the key-value store for recovery: the snapshot at failover (all unfinished jobs
+//! and the node pools), and afterwards, page by page, rows of terminal jobs and records that
+//! could not be read before.
 
 use ciborium::value::Value;
 use tokio::task::JoinSet;
 
 use crate::coordination::jobs::dependency_state::{DependencyState, DependencyStates};
-use crate::coordination::recovery::reconciler::{self, Finding};
+use crate::coordination::recovery::reconciler::{self, Finding, JobPage};
 use crate::coordination::recovery::unreadable::UnreadableRecords;
 use crate::maps::HashSet;
 use crate::protocol::cloud::{MachineType, decode_catalog};
@@ -13,154 +14,204 @@
 use crate::storage::kv::{KvClient, KvError, RequestClass};
 use crate::storage::records::{
     ARCHIVED_ROWS, CATALOG, JobRecord, LEARNED_STATISTICS, LIVE_ROWS, LearnedStatistics, NODE_POOLS,
-    NodePoolRecord, job_record_key, live_row_key,
+    NodePoolRecord, RecordError, job_record_key, live_row_key,
 };
 
-/// What a new leader reads from the store.
+/// What a leader has read from the store: at failover everything that it needs, later the
+/// part that was repaired or read again. Each number beside a value is the version of its
+/// key in the store.
 #[derive(Debug, Default)]
 pub struct Snapshot {
+    /// Unfinished jobs: those with a live row.
     pub jobs: Vec<JobSnapshot>,
-    /// What was read of jobs that those await and that are not among them.
+    /// The states of dependencies of these jobs that are not among the jobs themselves.
     pub dependency_states: DependencyStates,
+    /// The node pools' records, each with its version.
     pub node_pools: Vec<(NodePoolRecord, u64)>,
+    /// The stored catalog of machine types with its version; `None` if there is none that
+    /// can be decoded.
     pub catalog: Option<(Vec<MachineType>, u64)>,
+    /// The learned statistics with their version; `None` if there are none.
     pub statistics: Option<(LearnedStatistics, u64)>,
-    /// What is there and cannot be read.
+    /// Records that exist and cannot be used.
     pub unreadable: UnreadableRecords,
-    /// Keys that could not be read before, and are no more.
+    /// Keys that could not be read earlier and no longer exist.
     pub deleted_keys: Vec<String>,
 }
 
+/// An unfinished job as it is stored.
 #[derive(Debug)]
 pub struct JobSnapshot {
+    /// Its record, with the done tasks of all its blocks.
     pub record: JobRecord,
+    /// The version of the record's key.
     pub record_version: u64,
+    /// The version of the live row's key; 0 if the row was not written yet.
     pub live_row_version: u64,
+    /// The versions of the blocks of done tasks, by block number; 0 for a block that was
+    /// never written.
     pub block_versions: Vec<u64>,
 }
 
-/// Rows compared with their records in one round.
+impl Snapshot {
+    /// Adds a job, or notes why it cannot be used.
+    fn add_job(&mut self, job: &JobId, outcome: JobReadOutcome) {
+        match outcome {
+            Ok(snapshot) => self.jobs.push(*snapshot),
+            Err(reason) => self.unreadable.add_job(job, reason.to_string()),
+        }
+    }
+
+    /// Adds a node pool's record, or notes why it cannot be decoded.
+    fn add_node_pool(&mut self, key: &str, value: &Value, version: u64) {
+        match NodePoolRecord::decode(value) {
+            Ok(record) => self.node_pools.push((record, version)),
+            Err(error) => self.unreadable.add_node_pool(key, error.to_string()),
+        }
+    }
+}
+
+/// Archived rows that one round of the reconciler compares with their records, and
+/// unreadable keys that one round reads again.
 pub const ROWS_PER_ROUND: usize = 8;
 
-/// One round of the reconciler: where to go on, and the jobs that a repair
-/// brought back among the living.
+/// The result of one round of the reconciler.
+#[derive(Debug)]
+pub struct ReconciledPage {
+    /// The key after which the next round continues; empty to start again with the first.
+    pub next: String,
+    /// Jobs that a repair has made live again.
+    pub restored: Snapshot,
+}
+
+/// Runs one round of the reconciler: compares a page of archived rows, after the key `from`,
+/// with their records, and repairs what can be repaired soundly.
+///
+/// # Errors
+///
+/// If the store cannot be read or a repair is not committed; the round is then to be run
+/// again from the same key.
 pub async fn reconcile_page(
     store: &KvClient,
     epoch: u64,
     from: &str,
     value_kb: f64,
-) -> Result<(String, Snapshot), KvError> {
-    let (jobs, next) = reconciler::page_of_jobs(store, ARCHIVED_ROWS, from, ROWS_PER_ROUND).await?;
+) -> Result<ReconciledPage, KvError> {
+    let JobPage { jobs, next } = reconciler::page_of_jobs(store, ARCHIVED_ROWS, from, ROWS_PER_ROUND).await?;
     let mut restored = Snapshot::default();
     for job in &jobs {
         let examined = reconciler::examine(store, job).await?;
         if let Finding::Suspect(reason) = examined.finding {
-            tracing::error!(%job, reason, "not repaired; `audit` tells more");
+            tracing::error!(%job, reason, "inconsistent job not repaired; run `audit` for details");
         }
         if let Some(repair) = examined.repair(epoch) {
-            tracing::error!(%job, finding = ?examined.finding, "a row differs from its record; repairing it");
-            let live_version = store.compare_and_swap(repair).await?;
+            tracing::error!(%job, finding = ?examined.finding, "row differs from its record; repair started");
+            let live_row_version = store.compare_and_swap(repair).await?;
             if examined.finding == Finding::Stranded {
-                match read_job(store, job, live_version, value_kb).await? {
-                    JobReadOutcome::Loaded(loaded) => restored.jobs.push(*loaded),
-                    JobReadOutcome::Unreadable(reason) => restored.unreadable.add_job(job, reason),
-                }
+                restored.add_job(job, read_job(store, job, live_row_version, value_kb).await?);
             }
         }
     }
     restored.dependency_states = read_dependencies_of(store, &restored.jobs).await?;
-    // At the end it begins anew.
-    Ok((next.unwrap_or_default(), restored))
+    Ok(ReconciledPage { next: next.unwrap_or_default(), restored })
 }
 
-/// Reads once more what could not be read before: records and fleet records that are
-/// readable by now, or gone.
+/// Reads again the keys of records that could not be used before: jobs and node pools that
+/// can be read by now, or that no longer exist.
+///
+/// # Errors
+///
+/// If the store cannot be read.
 pub async fn reread_unreadable(
     store: &KvClient,
     keys: Vec<String>,
     value_kb: f64,
 ) -> Result<Snapshot, KvError> {
-    let mut found = Snapshot::default();
+    let mut reread = Snapshot::default();
     for key in keys {
         if key.starts_with(NODE_POOLS) {
             match store.get(RequestClass::Background, &key).await? {
-                Some(entry) => add_node_pool(&mut found, &key, &entry.value, entry.version),
-                None => found.deleted_keys.push(key),
+                Some(entry) => reread.add_node_pool(&key, &entry.value, entry.version),
+                None => reread.deleted_keys.push(key),
             }
         } else if let Some(job) = UnreadableRecords::job_of(&key) {
             match store.get(RequestClass::Background, &live_row_key(&job)).await? {
-                Some(row) => match read_job(store, &job, row.version, value_kb).await? {
-                    JobReadOutcome::Loaded(loaded) => found.jobs.push(*loaded),
-                    JobReadOutcome::Unreadable(reason) => found.unreadable.add_job(&job, reason),
-                },
-                None => found.deleted_keys.push(key),
+                Some(row) => reread.add_job(&job, read_job(store, &job, row.version, value_kb).await?),
+                None => reread.deleted_keys.push(key),
             }
         }
     }
-    found.dependency_states = read_dependencies_of(store, &found.jobs).await?;
-    Ok(found)
-}
-
-/// Takes a fleet record in; one that does not decode is noted as unreadable.
-fn add_node_pool(loaded: &mut Snapshot, key: &str, value: &Value, version: u64) {
-    match NodePoolRecord::decode(value) {
-        Ok(record) => loaded.node_pools.push((record, version)),
-        Err(error) => loaded.unreadable.add_node_pool(key, error.to_string()),
-    }
+    reread.dependency_states = read_dependencies_of(store, &reread.jobs).await?;
+    Ok(reread)
 }
 
-/// Reads all unfinished work and the fleet.
+/// Reads the snapshot for a failover: all unfinished jobs, the node pools, the catalog and
+/// the learned statistics.
+///
+/// # Errors
+///
+/// If the store cannot be read. A record that cannot be used is no error: it is listed in
+/// [`Snapshot::unreadable`].
 pub async fn read_snapshot(store: &KvClient, value_kb: f64) -> Result<Snapshot, KvError> {
-    let mut loaded = Snapshot::default();
+    let mut snapshot = Snapshot::default();
     for entry in store.scan(NODE_POOLS).await? {
-        add_node_pool(&mut loaded, &entry.key, &entry.value, entry.version);
+        snapshot.add_node_pool(&entry.key, &entry.value, entry.version);
     }
     if let Some(entry) = store.get(RequestClass::Background, CATALOG).await?
         && let Ok(types) = decode_catalog(&entry.value)
     {
-        loaded.catalog = Some((types, entry.version));
+        snapshot.catalog = Some((types, entry.version));
     }
     if let Some(entry) = store.get(RequestClass::Background, LEARNED_STATISTICS).await? {
-        // Unreadable, it is written anew; its version is still needed for that.
-        let experience = LearnedStatistics::decode(&entry.value).unwrap_or_default();
-        loaded.statistics = Some((experience, entry.version));
+        // Statistics that cannot be decoded are replaced by the next write, which needs the
+        // version of the key.
+        let statistics = LearnedStatistics::decode(&entry.value).unwrap_or_default();
+        snapshot.statistics = Some((statistics, entry.version));
     }
+    read_live_jobs(store, value_kb, &mut snapshot).await?;
+    snapshot.dependency_states = read_dependencies_of(store, &snapshot.jobs).await?;
+    Ok(snapshot)
+}
+
+/// Adds all jobs with a live row to the snapshot; their records are read concurrently.
+async fn read_live_jobs(store: &KvClient, value_kb: f64, snapshot: &mut Snapshot) -> Result<(), KvError> {
     let mut reads = JoinSet::new();
     for row in store.scan(LIVE_ROWS).await? {
         let Some(job) = row.key.strip_prefix(LIVE_ROWS).and_then(JobId::parse) else {
-            tracing::error!(key = %row.key, "a row of no job; left alone");
+            tracing::error!(key = %row.key, "live row without a valid job id ignored");
             continue;
         };
         let store = store.clone();
         reads.spawn(async move {
-            let read = read_job(&store, &job, row.version, value_kb).await?;
-            Ok::<_, KvError>((job, read))
+            let outcome = read_job(&store, &job, row.version, value_kb).await?;
+            Ok::<_, KvError>((job, outcome))
         });
     }
     while let Some(read) = reads.join_next().await {
-        match read.map_err(|_| KvError::Unavailable)?? {
-            (_, JobReadOutcome::Loaded(loaded_job)) => loaded.jobs.push(*loaded_job),
-            (job, JobReadOutcome::Unreadable(reason)) => loaded.unreadable.add_job(&job, reason),
-        }
+        let (job, outcome) = read.map_err(|_| KvError::Unavailable)??;
+        snapshot.add_job(&job, outcome);
     }
-    loaded.dependency_states = read_dependencies_of(store, &loaded.jobs).await?;
-    Ok(loaded)
+    Ok(())
 }
 
-/// What the records say of the jobs that these await and that are not among them.
+/// Reads the states of the dependencies of these jobs that are not among the jobs themselves.
 async fn read_dependencies_of(store: &KvClient, jobs: &[JobSnapshot]) -> Result<DependencyStates, KvError> {
-    let among: HashSet<&JobId> = jobs.iter().map(|job| &job.record.spec.id).collect();
+    let own_ids: HashSet<&JobId> = jobs.iter().map(|job| &job.record.spec.id).collect();
     let waiting = jobs.iter().map(|job| &job.record).filter(|record| record.may_wait_for_dependencies());
-    let needs: HashSet<JobId> = waiting
+    let dependencies: HashSet<JobId> = waiting
         .flat_map(|record| &record.spec.dependencies)
-        .filter(|need| !among.contains(need))
+        .filter(|dependency| !own_ids.contains(dependency))
         .cloned()
         .collect();
-    read_dependency_states(store, needs.into_iter().collect()).await
+    read_dependency_states(store, dependencies.into_iter().collect()).await
 }
 
-/// Reads what the records say of jobs that others await. One that cannot be used is no
-/// reason to know nothing of the others.
+/// Reads the states of jobs on which others depend. An unusable record gives
+/// [`DependencyState::Unreadable`] and does not keep the other states from being read.
+///
+/// # Errors
+///
+/// If the store cannot be read.
 pub async fn read_dependency_states(store: &KvClient, jobs: Vec<JobId>) -> Result<DependencyStates, KvError> {
     let mut reads = JoinSet::new();
     for job in jobs {
@@ -182,8 +233,13 @@
     Ok(states)
 }
 
-/// A job's record; `None` if it was never accepted. From one that cannot be read nothing
-/// follows; the leader logs it once.
+/// Reads a job's record; `None` if the job was never accepted.
+///
+/// # Errors
+///
+/// [`KvError::Rejected`] if the record cannot be used: then nothing may be concluded from
+/// it. It is only logged at debug level here, because the leader logs each such record once.
+/// Any other error if the store cannot be read.
 pub async fn read_record(
     store: &KvClient,
     class: RequestClass,
@@ -191,39 +247,44 @@
 ) -> Result<Option<JobRecord>, KvError> {
     let Some(entry) = store.get(class, &job_record_key(job)).await? else { return Ok(None) };
     decode_record(job, &entry.value).map(Some).map_err(|reason| {
-        tracing::debug!(%job, reason, "unreadable record");
+        tracing::debug!(%job, reason = reason.to_string(), "job record unreadable");
         KvError::Rejected
     })
 }
 
-/// A job's record, or why it cannot be used.
-fn decode_record(job: &JobId, value: &Value) -> Result<JobRecord, String> {
-    match JobRecord::decode(value) {
-        Ok(record) if record.spec.id == *job => Ok(record),
-        Ok(record) => Err(format!("a record of another job, {}", record.spec.id)),
-        Err(error) => Err(error.to_string()),
+/// Decodes a job's record, and checks that it is the record of this job.
+fn decode_record(job: &JobId, value: &Value) -> Result<JobRecord, UnusableJob> {
+    let record = JobRecord::decode(value)?;
+    if record.spec.id != *job {
+        return Err(UnusableJob::OtherJob(record.spec.id));
     }
+    Ok(record)
 }
 
-/// Whether a job that has not begun is cancelled with one that it needs, directly or not,
-/// by the records alone. At most so many of them are read.
+/// Whether a job that has not started is cancelled because a job that it depends on, directly
+/// or not, is cancelled; by the records alone.
+///
+/// # Errors
+///
+/// [`KvError::Unavailable`] if that would take reading more than `max_reads` records, and the
+/// errors of [`read_record`].
 pub async fn is_cancelled_by_dependencies(
     store: &KvClient,
     class: RequestClass,
     record: &JobRecord,
-    most: usize,
+    max_reads: usize,
 ) -> Result<bool, KvError> {
     let mut seen: HashSet<JobId> = HashSet::default();
     let mut unread: Vec<JobId> =
         if record.may_wait_for_dependencies() { record.spec.dependencies.clone() } else { Vec::new() };
-    while let Some(need) = unread.pop() {
-        if !seen.insert(need.clone()) {
+    while let Some(dependency) = unread.pop() {
+        if !seen.insert(dependency.clone()) {
             continue;
         }
-        if seen.len() > most {
+        if seen.len() > max_reads {
             return Err(KvError::Unavailable);
         }
-        let Some(record) = read_record(store, class, &need).await? else { continue };
+        let Some(record) = read_record(store, class, &dependency).await? else { continue };
         if record.terminal_state() == Some(JobState::Cancelled) {
             return Ok(true);
         }
@@ -234,41 +295,55 @@
     Ok(false)
 }
 
-/// What reading an unfinished job came to.
-enum JobReadOutcome {
-    Loaded(Box<JobSnapshot>),
-    /// Its record, or a block of its done tasks, cannot be used, for that reason.
-    Unreadable(String),
+/// Why a job with a live row cannot be used.
+#[derive(Debug, thiserror::Error)]
+enum UnusableJob {
+    /// There is no record beside the live row.
+    #[error("a row without a record")]
+    NoRecord,
+    /// The record under the job's key belongs to this other job.
+    #[error("a record of another job, {0}")]
+    OtherJob(JobId),
+    /// The record cannot be decoded.
+    #[error(transparent)]
+    Record(#[from] RecordError),
+    /// A block of its done tasks cannot be decoded.
+    #[error("block {block} of its done tasks: {source}")]
+    DoneBlock {
+        /// The number of the block.
+        block: u32,
+        /// Why the block cannot be decoded.
+        source: RecordError,
+    },
 }
 
-/// Reads one unfinished job.
+/// An unfinished job as read, or why it cannot be used.
+type JobReadOutcome = Result<Box<JobSnapshot>, UnusableJob>;
+
+/// Reads one unfinished job: its record and the blocks of its done tasks.
 async fn read_job(
     store: &KvClient,
     job: &JobId,
-    live_version: u64,
+    live_row_version: u64,
     value_kb: f64,
 ) -> Result<JobReadOutcome, KvError> {
     let Some(entry) = store.get(RequestClass::Admission, &job_record_key(job)).await? else {
-        return Ok(JobReadOutcome::Unreadable("a row without a record".into()));
+        return Ok(Err(UnusableJob::NoRecord));
     };
     let mut record = match decode_record(job, &entry.value) {
         Ok(record) => record,
-        Err(reason) => return Ok(JobReadOutcome::Unreadable(reason)),
+        Err(reason) => return Ok(Err(reason)),
     };
     let mut block_versions = Vec::new();
     let layout = record.layout(value_kb);
     for block in 0..layout.blocks(record.spec.tasks) {
-        let found = store.get(RequestClass::Admission, &layout.block_key(&record.spec.id, block)).await?;
-        block_versions.push(found.as_ref().map_or(0, |b| b.version));
-        if let Some(Err(error)) = found.map(|b| record.add_block(&b.value)) {
-            // Which of its tasks are done is not known, and no done task may start again.
-            return Ok(JobReadOutcome::Unreadable(format!("block {block} of its done tasks: {error}")));
+        let stored = store.get(RequestClass::Admission, &layout.block_key(&record.spec.id, block)).await?;
+        block_versions.push(stored.as_ref().map_or(0, |entry| entry.version));
+        if let Some(Err(source)) = stored.map(|entry| record.add_block(&entry.value)) {
+            // It is unknown which of its tasks are done, and a done task must not start
+            // again: the job as a whole cannot be used.
+            return Ok(Err(UnusableJob::DoneBlock { block, source }));
         }
     }
-    Ok(JobReadOutcome::Loaded(Box::new(JobSnapshot {
-        record,
-        record_version: entry.version,
-        live_row_version: live_version,
-        block_versions,
-    })))
+    Ok(Ok(Box::new(JobSnapshot { record, record_version: entry.version, live_row_version, block_versions })))
 }
--- a/src/coordination/recovery/unreadable.rs
+++ b/src/coordination/recovery/unreadable.rs
@@ -1,8 +1,8 @@
-//! What a leader could not read of the store.
+//! Records that a leader could not read from the store.
 //!
-//! A record that is there and does not decode says nothing: neither that the job is over
-//! nor that a machine holds no tasks. Its key is kept, what depends on it is held back, and
-//! it is read again at a bounded pace.
+//! From a record that exists and cannot be decoded nothing may be concluded: neither that the
+//! job is terminal nor that a machine holds no tasks. Its key is kept, everything that depends
+//! on it is delayed, and it is read again at a bounded rate.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -10,66 +10,68 @@
 use crate::protocol::jobs::JobId;
 use crate::storage::records::{JOB_RECORDS, NODE_POOLS, job_record_key};
 
-/// Keys of records that are there and cannot be used, and why.
+/// The keys of records that exist and cannot be used, each with the reason.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct UnreadableRecords {
-    keys: BTreeMap<String, String>,
+    /// The reason by key.
+    reasons: BTreeMap<String, String>,
 }
 
 impl UnreadableRecords {
-    /// A job's record, or a block of its done tasks, cannot be used.
+    /// Adds a job: its record, or a block of its done tasks, cannot be used.
     pub fn add_job(&mut self, job: &JobId, reason: String) {
-        self.keys.insert(job_record_key(job), reason);
+        self.reasons.insert(job_record_key(job), reason);
     }
 
-    /// The fleet record of that key cannot be used.
+    /// Adds the key of a node pool's record that cannot be used.
     pub fn add_node_pool(&mut self, key: &str, reason: String) {
-        self.keys.insert(key.to_owned(), reason);
+        self.reasons.insert(key.to_owned(), reason);
     }
 
-    /// The record was read since, or is gone.
+    /// Removes a key whose record was read in the meantime, or no longer exists.
     pub fn remove(&mut self, key: &str) {
-        self.keys.remove(key);
+        self.reasons.remove(key);
     }
 
-    /// Takes over what another reading found; what is new is logged.
+    /// Adds the keys that another read has found; those that are new are logged.
     pub fn extend(&mut self, other: UnreadableRecords) {
-        for (key, reason) in other.keys {
-            if let Entry::Vacant(entry) = self.keys.entry(key) {
-                tracing::error!(key = %entry.key(), reason, "cannot be read; what depends on it is held back");
+        for (key, reason) in other.reasons {
+            if let Entry::Vacant(entry) = self.reasons.entry(key) {
+                tracing::error!(key = %entry.key(), reason, "record unreadable; what depends on it is delayed");
                 entry.insert(reason);
             }
         }
     }
 
+    /// The number of keys.
     pub fn len(&self) -> usize {
-        self.keys.len()
+        self.reasons.len()
     }
 
+    /// Whether every record could be read.
     pub fn is_empty(&self) -> bool {
-        self.keys.is_empty()
+        self.reasons.is_empty()
     }
 
-    /// Whether a job is among them: nothing is known of what became of it.
+    /// Whether the job's record is unreadable: then its state is unknown.
     pub fn contains_job(&self, job: &JobId) -> bool {
-        // Mostly nothing is, and then no key need be made for each look.
-        !self.keys.is_empty() && self.keys.contains_key(&job_record_key(job))
+        // Usually the map is empty; then the key need not be allocated for each lookup.
+        !self.reasons.is_empty() && self.reasons.contains_key(&job_record_key(job))
     }
 
-    /// Whether machines may be rented that no readable record names.
+    /// Whether there may be machines that no readable node pool record names.
     pub fn may_hide_machines(&self) -> bool {
-        self.keys.keys().any(|key| key.starts_with(NODE_POOLS))
+        self.reasons.keys().any(|key| key.starts_with(NODE_POOLS))
     }
 
-    /// The next keys after the given one, to be read again; from the first where none
-    /// follows.
-    pub fn next_keys(&self, after: &str, most: usize) -> Vec<String> {
-        let following = self.keys.keys().filter(|key| key.as_str() > after);
-        let found: Vec<String> = following.take(most).cloned().collect();
-        if found.is_empty() { self.keys.keys().take(most).cloned().collect() } else { found }
+    /// Up to `max` keys that follow `after`, to be read again; the first ones if none follows.
+    pub fn next_keys(&self, after: &str, max: usize) -> Vec<String> {
+        let following = self.reasons.keys().filter(|key| key.as_str() > after);
+        let next: Vec<String> = following.take(max).cloned().collect();
+        if next.is_empty() { self.reasons.keys().take(max).cloned().collect() } else { next }
     }
 
-    /// The job whose record has this key.
+    /// The job whose record has this key; `None` if it is the key of no job record.
     pub fn job_of(key: &str) -> Option<JobId> {
         key.strip_prefix(JOB_RECORDS).and_then(JobId::parse)
     }
--- a/src/coordination/recovery/unreadable/tests.rs
+++ b/src/coordination/recovery/unreadable/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_cannot_be_read_is_read_again_in_turn() {
+fn unreadable_keys_are_returned_in_rotation() {
     let mut unreadable = UnreadableRecords::default();
     assert!(unreadable.next_keys("", 2).is_empty() && !unreadable.may_hide_machines());
     for job in ["job-1", "job-2", "job-3"] {
@@ -19,10 +19,10 @@
         after = keys.last().expect("two").clone();
         seen.extend(keys);
     }
-    assert_eq!(seen.len(), 4, "each has had its turn: {seen:?}");
-    assert_eq!(unreadable.next_keys(&after, 1), ["hire/1-7"], "and it begins anew");
+    assert_eq!(seen.len(), 4, "every key was returned once: {seen:?}");
+    assert_eq!(unreadable.next_keys(&after, 1), ["hire/1-7"], "and the rotation starts again");
     unreadable.remove("hire/1-7");
-    let job = UnreadableRecords::job_of("rec/job-2").expect("a job's record");
+    let job = UnreadableRecords::job_of("rec/job-2").expect("the key of a job record");
     assert!(unreadable.contains_job(&job) && !unreadable.may_hide_machines());
     assert_eq!(UnreadableRecords::job_of("hire/1-7"), None);
 }
