--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -1,4 +1,4 @@
-//! The cloud's machine types as far as they are known.
+//! The catalog: the cloud's machine types, as last read.
 
 use std::time::Duration;
 
@@ -8,62 +8,72 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobSpec;
 
-/// Names a machine type of the catalog. Types keep their place, so it never changes its
-/// meaning within an epoch.
+/// Names a machine type of the catalog. Types keep their index in the catalog, so an id never
+/// changes its meaning within an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineTypeId(usize);
 
+/// The boot time assumed of an unknown machine type, in seconds.
+const UNKNOWN_BOOT_S: f64 = 30.0;
+/// The least boot time that is reckoned with, in seconds.
+const MIN_BOOT_S: f64 = 1.0;
+
 impl MachineTypeId {
-    /// A type that the catalog does not have.
+    /// The id of types that are not in the catalog.
     const UNKNOWN: MachineTypeId = MachineTypeId(usize::MAX);
 }
 
-/// What reading the catalog has changed.
+/// How a read of the catalog has changed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CatalogChange {
     /// A type is new, or differs in more than its prices.
     pub(crate) has_changed: bool,
-    /// There were no types before, and there are now.
+    /// The catalog was empty before, and is not now.
     pub(crate) is_first: bool,
 }
 
-/// The machine types, and when they were last read of the cloud.
+/// The machine types, and when they were last read from the cloud.
 #[derive(Debug, Default)]
 pub(crate) struct Catalog {
+    /// The types by their ids. A type is never removed or moved, also if the cloud no longer
+    /// names it.
     types: Vec<MachineType>,
+    /// When the cloud has last answered or failed to; `None` if it was not read in this epoch.
     read_at: Option<Instant>,
 }
 
 impl Catalog {
-    /// Takes over the types that an earlier leader has stored.
+    /// Restores the types that an earlier leader has stored.
     pub(crate) fn restore(&mut self, types: Vec<MachineType>) {
         self.types = types;
     }
 
-    /// Takes over the cloud's answer. Prices move all the time and are no reason to store
-    /// the catalog again.
+    /// Updates the types with the cloud's answer. Prices change all the time and are no reason
+    /// to store the catalog again.
     pub(crate) fn update(&mut self, now: Instant, types: Vec<MachineType>) -> CatalogChange {
         self.read_at = Some(now);
         let was_empty = self.types.is_empty();
-        let without_prices = |kind: &MachineType| MachineType { price: 0.0, spot_price: 0.0, ..kind.clone() };
-        let is_known =
-            |kind: &MachineType| self.types.iter().any(|known| without_prices(known) == without_prices(kind));
-        let has_changed = types.iter().any(|kind| !is_known(kind));
-        for kind in types {
-            match self.types.iter_mut().find(|known| known.name == kind.name) {
-                Some(known) => *known = kind,
-                None => self.types.push(kind),
+        let without_prices =
+            |listed: &MachineType| MachineType { price: 0.0, spot_price: 0.0, ..listed.clone() };
+        let is_known = |listed: &MachineType| {
+            self.types.iter().any(|known| without_prices(known) == without_prices(listed))
+        };
+        let has_changed = types.iter().any(|listed| !is_known(listed));
+        for listed in types {
+            match self.types.iter_mut().find(|known| known.name == listed.name) {
+                Some(known) => *known = listed,
+                None => self.types.push(listed),
             }
         }
         CatalogChange { has_changed, is_first: was_empty && !self.types.is_empty() }
     }
 
-    /// The cloud was asked and did not answer: it is asked again after the usual time.
+    /// Records a read that failed: the next one is due after the usual time.
     pub(crate) fn record_failed_read(&mut self, now: Instant) {
         self.read_at = Some(now);
     }
 
-    /// Whether the last reading is longer ago than `max_age`.
+    /// Whether the last read is longer ago than `max_age`.
     pub(crate) fn is_older_than(&self, now: Instant, max_age: Duration) -> bool {
         self.read_at.is_none_or(|at| now > at + max_age)
     }
@@ -90,51 +100,60 @@
 
     /// The id of the type with that name, if it is known.
     pub(crate) fn find(&self, name: &str) -> Option<MachineTypeId> {
-        self.types.iter().position(|kind| kind.name == name).map(MachineTypeId)
+        self.types.iter().position(|machine_type| machine_type.name == name).map(MachineTypeId)
     }
 
-    /// What a machine of the type has; nothing if the type is not known.
+    /// The capacity of a machine of the type; none if the type is not known.
     pub(crate) fn resources(&self, id: MachineTypeId) -> Resources {
         self.get(id).map(Resources::of_type).unwrap_or_default()
     }
 
     /// The CPUs of a machine of the type; none if the type is not known.
     pub(crate) fn cpus(&self, id: MachineTypeId) -> f64 {
-        self.get(id).map_or(0.0, |kind| kind.cpus)
+        self.get(id).map_or(0.0, |machine_type| machine_type.cpus)
+    }
+
+    /// How long a machine of the type takes to boot, in seconds; at least a second.
+    pub(crate) fn boot_s(&self, id: MachineTypeId) -> f64 {
+        self.get(id).map_or(UNKNOWN_BOOT_S, |machine_type| machine_type.boot_s).max(MIN_BOOT_S)
     }
 
     /// The longest boot time of all types, at least a second.
     pub(crate) fn longest_boot(&self) -> Duration {
-        Duration::from_secs_f64(self.types.iter().map(|kind| kind.boot_s).fold(1.0, f64::max))
+        let boot_times = self.types.iter().map(|machine_type| machine_type.boot_s);
+        Duration::from_secs_f64(boot_times.fold(MIN_BOOT_S, f64::max))
     }
 
     /// The types on which a task of the job can run.
     pub(crate) fn feasible_types(&self, spec: &JobSpec) -> Vec<MachineTypeId> {
-        let need = Resources::of(spec);
-        let is_feasible = |kind: &MachineType| {
-            need.fits(&Resources::of_type(kind))
-                && spec.machine_types.as_ref().is_none_or(|types| types.contains(&kind.name))
-                && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
+        let task = Resources::of(spec);
+        let is_feasible = |machine_type: &MachineType| {
+            task.fits(&Resources::of_type(machine_type))
+                && spec.machine_types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
+                && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
         };
-        let feasible = self.types.iter().enumerate().filter(|(_, kind)| is_feasible(kind));
-        feasible.map(|(at, _)| MachineTypeId(at)).collect()
+        let feasible = self.types.iter().enumerate().filter(|(_, machine_type)| is_feasible(machine_type));
+        feasible.map(|(index, _)| MachineTypeId(index)).collect()
     }
 
     /// Whether the job allows machines of the type by its name.
     pub(crate) fn is_allowed_by(&self, spec: &JobSpec, id: MachineTypeId) -> bool {
-        self.get(id)
-            .is_some_and(|kind| spec.machine_types.as_ref().is_none_or(|types| types.contains(&kind.name)))
+        self.get(id).is_some_and(|machine_type| {
+            spec.machine_types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
+        })
     }
 
     /// Whether a task of the job fits on an empty machine of the type.
     pub(crate) fn fits_empty(&self, spec: &JobSpec, id: MachineTypeId) -> bool {
-        self.get(id).is_some_and(|kind| Resources::of(spec).fits(&Resources::of_type(kind)))
+        self.get(id).is_some_and(|machine_type| Resources::of(spec).fits(&Resources::of_type(machine_type)))
     }
 
     /// How long a machine of the type takes to fetch the job's image, in seconds.
     pub(crate) fn image_fetch_s(&self, spec: &JobSpec, id: MachineTypeId) -> f64 {
         match self.get(id) {
-            Some(kind) if kind.fetch_gb_per_s > 0.0 => spec.image_gb / kind.fetch_gb_per_s,
+            Some(machine_type) if machine_type.fetch_gb_per_s > 0.0 => {
+                spec.image_gb / machine_type.fetch_gb_per_s
+            }
             _ => 0.0,
         }
     }
--- a/src/coordination/fleet/demand_measurement.rs
+++ b/src/coordination/fleet/demand_measurement.rs
@@ -1,4 +1,5 @@
-//! Measures the demand of all jobs, once a second.
+//! The measurement of the demand of all jobs, once a second, and the learned statistics that
+//! outlive an epoch.
 
 use std::time::Duration;
 
@@ -11,19 +12,32 @@
 use crate::protocol::jobs::{JobId, JobSpec};
 use crate::storage::records::{LEARNED_STATISTICS, LearnedStatistics};
 
-/// Jobs that may wait for so many boots tolerate delay.
+/// Jobs tolerate delay if they may wait for longer than this, in multiples of the longest boot time.
 const DELAY_TOLERANT_BOOTS: f64 = 1.5;
-/// What waits is worked off within so many boots: at least, and at most.
-const BACKLOG_BOOTS: (u32, u32) = (2, 4);
+/// The least time in which a backlog is to be worked off, in multiples of the longest boot time.
+const MIN_BACKLOG_BOOTS: u32 = 2;
+/// The most time in which a backlog is to be worked off, in multiples of the longest boot time.
+const MAX_BACKLOG_BOOTS: u32 = 4;
+/// The part of the heartbeat interval that a task's start waits for on average.
+const START_DELAY_INTERVALS: f64 = 0.5;
+
+/// What one job adds to the demand, and of which group.
+struct JobDemand {
+    /// The group of the job.
+    group: DemandGroup,
+    /// What the job adds to it.
+    load: JobLoad,
+}
 
 impl Leader {
-    /// Counts the demand of all jobs that could run now.
+    /// Measures the demand of all jobs that could run now.
     pub(crate) fn measure_demand(&mut self, now: Instant) {
         self.autoscaler.demand.begin_measurement();
         let could_run = |job: &&Job| job.is_startable() && !job.waits_for_dependencies();
         let jobs: Vec<JobId> = self.jobs.values().filter(could_run).map(|job| job.id().clone()).collect();
         for id in jobs {
-            let Some((group, load)) = self.jobs.get(&id).and_then(|job| self.load_of(now, job)) else {
+            let Some(JobDemand { group, load }) = self.jobs.get(&id).and_then(|job| self.demand_of(now, job))
+            else {
                 continue;
             };
             self.autoscaler.demand.add(now, group, &load);
@@ -35,28 +49,23 @@
         self.autoscaler.demand.end_measurement(now, memory, self.config.tuning.begin_within);
     }
 
-    /// What a job adds to the demand, and of which group.
-    fn load_of(&self, now: Instant, job: &Job) -> Option<(DemandGroup, JobLoad)> {
+    /// What a job adds to the demand; `None` if its team is not in the settings.
+    fn demand_of(&self, now: Instant, job: &Job) -> Option<JobDemand> {
         let spec = job.spec();
         let quota = self.quotas.get(job.team?);
         let gpus = spec.gpus > 0.0;
-        let unit = if gpus { spec.gpus } else { spec.cpus };
+        let units_per_task = if gpus { spec.gpus } else { spec.cpus };
         let limit = if gpus { quota.limit.gpus } else { quota.limit.cpus };
-        let boot = self.catalog.longest_boot();
         let max_delay = self.max_start_delay(spec);
-        let delay_tolerant = max_delay > boot.mul_f64(DELAY_TOLERANT_BOOTS);
+        let delay_tolerant = max_delay > self.catalog.longest_boot().mul_f64(DELAY_TOLERANT_BOOTS);
         let run_s = self.run_estimates.expected_run_s(spec);
         let run = Duration::from_secs_f64(run_s);
-        let pending = unit * f64::from(job.pending());
-        // What waits is to be worked off while, or soon after, what is provisioned for it
-        // boots, since more would come up to find nothing to do; and over a longer time if
-        // the job's objectives leave it.
-        let due = self.latest_start(job, now) + run;
-        let (least, most) = BACKLOG_BOOTS;
-        let backlog_time = due.saturating_duration_since(now).clamp(boot * least, boot * most);
-        // What a team asks beyond its limit cannot run at once.
-        let offered = job.offered_load.unwrap_or_else(|| (unit * f64::from(job.unfinished())).min(limit));
-        let start_delay = self.config.settings.cluster.workers.report().mul_f64(0.5);
+        let pending = units_per_task * f64::from(job.pending());
+        let backlog_time = self.backlog_time(now, job, run);
+        // The part of a job beyond its team's limit cannot run at once.
+        let offered =
+            job.offered_load.unwrap_or_else(|| (units_per_task * f64::from(job.unfinished())).min(limit));
+        let start_delay = self.config.settings.cluster.workers.report().mul_f64(START_DELAY_INTERVALS);
         let ideal_end = job.waiting_since(now) + run + start_delay;
         let group = DemandGroup {
             machine_types: self.catalog.feasible_types(spec),
@@ -66,7 +75,7 @@
             delay_tolerant,
         };
         let load = JobLoad {
-            active: unit * job.tasks.assigned.len() as f64,
+            active: units_per_task * job.tasks.assigned.len() as f64,
             pending,
             limit,
             backlog_rate: pending * run_s / backlog_time.as_secs_f64(),
@@ -76,19 +85,30 @@
             max_delay: if delay_tolerant { max_delay } else { Duration::ZERO },
             task: Resources::of(spec),
         };
-        Some((group, load))
+        Some(JobDemand { group, load })
+    }
+
+    /// The time in which a job's waiting tasks are to be worked off.
+    ///
+    /// That is the time in which the machines that are provisioned for them boot, or soon after:
+    /// with more machines, some would boot only to find nothing to do. It is longer if the job's
+    /// objectives allow that.
+    fn backlog_time(&self, now: Instant, job: &Job, run: Duration) -> Duration {
+        let boot = self.catalog.longest_boot();
+        let latest_end = self.latest_start(job, now) + run;
+        latest_end.saturating_duration_since(now).clamp(boot * MIN_BACKLOG_BOOTS, boot * MAX_BACKLOG_BOOTS)
     }
 
-    /// How long a job may wait for its first objective. The deadline of one that depends on
-    /// others says little of that: most of it may be over when the job is ready.
+    /// How long a job may wait for its first objective. The deadline of a job with dependencies
+    /// is left out: most of the time until then may have passed when the job is ready.
     fn max_start_delay(&self, spec: &JobSpec) -> Duration {
         let after_ready = self.start_limits_after_ready(spec).min();
         let by_deadline = self.start_limits_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
         after_ready.into_iter().chain(by_deadline).min().unwrap_or_default()
     }
 
-    /// Stores what the next leader could not find out by itself: demand so far and how
-    /// estimates have turned out.
+    /// Stores what the next leader could not measure by itself: the demand so far, and the ratio
+    /// of run times to their estimates.
     pub(crate) fn save_statistics(&mut self, now: Instant) {
         let statistics = LearnedStatistics {
             groups: self.autoscaler.demand.to_stored(now, &self.catalog),
@@ -97,7 +117,7 @@
         self.write_singleton(LEARNED_STATISTICS, statistics.encode());
     }
 
-    /// Takes over what an earlier leader has stored.
+    /// Restores the statistics that an earlier leader has stored.
     pub(crate) fn restore_statistics(&mut self, now: Instant, statistics: LearnedStatistics) {
         self.run_estimates.restore(statistics.runtime_ratios);
         self.autoscaler.demand.restore(now, statistics.groups, &self.catalog);
--- a/src/coordination/fleet/image_cache.rs
+++ b/src/coordination/fleet/image_cache.rs
@@ -1,19 +1,23 @@
-//! Which images a machine has cached, as far as can be told from what has run on it.
+//! The images that a machine has cached, as estimated from the tasks that have run on it.
 
 use std::collections::VecDeque;
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobSpec;
 
+/// One cached image.
 #[derive(Debug)]
 struct CachedImage {
+    /// The image's name, as in a job's description.
     name: String,
+    /// Its size in GB.
     size_gb: f64,
 }
 
 /// The images believed to be cached on a machine, the most recently used first.
 #[derive(Debug, Default)]
 pub struct ImageCache {
+    /// Each image once, the most recently used first.
     images: VecDeque<CachedImage>,
 }
 
@@ -23,8 +27,8 @@
         self.images.iter().any(|cached| cached.name == image)
     }
 
-    /// A task of the job runs here, so its image is cached; the least recently used images
-    /// give way to it where the type's cache is full.
+    /// Records that a task of the job runs here, so that its image is cached. The least recently
+    /// used images are evicted where the machine type's cache is full; the new one is always kept.
     pub fn record_use(&mut self, spec: &JobSpec, machine_type: Option<&MachineType>) {
         let capacity_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
         if self.images.front().is_some_and(|cached| cached.name == spec.image) {
--- a/src/coordination/fleet/instance_offers.rs
+++ b/src/coordination/fleet/instance_offers.rs
@@ -1,4 +1,4 @@
-//! What the cloud offers, and when a refused offer may be tried again.
+//! The cloud's offers, and when a refused one may be requested again.
 
 use std::time::Duration;
 
@@ -7,44 +7,49 @@
 use crate::coordination::fleet::catalog::MachineTypeId;
 use crate::maps::HashMap;
 
-/// What the cloud provisions: a machine type in a zone, as spot machines or not.
+/// What the cloud provisions: a machine type in a zone, as spot or on-demand machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct InstanceOffer {
     /// The machine type.
     pub(crate) machine_type: MachineTypeId,
     /// The zone.
     pub(crate) zone: String,
-    /// Whether spot machines.
+    /// Whether spot machines, in place of on-demand ones.
     pub(crate) spot: bool,
 }
 
+/// The pause of one offer.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
+    /// When the offer may be requested again.
     until: Instant,
+    /// How long the pause is.
     wait: Duration,
 }
 
-/// Offers that the cloud could not fulfil, and until when they are not asked for again.
+/// Offers that the cloud could not fulfil, and until when they are not requested again.
 #[derive(Debug, Default)]
 pub(crate) struct OfferBackoffs {
+    /// The last pause of each refused offer, also after its end, since the next one depends on it.
     backoffs: HashMap<InstanceOffer, Backoff>,
 }
 
 impl OfferBackoffs {
-    /// Whether the offer was refused a moment ago.
+    /// Whether the offer was refused a short time ago and may not be requested again yet.
     pub(crate) fn is_backing_off(&self, now: Instant, offer: &InstanceOffer) -> bool {
         self.backoffs.get(offer).is_some_and(|backoff| now < backoff.until)
     }
 
-    /// The cloud had fewer machines than asked for. The first wait is half the type's boot
-    /// time, later ones up to twice that.
+    /// Records that the cloud had fewer machines than requested. The first pause is half the
+    /// type's boot time (`boot_s`, in seconds), later ones up to twice that.
     pub(crate) fn record_shortage(&mut self, now: Instant, offer: InstanceOffer, boot_s: f64) {
         let first = Duration::from_secs_f64(boot_s / 2.0);
-        let wait = self.backoffs.get(&offer).map_or(first, |backoff| (backoff.wait * 2).min(first * 2));
+        let longest = first * 2;
+        let wait = self.backoffs.get(&offer).map_or(first, |backoff| (backoff.wait * 2).min(longest));
         self.backoffs.insert(offer, Backoff { until: now + wait, wait });
     }
 
-    /// The cloud had all that was asked for.
+    /// Records that the cloud had all machines that were requested.
     pub(crate) fn clear(&mut self, offer: &InstanceOffer) {
         self.backoffs.remove(offer);
     }
--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -1,4 +1,5 @@
-//! What the leader holds of machines and of the rentals that named them.
+//! A machine of the fleet, as the leader sees it: its phase, its agent's heartbeats, the tasks
+//! on it, and whether demand needs it.
 
 use std::time::Duration;
 
@@ -10,51 +11,62 @@
 use crate::coordination::leader::effects::Effect;
 use crate::coordination::workers::slot::Slot;
 use crate::maps::HashMap;
-use crate::protocol::jobs::{JobId, TaskId};
+use crate::protocol::cloud::NodePoolRequest;
+use crate::protocol::jobs::JobId;
 use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
+/// How far a machine's life has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Rented, nothing heard of it yet.
+    /// Provisioned by the cloud; no heartbeat has arrived yet.
     Booting,
+    /// A heartbeat has arrived, in this epoch or, going by its record, in an earlier one.
     Up,
-    /// Its deletion has been asked for.
+    /// Its deletion was requested, and nothing is placed on it any more.
     Deleting,
 }
 
-/// Whether a machine seems to hear us. Its reports may arrive while answers and
-/// commands do not: an answer sent is no proof that it was received, only what
-/// later reports show of it is.
+/// Whether replies and commands reach a machine's agent. Its heartbeats may arrive while they
+/// do not (a one-way partition): that a reply was sent is no proof that it was received, only
+/// its effect in later heartbeats is.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AckTracker {
-    /// Answers in a row that should have shown an effect and did not.
+    /// Replies in a row that should have shown an effect and did not.
     missed_in_a_row: u32,
+    /// When the first of them was noticed.
     first_missed_at: Option<Instant>,
+    /// When the last of them was noticed.
     last_missed_at: Option<Instant>,
 }
 
 impl AckTracker {
-    /// So many, over at least two reports' time, and the machine is doubted:
-    /// one lost answer, or a burst of late copies, costs nothing.
+    /// Missed replies in a row, over at least [`Self::MIN_INTERVALS`], after which a one-way
+    /// partition is suspected: a single lost reply, or a burst of delayed copies, has no
+    /// consequence.
     const MAX_MISSED: u32 = 3;
+    /// Heartbeat intervals that must have passed since the first missed reply.
+    const MIN_INTERVALS: u32 = 2;
 
+    /// Records that a heartbeat does not show the effect of an earlier reply.
     pub fn record_missed(&mut self, now: Instant) {
         self.missed_in_a_row = self.missed_in_a_row.saturating_add(1);
         self.first_missed_at.get_or_insert(now);
         self.last_missed_at = Some(now);
     }
 
-    /// An effect was seen.
+    /// Records that a heartbeat shows the effect of a reply.
     pub fn record_acknowledged(&mut self) {
         *self = AckTracker::default();
     }
 
-    pub fn suspects_one_way_partition(&self, now: Instant, report: Duration) -> bool {
+    /// Whether replies seem not to reach the agent. `interval`: the time between two heartbeats.
+    pub fn suspects_one_way_partition(&self, now: Instant, interval: Duration) -> bool {
         self.missed_in_a_row >= Self::MAX_MISSED
-            && self.first_missed_at.is_some_and(|at| now >= at + report * 2)
+            && self.first_missed_at.is_some_and(|at| now >= at + interval * Self::MIN_INTERVALS)
     }
 
-    /// Whether it is time to try a single start on a doubted machine.
+    /// Whether a single start may be tried on a suspected machine: `pause` has passed since the
+    /// last missed reply.
     pub fn may_probe(&self, now: Instant, pause: Duration) -> bool {
         self.last_missed_at.is_none_or(|at| now >= at + pause)
     }
@@ -76,54 +88,54 @@
     }
 }
 
-/// What is known of the exchange of heartbeats with a machine's agent.
+/// The exchange of heartbeats and replies with a machine's agent.
 #[derive(Debug, Default)]
 pub struct AgentContact {
-    /// Where the agent takes pushed commands; empty while that is not known.
+    /// The address at which the agent accepts pushed commands; empty while it is unknown.
     pub address: String,
     /// The newest heartbeat under this epoch's fencing token.
     pub last_heartbeat: Option<HeartbeatStamp>,
-    /// The newest heartbeat under an earlier token, of which nothing but its arrival was used.
+    /// The newest heartbeat under an earlier fencing token, of which only the arrival was used.
     pub last_stale_heartbeat: Option<HeartbeatStamp>,
-    /// Heartbeats of earlier incarnations are void.
+    /// Heartbeats of earlier incarnations are ignored.
     pub min_incarnation: u64,
     /// When the last heartbeat arrived.
     pub heartbeat_at: Option<Instant>,
     /// When the last heartbeat arrived that was replied to, which renews the agent's lease.
     pub replied_at: Option<Instant>,
-    /// Whether replies show an effect.
+    /// Whether later heartbeats show an effect of the replies.
     pub acks: AckTracker,
-    /// Replies show none: the machine's capacity counts for nothing.
+    /// Replies seem not to reach the agent: the machine's capacity is not counted on.
     pub one_way_partitioned: bool,
-    /// When stops were last pushed to it.
+    /// When commands were last pushed to it.
     pub stops_pushed_at: Option<Instant>,
 }
 
-/// Whether the stored record says that a machine may hold tasks. It has to before the first
-/// start, so that a later leader knows which machines to reconcile.
+/// Whether the stored record of its node pool says that a machine may hold tasks. It must say so
+/// before the first start, so that a later leader knows which machines to reconcile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UseRecord {
-    /// It does not say so.
+    /// The record does not say so.
     NotRecorded,
-    /// The write that says so is under way.
+    /// The write that says so is in flight.
     InFlight,
-    /// It says so.
+    /// The stored record says so.
     Recorded,
 }
 
-/// How a machine fares in the cloud's inventory.
+/// How a machine appears in the scans of the cloud's inventory.
 #[derive(Debug, Clone, Copy)]
 pub struct Listing {
     /// It was listed at least once.
     pub was_listed: bool,
-    /// Readings in a row, young enough to show it, that did not.
+    /// Scans in a row that should have listed it and did not.
     pub missed: u32,
 }
 
 /// Whether demand needs a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineNeed {
-    /// Some demand counts on it; others are left to run empty.
+    /// Some demand counts on it; a machine that is not needed is left to run empty.
     pub is_needed: bool,
     /// Since when no demand has counted on it.
     pub unneeded_since: Option<Instant>,
@@ -144,26 +156,27 @@
     pub spot: bool,
     /// The node pool whose record names it.
     pub node_pool: String,
-    /// How far it has come.
+    /// How far its life has come.
     pub phase: Phase,
-    /// When it was asked of the cloud, as far as that matters for what is billed.
+    /// When it was requested from the cloud, as far as is known: the basis of the boot limit and
+    /// of the least time that is billed.
     pub requested_at: Instant,
     /// The exchange of heartbeats with its agent.
     pub agent: AgentContact,
-    /// What is on it is known: by a heartbeat under this epoch's fencing token, or by proof
-    /// that nothing is.
+    /// The leader knows which tasks are on it: by a heartbeat under this epoch's fencing token,
+    /// or by the proof that there are none.
     pub reconciled: bool,
     /// Whether its record says that it may hold tasks.
     pub use_record: UseRecord,
-    /// A deletion is under way.
+    /// A deletion request is in flight.
     pub deletion_in_flight: bool,
-    /// When the cloud takes it back, once it has announced that.
+    /// When the cloud preempts it, once that is announced.
     pub preempted_at: Option<Instant>,
     /// The tasks that are, or may be, on it.
-    pub slots: HashMap<TaskId, Slot>,
-    /// What is left beside the slots.
+    pub slots: HashMap<SlotKey, Slot>,
+    /// The capacity that its slots leave free.
     pub free: Resources,
-    /// Tasks are on it whose job is unknown; nothing is placed beside them.
+    /// Orphan tasks are on it, whose job is unknown; nothing is placed beside them.
     pub has_orphan_tasks: bool,
     /// The images believed to be cached on it.
     pub images: ImageCache,
@@ -173,14 +186,69 @@
     pub cordoned: bool,
     /// Since when no slot is on it.
     pub idle_since: Instant,
-    /// How it fares in the cloud's inventory.
+    /// How it appears in the cloud's inventory.
     pub listing: Listing,
     /// Whether demand needs it.
     pub need: MachineNeed,
 }
 
 impl Machine {
-    /// Pushes stops to it, if it is known where its agent is.
+    /// A machine of a node pool with this request, on which no task was ever started. `capacity`:
+    /// that of its type.
+    pub(crate) fn new(
+        id: MachineId,
+        request: &NodePoolRequest,
+        machine_type: MachineTypeId,
+        capacity: Resources,
+        now: Instant,
+    ) -> Self {
+        Machine {
+            id,
+            machine_type,
+            zone: request.zone.clone(),
+            spot: request.spot,
+            node_pool: request.name.clone(),
+            phase: Phase::Booting,
+            requested_at: now,
+            agent: AgentContact::default(),
+            // Nothing was ever started on a machine whose use is not recorded.
+            reconciled: true,
+            use_record: UseRecord::NotRecorded,
+            deletion_in_flight: false,
+            preempted_at: None,
+            slots: HashMap::default(),
+            free: capacity,
+            has_orphan_tasks: false,
+            images: ImageCache::default(),
+            failures: Vec::new(),
+            cordoned: false,
+            idle_since: now,
+            listing: Listing { was_listed: false, missed: 0 },
+            need: MachineNeed { is_needed: true, unneeded_since: None, is_draining: false },
+        }
+    }
+
+    /// Changes a new machine into one that may hold tasks of an earlier epoch, by its record.
+    pub(crate) fn mark_used_before(&mut self, requested_at: Instant) {
+        self.phase = Phase::Up;
+        self.requested_at = requested_at;
+        self.reconciled = false;
+        self.use_record = UseRecord::Recorded;
+        // It was listed long ago: a failover need not see it in the inventory first to conclude
+        // something from its absence.
+        self.listing = Listing { was_listed: true, missed: 1 };
+    }
+
+    /// Records that a scan of the cloud's inventory lists it, at this address.
+    pub(crate) fn record_listed(&mut self, address: &str) {
+        self.listing = Listing { was_listed: true, missed: 0 };
+        if self.agent.address.is_empty() {
+            self.agent.address.push_str(address);
+        }
+    }
+
+    /// An effect that pushes commands to its agent, if the agent's address and incarnation are
+    /// known.
     pub fn push_commands(
         &mut self,
         now: Instant,
@@ -193,7 +261,8 @@
         Some(Effect::PushCommands { address, fencing_token, incarnation, commands })
     }
 
-    /// Whether its capacity may be counted on.
+    /// Whether its capacity may be counted on: tasks may be placed on it, and replies reach its
+    /// agent.
     pub fn has_usable_capacity(&self) -> bool {
         self.is_schedulable() && !self.agent.one_way_partitioned
     }
@@ -209,7 +278,7 @@
             && self.preempted_at.is_none()
     }
 
-    /// Whether its record says that it may hold tasks.
+    /// Whether its stored record says that it may hold tasks.
     pub fn may_hold_tasks(&self) -> bool {
         self.use_record == UseRecord::Recorded
     }
--- a/src/coordination/fleet/machine_table.rs
+++ b/src/coordination/fleet/machine_table.rs
@@ -1,4 +1,4 @@
-//! The machines that the leader knows, and those that it knows to be deleted.
+//! The registered machines, and tombstones of those that were deleted.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,18 +7,21 @@
 use crate::protocol::workers::MachineId;
 
 /// The machines of all node pools, by name, and tombstones of those that were deleted: a
-/// late copy of a heartbeat must not bring a deleted machine back.
+/// delayed copy of a heartbeat must not register a deleted machine again.
 #[derive(Debug)]
 pub(crate) struct MachineTable {
+    /// The registered machines; none of them has a tombstone.
     machines: BTreeMap<MachineId, Machine>,
+    /// The names of deleted machines.
     tombstones: HashSet<MachineId>,
-    /// Tombstones, the oldest first.
+    /// The same names, the oldest first.
     tombstone_order: VecDeque<MachineId>,
+    /// The number of names above which the oldest are dropped.
     max_tombstones: usize,
 }
 
 impl MachineTable {
-    /// `max_tombstones`: of how many deleted machines the names are kept.
+    /// An empty table. `max_tombstones`: the number of deleted machines whose names are kept.
     pub(crate) fn new(max_tombstones: usize) -> Self {
         MachineTable {
             machines: BTreeMap::new(),
@@ -28,17 +31,17 @@
         }
     }
 
-    /// A machine, if it is known.
+    /// A machine, if it is registered.
     pub(crate) fn get(&self, machine: &MachineId) -> Option<&Machine> {
         self.machines.get(machine)
     }
 
-    /// A machine to be changed, if it is known.
+    /// A machine to be changed, if it is registered.
     pub(crate) fn get_mut(&mut self, machine: &MachineId) -> Option<&mut Machine> {
         self.machines.get_mut(machine)
     }
 
-    /// Whether the machine is known.
+    /// Whether the machine is registered.
     pub(crate) fn contains(&self, machine: &MachineId) -> bool {
         self.machines.contains_key(machine)
     }
@@ -53,17 +56,17 @@
         self.machines.values_mut()
     }
 
-    /// The machines from that name on.
+    /// The machines from that name on, by name, also if none has exactly this name.
     pub(crate) fn starting_at(&self, machine: MachineId) -> impl Iterator<Item = &Machine> {
         self.machines.range(machine..).map(|(_, machine)| machine)
     }
 
-    /// The last name in order.
+    /// The last name in order; `None` if there is no machine.
     pub(crate) fn last_name(&self) -> Option<&MachineId> {
         self.machines.keys().next_back()
     }
 
-    /// How many machines are known.
+    /// The number of registered machines.
     pub(crate) fn len(&self) -> usize {
         self.machines.len()
     }
@@ -73,12 +76,12 @@
         self.tombstones.contains(machine)
     }
 
-    /// Enters a machine.
+    /// Registers a machine under its name.
     pub(crate) fn insert(&mut self, machine: Machine) {
         self.machines.insert(machine.id.clone(), machine);
     }
 
-    /// Takes a deleted machine out, and leaves a tombstone.
+    /// Removes a deleted machine, and keeps a tombstone of it; `None` if it was not registered.
     pub(crate) fn remove_deleted(&mut self, machine: &MachineId) -> Option<Machine> {
         let removed = self.machines.remove(machine)?;
         if self.tombstones.insert(machine.clone()) {
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,9 +1,11 @@
-//! The fleet: machines, the cloud that provides them, how much work there is, scaling out and in.
+//! The fleet: machines and node pools, the cloud that provides them, demand, and scaling out and
+//! in.
 
 pub mod autoscaler;
 pub mod catalog;
 pub mod cloud;
 pub mod cloud_health;
+pub mod cloud_results;
 pub mod demand;
 pub mod demand_measurement;
 pub mod image_cache;
@@ -15,6 +17,7 @@
 pub mod node_pool;
 pub mod provisioning;
 pub mod registry;
+pub mod scale_in;
 pub mod scale_out;
 pub mod spot_losses;
 pub mod unregistered;
--- a/src/coordination/fleet/node_pool.rs
+++ b/src/coordination/fleet/node_pool.rs
@@ -1,25 +1,26 @@
-//! Node pools: requests for machines, and the machines that they brought.
+//! Node pools: requests to the cloud for machines, and the machines that they have provided.
 
 use std::collections::BTreeMap;
 
 use tokio::time::Instant;
 
+use crate::protocol::workers::MachineId;
 use crate::storage::records::NodePoolRecord;
 
-/// A node pool's record and the state of its writing and of its request.
+/// A node pool's record, and the state of its write and of its request to the cloud.
 #[derive(Debug)]
 pub(crate) struct NodePool {
-    /// The record as it should be.
+    /// The record as it is to be stored; the store may lag behind it.
     pub(crate) record: NodePoolRecord,
     /// The version of the record in the store; 0 before its first write.
     pub(crate) version: u64,
-    /// A write of the record is under way.
+    /// A write of the record is in flight.
     pub(crate) write_in_flight: bool,
     /// The record has changed since that write was sent.
     pub(crate) rewrite_needed: bool,
-    /// The cloud is being asked for its machines.
+    /// The request for its machines is in flight.
     pub(crate) request_in_flight: bool,
-    /// When the cloud was last asked, or has last answered.
+    /// When the request was last sent, or its last result came in.
     pub(crate) requested_at: Instant,
 }
 
@@ -41,22 +42,31 @@
         &self.record.request.name
     }
 
-    /// Whether the cloud has not said yet which machines it has.
+    /// Whether the cloud has not answered the request yet, so that its machines are unknown.
     pub(crate) fn is_pending(&self) -> bool {
         self.record.machines.is_none()
     }
 
-    /// Whether all its machines are gone.
+    /// Whether the request was answered and no machine is left.
     pub(crate) fn is_empty(&self) -> bool {
         self.record.machines.as_ref().is_some_and(Vec::is_empty)
     }
+
+    /// Removes a deleted machine from the record.
+    pub(crate) fn remove_machine(&mut self, machine: &MachineId) {
+        if let Some(machines) = &mut self.record.machines {
+            machines.retain(|other| other != machine);
+        }
+        self.record.machines_used.remove(machine);
+    }
 }
 
 /// All node pools, by name.
 #[derive(Debug, Default)]
 pub(crate) struct NodePools {
+    /// Each pool under the name in its record.
     pools: BTreeMap<String, NodePool>,
-    /// The number in the last name given out in this epoch.
+    /// The number in the last name assigned in this epoch.
     last_number: u32,
 }
 
@@ -86,19 +96,19 @@
         self.pools.insert(pool.name().to_owned(), pool);
     }
 
-    /// Forgets a pool.
+    /// Removes a pool.
     pub(crate) fn remove(&mut self, name: &str) {
         self.pools.remove(name);
     }
 
-    /// A name for a pool to be asked of the cloud. Epoch and number: never used twice, by
-    /// whichever controller.
+    /// A name for a new pool to be requested from the cloud: epoch and number, so that no
+    /// controller ever uses it twice.
     pub(crate) fn next_name(&mut self, epoch: u64) -> String {
         self.last_number += 1;
         format!("{epoch}-{}", self.last_number)
     }
 
-    /// A name for a pool of machines that exist already.
+    /// A name for a new pool of machines that exist already.
     pub(crate) fn next_unregistered_name(&mut self, epoch: u64) -> String {
         format!("x-{}", self.next_name(epoch))
     }
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -1,5 +1,5 @@
-//! The life of a node pool: its record is written before the cloud is asked, and asked again
-//! under its own name until the cloud answers.
+//! The life of a node pool: its record is written before the cloud is called, and the request is
+//! repeated under the pool's name until the cloud answers, so that it takes effect once.
 
 use tokio::time::Instant;
 
@@ -15,11 +15,9 @@
 use crate::storage::kv::{KvError, RequestClass};
 use crate::storage::records::{NodePoolRecord, node_pool_key};
 
-/// The boot time assumed of a machine type that is not known, in seconds.
-pub(crate) const UNKNOWN_BOOT_S: f64 = 30.0;
-
 impl Leader {
-    /// Writes a fleet record, one write at a time.
+    /// Writes a node pool's record, or deletes it if no machine is left. One write at a time is in
+    /// flight; a change meanwhile causes another one after it.
     pub(crate) fn write_node_pool(&mut self, name: &str) {
         let Some(pool) = self.node_pools.get_mut(name) else { return };
         if pool.write_in_flight {
@@ -29,32 +27,36 @@
         pool.write_in_flight = true;
         pool.rewrite_needed = false;
         let key = node_pool_key(name);
-        let conditions = vec![Compare { key: key.clone(), version: pool.version }];
+        let compares = vec![Compare { key: key.clone(), version: pool.version }];
         let change = if pool.is_empty() {
             Change::Delete { key }
         } else {
             Change::Put { key, value: pool.record.encode(), lease: None }
         };
-        // Without the mark of a new machine nothing starts on it. Machines that were
-        // there before anything was asked for are what the first jobs wait for:
-        // their records do not queue behind a crowd of acceptances.
-        let found = pool.version == 0 && pool.record.machines.is_some();
-        let class = if found { RequestClass::Admission } else { RequestClass::Completion };
-        self.commit(PendingOperation::WriteNodePool(name.to_owned()), class, conditions, vec![change]);
+        // Nothing starts on a machine before its use is recorded. The first jobs wait for the
+        // machines that were up before anything was requested: the first write of their records
+        // does not queue behind many admissions.
+        let has_existing_machines = pool.version == 0 && !pool.is_pending();
+        let class = if has_existing_machines { RequestClass::Admission } else { RequestClass::Completion };
+        self.commit(PendingOperation::WriteNodePool(name.to_owned()), class, compares, vec![change]);
     }
 
-    /// Records a rental; it is asked for once the record is written.
+    /// Creates a node pool. Its machines are requested from the cloud once its record is written.
     pub(crate) fn create_node_pool(&mut self, now: Instant, request: ScaleOutRequest) {
         let ScaleOutRequest { offer: InstanceOffer { machine_type, zone, spot }, count } = request;
-        let Some(machine_type) = self.catalog.get(machine_type).map(|k| k.name.clone()) else { return };
+        let Some(machine_type) = self.catalog.get(machine_type).map(|listed| listed.name.clone()) else {
+            return;
+        };
         let name = self.node_pools.next_name(self.epoch());
-        tracing::info!(rental = %name, %machine_type, %zone, spot, count, "renting");
+        tracing::info!(node_pool = %name, %machine_type, %zone, spot, count, "node pool created");
         let request = NodePoolRequest { name: name.clone(), machine_type, zone, spot, count };
         let record = NodePoolRecord { request, machines: None, machines_used: Default::default() };
         self.node_pools.insert(NodePool::new(record, 0, now));
         self.write_node_pool(&name);
     }
 
+    /// Handles the result of a write of a node pool's record. After a success the machines whose
+    /// use is recorded may get tasks, and a new pool's machines are requested from the cloud.
     pub(crate) fn handle_node_pool_written(
         &mut self,
         now: Instant,
@@ -67,22 +69,23 @@
             Ok(version) => pool.version = version,
             Err(KvError::Fenced) => return,
             Err(error) => {
-                tracing::error!(rental = %name, ?error, "a fleet record cannot be written");
+                tracing::error!(node_pool = %name, ?error, "write of node pool record failed");
+                // Left as in flight, so that the record is not written again in this epoch.
                 pool.write_in_flight = true;
                 return;
             }
         }
         if pool.rewrite_needed {
-            // What was marked since is not recorded yet; wait for the next.
-            return self.write_node_pool(name);
+            // Changes since the write was sent are not stored yet; the next write has them.
+            return self.write_node_pool(&name);
         }
         if pool.is_empty() {
             self.node_pools.remove(name);
             return;
         }
         for id in pool.record.machines_used.clone() {
-            if let Some(m) = self.machines.get_mut(&id) {
-                m.use_record = UseRecord::Recorded;
+            if let Some(machine) = self.machines.get_mut(&id) {
+                machine.use_record = UseRecord::Recorded;
             }
         }
         if self.node_pools.get(name).is_some_and(NodePool::is_pending) {
@@ -90,6 +93,8 @@
         }
     }
 
+    /// Requests a pool's machines from the cloud, unless its record is not stored yet, the request
+    /// is in flight, or this leader may no longer decide that.
     pub(crate) fn provision_node_pool(&mut self, now: Instant, name: &str) {
         let Ok(permit) = self.term.leader_permit(now) else { return };
         let Some(pool) = self.node_pools.get_mut(name) else { return };
@@ -106,6 +111,8 @@
         );
     }
 
+    /// Handles the cloud's answer to a pool's request: registers the machines, and notes whether
+    /// the cloud had as many as requested.
     pub(crate) fn handle_node_pool_provisioned(&mut self, now: Instant, name: &str, result: CloudResult) {
         let Some(pool) = self.node_pools.get_mut(name) else { return };
         pool.request_in_flight = false;
@@ -113,7 +120,7 @@
         let request = pool.record.request.clone();
         let is_short = match result {
             Ok(CloudReply::Provisioned(machines)) => {
-                let is_short = (machines.len() as u32) < request.count;
+                let is_short = u32::try_from(machines.len()).is_ok_and(|count| count < request.count);
                 pool.record.machines = Some(machines);
                 is_short
             }
@@ -121,7 +128,8 @@
                 pool.record.machines = Some(Vec::new());
                 true
             }
-            // Unknown: the same request again, which then tells what it got.
+            // The outcome is unknown: the same request is repeated, and its answer then names the
+            // machines that the first one got.
             _ => return,
         };
         let machine_type = self.catalog.id_of(&request.machine_type);
@@ -129,8 +137,8 @@
         self.write_node_pool(name);
         self.register_pool_machines(now, name);
         if is_short {
-            let boot_s = self.catalog.get(offer.machine_type).map_or(UNKNOWN_BOOT_S, |kind| kind.boot_s);
-            self.autoscaler.backoffs.record_shortage(now, offer, boot_s.max(1.0));
+            let boot_s = self.catalog.boot_s(offer.machine_type);
+            self.autoscaler.backoffs.record_shortage(now, offer, boot_s);
         } else {
             self.autoscaler.backoffs.clear(&offer);
         }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,288 +1,356 @@
-//! Scaling out: demand is covered with the machines that are there, the cheapest first, and
-//! what is missing is asked of the cloud in new node pools.
+//! Scaling out: demand is covered with the machines that exist, the cheapest first, and machines
+//! for the rest are requested from the cloud in new node pools.
+
+use std::cmp::Reverse;
 
 use tokio::time::Instant;
 
 use crate::coordination::fleet::catalog::MachineTypeId;
 use crate::coordination::fleet::demand::{Demand, DemandGroup};
 use crate::coordination::fleet::instance_offers::InstanceOffer;
-use crate::coordination::fleet::machine::Phase;
+use crate::coordination::fleet::machine::{Machine, Phase};
 use crate::coordination::leader::Leader;
 use crate::maps::HashSet;
-use crate::protocol::cloud::MachineType;
+use crate::protocol::cloud::{MachineType, NodePoolRequest};
 use crate::protocol::workers::MachineId;
 
-/// A number of machines to be asked of the cloud.
+/// A number of machines to be requested from the cloud.
 #[derive(Debug)]
 pub(crate) struct ScaleOutRequest {
-    /// What is asked for.
+    /// What is requested.
     pub(crate) offer: InstanceOffer,
     /// How many machines.
     pub(crate) count: u32,
 }
 
-/// Machines that demand can count on, and how many of them no group has taken yet.
+/// Machines of one offer that demand can count on.
 #[derive(Debug)]
 struct Supply {
+    /// Their type and zone, and whether they are spot machines.
     offer: InstanceOffer,
+    /// How many of them no group has claimed yet; a group may claim a part of a machine.
     unclaimed: f64,
 }
 
-/// Part of a machine below which the rest of a group's need keeps no machine.
+/// A machine that exists, as a supply of one.
+#[derive(Debug)]
+struct PresentMachine {
+    /// The machine's name.
+    id: MachineId,
+    /// What of it is not claimed yet.
+    supply: Supply,
+}
+
+/// What a group still needs, in units (CPUs or GPUs).
+struct UnmetNeed<'a> {
+    /// The group.
+    group: &'a DemandGroup,
+    /// The group's demand as measured.
+    demand: &'a Demand,
+    /// Units that no machine covers yet; zero or less once all are covered.
+    units: f64,
+    /// Units that on-demand machines cover, which spot machines might.
+    on_demand_units: f64,
+}
+
+/// A way to cover a need, compared with others.
+struct Candidate {
+    /// The weighted price of all machines that the need would take.
+    cost: f64,
+    /// The machines in its zone, with those that are being requested.
+    machines_in_zone: usize,
+    /// What would be requested; its count is limited to one node pool.
+    request: ScaleOutRequest,
+}
+
+/// The part of a machine below which the rest of a group's need does not keep a machine.
 const MIN_USEFUL_SHARE: f64 = 0.2;
-/// Part of a machine that may be missing without renting another.
+/// The part of a machine that may be missing without another one being requested.
 const TOLERATED_SHORTFALL: f64 = 0.05;
+/// Below this ratio of costs the cheaper candidate is chosen.
+const CLEARLY_CHEAPER: f64 = 0.99;
+/// Below this ratio of costs, and not clearly cheaper, candidates count as equally expensive.
+const EQUALLY_EXPENSIVE: f64 = 1.01;
+/// Up to this number of machines is a minority, however few there are in all.
+const ALWAYS_MINORITY: usize = 2;
 
-/// Whether so many of all are the exception, and to be believed.
+/// Whether so few of all machines are affected that the fault is more likely theirs than the
+/// leader's.
 fn is_minority(count: usize, all: usize) -> bool {
-    count * 2 <= all.max(1) || count <= 2
+    count * 2 <= all.max(1) || count <= ALWAYS_MINORITY
+}
+
+/// The whole part of a number of machines or requests. `as` saturates at the limits of `u32`,
+/// which is what is wanted here: a count is limited further by the size of a node pool.
+fn saturating_count(number: f64) -> u32 {
+    number as u32
+}
+
+impl UnmetNeed<'_> {
+    /// Claims up to `units` of the supply, of which each machine takes `units_per_machine`.
+    /// Returns the part of the supply that was claimed, in machines.
+    fn claim(&mut self, supply: &mut Supply, units: f64, units_per_machine: f64) -> f64 {
+        let machines = (units / units_per_machine).min(supply.unclaimed);
+        supply.unclaimed -= machines;
+        self.units -= machines * units_per_machine;
+        machines
+    }
+}
+
+impl Candidate {
+    /// Whether this one is to be preferred: it is cheaper, or it evens out the zones at about the
+    /// same cost.
+    fn is_better_than(&self, other: &Candidate) -> bool {
+        self.cost < other.cost * CLEARLY_CHEAPER
+            || (self.cost < other.cost * EQUALLY_EXPENSIVE && self.machines_in_zone < other.machines_in_zone)
+    }
 }
 
 impl Leader {
-    /// Covers every group's need with machines, the cheapest first, and rents
-    /// what is missing. Returns the machines that are wanted.
+    /// Covers every group's need with machines, the cheapest first, and creates node pools for
+    /// the rest. Returns the machines that are needed.
     pub(crate) fn scale_out(&mut self, now: Instant) -> HashSet<MachineId> {
+        let demand = self.autoscaler.demand.iter();
         let mut groups: Vec<(DemandGroup, Demand)> =
-            self.autoscaler.demand.iter().map(|(k, d)| (k.clone(), d.clone())).collect();
+            demand.map(|(group, demand)| (group.clone(), demand.clone())).collect();
         // Those with the fewest choices first.
-        groups.sort_by_key(|(k, _)| (k.machine_types.len(), k.zone.is_none(), k.spot, k.clone()));
-        let mut present = self.present_supply(now);
-        let mut coming = self.pending_supply();
-        let mut wanted = HashSet::default();
-        let mut orders: Vec<ScaleOutRequest> = Vec::new();
-        for (key, demand) in groups {
-            let mut need = self.target_capacity(now, &key, &demand);
-            let ordinary = self.claim_present(&key, &demand, &mut need, &mut present, &mut wanted);
-            self.claim_pending(&key, &demand, &mut need, ordinary, &mut coming);
-            self.request_missing(now, &key, &demand, need, ordinary, &mut orders);
+        groups.sort_by_key(|(group, _)| {
+            (group.machine_types.len(), group.zone.is_none(), group.spot, group.clone())
+        });
+        let mut present = self.present_machines(now);
+        let mut pending = self.pending_supply();
+        let mut needed = HashSet::default();
+        let mut requests: Vec<ScaleOutRequest> = Vec::new();
+        for (group, demand) in &groups {
+            let units = self.target_capacity(now, group, demand);
+            let mut need = UnmetNeed { group, demand, units, on_demand_units: 0.0 };
+            self.claim_present(&mut need, &mut present, &mut needed);
+            self.claim_pending(&mut need, &mut pending);
+            self.request_missing(now, need, &mut requests);
         }
-        for order in orders {
-            self.create_node_pool(now, order);
+        for request in requests {
+            self.create_node_pool(now, request);
         }
-        wanted
+        needed
     }
 
-    /// Machines that are there and may be counted on, the cheapest first.
+    /// The machines that exist and may be counted on, the cheapest first.
     ///
-    /// What does not hear us does no work, and goes back once it is empty; unless it is
-    /// most of them, when the fault is more likely on this side.
-    fn present_supply(&self, now: Instant) -> Vec<(MachineId, Supply)> {
-        let silence = self.liveness.detector(now, &self.config, &self.machines);
-        let doubted = self.machines.values().filter(|m| m.agent.one_way_partitioned).count();
-        let trust_doubt = is_minority(doubted, self.machines.len());
-        let mut present: Vec<(MachineId, Supply)> = self
-            .machines
-            .values()
-            .filter(|m| m.phase != Phase::Deleting && !m.cordoned && m.preempted_at.is_none())
-            .filter(|m| !silence.is_suspected(m))
-            .filter(|m| !(m.agent.one_way_partitioned && trust_doubt))
-            .map(|m| {
-                let offer =
-                    InstanceOffer { machine_type: m.machine_type, zone: m.zone.clone(), spot: m.spot };
-                (m.id.clone(), Supply { offer, unclaimed: 1.0 })
-            })
-            .collect();
-        // At one price those with the most on them, so that the others empty.
-        // Prices are not negative: their bits are in the same order.
-        present.sort_by_cached_key(|(id, supply)| {
-            let load = self.machines.get(id).map_or(0, |m| m.slots.len());
-            (
-                self.price_per_cpu(supply.offer.machine_type, supply.offer.spot).to_bits(),
-                std::cmp::Reverse(load),
-                id.clone(),
-            )
+    /// A machine that our replies do not reach (a one-way partition) does no work, and is scaled
+    /// in once it is empty; unless most machines are like that, when the fault is more likely on
+    /// this side.
+    fn present_machines(&self, now: Instant) -> Vec<PresentMachine> {
+        let detector = self.liveness.detector(now, &self.config, &self.machines);
+        let partitioned = self.machines.values().filter(|machine| machine.agent.one_way_partitioned).count();
+        let excludes_partitioned = is_minority(partitioned, self.machines.len());
+        let is_usable = |machine: &&Machine| {
+            let is_up_or_booting = machine.phase != Phase::Deleting;
+            let is_healthy = !machine.cordoned && machine.preempted_at.is_none();
+            let is_excluded = machine.agent.one_way_partitioned && excludes_partitioned;
+            is_up_or_booting && is_healthy && !detector.is_suspected(machine) && !is_excluded
+        };
+        let mut present: Vec<PresentMachine> =
+            self.machines.values().filter(is_usable).map(PresentMachine::of).collect();
+        // At one price those with the most tasks, so that the others run empty.
+        // Prices are not negative, so their bits are in the same order as the prices.
+        present.sort_by_cached_key(|present| {
+            let offer = &present.supply.offer;
+            let price = self.price_per_cpu(offer.machine_type, offer.spot).to_bits();
+            let tasks = self.machines.get(&present.id).map_or(0, |machine| machine.slots.len());
+            (price, Reverse(tasks), present.id.clone())
         });
         present
     }
 
-    /// Machines asked for but not named yet count as if they were there.
+    /// The machines of pending node pools, which count as if they existed.
     fn pending_supply(&self) -> Vec<Supply> {
         self.node_pools
             .values()
-            .filter(|rental| rental.record.machines.is_none())
-            .map(|rental| {
-                let request = &rental.record.request;
-                let kind = self.catalog.id_of(&request.machine_type);
-                let offer =
-                    InstanceOffer { machine_type: kind, zone: request.zone.clone(), spot: request.spot };
+            .filter(|pool| pool.is_pending())
+            .map(|pool| {
+                let request = &pool.record.request;
+                let machine_type = self.catalog.id_of(&request.machine_type);
+                let offer = InstanceOffer { machine_type, zone: request.zone.clone(), spot: request.spot };
                 Supply { offer, unclaimed: f64::from(request.count) }
             })
             .collect()
     }
 
-    /// The price of a CPU, by which machines are compared.
-    pub(crate) fn price_per_cpu(&self, kind: MachineTypeId, spot: bool) -> f64 {
-        self.catalog.get(kind).map_or(f64::MAX, |kind| self.weighted_price(kind, spot) / kind.cpus.max(1.0))
+    /// The weighted price of a CPU, by which machines are compared.
+    pub(crate) fn price_per_cpu(&self, id: MachineTypeId, spot: bool) -> f64 {
+        self.catalog.get(id).map_or(f64::MAX, |machine_type| {
+            self.weighted_price(machine_type, spot) / machine_type.cpus.max(1.0)
+        })
     }
 
-    /// The price of a machine, by which offers are compared.
-    fn weighted_price(&self, kind: &MachineType, spot: bool) -> f64 {
-        if spot { kind.spot_price * self.config.tuning.spot_price_weight } else { kind.price }
+    /// The price of a machine, by which offers are compared: that of spot machines is weighted
+    /// by the policy, since they may be lost.
+    fn weighted_price(&self, machine_type: &MachineType, spot: bool) -> f64 {
+        if spot { machine_type.spot_price * self.config.tuning.spot_price_weight } else { machine_type.price }
     }
 
-    /// What a group's machines should be able to run at once.
-    fn target_capacity(&self, now: Instant, key: &DemandGroup, demand: &Demand) -> f64 {
+    /// The units that a group's machines should be able to run at once.
+    fn target_capacity(&self, now: Instant, group: &DemandGroup, demand: &Demand) -> f64 {
         let tuning = &self.config.tuning;
-        // What may wait queues for a while instead of finding machines ready.
-        let usual = if key.delay_tolerant {
+        // Work that may wait queues for a while instead of finding machines ready.
+        let usual = if group.delay_tolerant {
             demand.mean * tuning.patient_ratio
         } else {
             demand.mean * tuning.mean_ratio + demand.standard_deviation() * tuning.headroom
         };
         let backlog = demand.mean + demand.backlog_rate;
         let at_once = demand.active + demand.pending;
-        // Nothing has come for as long as a machine takes to boot: what is kept warm
+        // There was no work for as long as a machine takes to boot: keeping machines ready
         // costs more than it saves.
-        let quiet = demand.idle_since.is_some_and(|since| now > since + self.catalog.longest_boot());
-        let need = if quiet { 0.0 } else { usual.max(backlog.min(at_once)) };
+        let is_quiet = demand.idle_since.is_some_and(|since| now > since + self.catalog.longest_boot());
+        let target = if is_quiet { 0.0 } else { usual.max(backlog.min(at_once)) };
         tracing::debug!(
-            spot = key.spot,
+            spot = group.spot,
             mean = demand.mean,
-            spread = demand.standard_deviation(),
+            standard_deviation = demand.standard_deviation(),
             active = demand.active,
             pending = demand.pending,
-            need,
-            "demand"
+            target,
+            "demand of group measured"
         );
-        need
+        target
     }
 
-    /// Takes what a group needs of the machines that are there, and notes them as
-    /// wanted. Returns how much of it ordinary machines cover.
+    /// Claims what a group needs from the machines that exist, and adds those to the needed ones.
     fn claim_present(
         &self,
-        key: &DemandGroup,
-        demand: &Demand,
-        need: &mut f64,
-        present: &mut [(MachineId, Supply)],
-        wanted: &mut HashSet<MachineId>,
-    ) -> f64 {
-        let mut ordinary = 0.0;
-        for (id, supply) in present {
-            if *need <= 0.0 {
+        need: &mut UnmetNeed<'_>,
+        present: &mut [PresentMachine],
+        needed: &mut HashSet<MachineId>,
+    ) {
+        for PresentMachine { id, supply } in present {
+            if need.units <= 0.0 {
                 break;
             }
-            let units = self.units_on(supply.offer.machine_type, demand, key);
-            if supply.unclaimed <= 0.0 || units <= 0.0 || !key.allows(&supply.offer) {
+            let units_per_machine = self.units_per_machine(supply.offer.machine_type, need);
+            if supply.unclaimed <= 0.0 || units_per_machine <= 0.0 || !need.group.allows(&supply.offer) {
                 continue;
             }
-            let taken = (*need / units).min(supply.unclaimed);
-            supply.unclaimed -= taken;
-            *need -= taken * units;
+            let claimed = need.claim(supply, need.units, units_per_machine);
             if !supply.offer.spot {
-                ordinary += taken * units;
+                need.on_demand_units += claimed * units_per_machine;
             }
-            if taken > MIN_USEFUL_SHARE || wanted.is_empty() {
-                wanted.insert(id.clone());
+            if claimed > MIN_USEFUL_SHARE || needed.is_empty() {
+                needed.insert(id.clone());
             }
         }
-        ordinary
     }
 
-    /// Takes what is still needed, or covered by ordinary machines, of those asked for.
-    fn claim_pending(
-        &self,
-        key: &DemandGroup,
-        demand: &Demand,
-        need: &mut f64,
-        ordinary: f64,
-        coming: &mut [Supply],
-    ) {
-        for supply in coming {
-            let units = self.units_on(supply.offer.machine_type, demand, key);
-            if *need + ordinary > 0.0 && units > 0.0 && key.allows(&supply.offer) {
-                let taken = ((*need + ordinary) / units).min(supply.unclaimed);
-                supply.unclaimed -= taken;
-                *need -= taken * units;
+    /// Claims what is still needed, or covered by on-demand machines, from the pending ones.
+    fn claim_pending(&self, need: &mut UnmetNeed<'_>, pending: &mut [Supply]) {
+        for supply in pending {
+            let units_per_machine = self.units_per_machine(supply.offer.machine_type, need);
+            let units = need.units + need.on_demand_units;
+            if units > 0.0 && units_per_machine > 0.0 && need.group.allows(&supply.offer) {
+                need.claim(supply, units, units_per_machine);
             }
         }
     }
 
-    /// Orders what is missing. After a wave hundreds of machines are: as many rentals
-    /// as the cloud takes in a second, instead of one.
-    fn request_missing(
-        &self,
-        now: Instant,
-        key: &DemandGroup,
-        demand: &Demand,
-        mut need: f64,
-        ordinary: f64,
-        orders: &mut Vec<ScaleOutRequest>,
-    ) {
-        if need > 0.0 {
-            let rentals = self.config.settings.cluster.cloud.rps.max(1.0) as usize;
-            for _ in 0..rentals.saturating_sub(orders.len()).max(1) {
-                let Some(order) = self.choose_offer(now, key, demand, need, orders) else { break };
-                need -= f64::from(order.count) * self.units_on(order.offer.machine_type, demand, key);
-                orders.push(order);
+    /// Requests machines for what no machine covers.
+    ///
+    /// Many are missing at once after a burst of submissions: then as many requests are made in
+    /// one tick as the cloud accepts in a second, but at least one.
+    fn request_missing(&self, now: Instant, mut need: UnmetNeed<'_>, requests: &mut Vec<ScaleOutRequest>) {
+        if need.units > 0.0 {
+            let per_second = saturating_count(self.config.settings.cluster.cloud.rps.max(1.0));
+            let already = u32::try_from(requests.len()).unwrap_or(u32::MAX);
+            for _ in 0..per_second.saturating_sub(already).max(1) {
+                let Some(request) = self.choose_offer(now, &need, need.units, requests) else { break };
+                let units_per_machine = self.units_per_machine(request.offer.machine_type, &need);
+                need.units -= f64::from(request.count) * units_per_machine;
+                requests.push(request);
             }
-        } else if key.spot && need + ordinary > 0.0 {
-            // Ordinary machines do what spot ones could: take those when
-            // they are to be had; the others then empty and go back.
-            let order = self.choose_offer(now, key, demand, need + ordinary, orders);
-            orders.extend(order.filter(|order| order.offer.spot));
+        } else if need.group.spot && need.units + need.on_demand_units > 0.0 {
+            // On-demand machines run what spot machines could: these are requested where they
+            // are available; the others then run empty and are scaled in.
+            let request = self.choose_offer(now, &need, need.units + need.on_demand_units, requests);
+            requests.extend(request.filter(|request| request.offer.spot));
         }
     }
 
-    /// The cheapest way to get what is missing, beside what is chosen already;
-    /// evens out zones at one price.
+    /// The cheapest request that covers `units`, in addition to the requests chosen already; at
+    /// about the same cost the one whose zone has the fewest machines.
     fn choose_offer(
         &self,
         now: Instant,
-        key: &DemandGroup,
-        demand: &Demand,
-        need: f64,
+        need: &UnmetNeed<'_>,
+        units: f64,
         chosen: &[ScaleOutRequest],
     ) -> Option<ScaleOutRequest> {
-        let most = self.max_machines_per_pool(None);
-        let mut best: Option<(f64, usize, ScaleOutRequest)> = None;
-        for &at in &key.machine_types {
-            let kind = self.catalog.get(at)?;
-            let units = self.units_on(at, demand, key);
-            if units <= 0.0 {
+        let max_count = self.max_machines_per_pool(None);
+        let mut best: Option<Candidate> = None;
+        for &id in &need.group.machine_types {
+            let machine_type = self.catalog.get(id)?;
+            let units_per_machine = self.units_per_machine(id, need);
+            if units_per_machine <= 0.0 {
                 continue;
             }
-            let count = (need / units - TOLERATED_SHORTFALL).ceil().max(0.0) as u32;
+            let count = saturating_count((units / units_per_machine - TOLERATED_SHORTFALL).ceil().max(0.0));
             if count == 0 {
                 continue;
             }
-            for zone in &kind.zones {
-                let ordered: usize =
-                    chosen.iter().filter(|o| o.offer.zone == *zone).map(|o| o.count as usize).sum();
-                let here = self.machines.values().filter(|m| m.zone == *zone).count() + ordered;
+            for zone in &machine_type.zones {
+                let machines_in_zone = self.machines_in_zone(zone, chosen);
                 for spot in [true, false] {
-                    let offer = InstanceOffer { machine_type: at, zone: zone.clone(), spot };
-                    if !key.allows(&offer) || self.is_unavailable(now, &offer, chosen) {
+                    let offer = InstanceOffer { machine_type: id, zone: zone.clone(), spot };
+                    if !need.group.allows(&offer) || self.is_unavailable(now, &offer, chosen) {
                         continue;
                     }
-                    let cost = f64::from(count) * self.weighted_price(kind, spot);
-                    let better = best
-                        .as_ref()
-                        .is_none_or(|(c, n, _)| cost < c * 0.99 || (cost < c * 1.01 && here < *n));
-                    if better {
-                        best = Some((cost, here, ScaleOutRequest { offer, count: count.min(most) }));
+                    let cost = f64::from(count) * self.weighted_price(machine_type, spot);
+                    let request = ScaleOutRequest { offer, count: count.min(max_count) };
+                    let candidate = Candidate { cost, machines_in_zone, request };
+                    if best.as_ref().is_none_or(|best| candidate.is_better_than(best)) {
+                        best = Some(candidate);
                     }
                 }
             }
         }
-        best.map(|(_, _, order)| order)
+        best.map(|best| best.request)
     }
 
-    /// Units of a group's work that a machine of the type takes; none if it is not known.
-    fn units_on(&self, machine_type: MachineTypeId, demand: &Demand, group: &DemandGroup) -> f64 {
-        self.catalog.get(machine_type).map_or(0.0, |kind| demand.units_on(kind, group.gpus))
+    /// The machines in a zone, with those that are being requested.
+    fn machines_in_zone(&self, zone: &str, chosen: &[ScaleOutRequest]) -> usize {
+        let in_zone = chosen.iter().filter(|request| request.offer.zone == zone);
+        let requested: usize =
+            in_zone.map(|request| usize::try_from(request.count).unwrap_or(usize::MAX)).sum();
+        self.machines.values().filter(|machine| machine.zone == zone).count() + requested
     }
 
-    /// Whether the offer is being asked for, or was refused a moment ago.
+    /// Units of a group's work that a machine of the type takes; none if the type is unknown.
+    fn units_per_machine(&self, id: MachineTypeId, need: &UnmetNeed<'_>) -> f64 {
+        self.catalog.get(id).map_or(0.0, |machine_type| need.demand.units_on(machine_type, need.group.gpus))
+    }
+
+    /// Whether the offer is being requested, or was refused a short time ago.
     fn is_unavailable(&self, now: Instant, offer: &InstanceOffer, chosen: &[ScaleOutRequest]) -> bool {
-        chosen.iter().any(|order| order.offer == *offer)
-            || self.node_pools.values().any(|rental| {
-                let request = &rental.record.request;
-                rental.record.machines.is_none()
-                    && request.zone == offer.zone
-                    && request.spot == offer.spot
-                    && self.catalog.get(offer.machine_type).is_some_and(|k| k.name == request.machine_type)
-            })
+        let is_same_offer = |request: &NodePoolRequest| {
+            request.zone == offer.zone
+                && request.spot == offer.spot
+                && self
+                    .catalog
+                    .get(offer.machine_type)
+                    .is_some_and(|listed| listed.name == request.machine_type)
+        };
+        chosen.iter().any(|request| request.offer == *offer)
+            || self.node_pools.values().any(|pool| pool.is_pending() && is_same_offer(&pool.record.request))
             || self.autoscaler.backoffs.is_backing_off(now, offer)
     }
 }
+
+impl PresentMachine {
+    /// The machine, of which no group has claimed any part yet.
+    fn of(machine: &Machine) -> Self {
+        let offer = InstanceOffer {
+            machine_type: machine.machine_type,
+            zone: machine.zone.clone(),
+            spot: machine.spot,
+        };
+        PresentMachine { id: machine.id.clone(), supply: Supply { offer, unclaimed: 1.0 } }
+    }
+}
--- a/src/coordination/fleet/unregistered.rs
+++ b/src/coordination/fleet/unregistered.rs
@@ -1,13 +1,14 @@
-//! Machines that exist and that no node pool's record names.
+//! Unregistered machines: those that exist and that no node pool's record names.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
+use crate::protocol::cloud::NodePoolRequest;
 use crate::protocol::workers::MachineId;
 
-/// What machines share that are entered in one node pool.
+/// The properties that all machines of one node pool share.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct PoolShape {
     /// The machine type's name.
@@ -18,11 +19,20 @@
     pub(crate) spot: bool,
 }
 
-/// Machines to be registered. Those that show up within a moment share a record and its
-/// write; many do where machines were up before the first controller was.
+impl PoolShape {
+    /// Whether a node pool with this request has this shape.
+    pub(crate) fn matches(&self, request: &NodePoolRequest) -> bool {
+        request.machine_type == self.machine_type && request.zone == self.zone && request.spot == self.spot
+    }
+}
+
+/// Machines to be registered. Those that show up within a short time share a record and its
+/// write; there are many where machines were up before the first controller was.
 #[derive(Debug, Default)]
 pub(crate) struct UnregisteredMachines {
+    /// The machines that wait to be registered.
     machines: BTreeMap<MachineId, PoolShape>,
+    /// Since when the first of them waits; `None` if there is none.
     waiting_since: Option<Instant>,
 }
 
@@ -44,8 +54,8 @@
         self.machines.is_empty()
     }
 
-    /// Hands over the machines once the first of them has waited for `delay`; those that
-    /// share a shape together, each group and the groups in order.
+    /// Takes the machines out, grouped by shape, once the first of them has waited for `delay`;
+    /// before that there are none. Groups and the machines in a group are sorted.
     pub(crate) fn take_due(&mut self, now: Instant, delay: Duration) -> BTreeMap<PoolShape, Vec<MachineId>> {
         let mut groups: BTreeMap<PoolShape, Vec<MachineId>> = BTreeMap::new();
         if self.waiting_since.is_none_or(|since| now < since + delay) {
