--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -12,7 +12,7 @@
 use crate::coordination::workers::slot::Slot;
 use crate::maps::HashMap;
 use crate::protocol::cloud::NodePoolRequest;
-use crate::protocol::jobs::JobId;
+use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
 /// How far a machine's life has come.
@@ -173,7 +173,7 @@
     /// When the cloud preempts it, once that is announced.
     pub preempted_at: Option<Instant>,
     /// The tasks that are, or may be, on it.
-    pub slots: HashMap<SlotKey, Slot>,
+    pub slots: HashMap<TaskId, Slot>,
     /// The capacity that its slots leave free.
     pub free: Resources,
     /// Orphan tasks are on it, whose job is unknown; nothing is placed beside them.
