--- a/src/coordination/tests/dag.rs
+++ b/src/coordination/tests/dag.rs
@@ -1,45 +1,43 @@
-//! Jobs that wait for others: when they start, what is cancelled with what, and what their
-//! users are told.
+//! Jobs with dependencies: when they start, what is cancelled with what, and what their users
+//! are answered.
 
 use super::*;
 use crate::coordination::jobs::dependency_state::{DependencyState, DependencyStates};
 
-/// A job of one task that awaits others.
-fn awaiting(job: &str, needs: &[&str]) -> JobSpec {
-    JobSpec { dependencies: needs.iter().map(|need| id(need)).collect(), ..sample(job, "red", 1, 1.0) }
-}
-
-/// A job that a new leader reads, of which no task has begun.
-fn unbegun(spec: JobSpec) -> JobSnapshot {
-    JobSnapshot { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
+/// A job of one task with these dependencies.
+fn dependent_job(job: &str, dependencies: &[&str]) -> JobSpec {
+    JobSpec {
+        dependencies: dependencies.iter().map(|dependency| id(dependency)).collect(),
+        ..sample(job, "red", 1, 1.0)
+    }
 }
 
-fn loaded_with(jobs: Vec<JobSnapshot>, needs: &[(&str, DependencyState)]) -> Rig {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    let rentals = vec![rented("vm-1", true)];
-    let needs = needs.iter().map(|(need, state)| (id(need), *state)).collect();
-    let loaded = Snapshot {
+fn harness_with_snapshot(jobs: Vec<JobSnapshot>, dependencies: &[(&str, DependencyState)]) -> Harness {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    let node_pools = vec![rented("vm-1", true)];
+    let dependencies = dependencies.iter().map(|(dependency, state)| (id(dependency), *state)).collect();
+    let snapshot = Snapshot {
         jobs,
-        node_pools: rentals,
-        dependency_states: needs,
+        node_pools,
+        dependency_states: dependencies,
         catalog: Some((catalog(), 2)),
         ..Snapshot::default()
     };
-    rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
-    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
-    rig.collect();
-    rig
+    harness.replace_leader(snapshot);
+    harness.collect_effects();
+    harness
 }
 
-impl Rig {
-    /// A report of the only machine with these tasks; the tasks that start with its answer.
-    fn starts_after(&mut self, seq: u64, tasks: Vec<TaskStatus>) -> Vec<(TaskId, u64)> {
-        self.pass(0.5);
-        starts(&self.beat("vm-1", seq, EPOCH, tasks))
+impl Harness {
+    /// Sends a heartbeat of the only machine with these tasks; returns what starts with its
+    /// reply.
+    fn starts_for_heartbeat(&mut self, sequence: u64, tasks: Vec<TaskStatus>) -> Vec<(TaskId, u64)> {
+        self.advance(0.5);
+        starts(&self.heartbeat("vm-1", sequence, EPOCH, tasks))
     }
 
-    fn commit_all_but_settles(&mut self) {
-        let settles = |transaction: &Transaction| {
+    fn commit_all_but_completions(&mut self) {
+        let writes_completion = |transaction: &Transaction| {
             transaction.changes.iter().any(|change| match change {
                 Change::Put { key, value, .. } if key.starts_with("rec/") => {
                     JobRecord::decode(value).is_ok_and(|record| record.completed)
@@ -47,74 +45,86 @@
                 _ => false,
             })
         };
-        let (kept, others) = std::mem::take(&mut self.commits).into_iter().partition(|(_, t)| settles(t));
+        let (completions, others) =
+            std::mem::take(&mut self.commits).into_iter().partition(|(_, t)| writes_completion(t));
         self.commits = others;
         self.commit_all();
-        self.commits = kept;
+        self.commits = completions;
     }
 
-    fn standings(&self, jobs: &[&str]) -> Vec<Option<JobState>> {
-        jobs.iter().map(|job| self.standing(job)).collect()
+    fn job_states(&self, jobs: &[&str]) -> Vec<Option<JobState>> {
+        jobs.iter().map(|job| self.job_state(job)).collect()
     }
 }
 
-/// That the last task has been seen to end is not enough: with the leader lost before the
-/// settle is written, the next one would find the need unfinished.
+/// An end of the last task that is only in memory is not enough: were the leader lost before
+/// the completion is written, the next one would find the dependency unfinished.
 #[test]
-fn a_job_starts_once_the_settle_of_its_last_need_is_committed() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    rig.accept(sample("job-2", "blue", 1, 1.0));
-    rig.accept(awaiting("job-3", &["job-1", "job-2"]));
-    let first = rig.starts_after(2, vec![]);
-    assert_eq!(first.len(), 2, "those that wait for nothing");
-    let ended: Vec<TaskStatus> = first.iter().map(|start| listed(start, DONE)).collect();
-    assert!(rig.starts_after(3, vec![ended[0].clone(), listed(&first[1], TaskState::Running)]).is_empty());
-    rig.commit_all();
-    assert!(rig.starts_after(4, ended.clone()).is_empty(), "both have ended, one settle is on its way");
-    // Whatever else is written meanwhile, a first start included, does not release it.
-    for seq in 5..8 {
-        rig.commit_all_but_settles();
-        assert!(rig.starts_after(seq, vec![]).is_empty());
+fn a_job_starts_once_the_completion_of_its_last_dependency_is_committed() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    harness.accept(sample("job-2", "blue", 1, 1.0));
+    harness.accept(dependent_job("job-3", &["job-1", "job-2"]));
+    let first = harness.starts_for_heartbeat(2, vec![]);
+    assert_eq!(first.len(), 2, "the jobs without dependencies");
+    let ended: Vec<TaskStatus> = first.iter().map(|start| task_status(start, DONE)).collect();
+    assert!(
+        harness
+            .starts_for_heartbeat(3, vec![ended[0].clone(), task_status(&first[1], TaskState::Running)])
+            .is_empty()
+    );
+    harness.commit_all();
+    assert!(
+        harness.starts_for_heartbeat(4, ended.clone()).is_empty(),
+        "both have ended, one completion is in flight"
+    );
+    // Other writes, first starts included, do not make it ready.
+    for sequence in 5..8 {
+        harness.commit_all_but_completions();
+        assert!(harness.starts_for_heartbeat(sequence, vec![]).is_empty());
     }
-    assert_eq!(rig.standing("job-3"), Some(JobState::Queued));
-    rig.commit_all();
-    let last = rig.starts_after(8, vec![]);
+    assert_eq!(harness.job_state("job-3"), Some(JobState::Queued));
+    harness.commit_all();
+    let last = harness.starts_for_heartbeat(8, vec![]);
     assert_eq!(last.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
-    // A late copy of the reports before changes nothing.
-    assert_eq!(rig.report("vm-1", 1, 3, EPOCH, ended), HeartbeatReply::Redirect);
+    // A late copy of an earlier heartbeat changes nothing.
+    assert_eq!(harness.send_heartbeat("vm-1", 1, 3, EPOCH, ended), HeartbeatReply::Redirect);
 }
 
-/// While it waits a job takes no part of its team's guarantee, is no demand, and does not
-/// grow old.
+/// While a job waits for dependencies it uses none of its team's quota, is no demand for
+/// machines, and its waiting time does not count.
 #[test]
-fn a_waiting_job_is_queued_and_takes_nothing() {
-    let rented_beside = |waiting: bool| {
-        let mut rig = Rig::with_machines(&["vm-1"]);
-        rig.accept(sample("job-1", "red", 1, 1.0));
-        let first = rig.starts_after(2, vec![]);
+fn a_job_that_waits_for_dependencies_is_queued_and_uses_neither_quota_nor_demand() {
+    let scale_outs_with = |waiting: bool| {
+        let mut harness = Harness::with_machines(&["vm-1"]);
+        harness.accept(sample("job-1", "red", 1, 1.0));
+        let first = harness.starts_for_heartbeat(2, vec![]);
         if waiting {
-            rig.accept(JobSpec { tasks: 100, ..awaiting("job-2", &["job-1"]) });
+            harness.accept(JobSpec { tasks: 100, ..dependent_job("job-2", &["job-1"]) });
         }
-        for seq in 3..200 {
-            rig.pass(3.0);
-            assert!(rig.starts_after(seq, vec![listed(&first[0], TaskState::Running)]).is_empty());
-            rig.commit_all();
+        for sequence in 3..200 {
+            harness.advance(3.0);
+            assert!(
+                harness
+                    .starts_for_heartbeat(sequence, vec![task_status(&first[0], TaskState::Running)])
+                    .is_empty()
+            );
+            harness.commit_all();
         }
-        rig.accept(sample("job-3", "red", 1, 1.0));
-        let next = rig.starts_after(200, vec![listed(&first[0], TaskState::Running)]);
+        harness.accept(sample("job-3", "red", 1, 1.0));
+        let next = harness.starts_for_heartbeat(200, vec![task_status(&first[0], TaskState::Running)]);
         assert_eq!(next.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
-        assert_eq!(rig.standing("job-2"), waiting.then_some(JobState::Queued));
-        let rents = rig.cloud.iter().filter(|(_, call)| matches!(call, CloudCall::Provision(_)));
+        assert_eq!(harness.job_state("job-2"), waiting.then_some(JobState::Queued));
+        let rents = harness.cloud_calls.iter().filter(|(_, call)| matches!(call, CloudCall::Provision(_)));
         rents.map(|(_, call)| format!("{call:?}")).collect::<Vec<_>>()
     };
-    assert_eq!(rented_beside(true), rented_beside(false));
+    assert_eq!(scale_outs_with(true), scale_outs_with(false));
 }
 
-/// Waits and the bound on starvation count from the release, the deadline from the
-/// submission, however long the job has waited for others.
+/// The waiting time and the bound on starvation count from when the job became ready, the
+/// deadline from its submission, however long it has waited for dependencies.
 #[test]
-fn age_counts_from_the_release_and_the_deadline_from_the_submission() {
+fn waiting_time_counts_from_ready_and_the_deadline_from_submission() {
     let mut config = Config { settings: settings::tests::sample(), tuning: policy::tests::tuning() };
     let aim = settings::Objective {
         kind: "wait".into(),
@@ -124,49 +134,50 @@
         times: None,
     };
     config.settings.cluster.objectives.push(aim);
-    let half = config.tuning.begin_within / 2;
-    let mut rig = Rig::configured(Vec::new(), vec![rented("vm-1", true)], config);
-    rig.beat("vm-1", 1, EPOCH, vec![]);
-    rig.accept(sample("job-1", "red", 1, 8.0));
-    let submitted = rig.now;
-    let deadline_s = Some(half.as_secs_f64() * 3.0);
-    rig.accept(JobSpec {
+    let half_bound = config.tuning.begin_within / 2;
+    let mut harness = Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config);
+    harness.heartbeat("vm-1", 1, EPOCH, vec![]);
+    harness.accept(sample("job-1", "red", 1, 8.0));
+    let submitted = harness.now;
+    let deadline_s = Some(half_bound.as_secs_f64() * 3.0);
+    harness.accept(JobSpec {
         class: "stage".into(),
         deadline_s,
         estimated_run_s: 20.0,
-        ..awaiting("job-2", &["job-1"])
+        ..dependent_job("job-2", &["job-1"])
     });
-    let first = rig.starts_after(2, vec![]);
-    let mut seq = 3;
-    while rig.now < submitted + half * 2 {
-        rig.pass(2.5);
-        rig.starts_after(seq, vec![listed(&first[0], TaskState::Running)]);
-        rig.commit_all();
-        seq += 1;
+    let first = harness.starts_for_heartbeat(2, vec![]);
+    let mut sequence = 3;
+    while harness.now < submitted + half_bound * 2 {
+        harness.advance(2.5);
+        harness.starts_for_heartbeat(sequence, vec![task_status(&first[0], TaskState::Running)]);
+        harness.commit_all();
+        sequence += 1;
     }
-    rig.starts_after(seq, vec![listed(&first[0], DONE)]);
-    rig.commit_all();
-    let released = rig.now;
-    let job = &rig.leader.jobs[&id("job-2")];
-    assert_eq!((job.submitted_at, job.ready_at), (submitted, Some(released)));
-    assert!(!rig.leader.is_starved(job, released + half - Duration::from_secs(1)));
-    assert!(rig.leader.is_starved(job, released + half));
-    assert_eq!(rig.leader.latest_start(job, released), released + Duration::from_secs(10));
-    let by_deadline = submitted + half * 3 - Duration::from_secs(20);
-    assert_eq!(rig.leader.latest_start(job, released + Duration::from_secs(11)), by_deadline);
+    harness.starts_for_heartbeat(sequence, vec![task_status(&first[0], DONE)]);
+    harness.commit_all();
+    let ready = harness.now;
+    let job = &harness.leader.jobs[&id("job-2")];
+    assert_eq!((job.submitted_at, job.ready_at), (submitted, Some(ready)));
+    assert!(!harness.leader.is_starved(job, ready + half_bound - Duration::from_secs(1)));
+    assert!(harness.leader.is_starved(job, ready + half_bound));
+    assert_eq!(harness.leader.latest_start(job, ready), ready + Duration::from_secs(10));
+    let by_deadline = submitted + half_bound * 3 - Duration::from_secs(20);
+    assert_eq!(harness.leader.latest_start(job, ready + Duration::from_secs(11)), by_deadline);
 }
 
 #[test]
-fn a_submission_may_name_what_was_accepted_and_nothing_else() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(JobSpec { kind: JobKind::Service, ..sample("job-1", "red", 1, 1.0) });
-    let refused = |rig: &mut Rig, spec: JobSpec| {
-        rig.submit(spec);
-        rig.lookups.pop().map(|(_, otherwise)| otherwise.status)
+fn a_submission_may_depend_only_on_accepted_array_jobs() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(JobSpec { kind: JobKind::Service, ..sample("job-1", "red", 1, 1.0) });
+    let refused = |harness: &mut Harness, spec: JobSpec| {
+        harness.submit(spec);
+        harness.record_lookups.pop().map(|(_, otherwise)| otherwise.status)
     };
-    assert_eq!(refused(&mut rig, awaiting("job-2", &["job-2"])), Some(422), "itself");
-    assert_eq!(refused(&mut rig, awaiting("job-2", &["job-1"])), Some(422), "a service");
-    // What is not in the picture is over, or was never accepted: its record tells.
+    assert_eq!(refused(&mut harness, dependent_job("job-2", &["job-2"])), Some(422), "itself");
+    assert_eq!(refused(&mut harness, dependent_job("job-2", &["job-1"])), Some(422), "a service");
+    // A dependency that is not in memory is terminal or was never accepted: its record
+    // decides.
     let read = [
         (DependencyState::Absent, Some(422), None),
         (DependencyState::Service, Some(422), None),
@@ -174,55 +185,66 @@
         (DependencyState::Done { at_ms: None }, None, Some(201)),
         (DependencyState::Cancelled, None, Some(201)),
     ];
-    for (at, (state, looked_up, answered)) in read.into_iter().enumerate() {
-        let spec = awaiting(&format!("job-1{at}"), &["job-9"]);
-        rig.submit(spec.clone());
-        let unjudged = rig.unjudged.pop().expect("its record is asked");
-        assert_eq!((unjudged.unread, rig.commits.len()), (vec![id("job-9")], 0));
+    for (index, (state, looked_up, answered)) in read.into_iter().enumerate() {
+        let spec = dependent_job(&format!("job-1{index}"), &["job-9"]);
+        harness.submit(spec.clone());
+        let unchecked = harness.unchecked_submissions.pop().expect("its record is read");
+        assert_eq!((unchecked.unread, harness.commits.len()), (vec![id("job-9")], 0));
         let states = DependencyStates::from_iter([(id("job-9"), state)]);
-        rig.leader.submit_with_dependency_states(rig.now, MS, unjudged.reply, spec, states);
-        rig.collect();
-        rig.commit_all();
-        assert_eq!(rig.lookups.pop().map(|(_, otherwise)| otherwise.status), looked_up, "{state:?}");
-        assert_eq!(rig.answer(unjudged.reply).map(|answer| answer.status), answered, "{state:?}");
+        harness.leader.submit_with_dependency_states(harness.now, MS, unchecked.reply, spec, states);
+        harness.collect_effects();
+        harness.commit_all();
+        assert_eq!(
+            harness.record_lookups.pop().map(|(_, otherwise)| otherwise.status),
+            looked_up,
+            "{state:?}"
+        );
+        assert_eq!(harness.answer(unchecked.reply).map(|answer| answer.status), answered, "{state:?}");
     }
-    assert_eq!(rig.standings(&["job-13", "job-14"]), [Some(JobState::Queued), None], "one has left already");
-    // Being accepted is not accepted yet.
-    rig.submit(sample("job-20", "red", 1, 1.0));
-    let early = rig.submit(awaiting("job-21", &["job-20"]));
-    assert_eq!(rig.answer(early).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
-    rig.commit_all();
-    rig.accept(awaiting("job-21", &["job-20"]));
-    // A repeated submission is judged by nothing but what became of the job.
-    let again = rig.submit(awaiting("job-21", &["job-404"]));
-    assert_eq!(rig.answer(again).map(|a| a.status), Some(200));
+    assert_eq!(
+        harness.job_states(&["job-13", "job-14"]),
+        [Some(JobState::Queued), None],
+        "one is archived already"
+    );
+    // A dependency whose admission is in flight is not accepted yet.
+    harness.submit(sample("job-20", "red", 1, 1.0));
+    let early_reply = harness.submit(dependent_job("job-21", &["job-20"]));
+    assert_eq!(harness.answer(early_reply).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
+    harness.commit_all();
+    harness.accept(dependent_job("job-21", &["job-20"]));
+    // A repeated submission is answered by the state of the job, whatever its dependencies.
+    let repeated = harness.submit(dependent_job("job-21", &["job-404"]));
+    assert_eq!(harness.answer(repeated).map(|a| a.status), Some(200));
 }
 
-/// Chains, diamonds and fan-in over teams: what is told follows from the one committed
-/// cancellation, whatever becomes of the other records' writes.
+/// Chains, diamonds and fan-in across teams: answers follow from the one committed
+/// cancellation, whatever becomes of the writes of the dependents' records.
 #[test]
-fn all_that_needs_a_cancelled_job_is_cancelled_with_it() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    rig.accept(awaiting("job-2", &["job-1"]));
-    rig.accept(JobSpec { team: "blue".into(), ..awaiting("job-3", &["job-1"]) });
-    rig.accept(awaiting("job-4", &["job-2", "job-3"]));
-    rig.accept(sample("job-5", "red", 1, 1.0));
-    rig.accept(awaiting("job-6", &["job-5"]));
-    let first = rig.starts_after(2, vec![]);
-    let to = rig.withdraw("job-1");
-    assert_eq!(rig.standings(&["job-1", "job-2", "job-4"]), [None; 3], "the records decide");
-    let late = rig.submit(awaiting("job-7", &["job-4", "job-5"]));
-    let at =
-        rig.commits.iter().position(|(_, t)| t.class == RequestClass::Cancellation).expect("it is written");
-    let (ticket, _) = rig.commits.remove(at);
-    rig.leader.handle_commit_result(rig.now, ticket, Ok(999));
-    rig.collect();
-    assert_eq!(rig.answer(to).map(|answer| told(&answer)), Some("cancelled".into()));
-    // Nothing but the one record is written yet.
-    assert_eq!(rig.standings(&["job-2", "job-3", "job-4"]), [Some(JobState::Cancelled); 3]);
-    assert_eq!(rig.standings(&["job-5", "job-6"]), [Some(JobState::Queued); 2]);
-    let written = rig.commit_all();
+fn a_cancellation_cancels_all_transitive_dependents() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    harness.accept(dependent_job("job-2", &["job-1"]));
+    harness.accept(JobSpec { team: "blue".into(), ..dependent_job("job-3", &["job-1"]) });
+    harness.accept(dependent_job("job-4", &["job-2", "job-3"]));
+    harness.accept(sample("job-5", "red", 1, 1.0));
+    harness.accept(dependent_job("job-6", &["job-5"]));
+    let first = harness.starts_for_heartbeat(2, vec![]);
+    let reply = harness.cancel("job-1");
+    assert_eq!(harness.job_states(&["job-1", "job-2", "job-4"]), [None; 3], "the records decide");
+    let late_reply = harness.submit(dependent_job("job-7", &["job-4", "job-5"]));
+    let index = harness
+        .commits
+        .iter()
+        .position(|(_, t)| t.class == RequestClass::Cancellation)
+        .expect("it is written");
+    let (operation, _) = harness.commits.remove(index);
+    harness.leader.handle_commit_result(harness.now, operation, Ok(999));
+    harness.collect_effects();
+    assert_eq!(harness.answer(reply).map(|answer| answered_state(&answer)), Some("cancelled".into()));
+    // Only the one record is written so far.
+    assert_eq!(harness.job_states(&["job-2", "job-3", "job-4"]), [Some(JobState::Cancelled); 3]);
+    assert_eq!(harness.job_states(&["job-5", "job-6"]), [Some(JobState::Queued); 2]);
+    let written = harness.commit_all();
     let cancelled = written.iter().flat_map(|t| &t.changes).filter_map(|change| match change {
         Change::Put { key, value, .. } if key.starts_with("rec/") => JobRecord::decode(value).ok(),
         _ => None,
@@ -232,155 +254,165 @@
         assert!(cancelled.contains(&id(job)), "{job}: {cancelled:?}");
     }
     assert_eq!(
-        rig.answer(late).map(|answer| (answer.status, told(&answer))),
+        harness.answer(late_reply).map(|answer| (answer.status, answered_state(&answer))),
         Some((201, "cancelled".into()))
     );
-    let running = first.iter().map(|start| listed(start, TaskState::Running)).collect();
-    assert!(rig.starts_after(3, running).is_empty());
-    // Nobody answers a second cancellation otherwise.
-    rig.accept(awaiting("job-8", &["job-6"]));
-    rig.withdraw("job-6");
-    rig.commit_all();
-    assert_eq!(rig.standing("job-5"), Some(JobState::Running), "what it needed goes on");
+    let running = first.iter().map(|start| task_status(start, TaskState::Running)).collect();
+    assert!(harness.starts_for_heartbeat(3, running).is_empty());
+    // A cancellation of a dependent does not cancel its dependencies.
+    harness.accept(dependent_job("job-8", &["job-6"]));
+    harness.cancel("job-6");
+    harness.commit_all();
+    assert_eq!(harness.job_state("job-5"), Some(JobState::Running), "its dependency goes on");
 }
 
-/// Answered with `done`, a cancellation cancels nothing: the settle came first.
+/// A cancellation that is answered `done` cancels nothing: the completion was written first.
 #[test]
-fn a_cancellation_that_meets_the_settle_cancels_nothing_after_it() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    rig.accept(awaiting("job-2", &["job-1"]));
-    let first = rig.starts_after(2, vec![]);
-    rig.starts_after(3, vec![listed(&first[0], DONE)]);
-    let to = rig.withdraw("job-1");
-    rig.commit_all();
-    assert_eq!(rig.answer(to).map(|answer| told(&answer)), Some("done".into()));
-    assert_eq!(rig.starts_after(4, vec![]).len(), 1);
-    // And a need that is over stays over when its dependent is cancelled.
-    rig.withdraw("job-2");
-    rig.commit_all();
-    assert_eq!(rig.standing("job-2"), Some(JobState::Cancelled));
+fn a_cancellation_answered_done_cancels_no_dependents() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    harness.accept(dependent_job("job-2", &["job-1"]));
+    let first = harness.starts_for_heartbeat(2, vec![]);
+    harness.starts_for_heartbeat(3, vec![task_status(&first[0], DONE)]);
+    let reply = harness.cancel("job-1");
+    harness.commit_all();
+    assert_eq!(harness.answer(reply).map(|answer| answered_state(&answer)), Some("done".into()));
+    assert_eq!(harness.starts_for_heartbeat(4, vec![]).len(), 1);
+    // A done dependency stays done when its dependent is cancelled.
+    harness.cancel("job-2");
+    harness.commit_all();
+    assert_eq!(harness.job_state("job-2"), Some(JobState::Cancelled));
 }
 
-/// A new leader reads what an earlier one has left at any point.
+/// A new leader decides alike, at whatever point the earlier one stopped.
 #[test]
-fn a_new_leader_comes_to_the_same_verdict() {
+fn dependencies_are_decided_alike_after_a_failover() {
     let done = DependencyState::Done { at_ms: Some(MS) };
-    for (state, begins) in
+    for (state, starts_job) in
         [(done, true), (DependencyState::Unfinished, false), (DependencyState::Absent, false)]
     {
-        let mut rig = loaded_with(vec![unbegun(awaiting("job-2", &["job-1"]))], &[("job-1", state)]);
-        rig.starts_after(2, vec![]);
-        rig.commit_all();
-        assert_eq!(!rig.starts_after(3, vec![]).is_empty(), begins, "{state:?}");
-        assert_eq!(rig.standing("job-2"), Some(JobState::Queued));
+        let mut harness = harness_with_snapshot(
+            vec![unstarted_job(dependent_job("job-2", &["job-1"]))],
+            &[("job-1", state)],
+        );
+        harness.starts_for_heartbeat(2, vec![]);
+        harness.commit_all();
+        assert_eq!(!harness.starts_for_heartbeat(3, vec![]).is_empty(), starts_job, "{state:?}");
+        assert_eq!(harness.job_state("job-2"), Some(JobState::Queued));
     }
-    // The last task has ended and the settle is not written.
+    // The last task has ended, and the completion is not written.
     let mut ended = loaded_job(sample("job-1", "red", 1, 1.0));
     assert!(ended.record.done.insert(0));
-    let mut rig = loaded_with(vec![unbegun(awaiting("job-2", &["job-1"])), ended], &[]);
-    assert!(rig.starts_after(2, vec![]).is_empty());
-    // Its cancellation is committed and the one that follows from it is not, two steps on.
+    let mut harness =
+        harness_with_snapshot(vec![unstarted_job(dependent_job("job-2", &["job-1"])), ended], &[]);
+    assert!(harness.starts_for_heartbeat(2, vec![]).is_empty());
+    // The cancellation is committed, and those of its direct and indirect dependents are not.
     let mut cancelled = loaded_job(sample("job-1", "red", 1, 1.0));
     cancelled.record.cancelled = true;
     let jobs = ["job-2", "job-3"].map(|job| (job, if job == "job-2" { "job-1" } else { "job-2" }));
-    let waiting = jobs.map(|(job, need)| unbegun(awaiting(job, &[need])));
-    let mut rig = loaded_with(waiting.into_iter().chain([cancelled]).collect(), &[]);
-    assert_eq!(rig.standings(&["job-2", "job-3"]), [Some(JobState::Cancelled); 2]);
-    let cancels = rig.commit_all();
+    let waiting = jobs.map(|(job, dependency)| unstarted_job(dependent_job(job, &[dependency])));
+    let mut harness = harness_with_snapshot(waiting.into_iter().chain([cancelled]).collect(), &[]);
+    assert_eq!(harness.job_states(&["job-2", "job-3"]), [Some(JobState::Cancelled); 2]);
+    let cancels = harness.commit_all();
     assert!(cancels.iter().any(|t| t.changes.iter().any(|change| change.key() == "rec/job-3")));
-    // The same with its row moved already.
-    let waiting = jobs.map(|(job, need)| unbegun(awaiting(job, &[need])));
-    let mut rig = loaded_with(waiting.into(), &[("job-1", DependencyState::Cancelled)]);
-    assert_eq!(rig.standings(&["job-2", "job-3"]), [Some(JobState::Cancelled); 2]);
-    rig.commit_all();
-    assert!(rig.starts_after(2, vec![]).is_empty());
+    // The same with its row archived already.
+    let waiting = jobs.map(|(job, dependency)| unstarted_job(dependent_job(job, &[dependency])));
+    let mut harness = harness_with_snapshot(waiting.into(), &[("job-1", DependencyState::Cancelled)]);
+    assert_eq!(harness.job_states(&["job-2", "job-3"]), [Some(JobState::Cancelled); 2]);
+    harness.commit_all();
+    assert!(harness.starts_for_heartbeat(2, vec![]).is_empty());
 }
 
-/// What a user cares for is said on the last job: the first is worth as much.
+/// Users state the priority on the last job of a chain: its dependencies count for as much.
 #[test]
-fn a_job_takes_its_turn_by_what_needs_it() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-0", "red", 1, 6.0));
-    let occupied = rig.starts_after(2, vec![]);
+fn a_job_is_ordered_by_the_priority_of_its_dependents() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-0", "red", 1, 6.0));
+    let occupied = harness.starts_for_heartbeat(2, vec![]);
     let low = |job: &str| JobSpec { priority: Priority::BestEffort, ..sample(job, "blue", 1, 2.0) };
-    rig.accept(low("job-1"));
-    rig.accept(low("job-2"));
-    rig.accept(JobSpec { priority: Priority::Critical, ..awaiting("job-3", &["job-2"]) });
-    let first = rig.starts_after(3, vec![listed(&occupied[0], TaskState::Running)]);
+    harness.accept(low("job-1"));
+    harness.accept(low("job-2"));
+    harness.accept(JobSpec { priority: Priority::Critical, ..dependent_job("job-3", &["job-2"]) });
+    let first = harness.starts_for_heartbeat(3, vec![task_status(&occupied[0], TaskState::Running)]);
     assert_eq!(first.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-2")]);
 }
 
-/// A list that no record holds under the limits that come is refused, with the reason.
+/// A dependency list that no record can hold under the announced limits is rejected.
 #[test]
-fn a_list_of_needs_that_no_record_holds_is_refused() {
+fn a_dependency_list_too_large_for_a_record_is_rejected() {
     let mut config = Config { settings: settings::tests::sample(), tuning: policy::tests::tuning() };
     let next = settings::NextState { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: None };
     config.settings.cluster.state.next = Some(next);
-    let mut rig = Rig::configured(Vec::new(), vec![rented("vm-1", true)], config);
+    let mut harness = Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config);
     let names: Vec<String> = (0..200).map(|n| format!("job-{n:06}")).collect();
     for name in &names {
-        rig.accept(sample(name, "blue", 1, 1.0));
+        harness.accept(sample(name, "blue", 1, 1.0));
     }
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    rig.accept(awaiting("job-x", &names[..50]));
-    rig.submit(awaiting("job-y", &names));
-    assert_eq!(rig.lookups.pop().map(|(_, otherwise)| otherwise.status), Some(422));
+    harness.accept(dependent_job("job-x", &names[..50]));
+    harness.submit(dependent_job("job-y", &names));
+    assert_eq!(harness.record_lookups.pop().map(|(_, otherwise)| otherwise.status), Some(422));
 }
 
-/// How an acceptance under way ends, with a word for it.
-type PathIn = (&'static str, fn(&mut Rig));
+/// How an admission in flight ends, with a description.
+type AdmissionPath = (&'static str, fn(&mut Harness));
 
-/// Whichever path brings a job into the picture, it starts on evidence that its needs are
-/// done, and on nothing less: an acceptance that had to be tried again, one that was asked
-/// for twice, a takeover, the reconciler.
+/// Whichever path brings a job into memory (an admission whose outcome was read back, one that
+/// was requested twice, a failover, the reconciler), it starts only on evidence that its
+/// dependencies are done.
 #[test]
-fn a_job_with_needs_waits_whatever_path_has_brought_it_in() {
-    let stage = || awaiting("job-2", &["job-1"]);
-    let accepted = |rig: &mut Rig| {
-        rig.accept(sample("job-1", "red", 1, 8.0));
-        rig.submit(stage());
+fn a_dependent_job_waits_whether_submitted_retried_restored_or_failed_over() {
+    let dependent = || dependent_job("job-2", &["job-1"]);
+    let accepted = |harness: &mut Harness| {
+        harness.accept(sample("job-1", "red", 1, 8.0));
+        harness.submit(dependent());
     };
-    let paths: [PathIn; 3] = [
-        ("its outcome was read back", |rig| drop(rig.commit_all())),
-        ("asked for again meanwhile", |rig| {
-            rig.submit(awaiting("job-2", &["job-1"]));
-            rig.commit_all();
+    let paths: [AdmissionPath; 3] = [
+        ("its outcome was read back", |harness| drop(harness.commit_all())),
+        ("requested again meanwhile", |harness| {
+            harness.submit(dependent_job("job-2", &["job-1"]));
+            harness.commit_all();
         }),
-        ("refused, and brought back by the reconciler", |rig| {
-            rig.fail_commit(KvError::Conflict);
-            let restored =
-                Snapshot { jobs: vec![unbegun(awaiting("job-2", &["job-1"]))], ..Snapshot::default() };
-            rig.leader.restore_snapshot(rig.now, MS, restored);
-            rig.pass(rig.config.failover_lease_timeout().as_secs_f64() + 1.0);
+        ("refused, and restored by the reconciler", |harness| {
+            harness.fail_next_commit(KvError::Conflict);
+            let restored = Snapshot {
+                jobs: vec![unstarted_job(dependent_job("job-2", &["job-1"]))],
+                ..Snapshot::default()
+            };
+            harness.leader.restore_snapshot(harness.now, MS, restored);
+            harness.advance(harness.config.failover_lease_timeout().as_secs_f64() + 1.0);
         }),
     ];
-    for (path, bring_in) in paths {
-        let mut rig = Rig::with_machines(&["vm-1"]);
-        accepted(&mut rig);
-        bring_in(&mut rig);
-        let first = rig.starts_after(2, vec![]);
+    for (path, finish_admission) in paths {
+        let mut harness = Harness::with_machines(&["vm-1"]);
+        accepted(&mut harness);
+        finish_admission(&mut harness);
+        let first = harness.starts_for_heartbeat(2, vec![]);
         assert_eq!(
             first.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(),
             [id("job-1")],
             "{path}"
         );
-        rig.starts_after(3, vec![listed(&first[0], DONE)]);
-        assert!(rig.starts_after(4, vec![]).is_empty(), "{path}: its end is not committed");
-        rig.commit_all();
-        rig.starts_after(5, vec![]);
-        rig.commit_all();
-        assert_eq!(rig.starts_after(6, vec![]).len(), 1, "{path}: released");
+        harness.starts_for_heartbeat(3, vec![task_status(&first[0], DONE)]);
+        assert!(
+            harness.starts_for_heartbeat(4, vec![]).is_empty(),
+            "{path}: its completion is not committed"
+        );
+        harness.commit_all();
+        harness.starts_for_heartbeat(5, vec![]);
+        harness.commit_all();
+        assert_eq!(harness.starts_for_heartbeat(6, vec![]).len(), 1, "{path}: ready");
     }
-    // And a takeover, with the need in the picture or not.
-    let need = unbegun(sample("job-1", "red", 1, 8.0));
-    let mut rig = loaded_with(vec![unbegun(stage()), need], &[]);
-    rig.starts_after(2, vec![]);
-    rig.commit_all();
-    let first = rig.starts_after(3, vec![]);
+    // A failover, with the dependency in memory and with it unreadable.
+    let dependency = unstarted_job(sample("job-1", "red", 1, 8.0));
+    let mut harness = harness_with_snapshot(vec![unstarted_job(dependent()), dependency], &[]);
+    harness.starts_for_heartbeat(2, vec![]);
+    harness.commit_all();
+    let first = harness.starts_for_heartbeat(3, vec![]);
     assert_eq!(first.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-1")]);
-    let mut rig = loaded_with(vec![unbegun(stage())], &[("job-1", DependencyState::Unreadable)]);
-    rig.starts_after(2, vec![]);
-    rig.commit_all();
-    assert!(rig.starts_after(3, vec![]).is_empty());
+    let mut harness =
+        harness_with_snapshot(vec![unstarted_job(dependent())], &[("job-1", DependencyState::Unreadable)]);
+    harness.starts_for_heartbeat(2, vec![]);
+    harness.commit_all();
+    assert!(harness.starts_for_heartbeat(3, vec![]).is_empty());
 }
--- a/src/coordination/tests/decision_trace.rs
+++ b/src/coordination/tests/decision_trace.rs
@@ -1,5 +1,5 @@
-//! The guard of changes that are to change no decision: the traces of many seeds, written
-//! to a file, are compared before and after such a change.
+//! The guard of changes that must not alter any decision: the traces of many seeds are written
+//! to a file and compared before and after such a change.
 
 use std::fmt::Write;
 use std::path::Path;
@@ -8,16 +8,17 @@
 use super::monotonic_answers;
 use super::random_faults::{self, FIRST, SEEDS};
 
-/// The file to which the traces are written.
+/// Environment variable: the file to which the traces are written.
 const TRACE: &str = "SHEDTALLY_TRACE";
 
-/// A whole number in an environment variable; its default where it is not set.
+/// The whole number in an environment variable, or the default where it is not set.
 fn whole_number(variable: &str, text: Option<&str>, default: u64) -> Result<u64, String> {
     let Some(text) = text else { return Ok(default) };
     text.parse().map_err(|_| format!("{variable}={text}: not a whole number"))
 }
 
-/// The traces of one seed: random overlapping faults, and the search of users' answers.
+/// The traces of one seed, a line for each message: random overlapping faults, and the search
+/// over the order of answers.
 fn traces_of(seed: u64) -> String {
     let faults = random_faults::traced(seed).into_lines();
     let answers = monotonic_answers::traced(seed).into_lines();
@@ -34,7 +35,7 @@
 fn write_traces(path: &Path, first: u64, count: u64) -> Result<(), String> {
     let refused = |error: std::io::Error| format!("{TRACE}={}: {error}", path.display());
     let end = first.checked_add(count).ok_or_else(|| format!("{SEEDS}={count}: too many"))?;
-    // Refused before hours are spent on it.
+    // The file is created first: an unusable path is rejected before the simulations run.
     let mut file = std::fs::File::create(path).map_err(refused)?;
     let next = AtomicU64::new(first);
     let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
@@ -65,14 +66,14 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_trace_again() {
+fn a_seed_gives_the_same_trace_twice() {
     let (first, second) = (random_faults::traced(3).into_lines(), random_faults::traced(3).into_lines());
-    assert!(first.lines().count() > 1000, "hardly anything was sent");
-    assert!(first == second, "the same seed decided otherwise");
+    assert!(first.lines().count() > 1000, "too few messages were sent");
+    assert!(first == second, "the same seed gave another trace");
 }
 
 #[test]
-fn a_bad_path_or_seed_is_refused_in_one_line() {
+fn a_bad_path_or_seed_is_rejected_with_one_line() {
     let path = Path::new("/nowhere/to/be/found");
     let refusals = [
         write_traces(path, 1, 1),
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -1,172 +1,188 @@
-//! What a new leader may conclude, and when.
+//! What a new leader may conclude about tasks of its predecessors, and when.
 
 use super::*;
 
 #[test]
-fn after_a_takeover_old_jobs_wait_for_a_silent_machine_and_new_ones_do_not() {
-    let old = loaded_job(sample("job-1", "red", 2, 1.0));
-    let mut rig =
-        Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2", true), rented("vm-3", false)]);
-    // The first report does not carry the epoch: nothing in it is trusted.
-    assert_eq!(rig.beat("vm-1", 5, EPOCH - 1, vec![]), vec![]);
-    assert_eq!(rig.beat("vm-1", 6, EPOCH, vec![]), vec![], "vm-2 may hold both tasks");
-    rig.accept(sample("job-2", "red", 1, 1.0));
-    let orders = rig.beat("vm-1", 7, EPOCH, vec![]);
-    assert_eq!(starts(&orders).iter().map(|s| s.0.job.clone()).collect::<Vec<_>>(), [id("job-2")]);
-    // vm-3 never had a start, so only vm-2 is waited for: its whole lease.
-    // An earlier leader may have answered it in its lapse window, too.
-    let proof = rig.config.failover_lease_timeout().as_secs_f64();
-    let running = listed(&starts(&orders)[0], TaskState::Running);
-    let mut seq = 8;
-    while rig.now + Duration::from_secs(3) < rig.leader.snapshot_at() + Duration::from_secs_f64(proof) {
-        rig.pass(2.0);
-        assert_eq!(rig.beat("vm-1", seq, EPOCH, vec![running.clone()]), vec![]);
-        seq += 1;
+fn after_a_failover_only_older_jobs_wait_for_an_unreconciled_machine() {
+    let older_job = loaded_job(sample("job-1", "red", 2, 1.0));
+    let mut harness = Harness::new(
+        vec![older_job],
+        vec![rented("vm-1", true), rented("vm-2", true), rented("vm-3", false)],
+    );
+    // The first heartbeat carries an older fencing token: nothing in it is trusted.
+    assert_eq!(harness.heartbeat("vm-1", 5, EPOCH - 1, vec![]), vec![]);
+    assert_eq!(harness.heartbeat("vm-1", 6, EPOCH, vec![]), vec![], "vm-2 may hold both tasks");
+    harness.accept(sample("job-2", "red", 1, 1.0));
+    let commands = harness.heartbeat("vm-1", 7, EPOCH, vec![]);
+    assert_eq!(starts(&commands).iter().map(|s| s.0.job.clone()).collect::<Vec<_>>(), [id("job-2")]);
+    // vm-3 never had a start, so only vm-2 is waited for: its whole lease, since an earlier
+    // leader may have replied to it in its post-lease grace, too.
+    let timeout_s = harness.config.failover_lease_timeout().as_secs_f64();
+    let running = task_status(&starts(&commands)[0], TaskState::Running);
+    let mut sequence = 8;
+    while harness.now + Duration::from_secs(3)
+        < harness.leader.snapshot_at() + Duration::from_secs_f64(timeout_s)
+    {
+        harness.advance(2.0);
+        assert_eq!(harness.heartbeat("vm-1", sequence, EPOCH, vec![running.clone()]), vec![]);
+        sequence += 1;
     }
-    rig.pass(3.1);
-    assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![running])).len(), 2);
+    harness.advance(3.1);
+    assert_eq!(starts(&harness.heartbeat("vm-1", sequence, EPOCH, vec![running])).len(), 2);
 }
 
 #[test]
-fn a_new_leader_adopts_what_it_finds_and_starts_only_the_rest() {
-    let old = loaded_job(sample("job-1", "red", 3, 1.0));
-    let mut rig = Rig::new(vec![old], vec![rented("vm-1", true)]);
+fn a_new_leader_adopts_reported_tasks_and_starts_only_the_others() {
+    let older_job = loaded_job(sample("job-1", "red", 3, 1.0));
+    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true)]);
     let task = |index| TaskId { job: id("job-1"), index };
-    let found = vec![
+    let reported = vec![
         TaskStatus { task: task(0), attempt: 7, state: TaskState::Running },
         TaskStatus { task: task(2), attempt: 9, state: DONE },
     ];
-    assert_eq!(rig.beat("vm-1", 5, EPOCH - 1, found.clone()), vec![]);
-    let orders = rig.beat("vm-1", 6, EPOCH, found);
-    let started = starts(&orders);
+    assert_eq!(harness.heartbeat("vm-1", 5, EPOCH - 1, reported.clone()), vec![]);
+    let commands = harness.heartbeat("vm-1", 6, EPOCH, reported);
+    let started = starts(&commands);
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].0, task(1));
     assert!(started[0].1 > EPOCH, "attempts of an epoch are above all earlier ones");
-    assert!(!orders.iter().any(|o| matches!(o, Command::Reap { .. })), "done is not recorded yet");
+    assert!(!commands.iter().any(|o| matches!(o, Command::Reap { .. })), "done is not recorded yet");
 }
 
 #[test]
-fn unheard_machines_count_against_limits_at_the_worst() {
-    let mut rig =
-        Rig::new(Vec::new(), vec![rented("vm-1", true), rented("vm-2", true), rented("vm-3", true)]);
-    rig.beat("vm-1", 1, EPOCH, vec![]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    // 16 CPUs on the two unheard machines may all be the team's.
-    assert_eq!(starts(&rig.beat("vm-1", 2, EPOCH, vec![])), vec![]);
-    assert_eq!(starts(&rig.beat("vm-2", 1, EPOCH, vec![])).len(), 1);
+fn unreconciled_machines_count_against_quotas_at_full_size() {
+    let mut harness =
+        Harness::new(Vec::new(), vec![rented("vm-1", true), rented("vm-2", true), rented("vm-3", true)]);
+    harness.heartbeat("vm-1", 1, EPOCH, vec![]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    // The team may use all 16 CPUs of the two unreconciled machines.
+    assert_eq!(starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])), vec![]);
+    assert_eq!(starts(&harness.heartbeat("vm-2", 1, EPOCH, vec![])).len(), 1);
 }
 
-/// The same where the machines are entered only once their types are known, after
-/// the queue was ordered: what it counted on unheard machines then was nothing.
+/// The same where machines are registered only once their types are known, after the queue was
+/// ordered: what the queue counted on unreconciled machines then was nothing.
 #[test]
-fn machines_entered_late_count_against_limits_at_once() {
-    let mut rig = Rig::new(Vec::new(), Vec::new());
-    let rentals = ["vm-1", "vm-2", "vm-3"].map(|name| rented(name, true)).to_vec();
+fn machines_registered_late_count_against_quotas_at_once() {
+    let mut harness = Harness::new(Vec::new(), Vec::new());
+    let node_pools = ["vm-1", "vm-2", "vm-3"].map(|name| rented(name, true)).to_vec();
     let jobs = vec![JobSnapshot {
         record: JobRecord::new(sample("job-1", "red", 1, 1.0), MS),
         record_version: 5,
         live_row_version: 5,
         block_versions: Vec::new(),
     }];
-    let loaded = Snapshot { jobs, node_pools: rentals, ..Snapshot::default() };
-    rig.leader = Leader::new(rig.config.clone(), EPOCH, rig.now, MS, loaded);
-    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(3600));
-    rig.cloud.clear();
-    rig.pass(0.1);
-    let (ticket, _) = rig.cloud.iter().find(|(_, c)| *c == CloudCall::Catalog).cloned().expect("asked for");
-    rig.leader.handle_cloud_result(rig.now, ticket, Ok(CloudReply::Catalog(catalog())));
-    rig.collect();
-    for seq in 1..4 {
-        assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])), vec![]);
-        rig.commit_all();
+    let snapshot = Snapshot { jobs, node_pools, ..Snapshot::default() };
+    harness.replace_leader(snapshot);
+    harness.cloud_calls.clear();
+    harness.advance(0.1);
+    let (operation, _) =
+        harness.cloud_calls.iter().find(|(_, c)| *c == CloudCall::Catalog).cloned().expect("requested");
+    harness.leader.handle_cloud_result(harness.now, operation, Ok(CloudReply::Catalog(catalog())));
+    harness.collect_effects();
+    for sequence in 1..4 {
+        assert_eq!(starts(&harness.heartbeat("vm-1", sequence, EPOCH, vec![])), vec![]);
+        harness.commit_all();
     }
-    assert_eq!(starts(&rig.beat("vm-2", 1, EPOCH, vec![])).len(), 1);
+    assert_eq!(starts(&harness.heartbeat("vm-2", 1, EPOCH, vec![])).len(), 1);
 }
 
 #[test]
-fn a_machine_deaf_through_a_takeover_holds_old_jobs_back_only_for_its_proof() {
-    let old = loaded_job(sample("job-1", "red", 1, 1.0));
-    let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2b", true)]);
-    rig.beat("vm-2b", 1, EPOCH, vec![]);
-    // vm-1 reports on and on, never showing the token of any answer.
-    let report = rig.config.settings.cluster.workers.report_s;
-    let most = rig.config.failover_lease_timeout().as_secs_f64() + 4.0 * report;
-    let begin = rig.now;
-    let (mut seq, mut started_after) = (1, None);
-    while started_after.is_none() && (rig.now - begin).as_secs_f64() < 2.0 * most {
-        rig.pass(report);
-        seq += 1;
-        rig.report("vm-1", 1 + seq / 8, seq, EPOCH - 1, vec![]);
-        if !starts(&rig.beat("vm-2b", seq, EPOCH, vec![])).is_empty() {
-            started_after = Some((rig.now - begin).as_secs_f64());
+fn a_one_way_partitioned_machine_delays_older_jobs_only_for_the_failover_lease_timeout() {
+    let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
+    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2b", true)]);
+    harness.heartbeat("vm-2b", 1, EPOCH, vec![]);
+    // vm-1 keeps sending heartbeats without the fencing token of any reply.
+    let interval = harness.config.settings.cluster.workers.report_s;
+    let latest = harness.config.failover_lease_timeout().as_secs_f64() + 4.0 * interval;
+    let begin = harness.now;
+    let (mut sequence, mut started_after) = (1, None);
+    while started_after.is_none() && (harness.now - begin).as_secs_f64() < 2.0 * latest {
+        harness.advance(interval);
+        sequence += 1;
+        harness.send_heartbeat("vm-1", 1 + sequence / 8, sequence, EPOCH - 1, vec![]);
+        if !starts(&harness.heartbeat("vm-2b", sequence, EPOCH, vec![])).is_empty() {
+            started_after = Some((harness.now - begin).as_secs_f64());
         }
     }
-    assert!(started_after.is_some_and(|after| after <= most), "{started_after:?} of {most}");
-    // Its first sign of our token ends the doubt.
-    assert!(!matches!(rig.report("vm-1", 99, 1, EPOCH, vec![]), HeartbeatReply::Redirect));
+    assert!(started_after.is_some_and(|after| after <= latest), "{started_after:?} of {latest}");
+    // Its first heartbeat with the current fencing token ends the one-way partition.
+    assert!(!matches!(harness.send_heartbeat("vm-1", 99, 1, EPOCH, vec![]), HeartbeatReply::Redirect));
 }
 
 #[test]
-fn late_copies_after_a_takeover_are_no_more_than_hints() {
-    let old = loaded_job(sample("job-1", "red", 2, 1.0));
-    let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2b", true)]);
-    rig.beat("vm-2b", 1, EPOCH, vec![]);
+fn duplicate_heartbeats_after_a_failover_prove_nothing() {
+    let older_job = loaded_job(sample("job-1", "red", 2, 1.0));
+    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2b", true)]);
+    harness.heartbeat("vm-2b", 1, EPOCH, vec![]);
     let task = TaskId { job: id("job-1"), index: 0 };
-    let copied = vec![TaskStatus { task, attempt: 7, state: TaskState::Running }];
-    // Of a machine that an earlier leader deleted: it is not brought back, and
-    // nobody waits for it.
-    rig.report("vm-9", 4, 70, EPOCH - 1, copied.clone());
-    rig.report("vm-9", 4, 71, EPOCH - 1, copied.clone());
-    assert!(!rig.leader.machines.contains(&machine("vm-9")));
-    // Of a machine that has died meanwhile: no sign of life, nothing taken,
-    // and the same copy puts its proof off only once.
-    let first = rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone());
+    let copied_tasks = vec![TaskStatus { task, attempt: 7, state: TaskState::Running }];
+    // From a machine that an earlier leader deleted: it is not registered, and nothing waits
+    // for it.
+    harness.send_heartbeat("vm-9", 4, 70, EPOCH - 1, copied_tasks.clone());
+    harness.send_heartbeat("vm-9", 4, 71, EPOCH - 1, copied_tasks.clone());
+    assert!(!harness.leader.machines.contains(&machine("vm-9")));
+    // From a machine that has died meanwhile: it does not count as alive, its tasks are not
+    // adopted, and the same copy extends the failover lease timeout only once.
+    let first = harness.send_heartbeat("vm-1", 1, 50, EPOCH - 1, copied_tasks.clone());
     assert_eq!(first, HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] });
-    let answered = rig.known_machine("vm-1").agent.replied_at;
-    rig.pass(3.0);
-    assert_eq!(rig.report("vm-1", 1, 50, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
-    assert_eq!(rig.report("vm-1", 1, 49, EPOCH - 1, copied.clone()), HeartbeatReply::Redirect);
-    let m = rig.known_machine("vm-1");
-    assert_eq!((m.agent.replied_at, m.agent.heartbeat_at, m.slots.len()), (answered, None, 0));
-    assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
-    // Once it has shown the token, copies from before it change nothing.
-    rig.beat("vm-1", 51, EPOCH, copied.clone());
-    rig.accept(sample("job-2", "blue", 1, 1.0));
-    let held = rig.known_machine("vm-1").slots.len();
-    assert_eq!(rig.report("vm-1", 1, 60, EPOCH - 1, vec![]), HeartbeatReply::Redirect);
-    assert_eq!(rig.known_machine("vm-1").slots.len(), held);
+    let answered = harness.registered_machine("vm-1").agent.replied_at;
+    harness.advance(3.0);
+    assert_eq!(
+        harness.send_heartbeat("vm-1", 1, 50, EPOCH - 1, copied_tasks.clone()),
+        HeartbeatReply::Redirect
+    );
+    assert_eq!(
+        harness.send_heartbeat("vm-1", 1, 49, EPOCH - 1, copied_tasks.clone()),
+        HeartbeatReply::Redirect
+    );
+    let vm = harness.registered_machine("vm-1");
+    assert_eq!((vm.agent.replied_at, vm.agent.heartbeat_at, vm.slots.len()), (answered, None, 0));
+    assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
+    // Once the machine has sent the current fencing token, copies with older ones change
+    // nothing.
+    harness.heartbeat("vm-1", 51, EPOCH, copied_tasks.clone());
+    harness.accept(sample("job-2", "blue", 1, 1.0));
+    let held = harness.registered_machine("vm-1").slots.len();
+    assert_eq!(harness.send_heartbeat("vm-1", 1, 60, EPOCH - 1, vec![]), HeartbeatReply::Redirect);
+    assert_eq!(harness.registered_machine("vm-1").slots.len(), held);
 }
 
 #[test]
-fn a_list_as_old_as_the_takeover_brings_no_deleted_machine_back() {
-    let mut rig = Rig::new(Vec::new(), Vec::new());
-    let lag = rig.config.settings.cluster.cloud.list_lag_s;
-    for (pause, entered) in [(0.1, false), (lag * 1.05, false), (lag * 1.05, true)] {
-        rig.cloud.clear();
-        rig.pass(pause);
-        let list = rig.cloud.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
-        let machines = vec![in_list("vm-9", ListedState::Running)];
+fn an_inventory_page_as_old_as_the_failover_registers_no_deleted_machine() {
+    let mut harness = Harness::new(Vec::new(), Vec::new());
+    let lag = harness.config.settings.cluster.cloud.list_lag_s;
+    for (pause, registered) in [(0.1, false), (lag * 1.05, false), (lag * 1.05, true)] {
+        harness.cloud_calls.clear();
+        harness.advance(pause);
+        let list_call =
+            harness.cloud_calls.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
+        let machines = vec![inventory_entry("vm-9", ListedState::Running)];
         let answer = Ok(CloudReply::List(InventoryPage { machines, more: false }));
-        rig.leader.handle_cloud_result(rig.now, list.expect("read again and again").0, answer);
-        rig.collect();
-        rig.pass(1.0);
-        // Still listed when every list must be younger, it is there.
-        assert_eq!(rig.leader.machines.contains(&machine("vm-9")), entered);
+        harness.leader.handle_cloud_result(
+            harness.now,
+            list_call.expect("the inventory is read repeatedly").0,
+            answer,
+        );
+        harness.collect_effects();
+        harness.advance(1.0);
+        // Still listed once every page must be newer than the failover: the machine exists.
+        assert_eq!(harness.leader.machines.contains(&machine("vm-9")), registered);
     }
 }
 
 #[test]
-fn a_machine_back_with_a_new_session_learns_the_token_and_works_again() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    let start = starts(&rig.beat("vm-1", 500, EPOCH, vec![])).remove(0);
-    rig.beat("vm-1", 501, EPOCH, vec![listed(&start, TaskState::Running)]);
+fn a_machine_with_a_new_incarnation_learns_the_fencing_token_and_gets_work() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    let start = starts(&harness.heartbeat("vm-1", 500, EPOCH, vec![])).remove(0);
+    harness.heartbeat("vm-1", 501, EPOCH, vec![task_status(&start, TaskState::Running)]);
     assert_eq!(
-        rig.report("vm-1", 2, 1, 0, vec![]),
+        harness.send_heartbeat("vm-1", 2, 1, 0, vec![]),
         HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] }
     );
-    assert_eq!(rig.known_machine("vm-1").slots.len(), 1, "still only a hint");
-    let again = rig.report("vm-1", 2, 2, EPOCH, vec![]);
+    assert_eq!(harness.registered_machine("vm-1").slots.len(), 1, "the slot is still reserved");
+    let again = harness.send_heartbeat("vm-1", 2, 2, EPOCH, vec![]);
     assert!(
         matches!(&again, HeartbeatReply::Commands { commands, .. } if starts(commands).len() == 1),
         "{again:?}"
@@ -174,80 +190,92 @@
 }
 
 #[test]
-fn beside_a_silent_machine_only_tasks_that_may_have_begun_wait() {
-    let mut part = loaded_job(sample("job-1", "red", 6, 1.0));
-    part.record.started_high_water = 2;
-    let mut tied = loaded_job(sample("job-2", "blue", 2, 1.0));
-    tied.record.spec.one_zone = true;
-    tied.record.started_high_water = 1;
-    let mut rig = Rig::new(vec![part, tied], vec![rented("vm-1", true), rented("vm-2b", true)]);
-    rig.beat("vm-1", 5, EPOCH, vec![]);
-    assert_eq!(starts(&rig.beat("vm-1", 6, EPOCH, vec![])), vec![], "not begun by the record");
-    rig.commit_all();
-    let started = starts(&rig.beat("vm-1", 7, EPOCH, vec![]));
+fn with_an_unreconciled_machine_only_tasks_that_may_have_started_wait() {
+    let mut partly_started = loaded_job(sample("job-1", "red", 6, 1.0));
+    partly_started.record.started_high_water = 2;
+    let mut one_zone = loaded_job(sample("job-2", "blue", 2, 1.0));
+    one_zone.record.spec.one_zone = true;
+    one_zone.record.started_high_water = 1;
+    let mut harness =
+        Harness::new(vec![partly_started, one_zone], vec![rented("vm-1", true), rented("vm-2b", true)]);
+    harness.heartbeat("vm-1", 5, EPOCH, vec![]);
+    assert_eq!(
+        starts(&harness.heartbeat("vm-1", 6, EPOCH, vec![])),
+        vec![],
+        "not marked started in the record"
+    );
+    harness.commit_all();
+    let started = starts(&harness.heartbeat("vm-1", 7, EPOCH, vec![]));
     let tasks: Vec<u32> = started.iter().map(|s| s.0.index).collect();
-    assert_eq!(tasks, [2, 3, 4, 5], "0 and 1 may be on vm-2b; so may job-2's first, which ties the other");
+    assert_eq!(
+        tasks,
+        [2, 3, 4, 5],
+        "0 and 1 may run on vm-2b; so may job-2's first task, which binds the other to its zone"
+    );
     assert!(started.iter().all(|s| s.0.job == id("job-1")));
-    // It reports, without them: they were nowhere.
-    assert_eq!(starts(&rig.beat("vm-2b", 1, EPOCH, vec![])).len(), 3);
+    // It sends a heartbeat without these tasks: they ran nowhere.
+    assert_eq!(starts(&harness.heartbeat("vm-2b", 1, EPOCH, vec![])).len(), 3);
 }
 
 #[test]
-fn without_a_grace_to_cover_old_jobs_wait_for_a_lease_only() {
-    let old = loaded_job(sample("job-1", "red", 1, 1.0));
-    let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2", true)]);
-    rig.beat("vm-1", 5, EPOCH, vec![]);
-    assert!(rig.leader.awaits_post_lease_graces());
-    rig.pass(1.0);
-    let (over, mut seq) = (rig.now, 5);
-    rig.leader.record_post_lease_graces_over(over);
-    rig.leader.record_post_lease_graces_over(over + Duration::from_secs(9));
-    assert!(!rig.leader.awaits_post_lease_graces(), "the first proof is enough");
-    while rig.now + Duration::from_secs(2) < over + rig.config.worker_lease_timeout() {
-        rig.pass(2.0);
-        seq += 1;
-        assert_eq!(rig.beat("vm-1", seq, EPOCH, vec![]), vec![], "vm-2 may be in its lease");
+fn without_a_post_lease_grace_older_jobs_wait_for_a_worker_lease_only() {
+    let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
+    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2", true)]);
+    harness.heartbeat("vm-1", 5, EPOCH, vec![]);
+    assert!(harness.leader.awaits_post_lease_graces());
+    harness.advance(1.0);
+    let (graces_over_at, mut sequence) = (harness.now, 5);
+    harness.leader.record_post_lease_graces_over(graces_over_at);
+    harness.leader.record_post_lease_graces_over(graces_over_at + Duration::from_secs(9));
+    assert!(!harness.leader.awaits_post_lease_graces(), "the first proof is enough");
+    while harness.now + Duration::from_secs(2) < graces_over_at + harness.config.worker_lease_timeout() {
+        harness.advance(2.0);
+        sequence += 1;
+        assert_eq!(harness.heartbeat("vm-1", sequence, EPOCH, vec![]), vec![], "vm-2 may be in its lease");
     }
-    rig.pass(2.1);
-    assert!(rig.now < rig.leader.snapshot_at() + rig.config.failover_lease_timeout());
-    assert_eq!(starts(&rig.beat("vm-1", seq + 1, EPOCH, vec![])).len(), 1);
+    harness.advance(2.1);
+    assert!(harness.now < harness.leader.snapshot_at() + harness.config.failover_lease_timeout());
+    assert_eq!(starts(&harness.heartbeat("vm-1", sequence + 1, EPOCH, vec![])).len(), 1);
 }
 
-/// An answer sent is no proof that it was received: the worker may have gone
-/// back to the former leader, which answers on in its lapse window.
+/// A reply that was sent does not prove that it was received: the worker may have gone back to
+/// the former leader, which replies on in its post-lease grace.
 #[test]
-fn an_answer_that_was_never_heeded_shortens_no_proof() {
-    let old = loaded_job(sample("job-1", "red", 1, 1.0));
-    let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2", true)]);
-    rig.beat("vm-2", 5, EPOCH, vec![]);
+fn an_unacknowledged_reply_does_not_shorten_the_failover_lease_timeout() {
+    let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
+    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2", true)]);
+    harness.heartbeat("vm-2", 5, EPOCH, vec![]);
     assert_eq!(
-        rig.report("vm-1", 1, 5, EPOCH - 1, vec![]),
+        harness.send_heartbeat("vm-1", 1, 5, EPOCH - 1, vec![]),
         HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] }
     );
-    let mut seq = 5;
-    while rig.now + Duration::from_secs(2) < rig.leader.snapshot_at() + rig.config.failover_lease_timeout() {
-        rig.pass(2.0);
-        seq += 1;
-        assert_eq!(starts(&rig.beat("vm-2", seq, EPOCH, vec![])), vec![]);
+    let mut sequence = 5;
+    while harness.now + Duration::from_secs(2)
+        < harness.leader.snapshot_at() + harness.config.failover_lease_timeout()
+    {
+        harness.advance(2.0);
+        sequence += 1;
+        assert_eq!(starts(&harness.heartbeat("vm-2", sequence, EPOCH, vec![])), vec![]);
     }
-    rig.pass(2.1);
-    assert_eq!(starts(&rig.beat("vm-2", seq + 1, EPOCH, vec![])).len(), 1);
+    harness.advance(2.1);
+    assert_eq!(starts(&harness.heartbeat("vm-2", sequence + 1, EPOCH, vec![])).len(), 1);
 }
 
-/// What a new leader finds of work that is done, or that runs elsewhere already, is
-/// stopped with its first report under the new token, and counts until it is gone.
+/// Tasks found by a new leader that are done already or run elsewhere are stopped with the
+/// first heartbeat under the new fencing token, and count against the quota until they have
+/// ended.
 #[test]
-fn what_is_found_twice_or_done_is_stopped() {
-    let mut old = loaded_job(sample("job-1", "red", 2, 1.0));
-    old.record.done.insert(0);
-    let mut rig = Rig::new(vec![old], vec![rented("vm-1", true), rented("vm-2b", true)]);
+fn tasks_reported_twice_or_already_done_are_stopped_after_a_failover() {
+    let mut older_job = loaded_job(sample("job-1", "red", 2, 1.0));
+    older_job.record.done.insert(0);
+    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2b", true)]);
     let running = |index| TaskStatus {
         task: TaskId { job: id("job-1"), index },
         attempt: 7,
         state: TaskState::Running,
     };
     let stop = |index| Command::Stop { task: TaskId { job: id("job-1"), index }, attempt: 7, grace_s: 0.0 };
-    assert_eq!(rig.beat("vm-1", 5, EPOCH, vec![running(0), running(1)]), [stop(0)]);
-    assert_eq!(rig.beat("vm-2b", 5, EPOCH, vec![running(1)]), [stop(1)]);
-    assert_eq!(rig.used_by("red").cpus, 3.0);
+    assert_eq!(harness.heartbeat("vm-1", 5, EPOCH, vec![running(0), running(1)]), [stop(0)]);
+    assert_eq!(harness.heartbeat("vm-2b", 5, EPOCH, vec![running(1)]), [stop(1)]);
+    assert_eq!(harness.quota_used("red").cpus, 3.0);
 }
--- /dev/null
+++ b/src/coordination/tests/fixtures.rs
@@ -0,0 +1,130 @@
+//! Builders for what the tests of the leader hand in, and readers of what it hands out.
+
+use super::*;
+
+/// Epoch of the leader under test; also its fencing token.
+pub(super) const EPOCH: u64 = 40;
+
+/// Wall-clock time of every submission, in milliseconds.
+pub(super) const MS: u64 = 1_000_000;
+
+/// A task that has ended with success.
+pub(super) const DONE: TaskState = TaskState::Exited(ExitCause::Done);
+
+/// Parses a job's id; panics where it is not valid.
+pub(super) fn id(text: &str) -> JobId {
+    JobId::parse(text).expect("valid id")
+}
+
+/// Parses a machine's name; panics where it is not valid.
+pub(super) fn machine(text: &str) -> MachineId {
+    MachineId::parse(text).expect("valid name")
+}
+
+/// The zone of a test machine: `z2` for names that end in `b`, else `z1`.
+fn zone_of(name: &str) -> String {
+    if name.ends_with('b') { "z2".into() } else { "z1".into() }
+}
+
+/// A catalog of one machine type with 8 CPUs, in two zones.
+pub(in crate::coordination) fn catalog() -> Vec<MachineType> {
+    vec![MachineType {
+        name: "m8".into(),
+        cpus: 8.0,
+        gpus: 0.0,
+        memory_gb: 32.0,
+        cache_gb: 20.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.4,
+        boot_s: 30.0,
+        zones: vec!["z1".into(), "z2".into()],
+    }]
+}
+
+/// The record of a node pool of one machine, with its version in the store; `used` says
+/// that the machine may have had tasks.
+pub(in crate::coordination) fn rented(name: &str, used: bool) -> (NodePoolRecord, u64) {
+    let request = NodePoolRequest {
+        name: format!("1-{name}"),
+        machine_type: "m8".into(),
+        zone: zone_of(name),
+        spot: false,
+        count: 1,
+    };
+    let id = machine(name);
+    let record = NodePoolRecord {
+        request,
+        machines: Some(vec![id.clone()]),
+        machines_used: used.then_some(id).into_iter().collect(),
+    };
+    (record, 3)
+}
+
+/// A job as a new leader reads it, of which every task may have been started.
+pub(in crate::coordination) fn loaded_job(spec: JobSpec) -> JobSnapshot {
+    let started = spec.tasks;
+    let record = JobRecord { started_high_water: started, ..JobRecord::new(spec, MS) };
+    JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() }
+}
+
+/// A job as a new leader reads it, of which no task has been started.
+pub(super) fn unstarted_job(spec: JobSpec) -> JobSnapshot {
+    JobSnapshot { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
+}
+
+/// A heartbeat of a machine's first incarnation under this epoch's fencing token.
+pub(super) fn heartbeat_message(name: &str, sequence: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+    Heartbeat {
+        machine: machine(name),
+        address: "127.0.0.1:9".into(),
+        machine_type: "m8".into(),
+        zone: zone_of(name),
+        spot: false,
+        incarnation: 1,
+        sequence,
+        fencing_token: EPOCH,
+        preemption_notice_s: None,
+        tasks,
+    }
+}
+
+/// The starts among commands: each task with its attempt.
+pub(super) fn starts(commands: &[Command]) -> Vec<(TaskId, u64)> {
+    commands
+        .iter()
+        .filter_map(|command| match command {
+            Command::Start { task, attempt } => Some((task.clone(), *attempt)),
+            _ => None,
+        })
+        .collect()
+}
+
+/// A started task as its worker's heartbeat lists it.
+pub(super) fn task_status(start: &(TaskId, u64), state: TaskState) -> TaskStatus {
+    TaskStatus { task: start.0.clone(), attempt: start.1, state }
+}
+
+/// The command that stops a started task at once.
+pub(super) fn stop(start: &(TaskId, u64)) -> Command {
+    Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }
+}
+
+/// The state that an answer gives its user.
+pub(super) fn answered_state(answer: &Answer) -> String {
+    let value = decode(&answer.body).expect("CBOR");
+    Fields::of(&value).and_then(|f| f.text("standing").map(str::to_owned)).expect("a standing")
+}
+
+/// A machine as the cloud's inventory lists it.
+pub(super) fn inventory_entry(name: &str, state: ListedState) -> ListedMachine {
+    ListedMachine {
+        machine: machine(name),
+        address: String::new(),
+        machine_type: "m8".into(),
+        zone: "z1".into(),
+        spot: false,
+        state,
+        age_s: 1.0,
+    }
+}
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -1,5 +1,5 @@
-//! A fleet of more than four thousand machines: a takeover, reports, starts, the machine
-//! list, rentals and deletions, each message with bounded work and of bounded size.
+//! A fleet of more than four thousand machines: failover, heartbeats, starts, cloud inventory,
+//! scale out and scale in, each message with bounded work and of bounded size.
 
 use super::*;
 use crate::protocol::BODY_LIMIT;
@@ -8,22 +8,23 @@
 use crate::protocol::workers::encode_heartbeat_reply;
 
 const MACHINES: usize = 4_100;
-const IN_RENTAL: usize = 50;
+const MACHINES_PER_NODE_POOL: usize = 50;
 
 fn name(n: usize) -> String {
     format!("vm-{n:06}")
 }
 
-fn rentals() -> Vec<(NodePoolRecord, u64)> {
-    let chunk = |first: usize| {
-        let ids: Vec<MachineId> = (first..first + IN_RENTAL).map(|n| machine(&name(n))).collect();
+fn node_pools() -> Vec<(NodePoolRecord, u64)> {
+    let node_pool = |first: usize| {
+        let ids: Vec<MachineId> =
+            (first..first + MACHINES_PER_NODE_POOL).map(|n| machine(&name(n))).collect();
         let (mut record, version) = rented("vm-0", true);
         record.request.name = format!("1-{first}");
         record.machines_used = ids.iter().cloned().collect();
         record.machines = Some(ids);
         (record, version)
     };
-    (0..MACHINES).step_by(IN_RENTAL).map(chunk).collect()
+    (0..MACHINES).step_by(MACHINES_PER_NODE_POOL).map(node_pool).collect()
 }
 
 fn config() -> Config {
@@ -35,13 +36,17 @@
     Config { settings, tuning: policy::tests::tuning() }
 }
 
-impl Rig {
-    /// Every machine reports, and each answer is within its limits.
-    fn all_beat(&mut self, seq: u64, tasks: impl Fn(usize) -> Vec<TaskStatus>) -> Vec<Vec<Command>> {
+impl Harness {
+    /// Sends a heartbeat of every machine; each reply is within the limit of a body.
+    fn heartbeat_all(
+        &mut self,
+        sequence: u64,
+        tasks: impl Fn(usize) -> Vec<TaskStatus>,
+    ) -> Vec<Vec<Command>> {
         let answers = (0..MACHINES).map(|n| {
-            let orders = self.beat(&name(n), seq, EPOCH, tasks(n));
-            assert!(encode(&encode_heartbeat_reply(EPOCH, &orders)).len() < BODY_LIMIT);
-            orders
+            let commands = self.heartbeat(&name(n), sequence, EPOCH, tasks(n));
+            assert!(encode(&encode_heartbeat_reply(EPOCH, &commands)).len() < BODY_LIMIT);
+            commands
         });
         answers.collect()
     }
@@ -58,89 +63,93 @@
         }
     }
 
-    fn answer_cloud(&mut self, answer: impl Fn(&CloudCall) -> Option<CloudReply>) -> usize {
+    fn answer_cloud_calls(&mut self, answer: impl Fn(&CloudCall) -> Option<CloudReply>) -> usize {
         let mut answered = 0;
-        for (ticket, call) in std::mem::take(&mut self.cloud) {
+        for (operation, call) in std::mem::take(&mut self.cloud_calls) {
             match answer(&call) {
                 Some(reply) => {
                     answered += 1;
-                    self.leader.handle_cloud_result(self.now, ticket, Ok(reply));
+                    self.leader.handle_cloud_result(self.now, operation, Ok(reply));
                 }
-                None => self.cloud.push((ticket, call)),
+                None => self.cloud_calls.push((operation, call)),
             }
         }
-        self.collect();
+        self.collect_effects();
         answered
     }
 }
 
 #[test]
-fn four_thousand_machines_are_taken_over_used_listed_and_returned() {
-    let mut rig = Rig::configured(Vec::new(), rentals(), config());
-    rig.all_beat(2, |_| vec![]);
-    assert!(rig.leader.failover.is_complete(), "a report of each is enough");
+fn four_thousand_machines_go_through_failover_starts_inventory_and_scale_in() {
+    let mut harness = Harness::with_config(Vec::new(), node_pools(), config());
+    harness.heartbeat_all(2, |_| vec![]);
+    assert!(harness.leader.failover.is_complete(), "a heartbeat of each completes the failover");
     for n in 0..MACHINES / 100 {
-        rig.accept(sample(&format!("job-{n}"), "blue", 100, 8.0));
+        harness.accept(sample(&format!("job-{n}"), "blue", 100, 8.0));
     }
-    rig.pass(1.5);
-    rig.commit_within_limits();
-    let started = rig.all_beat(3, |_| vec![]);
-    let started: Vec<_> = started.iter().map(|orders| starts(orders)).collect();
+    harness.advance(1.5);
+    harness.commit_within_limits();
+    let started = harness.heartbeat_all(3, |_| vec![]);
+    let started: Vec<_> = started.iter().map(|commands| starts(commands)).collect();
     assert_eq!(started.iter().map(Vec::len).sum::<usize>(), MACHINES, "one task fills a machine");
 
-    // The list comes in pages, one call at a time.
+    // The inventory comes in pages, one call at a time.
     let mut pages = 0;
     while pages < MACHINES.div_ceil(INVENTORY_PAGE) {
-        rig.pass(1.0);
-        pages += rig.answer_cloud(|call| {
+        harness.advance(1.0);
+        pages += harness.answer_cloud_calls(|call| {
             let CloudCall::List { from } = call else { return None };
             let mut rest = (0..MACHINES).map(name).filter(|name| name > from);
-            let machines =
-                rest.by_ref().take(INVENTORY_PAGE).map(|name| in_list(&name, ListedState::Running)).collect();
+            let machines = rest
+                .by_ref()
+                .take(INVENTORY_PAGE)
+                .map(|name| inventory_entry(&name, ListedState::Running))
+                .collect();
             Some(CloudReply::List(InventoryPage { machines, more: rest.next().is_some() }))
         });
     }
-    let listed = |rig: &Rig| rig.leader.machines.values().all(|m| m.listing.was_listed);
-    assert!(listed(&rig) && rig.leader.machines.len() == MACHINES);
+    let all_listed = |harness: &Harness| harness.leader.machines.values().all(|m| m.listing.was_listed);
+    assert!(all_listed(&harness) && harness.leader.machines.len() == MACHINES);
 
-    // All end at once; the records come out in parts that the new limits allow.
-    let ended = rig.all_beat(4, |n| started[n].iter().map(|start| self::listed(start, DONE)).collect());
-    assert!(ended.iter().flatten().all(|order| !matches!(order, Command::Start { .. })));
-    rig.commit_within_limits();
-    assert!(rig.leader.jobs.is_empty(), "{} jobs are left", rig.leader.jobs.len());
+    // All tasks end at once; the records are written in parts that the announced limits allow.
+    let ended =
+        harness.heartbeat_all(4, |n| started[n].iter().map(|start| task_status(start, DONE)).collect());
+    assert!(ended.iter().flatten().all(|command| !matches!(command, Command::Start { .. })));
+    harness.commit_within_limits();
+    assert!(harness.leader.jobs.is_empty(), "{} jobs are left", harness.leader.jobs.len());
 
-    // What is idle goes back, in calls of a bounded size, and is remembered.
+    // Idle machines are deleted in calls of a bounded size, and the deletions are remembered.
     let mut deleted = 0;
-    for seq in 5..400 {
+    for sequence in 5..400 {
         for n in 0..MACHINES {
-            rig.report(&name(n), 1, seq, EPOCH, vec![]);
+            harness.send_heartbeat(&name(n), 1, sequence, EPOCH, vec![]);
         }
-        rig.pass(3.0);
-        rig.answer_cloud(|call| {
+        harness.advance(3.0);
+        harness.answer_cloud_calls(|call| {
             let CloudCall::Delete(names) = call else { return None };
             assert!(names.len() <= MAX_MACHINES_PER_DELETION);
             Some(CloudReply::Deleted)
         });
-        rig.commit_within_limits();
-        deleted = MACHINES - rig.leader.machines.len();
+        harness.commit_within_limits();
+        deleted = MACHINES - harness.leader.machines.len();
         if deleted == MACHINES {
             break;
         }
     }
     assert_eq!(deleted, MACHINES);
-    let late = rig.report(&name(0), 1, 900, EPOCH, vec![]);
+    let late = harness.send_heartbeat(&name(0), 1, 900, EPOCH, vec![]);
     assert_eq!(late, HeartbeatReply::Redirect, "a late copy of a machine that was deleted first");
-    assert!(rig.leader.unregistered.is_empty());
+    assert!(harness.leader.unregistered.is_empty());
 
-    // A new backlog rents anew, in records that fit.
+    // A new backlog scales out again, in records that fit the limits.
     for n in 0..40 {
-        rig.accept(sample(&format!("job-9{n}"), "blue", 100, 8.0));
+        harness.accept(sample(&format!("job-9{n}"), "blue", 100, 8.0));
     }
     for _ in 0..3 {
-        rig.pass(1.0);
-        rig.commit_within_limits();
+        harness.advance(1.0);
+        harness.commit_within_limits();
     }
-    let counts = rig.cloud.iter().filter_map(|(_, call)| match call {
+    let counts = harness.cloud_calls.iter().filter_map(|(_, call)| match call {
         CloudCall::Provision(request) => Some(request.count),
         _ => None,
     });
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -1,4 +1,4 @@
-//! What a leader does past its lease, and once its epoch is over.
+//! What a leader does past its lease, and once its epoch has ended.
 
 use ciborium::value::Value;
 
@@ -6,78 +6,79 @@
 use crate::protocol::cbor::json_size;
 
 #[test]
-fn a_fenced_write_ends_the_epoch_and_tells_the_user_nothing_untrue() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    let to = rig.submit(sample("job-1", "red", 1, 1.0));
-    assert_eq!(rig.commits[0].1.epoch, EPOCH);
-    rig.fail_commit(KvError::Fenced);
-    assert_eq!(rig.answer(to).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
-    assert!(rig.leader.is_fenced());
-    // Nothing of the stale epoch gets out any more.
-    assert_eq!(rig.report("vm-1", 1, 9, EPOCH, vec![]), HeartbeatReply::Redirect);
-    let late = rig.submit(sample("job-2", "red", 1, 1.0));
-    assert_eq!(rig.answer(late).map(|a| a.status), Some(503));
-    assert!(rig.commits.is_empty());
+fn a_fenced_write_ends_the_epoch_and_answers_503() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    let reply = harness.submit(sample("job-1", "red", 1, 1.0));
+    assert_eq!(harness.commits[0].1.epoch, EPOCH);
+    harness.fail_next_commit(KvError::Fenced);
+    assert_eq!(harness.answer(reply).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
+    assert!(harness.leader.is_fenced());
+    // Nothing of the ended epoch is sent any more.
+    assert_eq!(harness.send_heartbeat("vm-1", 1, 9, EPOCH, vec![]), HeartbeatReply::Redirect);
+    let late = harness.submit(sample("job-2", "red", 1, 1.0));
+    assert_eq!(harness.answer(late).map(|a| a.status), Some(503));
+    assert!(harness.commits.is_empty());
 }
 
-/// A job's final write has been sent: its user has withdrawn it, or its only task is done.
-fn with_a_final_write_under_way(withdrawn: bool) -> (Rig, Option<ReplyId>) {
-    let mut rig = Rig::new(vec![loaded_job(sample("job-1", "red", 1, 1.0))], Vec::new());
-    rig.commit_all();
-    let to = withdrawn.then(|| rig.withdraw("job-1"));
-    if !withdrawn {
-        rig.leader.mark_task_done(rig.now, &id("job-1"), 0);
-        rig.collect();
+/// A leader with a job's terminal write in flight: its user has cancelled it, or its only task
+/// is done.
+fn harness_with_final_write_in_flight(cancelled_by_user: bool) -> (Harness, Option<ReplyId>) {
+    let mut harness = Harness::new(vec![loaded_job(sample("job-1", "red", 1, 1.0))], Vec::new());
+    harness.commit_all();
+    let reply = cancelled_by_user.then(|| harness.cancel("job-1"));
+    if !cancelled_by_user {
+        harness.leader.mark_task_done(harness.now, &id("job-1"), 0);
+        harness.collect_effects();
     }
-    (rig, to)
+    (harness, reply)
 }
 
-/// A final write that is refused in whatever way may have been carried out by an earlier
-/// try without an answer: nothing is told from it, and memory is not used any more.
+/// A terminal write that is refused may have been carried out by an earlier attempt whose reply
+/// was lost: nothing is answered from it, and the in-memory state is not used any more.
 #[test]
-fn a_refused_final_write_ends_the_epoch_and_nothing_is_told_from_it() {
+fn a_refused_terminal_write_ends_the_epoch_and_is_not_answered_from_memory() {
     for error in [KvError::Fenced, KvError::Conflict] {
-        for withdrawn in [true, false] {
-            let (mut rig, to) = with_a_final_write_under_way(withdrawn);
-            assert_eq!(rig.standing("job-1"), None, "the record decides while it is under way");
-            let others = rig.commits.len() - 1;
-            assert_eq!(others, 0, "{:?}", rig.commits);
-            rig.fail_commit(error);
-            assert!(rig.leader.is_fenced(), "{error:?}");
-            assert_eq!(to.and_then(|to| rig.answer(to)), None);
-            assert_eq!(rig.standing("job-1"), None);
+        for cancelled_by_user in [true, false] {
+            let (mut harness, reply) = harness_with_final_write_in_flight(cancelled_by_user);
+            assert_eq!(harness.job_state("job-1"), None, "the record decides while the write is in flight");
+            let other_writes = harness.commits.len() - 1;
+            assert_eq!(other_writes, 0, "{:?}", harness.commits);
+            harness.fail_next_commit(error);
+            assert!(harness.leader.is_fenced(), "{error:?}");
+            assert_eq!(reply.and_then(|reply| harness.answer(reply)), None);
+            assert_eq!(harness.job_state("job-1"), None);
         }
     }
 }
 
-/// A refusal for good means that the value is too large by now; so may an earlier try have
-/// been carried out, when it still was not. The verdict is written in its smallest form,
-/// and again after a while, and until that is known nothing is told from memory.
+/// A rejection means that the value is too large by now; an earlier attempt may have been
+/// carried out when it was not. The terminal state is written in its smallest form, and again
+/// after a pause, and until the outcome is known nothing is answered from memory.
 #[test]
-fn a_final_write_that_is_refused_for_its_size_is_made_again_and_nothing_is_told_before() {
-    for withdrawn in [true, false] {
-        let (mut rig, to) = with_a_final_write_under_way(withdrawn);
-        let whole = json_size(&only_put(&rig));
-        rig.fail_commit(KvError::Rejected);
-        let verdict = only_put(&rig);
-        assert!(json_size(&verdict) < whole);
+fn a_terminal_write_rejected_for_its_size_is_retried_and_not_answered_before() {
+    for cancelled_by_user in [true, false] {
+        let (mut harness, reply) = harness_with_final_write_in_flight(cancelled_by_user);
+        let whole_size = json_size(&only_put(&harness));
+        harness.fail_next_commit(KvError::Rejected);
+        let verdict = only_put(&harness);
+        assert!(json_size(&verdict) < whole_size);
         let record = JobRecord::decode(&verdict).expect("readable");
-        assert_eq!((record.cancelled, record.completed), (withdrawn, !withdrawn));
-        rig.fail_commit(KvError::Rejected);
-        assert!(rig.commits.is_empty(), "not repeated without end");
-        assert_eq!((rig.standing("job-1"), to.and_then(|to| rig.answer(to))), (None, None));
-        assert!(!rig.leader.is_fenced());
-        rig.pass(31.0);
-        assert_eq!(only_put(&rig), verdict);
-        // The first try was carried out after all.
-        rig.fail_commit(KvError::Conflict);
-        assert!(rig.leader.is_fenced());
-        assert_eq!((rig.standing("job-1"), to.and_then(|to| rig.answer(to))), (None, None));
+        assert_eq!((record.cancelled, record.completed), (cancelled_by_user, !cancelled_by_user));
+        harness.fail_next_commit(KvError::Rejected);
+        assert!(harness.commits.is_empty(), "not repeated at once");
+        assert_eq!((harness.job_state("job-1"), reply.and_then(|reply| harness.answer(reply))), (None, None));
+        assert!(!harness.leader.is_fenced());
+        harness.advance(31.0);
+        assert_eq!(only_put(&harness), verdict);
+        // The first attempt was carried out after all.
+        harness.fail_next_commit(KvError::Conflict);
+        assert!(harness.leader.is_fenced());
+        assert_eq!((harness.job_state("job-1"), reply.and_then(|reply| harness.answer(reply))), (None, None));
     }
 }
 
-fn only_put(rig: &Rig) -> Value {
-    let puts = rig.commits.iter().flat_map(|(_, transaction)| &transaction.changes);
+fn only_put(harness: &Harness) -> Value {
+    let puts = harness.commits.iter().flat_map(|(_, transaction)| &transaction.changes);
     let mut records = puts.filter(|change| change.key().starts_with("rec/"));
     let Some(Change::Put { value, .. }) = records.next() else { panic!("no record is written") };
     assert!(records.next().is_none());
@@ -85,69 +86,70 @@
 }
 
 #[test]
-fn past_its_lease_a_leader_answers_only_what_is_final() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    rig.accept(sample("job-2", "red", 1, 1.0));
-    rig.withdraw("job-2");
-    // Cancelled but still on a machine, so still in the picture.
-    let orders = rig.beat("vm-1", 2, EPOCH, vec![]);
-    assert_eq!(starts(&orders).len(), 1);
-    let end = rig.now + Duration::from_secs(1);
-    rig.leader.extend_lease(rig.now, end);
-    rig.now = end;
-    assert!(!rig.leader.holds_lease(rig.now));
-    assert_eq!(rig.standing("job-1"), None);
-    // Renewed after all, with the key unchanged: the epoch goes on.
-    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(9));
-    assert_eq!(rig.standing("job-1"), Some(JobState::Queued));
+fn past_its_lease_a_leader_answers_no_live_state() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    harness.accept(sample("job-2", "red", 1, 1.0));
+    harness.cancel("job-2");
+    // Cancelled but still on a machine, so still in memory.
+    let commands = harness.heartbeat("vm-1", 2, EPOCH, vec![]);
+    assert_eq!(starts(&commands).len(), 1);
+    let end = harness.now + Duration::from_secs(1);
+    harness.leader.extend_lease(harness.now, end);
+    harness.now = end;
+    assert!(!harness.leader.holds_lease(harness.now));
+    assert_eq!(harness.job_state("job-1"), None);
+    // Renewed after all, with the leader key unchanged: the epoch goes on.
+    harness.leader.extend_lease(harness.now, harness.now + Duration::from_secs(9));
+    assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
 }
 
-/// Frozen past its lease and the lapse window, clocks running on: what it finds when it
-/// wakes, late copies and repeats of what was carried out included, moves it to
-/// nothing, whatever is asked first.
+/// A process stalled past its lease and its post-lease grace while its clocks ran on: neither
+/// late copies nor repeated requests make it act when it resumes, whatever comes first.
 #[test]
-fn a_leader_that_stood_still_past_its_lease_does_nothing_when_it_wakes() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 4, 1.0));
-    let held = starts(&rig.beat("vm-1", 5, EPOCH, vec![]));
-    let running: Vec<_> = held.iter().map(|s| listed(s, TaskState::Running)).collect();
-    rig.beat("vm-1", 6, EPOCH, running.clone());
-    let to = rig.submit(sample("job-2", "red", 1, 1.0));
-    rig.commit_all();
-    assert_eq!(rig.answer(to).map(|a| a.status), Some(201));
-    rig.cloud.clear();
-    let end = rig.now + Duration::from_secs(3);
-    rig.leader.extend_lease(rig.now, end);
-    rig.now = end + rig.config.post_lease_grace() + Duration::from_secs(20);
-    for (seq, tasks) in [(6, running.clone()), (7, running), (8, vec![])] {
-        assert_eq!(rig.report("vm-1", 1, seq, EPOCH, tasks), HeartbeatReply::Redirect);
+fn a_leader_stalled_past_its_lease_does_nothing_when_it_resumes() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 4, 1.0));
+    let held = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![]));
+    let running: Vec<_> = held.iter().map(|s| task_status(s, TaskState::Running)).collect();
+    harness.heartbeat("vm-1", 6, EPOCH, running.clone());
+    let reply = harness.submit(sample("job-2", "red", 1, 1.0));
+    harness.commit_all();
+    assert_eq!(harness.answer(reply).map(|a| a.status), Some(201));
+    harness.cloud_calls.clear();
+    let end = harness.now + Duration::from_secs(3);
+    harness.leader.extend_lease(harness.now, end);
+    harness.now = end + harness.config.post_lease_grace() + Duration::from_secs(20);
+    for (sequence, tasks) in [(6, running.clone()), (7, running), (8, vec![])] {
+        assert_eq!(harness.send_heartbeat("vm-1", 1, sequence, EPOCH, tasks), HeartbeatReply::Redirect);
     }
-    let again = rig.submit(sample("job-2", "red", 1, 1.0));
-    assert_eq!(rig.answer(again).map(|a| a.status), Some(503), "another may know more of it");
-    rig.withdraw("job-1");
-    rig.pass(1.0);
-    assert!(rig.commits.is_empty() && rig.cloud.is_empty() && rig.direct.is_empty());
+    let repeated = harness.submit(sample("job-2", "red", 1, 1.0));
+    assert_eq!(harness.answer(repeated).map(|a| a.status), Some(503), "another leader may know more of it");
+    harness.cancel("job-1");
+    harness.advance(1.0);
+    assert!(
+        harness.commits.is_empty() && harness.cloud_calls.is_empty() && harness.pushed_commands.is_empty()
+    );
 }
 
 #[test]
-fn a_lapsed_leader_keeps_workers_alive_for_a_bounded_time_and_decides_nothing() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
-    rig.accept(sample("job-2", "red", 1, 1.0));
-    let end = rig.now + Duration::from_secs(1);
-    rig.leader.extend_lease(rig.now, end);
-    rig.now = end + rig.config.post_lease_grace() / 2;
-    let report = vec![listed(&start, DONE)];
-    assert_eq!(rig.beat("vm-1", 6, EPOCH, report.clone()), vec![], "no start, no reap");
-    assert!(rig.commits.is_empty());
-    // One that this epoch has not heard, or that another leads by now.
-    assert_eq!(rig.report("vm-9", 1, 1, EPOCH, vec![]), HeartbeatReply::Redirect);
-    assert_eq!(rig.report("vm-1", 1, 7, EPOCH + 1, vec![]), HeartbeatReply::Redirect);
-    rig.now = end + rig.config.post_lease_grace();
-    assert_eq!(rig.report("vm-1", 1, 7, EPOCH, report.clone()), HeartbeatReply::Redirect);
-    // Resumed, the same report is news.
-    rig.leader.extend_lease(rig.now, rig.now + Duration::from_secs(60));
-    assert_eq!(starts(&rig.beat("vm-1", 8, EPOCH, report)).len(), 1);
+fn in_its_post_lease_grace_a_leader_renews_worker_leases_and_decides_nothing() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    let start = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
+    harness.accept(sample("job-2", "red", 1, 1.0));
+    let end = harness.now + Duration::from_secs(1);
+    harness.leader.extend_lease(harness.now, end);
+    harness.now = end + harness.config.post_lease_grace() / 2;
+    let tasks = vec![task_status(&start, DONE)];
+    assert_eq!(harness.heartbeat("vm-1", 6, EPOCH, tasks.clone()), vec![], "no start, no reap");
+    assert!(harness.commits.is_empty());
+    // Machines that this epoch has not heard of, or that follow another leader by now.
+    assert_eq!(harness.send_heartbeat("vm-9", 1, 1, EPOCH, vec![]), HeartbeatReply::Redirect);
+    assert_eq!(harness.send_heartbeat("vm-1", 1, 7, EPOCH + 1, vec![]), HeartbeatReply::Redirect);
+    harness.now = end + harness.config.post_lease_grace();
+    assert_eq!(harness.send_heartbeat("vm-1", 1, 7, EPOCH, tasks.clone()), HeartbeatReply::Redirect);
+    // With the lease renewed, the same tasks are reconciled.
+    harness.leader.extend_lease(harness.now, harness.now + Duration::from_secs(60));
+    assert_eq!(starts(&harness.heartbeat("vm-1", 8, EPOCH, tasks)).len(), 1);
 }
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -1,24 +1,24 @@
-//! The overlapping faults that the users named, each brought about on a whole
-//! cluster: no rule may break, and it is shown that the meeting took place. The
-//! table in `docs/design.md` has the argument for each.
+//! The concurrent faults that the users named, each injected into a whole cluster: no rule may
+//! be violated, and each test shows that the faults did overlap. The table in `docs/design.md`
+//! has the argument for each.
 
 use super::random_faults::in_simulated_time;
-use super::simulation::{Fault, Shape, Simulation};
+use super::simulation::{ClusterShape, Fault, Simulation};
 
 use Fault::*;
 
 const CALM: f64 = 130.0;
 const END: f64 = 300.0;
 
-/// Plays the meeting with three controllers, and with five.
-fn meet(faults: &[(f64, Fault)], took_place: impl Fn(&Simulation) -> bool) {
-    meet_in(Shape::usual, faults, took_place);
+/// Runs the concurrent faults with three controllers, and with five.
+fn run_concurrent_faults(faults: &[(f64, Fault)], overlapped: impl Fn(&Simulation) -> bool) {
+    run_concurrent_faults_in(ClusterShape::usual, faults, overlapped);
 }
 
-fn meet_in(
-    shape: impl Fn(usize) -> Shape,
+fn run_concurrent_faults_in(
+    shape: impl Fn(usize) -> ClusterShape,
     faults: &[(f64, Fault)],
-    took_place: impl Fn(&Simulation) -> bool,
+    overlapped: impl Fn(&Simulation) -> bool,
 ) {
     for (seed, controllers) in [(1, 3), (2, 5)] {
         let simulation = in_simulated_time(async {
@@ -27,24 +27,29 @@
             simulation.check_end();
             simulation
         });
-        assert!(simulation.broken.is_empty(), "{controllers} controllers: {:#?}", simulation.broken);
-        assert!(simulation.starts > 20 && took_place(&simulation), "{controllers} controllers: nothing met");
+        assert!(simulation.violations.is_empty(), "{controllers} controllers: {:#?}", simulation.violations);
+        assert!(
+            simulation.starts > 20 && overlapped(&simulation),
+            "{controllers} controllers: the faults did not overlap"
+        );
     }
 }
 
 #[test]
-fn late_transactions_meet_newer_ones_and_a_change_of_leader() {
+fn delayed_transactions_arrive_after_newer_ones_and_a_failover() {
     let late = LateWrites { share: 0.4, lasts: 90.0 };
     let crash = Crash { controller: None, back: 0.3 };
-    meet(&[(25.0, late), (60.0, crash), (80.0, crash), (90.0, CancelNow { count: 3, hang: 0.0 })], |w| {
-        w.late_changes > 20 && w.leaders.len() >= 3
-    });
+    run_concurrent_faults(
+        &[(25.0, late), (60.0, crash), (80.0, crash), (90.0, CancelNow { count: 3, hang: 0.0 })],
+        |simulation| simulation.late_changes > 20 && simulation.leaders.len() >= 3,
+    );
 }
 
-/// Pipelines are cancelled at their first stages, and right after it the leader is lost, the
-/// state service is out, or the leader alone is cut off from it; meanwhile its limits fall.
+/// Chains of dependent jobs are cancelled at their first jobs, and right after it the leader is
+/// lost, the state service is out, or the leader alone is cut off from it; meanwhile the limits
+/// of the state service fall.
 #[test]
-fn pipelines_are_cancelled_while_the_leader_or_the_state_service_is_lost() {
+fn dependencies_are_cancelled_while_the_leader_or_the_state_service_is_lost() {
     let cancel = CancelNow { count: 4, hang: 0.0 };
     let lost = [
         Crash { controller: None, back: 3.0 },
@@ -54,27 +59,34 @@
     ];
     for fault in lost {
         let faults = [(40.0, cancel), (40.3, fault), (41.0, LimitsFall), (55.0, cancel), (55.2, fault)];
-        let shape =
-            |controllers| Shape { looks: 1.0, writes: 11.0, ..Shape::busy(controllers).with_pipelines() };
-        meet_in(shape, &faults, |w| w.called_off >= 3 && w.beyond_limits > 0);
+        let shape = |controllers| ClusterShape {
+            extra_requests: 1.0,
+            writes: 11.0,
+            ..ClusterShape::busy(controllers).with_dependencies()
+        };
+        run_concurrent_faults_in(shape, &faults, |simulation| {
+            simulation.cancellations >= 3 && simulation.beyond_limits > 0
+        });
     }
 }
 
-/// A transaction is carried out and only its answer lost, while others read what it wrote.
+/// A transaction is carried out and only its reply is lost, while others read what it wrote.
 #[test]
-fn answers_of_transactions_are_lost_while_controllers_cannot_reach_each_other() {
+fn transaction_replies_are_lost_while_controllers_are_partitioned() {
     let lost = LostAnswers { share: 0.6, lasts: 90.0 };
     let cancel = CancelNow { count: 4, hang: 0.0 };
     let at_end = CancelAtEnd { share: 0.4, lasts: 90.0 };
     let apart = PeersRefuse { lasts: 80.0 };
     let faults = [(25.0, lost), (25.0, at_end), (30.0, apart), (45.0, cancel), (70.0, cancel)];
-    meet_in(Shape::busy, &faults, |w| w.called_off > 0 && w.repeated_answers > 1000);
+    run_concurrent_faults_in(ClusterShape::busy, &faults, |simulation| {
+        simulation.cancellations > 0 && simulation.repeated_answers > 1000
+    });
 }
 
 #[test]
-fn leaders_hand_over_and_back_and_one_returns_within_a_second() {
+fn leadership_moves_back_and_forth_and_a_controller_restarts_within_a_second() {
     let back_at_once = Crash { controller: None, back: 0.2 };
-    meet(
+    run_concurrent_faults(
         &[
             (40.0, back_at_once),
             (41.0, back_at_once),
@@ -84,129 +96,141 @@
             (58.0, CancelNow { count: 2, hang: 5.0 }),
             (75.0, CrashAll { back: 3.0 }),
         ],
-        |w| w.leaders.len() >= 3,
+        |simulation| simulation.leaders.len() >= 3,
     );
 }
 
 #[test]
-fn a_command_held_up_for_seconds_is_carried_out_when_the_machine_goes_on() {
+fn a_command_delayed_by_a_hung_machine_is_applied_when_it_resumes() {
     let hung = |lasts| Hung { share: 0.6, lasts };
-    meet(&[(40.0, hung(3.0)), (50.0, hung(6.0)), (60.0, CancelNow { count: 4, hang: 15.0 })], |w| {
-        w.called_off > 0
-    });
+    run_concurrent_faults(
+        &[(40.0, hung(3.0)), (50.0, hung(6.0)), (60.0, CancelNow { count: 4, hang: 15.0 })],
+        |simulation| simulation.cancellations > 0,
+    );
 }
 
 #[test]
-fn a_cancellation_a_question_and_a_repeat_meet_the_end_of_the_last_task() {
+fn a_cancellation_a_poll_and_a_resubmission_coincide_with_the_last_task_end() {
     let crash = Crash { controller: None, back: 2.0 };
-    meet(&[(20.0, CancelAtEnd { share: 1.0, lasts: 100.0 }), (60.0, crash), (90.0, crash)], |w| {
-        w.called_off > 5
-    });
+    run_concurrent_faults(
+        &[(20.0, CancelAtEnd { share: 1.0, lasts: 100.0 }), (60.0, crash), (90.0, crash)],
+        |simulation| simulation.cancellations > 5,
+    );
 }
 
 #[test]
-fn the_state_service_refuses_the_leader_and_then_everybody_while_users_cancel() {
+fn the_state_service_refuses_the_leader_then_all_while_users_cancel() {
     let refused = Refused { lasts: 14.0, peers: false };
-    meet(
+    run_concurrent_faults(
         &[
             (40.0, refused),
             (45.0, CancelNow { count: 3, hang: 0.0 }),
             (46.0, CancelNow { count: 3, hang: 12.0 }),
             (47.5, Outage { lasts: 60.0 }),
         ],
-        |w| w.leaders.len() >= 2 && w.called_off >= 3 && w.lost_leases > 0,
+        |simulation| {
+            simulation.leaders.len() >= 2 && simulation.cancellations >= 3 && simulation.lost_leases > 0
+        },
     );
 }
 
 #[test]
-fn the_refusal_and_a_cancellation_at_one_moment_and_the_outage_a_second_later() {
-    meet(
+fn a_refused_leader_and_a_cancellation_at_once_then_an_outage() {
+    run_concurrent_faults(
         &[
             (45.0, Refused { lasts: 14.0, peers: false }),
             (45.0, CancelNow { count: 4, hang: 0.0 }),
             (46.0, Outage { lasts: 60.0 }),
         ],
-        |w| w.lost_leases > 0,
+        |simulation| simulation.lost_leases > 0,
     );
 }
 
 #[test]
-fn tasks_that_end_far_apart_across_a_change_of_leader() {
+fn tasks_of_a_job_end_far_apart_across_failovers() {
     let crash = Crash { controller: None, back: 5.0 };
     let changes: Vec<_> = (0..7).map(|n| (30.0 + 12.0 * f64::from(n), crash)).collect();
-    meet(&changes, |w| w.leaders.len() >= 7);
+    run_concurrent_faults(&changes, |simulation| simulation.leaders.len() >= 7);
 }
 
 #[test]
-fn a_leader_without_state_service_and_peers_while_jobs_are_cancelled_through_another() {
+fn jobs_are_cancelled_through_another_controller_while_the_leader_is_isolated() {
     let alone = |hangs| match hangs {
         true => Cut { lasts: 35.0, peers: true },
         false => Refused { lasts: 35.0, peers: true },
     };
     let cancel = CancelNow { count: 3, hang: 0.0 };
     for hangs in [false, true] {
-        meet(&[(40.0, alone(hangs)), (46.0, cancel), (50.0, cancel)], |w| {
-            w.leaders.len() >= 2 && w.called_off >= 2
+        run_concurrent_faults(&[(40.0, alone(hangs)), (46.0, cancel), (50.0, cancel)], |simulation| {
+            simulation.leaders.len() >= 2 && simulation.cancellations >= 2
         });
     }
 }
 
 #[test]
-fn more_work_than_room_urgent_and_not_while_leaders_change() {
+fn more_work_than_capacity_at_all_priorities_across_failovers() {
     let crash = Crash { controller: None, back: 4.0 };
-    meet(&[(30.0, Burst { jobs: 25 }), (50.0, crash), (70.0, Burst { jobs: 10 }), (71.0, crash)], |w| {
-        w.starts > 100
-    });
+    run_concurrent_faults(
+        &[(30.0, Burst { jobs: 25 }), (50.0, crash), (70.0, Burst { jobs: 10 }), (71.0, crash)],
+        |simulation| simulation.starts > 100,
+    );
 }
 
 #[test]
-fn jobs_bound_to_zones_lose_their_machines() {
+fn zone_bound_jobs_lose_their_machines() {
     let die = Die { share: 0.5 };
-    meet(&[(40.0, die), (60.0, die), (61.0, Crash { controller: None, back: 3.0 }), (80.0, die)], |w| {
-        w.leaders.len() >= 2
-    });
+    run_concurrent_faults(
+        &[(40.0, die), (60.0, die), (61.0, Crash { controller: None, back: 3.0 }), (80.0, die)],
+        |simulation| simulation.leaders.len() >= 2,
+    );
 }
 
 #[test]
-fn a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() {
+fn a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease() {
     let cut = ZoneCut { lasts: 32.0 };
-    // Whether the controller inside leads or not.
+    // Whether or not the controller in the zone leads.
     let crash = Crash { controller: None, back: 6.0 };
-    meet(&[(40.0, cut), (48.0, CancelNow { count: 3, hang: 0.0 })], |w| w.called_off > 0);
-    meet(&[(35.0, crash), (40.0, crash), (48.0, cut), (55.0, crash)], |w| w.leaders.len() >= 2);
+    run_concurrent_faults(&[(40.0, cut), (48.0, CancelNow { count: 3, hang: 0.0 })], |simulation| {
+        simulation.cancellations > 0
+    });
+    run_concurrent_faults(&[(35.0, crash), (40.0, crash), (48.0, cut), (55.0, crash)], |simulation| {
+        simulation.leaders.len() >= 2
+    });
 }
 
 #[test]
-fn old_reports_of_earlier_sessions_and_attempts_come_after_newer_ones() {
-    meet(
+fn heartbeats_of_earlier_incarnations_and_attempts_arrive_after_newer_ones() {
+    run_concurrent_faults(
         &[
-            (20.0, LateReports { share: 0.5, lasts: 100.0 }),
+            (20.0, LateHeartbeats { share: 0.5, lasts: 100.0 }),
             (40.0, Hung { share: 0.4, lasts: 25.0 }),
             (70.0, Deaf { share: 0.4, lasts: 25.0 }),
         ],
-        |w| w.late_copies > 50,
+        |simulation| simulation.late_copies > 50,
     );
 }
 
 #[test]
-fn a_report_is_held_back_until_a_new_leader_has_acted() {
+fn a_heartbeat_is_delayed_until_a_new_leader_has_acted() {
     let crash = Crash { controller: None, back: 1.0 };
-    let late = LateReports { share: 0.7, lasts: 100.0 };
-    meet(&[(20.0, late), (45.0, crash), (60.0, crash), (75.0, CrashAll { back: 8.0 })], |w| {
-        w.leaders.len() >= 4
-    });
+    let late = LateHeartbeats { share: 0.7, lasts: 100.0 };
+    run_concurrent_faults(
+        &[(20.0, late), (45.0, crash), (60.0, crash), (75.0, CrashAll { back: 8.0 })],
+        |simulation| simulation.leaders.len() >= 4,
+    );
 }
 
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
-    meet(&[(45.0, CrashAll { back: 27.0 }), (44.0, CancelNow { count: 3, hang: 0.0 })], |w| {
-        w.lost_leases > 0
-    });
+fn all_controllers_are_down_for_longer_than_a_worker_lease() {
+    run_concurrent_faults(
+        &[(45.0, CrashAll { back: 27.0 }), (44.0, CancelNow { count: 3, hang: 0.0 })],
+        |simulation| simulation.lost_leases > 0,
+    );
 }
 
 #[test]
-fn a_team_at_its_limit_when_the_leader_changes_and_machines_cannot_be_asked() {
-    meet(
+fn a_team_at_its_quota_when_the_leader_changes_and_machines_are_unreachable() {
+    run_concurrent_faults(
         &[
             (30.0, Burst { jobs: 20 }),
             (50.0, Mute { share: 0.5, lasts: 30.0 }),
@@ -216,34 +240,36 @@
             (81.0, Crash { controller: None, back: 5.0 }),
             (84.0, CancelNow { count: 4, hang: 10.0 }),
         ],
-        |w| w.leaders.len() >= 3 && w.called_off >= 3,
+        |simulation| simulation.leaders.len() >= 3 && simulation.cancellations >= 3,
     );
 }
 
 #[test]
-fn a_leader_ends_while_machines_cannot_be_reached_or_are_deaf_to_the_next() {
+fn a_failover_while_machines_are_unreachable_or_one_way_partitioned() {
     let crash = Crash { controller: None, back: 5.0 };
-    meet(
+    run_concurrent_faults(
         &[
             (40.0, Deaf { share: 0.5, lasts: 40.0 }),
             (42.0, crash),
             (85.0, Mute { share: 0.5, lasts: 15.0 }),
             (86.0, crash),
         ],
-        |w| w.leaders.len() >= 3,
+        |simulation| simulation.leaders.len() >= 3,
     );
 }
 
 #[test]
-fn leaders_change_ten_times_in_two_minutes_within_an_outage_too() {
+fn ten_failovers_in_two_minutes_with_an_outage_among_them() {
     let crash = Crash { controller: None, back: 0.5 };
     let mut faults: Vec<_> = (0..12).map(|n| (25.0 + 8.0 * f64::from(n), crash)).collect();
     faults.extend([(60.0, Outage { lasts: 20.0 }), (58.0, CancelNow { count: 3, hang: 0.0 })]);
-    meet(&faults, |w| w.leaders.len() >= 6);
+    run_concurrent_faults(&faults, |simulation| simulation.leaders.len() >= 6);
 }
 
 #[test]
-fn mute_machines_hear_direct_orders_and_no_answers() {
+fn machines_without_heartbeat_replies_receive_pushed_commands() {
     let mute = Mute { share: 0.7, lasts: 30.0 };
-    meet(&[(40.0, mute), (44.0, CancelNow { count: 4, hang: 0.0 })], |w| w.called_off >= 2);
+    run_concurrent_faults(&[(40.0, mute), (44.0, CancelNow { count: 4, hang: 0.0 })], |simulation| {
+        simulation.cancellations >= 2
+    });
 }
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -1,41 +1,41 @@
-//! Random overlapping faults on a whole cluster, the rules checked from outside;
-//! and for each rule, a wrong script that must be caught.
+//! Random overlapping faults on a whole cluster, with the rules checked from outside; and for
+//! each rule, a script that violates it and must be caught.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::simulation::{Fault, Origin, Question, Shape, Simulation, Trace};
+use super::simulation::{ClusterShape, Fault, Origin, Question, Simulation, Trace};
 use super::*;
 use crate::protocol::cbor::{MapBuilder, encode};
 use crate::transport::codec::Response;
 
-/// How many seeds are played; a longer search sets this variable.
+/// Environment variable: the number of seeds to run, more for a longer search.
 pub const SEEDS: &str = "SHEDTALLY_SEEDS";
-/// The first of them.
+/// Environment variable: the first seed.
 pub const FIRST: &str = "SHEDTALLY_FIRST_SEED";
 
 const CALM: f64 = 170.0;
 const END: f64 = 330.0;
 
-pub fn number(variable: &str, otherwise: u64) -> u64 {
-    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(otherwise)
+pub fn number(variable: &str, default: u64) -> u64 {
+    std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Some dozen faults within two minutes, in any order and on top of each other.
+/// Some dozen faults within two minutes, in any order and overlapping.
 fn random_faults(seed: u64) -> Vec<(f64, Fault)> {
-    let mut r = SmallRng::seed_from_u64(seed ^ 0x7e57);
-    let count = r.random_range(8..20);
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x7e57);
+    let count = rng.random_range(8..20);
     (0..count)
         .map(|_| {
-            let at = r.random_range(25.0..120.0);
-            let back = [0.1, 0.4, 3.0, 8.0][r.random_range(0..4)];
-            let (share, lasts) = (r.random_range(0.1..0.5), r.random_range(2.0..48.0));
-            let peers = r.random_bool(0.5);
-            let controller = r.random_bool(0.3).then(|| r.random_range(0..3));
-            let fault = match r.random_range(0..24) {
+            let at = rng.random_range(25.0..120.0);
+            let back = [0.1, 0.4, 3.0, 8.0][rng.random_range(0..4)];
+            let (share, lasts) = (rng.random_range(0.1..0.5), rng.random_range(2.0..48.0));
+            let peers = rng.random_bool(0.5);
+            let controller = rng.random_bool(0.3).then(|| rng.random_range(0..3));
+            let fault = match rng.random_range(0..24) {
                 0 | 1 => Fault::Crash { controller: None, back },
-                2 => Fault::Crash { controller: Some(r.random_range(0..3)), back },
-                3 => Fault::CrashAll { back: back * r.random_range(1.0..4.0) },
+                2 => Fault::Crash { controller: Some(rng.random_range(0..3)), back },
+                3 => Fault::CrashAll { back: back * rng.random_range(1.0..4.0) },
                 4 => Fault::Outage { lasts },
                 5 => Fault::Refused { lasts, peers },
                 6 => Fault::Cut { lasts, peers },
@@ -45,11 +45,11 @@
                 10 => Fault::Die { share: share / 2.0 },
                 11 => Fault::CloudDown { lasts },
                 12 => Fault::LateWrites { share, lasts },
-                13 => Fault::LateReports { share, lasts },
-                14 => Fault::CancelNow { count: r.random_range(1..5), hang: lasts / 2.0 },
+                13 => Fault::LateHeartbeats { share, lasts },
+                14 => Fault::CancelNow { count: rng.random_range(1..5), hang: lasts / 2.0 },
                 15 => Fault::CancelAtEnd { share: 0.6, lasts },
-                16 => Fault::Burst { jobs: r.random_range(5..25) },
-                17 | 18 => Fault::Stall { controller, lasts: r.random_range(0.2..25.0) },
+                16 => Fault::Burst { jobs: rng.random_range(5..25) },
+                17 | 18 => Fault::Stall { controller, lasts: rng.random_range(0.2..25.0) },
                 19 => Fault::LostAnswers { share, lasts },
                 20 => Fault::DoubledWrites { share, lasts },
                 21 => Fault::SlowAnswers { share, lasts },
@@ -64,13 +64,13 @@
         .collect()
 }
 
-/// Two clusters in three have pipelines, and a state service whose limits fall.
-fn shape(seed: u64) -> Shape {
-    let shape = Shape::usual(if seed.is_multiple_of(2) { 5 } else { 3 });
-    if seed.is_multiple_of(3) { shape } else { shape.with_pipelines() }
+/// Two clusters in three have jobs with dependencies, and a state service whose limits fall.
+fn shape(seed: u64) -> ClusterShape {
+    let shape = ClusterShape::usual(if seed.is_multiple_of(2) { 5 } else { 3 });
+    if seed.is_multiple_of(3) { shape } else { shape.with_dependencies() }
 }
 
-/// Simulated time before each line of a log.
+/// Prints the simulated time before each line of a log.
 struct Clock;
 
 impl tracing_subscriber::fmt::time::FormatTime for Clock {
@@ -80,10 +80,10 @@
     }
 }
 
-/// With this variable set, what the controllers log is printed.
+/// Environment variable: if set, the log of the controllers is printed.
 const LOG: &str = "SHEDTALLY_LOG";
 
-/// Each simulation has a runtime of its own, so that nothing of it outlives it.
+/// Runs in a runtime of its own with paused time, so that no task outlives its simulation.
 pub fn in_simulated_time<T>(work: impl Future<Output = T>) -> T {
     let subscriber =
         tracing_subscriber::fmt().with_timer(Clock).with_ansi(false).with_writer(std::io::stderr);
@@ -103,15 +103,15 @@
 
 async fn run_to_the_end(simulation: &mut Simulation) {
     simulation.run(END).await;
-    // A backlog is worked off at the pace that the teams' limits leave.
+    // A backlog is worked off as fast as the quotas of the teams allow.
     let mut until = END;
-    while simulation.unfinished() && until < 2.0 * END {
+    while simulation.has_unfinished_jobs() && until < 2.0 * END {
         until += 20.0;
         simulation.run(until).await;
     }
 }
 
-/// What the controllers send in the random faults of a seed.
+/// The trace of the random faults of a seed.
 pub fn traced(seed: u64) -> Trace {
     in_simulated_time(async {
         let mut simulation = Simulation::shaped(seed, shape(seed), random_faults(seed), CALM);
@@ -121,8 +121,8 @@
     })
 }
 
-/// Whatever meets whatever, no rule breaks. A seed that breaks one is printed and
-/// breaks it again.
+/// No rule is violated, whatever faults overlap. A seed that violates one is printed; it
+/// violates the rule again when it is repeated.
 #[test]
 fn no_rule_breaks_in_random_overlapping_faults() {
     let first = number(FIRST, 1);
@@ -130,102 +130,102 @@
     for seed in first..first + number(SEEDS, 6) {
         let simulation = play(seed, random_faults(seed));
         assert!(simulation.starts > 20, "seed {seed}: {} starts", simulation.starts);
-        if !simulation.broken.is_empty() {
-            broken.push(format!("seed {seed}: {:#?}\n{:#?}", simulation.broken, random_faults(seed)));
+        if !simulation.violations.is_empty() {
+            broken.push(format!("seed {seed}: {:#?}\n{:#?}", simulation.violations, random_faults(seed)));
         }
     }
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
-// The checker is checked: what a wrong scheduler would do must be caught, each rule
-// by a script that breaks it.
+// Tests of the checker: each rule must catch a script that violates it, as a wrong scheduler
+// would.
 
-fn caught(rule: &str, script: impl FnOnce(&mut Simulation)) {
+fn assert_caught(rule: &str, script: impl FnOnce(&mut Simulation)) {
     let broken = in_simulated_time(async {
         let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
         script(&mut simulation);
-        simulation.broken
+        simulation.violations
     });
     assert!(broken.iter().any(|b| b.starts_with(rule)), "{rule} is not caught: {broken:?}");
 }
 
-/// An answer of the first controller to a request sent then.
-fn sent(at: Instant, order: u64) -> Origin {
+/// The origin of an answer of the first controller to a request sent at that time.
+fn answer_origin(at: Instant, order: u64) -> Origin {
     Origin { sent: at, process: (0, 1), order }
 }
 
-fn submitted(simulation: &mut Simulation, change: impl FnOnce(&mut JobSpec)) -> Instant {
+fn submit_job(simulation: &mut Simulation, change: impl FnOnce(&mut JobSpec)) -> Instant {
     let now = Instant::now();
     let mut spec = sample("job-1", "red", 4, 4.0);
     change(&mut spec);
     simulation.submit(now, spec, 10.0, None);
-    simulation.note_answer(now, "job-1", sent(now, 0), 201, Some("queued"), false);
+    simulation.note_answer(now, "job-1", answer_origin(now, 0), 201, Some("queued"), false);
     now
 }
 
 const SOON: Duration = Duration::from_secs(1);
 
 #[test]
-fn wrong_starts_are_caught() {
-    caught("ran_twice", |simulation| {
-        submitted(simulation, |_| {});
-        simulation.place_wrongly("job-1", 0, "z1", false);
-        simulation.place_wrongly("job-1", 0, "z2", false);
+fn the_checker_catches_wrong_starts() {
+    assert_caught("ran_twice", |simulation| {
+        submit_job(simulation, |_| {});
+        simulation.force_start("job-1", 0, "z1", false);
+        simulation.force_start("job-1", 0, "z2", false);
     });
-    caught("quota", |simulation| {
-        submitted(simulation, |spec| spec.tasks = 5);
-        (0..5).for_each(|index| drop(simulation.place_wrongly("job-1", index, "z1", false)));
+    assert_caught("quota", |simulation| {
+        submit_job(simulation, |spec| spec.tasks = 5);
+        (0..5).for_each(|index| drop(simulation.force_start("job-1", index, "z1", false)));
     });
-    caught("wrong_place", |simulation| {
-        submitted(simulation, |spec| spec.zone = Some("z2".into()));
-        simulation.place_wrongly("job-1", 0, "z1", false);
+    assert_caught("wrong_place", |simulation| {
+        submit_job(simulation, |spec| spec.zone = Some("z2".into()));
+        simulation.force_start("job-1", 0, "z1", false);
     });
-    caught("wrong_place", |simulation| {
-        submitted(simulation, |spec| spec.spot = false);
-        simulation.place_wrongly("job-1", 0, "z1", true);
+    assert_caught("wrong_place", |simulation| {
+        submit_job(simulation, |spec| spec.spot = false);
+        simulation.force_start("job-1", 0, "z1", true);
     });
-    caught("wrong_place", |simulation| {
-        submitted(simulation, |spec| spec.one_zone = true);
-        simulation.place_wrongly("job-1", 0, "z1", false);
-        simulation.place_wrongly("job-1", 1, "z2", false);
+    assert_caught("wrong_place", |simulation| {
+        submit_job(simulation, |spec| spec.one_zone = true);
+        simulation.force_start("job-1", 0, "z1", false);
+        simulation.force_start("job-1", 1, "z2", false);
     });
-    caught("wrong_place", |simulation| {
-        submitted(simulation, |spec| spec.spread = true);
-        (0..3).for_each(|index| drop(simulation.place_wrongly("job-1", index, "z1", false)));
+    assert_caught("wrong_place", |simulation| {
+        submit_job(simulation, |spec| spec.spread = true);
+        (0..3).for_each(|index| drop(simulation.force_start("job-1", index, "z1", false)));
     });
-    caught("too_early", |simulation| {
-        submitted(simulation, |_| {});
+    assert_caught("too_early", |simulation| {
+        submit_job(simulation, |_| {});
         let spec = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
         simulation.submit(Instant::now(), spec, 10.0, None);
-        simulation.place_wrongly("job-2", 0, "z1", false);
+        simulation.force_start("job-2", 0, "z1", false);
     });
-    caught("unknown_job", |simulation| drop(simulation.place_wrongly("job-7", 0, "z1", false)));
+    assert_caught("unknown_job", |simulation| drop(simulation.force_start("job-7", 0, "z1", false)));
 }
 
 #[test]
-fn cancelled_work_that_goes_on_is_caught() {
+fn the_checker_catches_cancelled_tasks_that_go_on() {
     let cancelled = |simulation: &mut Simulation| {
         let now = Instant::now();
         simulation.submit(now, sample("job-1", "red", 1, 1.0), 10.0, Some(now));
-        simulation.note_answer(now, "job-1", sent(now, 0), 201, Some("queued"), false);
-        let name = simulation.place_wrongly("job-1", 0, "z1", false);
-        simulation.note_answer(now, "job-1", sent(now, 0), 200, Some("cancelled"), true);
+        simulation.note_answer(now, "job-1", answer_origin(now, 0), 201, Some("queued"), false);
+        let name = simulation.force_start("job-1", 0, "z1", false);
+        simulation.note_answer(now, "job-1", answer_origin(now, 0), 200, Some("cancelled"), true);
         (now, name)
     };
-    caught("ran_cancelled", |simulation| {
+    assert_caught("ran_cancelled", |simulation| {
         let (now, _) = cancelled(simulation);
         simulation.check_cancelled(now + Duration::from_secs(40));
-        assert!(simulation.broken.is_empty(), "there is time left");
+        assert!(simulation.violations.is_empty(), "there is time left");
         simulation.check_cancelled(now + Duration::from_secs(46));
     });
-    caught("started_cancelled", |simulation| {
+    assert_caught("started_cancelled", |simulation| {
         let (now, name) = cancelled(simulation);
         let start = Command::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 9 };
         let body = crate::protocol::workers::encode_heartbeat_reply(1, &[start]);
         simulation.carry_out(now + SOON, &name, &body);
-        assert!(simulation.broken.is_empty(), "it may have been on its way");
+        assert!(simulation.violations.is_empty(), "it may have been on its way");
         simulation.carry_out(now + SOON * 5, &name, &body);
-        assert!(simulation.broken.is_empty(), "the same attempt has no effect");
+        assert!(simulation.violations.is_empty(), "the same attempt has no effect");
         let start = Command::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 10 };
         simulation.carry_out(
             now + SOON * 5,
@@ -236,120 +236,130 @@
 }
 
 #[test]
-fn untrue_answers_are_caught() {
-    let told = |rule: &str, first: &'static str, status: u16, standing: Option<&'static str>| {
-        caught(rule, |simulation| {
-            let now = submitted(simulation, |_| {});
-            simulation.note_answer(now, "job-1", sent(now, 0), 200, Some(first), false);
-            simulation.broken.clear();
-            simulation.note_answer(now + SOON * 2, "job-1", sent(now + SOON, 1), status, standing, false);
+fn the_checker_catches_wrong_answers() {
+    let second_answer = |rule: &str, first: &'static str, status: u16, standing: Option<&'static str>| {
+        assert_caught(rule, |simulation| {
+            let now = submit_job(simulation, |_| {});
+            simulation.note_answer(now, "job-1", answer_origin(now, 0), 200, Some(first), false);
+            simulation.violations.clear();
+            simulation.note_answer(
+                now + SOON * 2,
+                "job-1",
+                answer_origin(now + SOON, 1),
+                status,
+                standing,
+                false,
+            );
         });
     };
-    told("forgotten", "queued", 404, None);
-    told("forgotten", "queued", 422, None);
-    told("not_done", "queued", 200, Some("done"));
-    told("went_back", "done", 200, Some("running"));
-    told("went_back", "cancelled", 200, Some("queued"));
-    told("went_back", "queued", 200, Some("cancelled"));
-    // Asked before the final state was told, and answered after it: wrong only of the
-    // process that had told it, since another cannot know.
+    second_answer("forgotten", "queued", 404, None);
+    second_answer("forgotten", "queued", 422, None);
+    second_answer("not_done", "queued", 200, Some("done"));
+    second_answer("went_back", "done", 200, Some("running"));
+    second_answer("went_back", "cancelled", 200, Some("queued"));
+    second_answer("went_back", "queued", 200, Some("cancelled"));
+    // Requested before the terminal state was first answered, and answered after it: wrong
+    // only if from the process that had given the terminal state, since another cannot know of
+    // it.
     for (process, overtaken) in [((0, 1), 0), ((0, 2), 1), ((1, 1), 1)] {
         let simulation = in_simulated_time(async {
             let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
-            let now = submitted(&mut simulation, |_| {});
-            let last = sent(now + SOON, 1);
+            let now = submit_job(&mut simulation, |_| {});
+            let last = answer_origin(now + SOON, 1);
             simulation.note_answer(now + SOON * 2, "job-1", last, 200, Some("cancelled"), false);
-            simulation.broken.clear();
-            let earlier = Origin { process, order: 2, ..sent(now, 2) };
+            simulation.violations.clear();
+            let earlier = Origin { process, order: 2, ..answer_origin(now, 2) };
             simulation.note_answer(now + SOON * 3, "job-1", earlier, 200, Some("queued"), false);
             simulation
         });
-        assert_eq!(simulation.broken.len(), 1 - overtaken, "{:?}", simulation.broken);
+        assert_eq!(simulation.violations.len(), 1 - overtaken, "{:?}", simulation.violations);
         assert_eq!(simulation.overtaken, overtaken);
     }
-    let odd = |question, status| {
+    let invalid = |question, status| {
         let body = encode(&MapBuilder::new().set("standing", "queued").build());
         let answer = Response { status, body, retry_after_s: None, close: false };
         move |simulation: &mut Simulation| {
-            simulation.answered("odd", question, sent(Instant::now(), 0), Some(answer), false);
+            simulation.answered("odd", question, answer_origin(Instant::now(), 0), Some(answer), false);
         }
     };
-    caught("invented", odd(Question::Unknown, 200));
-    caught("accepted_odd", odd(Question::Odd(400), 201));
-    caught("accepted_odd", odd(Question::Odd(422), 200));
+    assert_caught("invented", invalid(Question::Unknown, 200));
+    assert_caught("accepted_odd", invalid(Question::Invalid(400), 201));
+    assert_caught("accepted_odd", invalid(Question::Invalid(422), 200));
 }
 
-/// A job two steps after a cancelled one, and one after a job that was done before its user
-/// could cancel it.
+/// An indirect dependent of a cancelled job, and a dependent of a job that was done before its
+/// user could cancel it.
 #[test]
-fn wrong_answers_about_pipelines_are_caught() {
+fn the_checker_catches_wrong_answers_about_dependents() {
     let pipeline = |simulation: &mut Simulation, first: &'static str| {
-        let now = submitted(simulation, |_| {});
-        for (job, need) in [("job-2", "job-1"), ("job-3", "job-2")] {
-            let spec = JobSpec { dependencies: vec![id(need)], ..sample(job, "red", 1, 1.0) };
+        let now = submit_job(simulation, |_| {});
+        for (job, dependency) in [("job-2", "job-1"), ("job-3", "job-2")] {
+            let spec = JobSpec { dependencies: vec![id(dependency)], ..sample(job, "red", 1, 1.0) };
             simulation.submit(now, spec, 10.0, None);
-            simulation.note_answer(now, job, sent(now, 0), 201, Some("queued"), false);
+            simulation.note_answer(now, job, answer_origin(now, 0), 201, Some("queued"), false);
         }
-        simulation.call_off(now, "job-1");
-        simulation.note_answer(now + SOON, "job-1", sent(now, 1), 200, Some(first), true);
-        simulation.broken.clear();
+        simulation.request_cancellation(now, "job-1");
+        simulation.note_answer(now + SOON, "job-1", answer_origin(now, 1), 200, Some(first), true);
+        simulation.violations.clear();
         now + SOON
     };
-    caught("orphaned", |simulation| {
+    assert_caught("orphaned", |simulation| {
         let now = pipeline(simulation, "cancelled");
         let later = now + SOON * 44;
-        simulation.note_answer(later, "job-3", sent(later, 2), 200, Some("queued"), false);
-        assert!(simulation.broken.is_empty(), "there is time left");
+        simulation.note_answer(later, "job-3", answer_origin(later, 2), 200, Some("queued"), false);
+        assert!(simulation.violations.is_empty(), "there is time left");
         let later = now + SOON * 46;
-        simulation.note_answer(later, "job-3", sent(later, 3), 200, Some("queued"), false);
+        simulation.note_answer(later, "job-3", answer_origin(later, 3), 200, Some("queued"), false);
     });
-    caught("went_back", |simulation| {
+    assert_caught("went_back", |simulation| {
         let now = pipeline(simulation, "done");
-        simulation.note_answer(now, "job-3", sent(now, 2), 200, Some("cancelled"), false);
+        simulation.note_answer(now, "job-3", answer_origin(now, 2), 200, Some("cancelled"), false);
     });
     let simulation = in_simulated_time(async {
         let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
         let now = pipeline(&mut simulation, "cancelled");
-        simulation.note_answer(now, "job-3", sent(now, 2), 200, Some("cancelled"), false);
+        simulation.note_answer(now, "job-3", answer_origin(now, 2), 200, Some("cancelled"), false);
         simulation
     });
-    assert!(simulation.broken.is_empty(), "{:?}", simulation.broken);
+    assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
 }
 
 #[test]
-fn what_is_left_behind_is_caught() {
-    caught("forgotten", |simulation| {
-        let now = submitted(simulation, |_| {});
+fn the_checker_catches_forgotten_and_starved_jobs() {
+    assert_caught("forgotten", |simulation| {
+        let now = submit_job(simulation, |_| {});
         simulation.check_waiting(now + Duration::from_secs(70));
-        assert!(simulation.broken.is_empty());
+        assert!(simulation.violations.is_empty());
         simulation.check_waiting(now + Duration::from_secs(80));
     });
-    caught("neglected", |simulation| {
-        let now = submitted(simulation, |_| {});
-        simulation.idle_machine("z1");
+    assert_caught("neglected", |simulation| {
+        let now = submit_job(simulation, |_| {});
+        simulation.add_idle_machine("z1");
         simulation.check_waiting(now + SOON);
         simulation.check_waiting(now + SOON * 74);
-        assert!(simulation.broken.is_empty());
+        assert!(simulation.violations.is_empty());
         simulation.check_waiting(now + SOON * 92);
     });
-    caught("unfinished", |simulation| {
-        submitted(simulation, |_| {});
+    assert_caught("unfinished", |simulation| {
+        submit_job(simulation, |_| {});
         simulation.check_end();
     });
 }
 
 #[test]
-fn a_violated_invariant_is_caught() {
-    let figures = |figure: &str| {
-        let body = encode(&MapBuilder::new().set(figure, 1).build());
+fn the_checker_catches_violated_invariants() {
+    let metrics_answer = |metric: &str| {
+        let body = encode(&MapBuilder::new().set(metric, 1).build());
         Response { status: 200, body, retry_after_s: None, close: false }
     };
-    caught("violated", |simulation| simulation.check_figures(0, &figures("invariantsViolated")));
-    caught("violated", |simulation| simulation.check_figures(0, &figures("epochsReused")));
+    assert_caught("violated", |simulation| {
+        simulation.check_metrics(0, &metrics_answer("invariantsViolated"))
+    });
+    assert_caught("violated", |simulation| simulation.check_metrics(0, &metrics_answer("epochsReused")));
     let broken = in_simulated_time(async {
         let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
-        simulation.check_figures(0, &figures("machines"));
-        simulation.broken
+        simulation.check_metrics(0, &metrics_answer("machines"));
+        simulation.violations
     });
     assert!(broken.is_empty(), "{broken:?}");
 }
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -1,4 +1,4 @@
-//! Records before rows, and what users are told of them.
+//! The order of writes to records and rows, and the answers to users that depend on it.
 
 use ciborium::value::Value;
 
@@ -9,95 +9,95 @@
 use crate::transport::codec::Request;
 
 #[test]
-fn a_settle_is_recorded_before_the_row_and_before_the_worker_may_forget() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "red", 1, 1.0));
-    let start = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
-    let orders = rig.beat("vm-1", 6, EPOCH, vec![listed(&start, DONE)]);
-    assert_eq!(orders, vec![], "no reap before the record");
-    assert_ne!(rig.standing("job-1"), Some(JobState::Done), "not told before it is recorded");
-    // A withdrawal now is answered by the settle that is on its way.
-    let to = rig.withdraw("job-1");
-    let written = rig.commit_all();
+fn a_completion_is_recorded_before_the_row_and_before_the_reap() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "red", 1, 1.0));
+    let start = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
+    let commands = harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&start, DONE)]);
+    assert_eq!(commands, vec![], "no reap before the record");
+    assert_ne!(harness.job_state("job-1"), Some(JobState::Done), "not answered before it is recorded");
+    // A cancellation at this point is answered by the completion that is in flight.
+    let reply = harness.cancel("job-1");
+    let written = harness.commit_all();
     let keys: Vec<Vec<&str>> = written.iter().map(|t| t.changes.iter().map(Change::key).collect()).collect();
     assert_eq!(keys[0], [job_record_key(&id("job-1"))]);
     assert_eq!(keys[1], [archived_row_key(&id("job-1")), live_row_key(&id("job-1"))]);
-    assert_eq!(told(&rig.answer(to).expect("answered")), "done");
-    let orders = rig.beat("vm-1", 7, EPOCH, vec![listed(&start, DONE)]);
-    assert_eq!(orders, [Command::Reap { task: start.0, attempt: start.1 }]);
+    assert_eq!(answered_state(&harness.answer(reply).expect("answered")), "done");
+    let commands = harness.heartbeat("vm-1", 7, EPOCH, vec![task_status(&start, DONE)]);
+    assert_eq!(commands, [Command::Reap { task: start.0, attempt: start.1 }]);
 }
 
 #[test]
-fn a_lagging_row_is_repaired_from_the_record_after_a_takeover() {
-    let mut settled = loaded_job(sample("job-1", "red", 1, 1.0));
-    settled.record.completed = true;
-    let mut rig = Rig::new(vec![settled], vec![rented("vm-1", true)]);
-    assert_eq!(rig.standing("job-1"), Some(JobState::Done));
-    assert!(rig.commits.is_empty(), "not while a machine may still hold a task of it");
-    rig.beat("vm-1", 5, EPOCH, vec![]);
-    let moved = rig.commit_all();
+fn a_lagging_row_is_archived_from_the_record_after_a_failover() {
+    let mut completed = loaded_job(sample("job-1", "red", 1, 1.0));
+    completed.record.completed = true;
+    let mut harness = Harness::new(vec![completed], vec![rented("vm-1", true)]);
+    assert_eq!(harness.job_state("job-1"), Some(JobState::Done));
+    assert!(harness.commits.is_empty(), "not while a machine may hold one of its tasks");
+    harness.heartbeat("vm-1", 5, EPOCH, vec![]);
+    let moved = harness.commit_all();
     assert!(moved.iter().any(|t| t.changes.iter().any(|c| c.key() == archived_row_key(&id("job-1")))));
 }
 
 #[test]
-fn a_restored_job_waits_until_no_machine_can_still_hold_its_tasks() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
+fn a_restored_job_waits_until_no_machine_can_hold_its_tasks() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
     let jobs = vec![loaded_job(sample("job-1", "red", 1, 1.0))];
-    rig.leader.restore_snapshot(rig.now, MS, Snapshot { jobs, ..Snapshot::default() });
-    assert_eq!(starts(&rig.beat("vm-1", 5, EPOCH, vec![])), vec![]);
-    let mut seq = 5;
-    while rig.now < rig.leader.snapshot_at() + rig.config.failover_lease_timeout() {
-        seq += 1;
-        assert_eq!(starts(&rig.beat("vm-1", seq, EPOCH, vec![])), vec![]);
-        rig.pass(3.0);
+    harness.leader.restore_snapshot(harness.now, MS, Snapshot { jobs, ..Snapshot::default() });
+    assert_eq!(starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])), vec![]);
+    let mut sequence = 5;
+    while harness.now < harness.leader.snapshot_at() + harness.config.failover_lease_timeout() {
+        sequence += 1;
+        assert_eq!(starts(&harness.heartbeat("vm-1", sequence, EPOCH, vec![])), vec![]);
+        harness.advance(3.0);
     }
-    assert_eq!(starts(&rig.beat("vm-1", seq + 1, EPOCH, vec![])).len(), 1);
+    assert_eq!(starts(&harness.heartbeat("vm-1", sequence + 1, EPOCH, vec![])).len(), 1);
 }
 
 #[test]
-fn a_retry_after_the_end_is_answered_from_the_record() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.submit(sample("job-1", "red", 1, 1.0));
-    // The record exists: it was accepted before.
-    rig.fail_commit(KvError::Conflict);
-    assert_eq!(rig.lookups.len(), 1);
-    // What could not be accepted today may have been accepted earlier.
-    rig.submit(sample("job-2", "nobody", 1, 1.0));
-    let (job, otherwise) = &rig.lookups[1];
-    assert_eq!((job, otherwise.status), (&id("job-2"), 422));
-    rig.submit(sample("job-3", "red", 1, 9.0));
-    assert_eq!(rig.lookups[2].1.status, 422);
+fn a_resubmission_is_answered_from_the_record() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.submit(sample("job-1", "red", 1, 1.0));
+    // The record exists: the job was accepted before.
+    harness.fail_next_commit(KvError::Conflict);
+    assert_eq!(harness.record_lookups.len(), 1);
+    // A job that would be rejected today may have been accepted earlier.
+    harness.submit(sample("job-2", "nobody", 1, 1.0));
+    let (job, if_absent) = &harness.record_lookups[1];
+    assert_eq!((job, if_absent.status), (&id("job-2"), 422));
+    harness.submit(sample("job-3", "red", 1, 9.0));
+    assert_eq!(harness.record_lookups[2].1.status, 422);
     let mut service = sample("job-4", "red", 5, 4.0);
     service.kind = crate::protocol::jobs::JobKind::Service;
-    rig.submit(service);
-    assert_eq!(rig.lookups[3].1.status, 422, "all replicas of a service must fit the limit");
+    harness.submit(service);
+    assert_eq!(harness.record_lookups[3].1.status, 422, "all replicas of a service must fit the quota");
 }
 
 #[test]
-fn submissions_beyond_what_can_be_written_are_refused_at_once() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
+fn submissions_beyond_the_write_capacity_are_rejected_at_once() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
     let mut refused = 0;
     for n in 0..40 {
-        let to = rig.submit(sample(&format!("job-{n}"), "red", 1, 1.0));
-        if let Some(answer) = rig.answer(to) {
+        let reply = harness.submit(sample(&format!("job-{n}"), "red", 1, 1.0));
+        if let Some(answer) = harness.answer(reply) {
             assert_eq!(answer.status, 429);
             assert!(answer.retry_after_s.is_some_and(|s| s >= 1));
             refused += 1;
         }
     }
-    assert_eq!(rig.commits.len() + refused, 40);
-    assert!(refused > 0 && rig.commits.len() >= 4);
+    assert_eq!(harness.commits.len() + refused, 40);
+    assert!(refused > 0 && harness.commits.len() >= 4);
 }
 
 #[test]
-fn a_job_begins_only_once_its_record_says_so() {
-    let mut rig = Rig::with_machines(&["vm-1"]);
-    rig.accept(sample("job-1", "blue", 1, 8.0));
-    let first = starts(&rig.beat("vm-1", 5, EPOCH, vec![])).remove(0);
-    // Accepted with no room for it: free for a next leader to start.
-    rig.accept(sample("job-2", "red", 2, 1.0));
-    assert_eq!(starts(&rig.beat("vm-1", 6, EPOCH, vec![listed(&first, DONE)])), vec![]);
-    let begun = |t: &Transaction| {
+fn a_job_starts_only_once_its_record_says_so() {
+    let mut harness = Harness::with_machines(&["vm-1"]);
+    harness.accept(sample("job-1", "blue", 1, 8.0));
+    let first = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
+    // Accepted without free capacity for it: a next leader may start it at once.
+    harness.accept(sample("job-2", "red", 2, 1.0));
+    assert_eq!(starts(&harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&first, DONE)])), vec![]);
+    let started = |t: &Transaction| {
         t.changes.iter().any(|c| match c {
             Change::Put { key, value, .. } if *key == job_record_key(&id("job-2")) => {
                 JobRecord::decode(value).expect("a record").started_high_water == 2
@@ -105,57 +105,58 @@
             _ => false,
         })
     };
-    assert!(rig.commit_all().iter().any(begun));
-    assert_eq!(starts(&rig.beat("vm-1", 7, EPOCH, vec![])).len(), 2);
-    // With room it is accepted as begun, and needs no second write.
-    rig.submit(sample("job-3", "red", 1, 1.0));
-    let Change::Put { value, .. } = &rig.commits[0].1.changes[0] else { panic!("a record") };
+    assert!(harness.commit_all().iter().any(started));
+    assert_eq!(starts(&harness.heartbeat("vm-1", 7, EPOCH, vec![])).len(), 2);
+    // With free capacity it is accepted as started, and needs no second write.
+    harness.submit(sample("job-3", "red", 1, 1.0));
+    let Change::Put { value, .. } = &harness.commits[0].1.changes[0] else { panic!("a record") };
     assert_eq!(JobRecord::decode(value).expect("a record").started_high_water, 1);
 }
 
-/// Acceptances and settles must not queue behind done tasks: with tasks of many
-/// jobs ending at once, only what the state service's allowance has for them is
-/// written, the longest waiting first, and nothing is lost.
+/// Admissions and completions must not queue behind done tasks: when tasks of many jobs end at
+/// once, done tasks get only their share of the state service's write rate, the longest waiting
+/// first, and nothing is lost.
 #[test]
-fn done_tasks_are_written_no_faster_than_the_state_service_takes_them() {
+fn done_tasks_are_written_within_the_write_rate() {
     let names: Vec<String> = (0..60).map(|n| format!("vm-{n}")).collect();
-    let mut rig = Rig::with_machines(&names.iter().map(String::as_str).collect::<Vec<_>>());
+    let mut harness = Harness::with_machines(&names.iter().map(String::as_str).collect::<Vec<_>>());
     // Two tasks each, of which one will end.
     for n in 0..60 {
-        rig.accept(sample(&format!("job-{n}"), "blue", 2, 4.0));
+        harness.accept(sample(&format!("job-{n}"), "blue", 2, 4.0));
     }
     for name in &names {
-        let mut held = starts(&rig.beat(name, 2, EPOCH, vec![]));
-        // The records of some jobs must say first that they begin.
-        rig.commit_all();
-        let sent: Vec<_> = held.iter().map(|s| listed(s, TaskState::Running)).collect();
-        held.extend(starts(&rig.beat(name, 3, EPOCH, sent)));
-        rig.beat(name, 4, EPOCH, held.iter().map(|s| listed(s, TaskState::Running)).collect());
-        // Some machine may be left to another that will report sooner.
+        let mut held = starts(&harness.heartbeat(name, 2, EPOCH, vec![]));
+        // Some records must be marked started before the tasks start.
+        harness.commit_all();
+        let sent: Vec<_> = held.iter().map(|s| task_status(s, TaskState::Running)).collect();
+        held.extend(starts(&harness.heartbeat(name, 3, EPOCH, sent)));
+        harness.heartbeat(name, 4, EPOCH, held.iter().map(|s| task_status(s, TaskState::Running)).collect());
+        // A machine may have been passed over for one whose heartbeat is due sooner.
         let Some((ended, rest)) = held.split_first() else { continue };
-        let rest = rest.iter().map(|s| listed(s, TaskState::Running));
-        rig.beat(name, 5, EPOCH, std::iter::once(listed(ended, DONE)).chain(rest).collect());
+        let rest = rest.iter().map(|s| task_status(s, TaskState::Running));
+        harness.heartbeat(name, 5, EPOCH, std::iter::once(task_status(ended, DONE)).chain(rest).collect());
     }
-    rig.commits.clear();
-    let records = |rig: &Rig| rig.commits.iter().filter(|(_, t)| t.class == RequestClass::Progress).count();
-    let allowance = rig.config.settings.cluster.state.write_rps;
-    rig.pass(1.0);
-    let first = records(&rig);
+    harness.commits.clear();
+    let records =
+        |harness: &Harness| harness.commits.iter().filter(|(_, t)| t.class == RequestClass::Progress).count();
+    let allowance = harness.config.settings.cluster.state.write_rps;
+    harness.advance(1.0);
+    let first = records(&harness);
     assert!(first > 0 && first as f64 <= allowance, "{first} of {allowance} a second");
-    let to = rig.submit(sample("job-new", "blue", 1, 1.0));
-    rig.commit_all();
-    assert_eq!(rig.answer(to).map(|a| a.status), Some(201));
+    let reply = harness.submit(sample("job-new", "blue", 1, 1.0));
+    harness.commit_all();
+    assert_eq!(harness.answer(reply).map(|a| a.status), Some(201));
     let mut written = first;
     for _ in 0..20 {
-        rig.pass(1.0);
-        written += records(&rig);
-        rig.commit_all();
+        harness.advance(1.0);
+        written += records(&harness);
+        harness.commit_all();
     }
     assert!(written >= 30, "only {written} jobs' done tasks were written");
 }
 
-/// Asks the stand-in of the state service to carry a transaction out.
-fn carry_out(state: &mut InMemoryKv, transaction: &Transaction) -> Result<u64, KvError> {
+/// Lets the in-memory state service carry a transaction out; returns the revision.
+fn apply_transaction(state: &mut InMemoryKv, transaction: &Transaction) -> Result<u64, KvError> {
     let body = encode(&encode_compare_and_swap(&transaction.compares, &transaction.changes));
     let request = Request { method: "POST".into(), target: "/commit".into(), body, close: false };
     match state.answer(&request) {
@@ -185,11 +186,11 @@
     (0..record.spec.tasks).filter(|task| record.done.contains(*task)).collect()
 }
 
-/// Limits fall while a job's done tasks fill more than a value may hold by then: they move
-/// to smaller blocks. At no point between the transactions is anything lost that was
-/// recorded before, and none is larger than the new limits allow.
+/// The limits fall while a job's done tasks fill blocks that are larger than a value may be
+/// then: they move to smaller blocks. Between any two transactions all that was recorded before
+/// stays recorded, and no value is larger than the new limits allow.
 #[test]
-fn done_tasks_move_to_smaller_blocks_and_nothing_is_lost_on_the_way() {
+fn done_tasks_move_to_smaller_blocks_without_loss() {
     let mut config = Config { settings: settings::tests::sample(), tuning: policy::tests::tuning() };
     let next = settings::NextState { rps: None, write_rps: None, value_kb: Some(1.0), txn_ops: Some(4) };
     config.settings.cluster.state.next = Some(next);
@@ -212,38 +213,38 @@
         assert!(before > Some(limits.value_bytes()), "{before:?}");
         let written =
             Transaction { class: RequestClass::Background, epoch: EPOCH, compares: Vec::new(), changes };
-        job.record_version = carry_out(&mut state, &written).expect("no limits yet");
+        job.record_version = apply_transaction(&mut state, &written).expect("no limits yet");
         job.block_versions = vec![job.record_version; layout.blocks(tasks) as usize];
         state.limit(limits);
         let config = Config { settings: config.settings.clone(), tuning: config.tuning };
-        let mut rig = Rig::configured(vec![job], Vec::new(), config);
-        rig.leader.mark_task_done(rig.now, &id("job-1"), 1);
-        rig.pass(10.0);
+        let mut harness = Harness::with_config(vec![job], Vec::new(), config);
+        harness.leader.mark_task_done(harness.now, &id("job-1"), 1);
+        harness.advance(10.0);
         let (mut refused, mut committed, mut expected) = (0, 0, recorded.clone());
-        while !rig.commits.is_empty() {
-            let (ticket, transaction) = rig.commits.remove(0);
+        while !harness.commits.is_empty() {
+            let (operation, transaction) = harness.commits.remove(0);
             assert!(transaction.changes.len() <= limits.txn_ops, "{}", transaction.changes.len());
-            let result = carry_out(&mut state, &transaction);
+            let result = apply_transaction(&mut state, &transaction);
             refused += usize::from(result.is_err());
             committed += usize::from(result.is_ok());
-            rig.leader.handle_commit_result(rig.now, ticket, result);
+            harness.leader.handle_commit_result(harness.now, operation, result);
             if committed == 2 {
-                // One more ends while the others are being moved.
-                rig.leader.mark_task_done(rig.now, &id("job-1"), 3);
+                // One more task ends while the others are being moved.
+                harness.leader.mark_task_done(harness.now, &id("job-1"), 3);
             }
-            rig.collect();
+            harness.collect_effects();
             let done = done_by_records(&mut state, "job-1");
             assert!(recorded.iter().all(|task| done.binary_search(task).is_ok()), "after {committed}");
-            rig.pass(1.0);
+            harness.advance(1.0);
         }
-        rig.pass(10.0);
-        for (_, transaction) in std::mem::take(&mut rig.commits) {
-            carry_out(&mut state, &transaction).expect("within the limits");
+        harness.advance(10.0);
+        for (_, transaction) in std::mem::take(&mut harness.commits) {
+            apply_transaction(&mut state, &transaction).expect("within the limits");
         }
         expected.extend([1, 3]);
         expected.sort_unstable();
         assert_eq!(done_by_records(&mut state, "job-1"), expected);
-        assert_eq!(refused, 1, "{tasks} tasks: once is notice enough");
-        assert!(!rig.leader.is_fenced() && committed > 3);
+        assert_eq!(refused, 1, "{tasks} tasks: one rejection is enough");
+        assert!(!harness.leader.is_fenced() && committed > 3);
     }
 }
--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Simulation {
-    pub(super) fn ask_cloud(&mut self, now: Instant, call: &Call) -> Response {
+    pub(super) fn handle_cloud_request(&mut self, now: Instant, call: &Call) -> Response {
         if now < self.cloud_down_until {
             return answer(503, &MapBuilder::new().set("error", "trouble").build());
         }
@@ -21,7 +21,7 @@
             "/machines" if call.method == "POST" => {
                 let f = Fields::of(&body).expect("a map");
                 let name = f.text("hire").expect("a name").to_owned();
-                if !self.rentals.contains_key(&name) {
+                if !self.node_pools.contains_key(&name) {
                     let zone = if f.text("hall").expect("a zone") == "z2" { "z2" } else { "z1" };
                     let spot = f.bool("loaners").expect("a kind");
                     let up = self.machines.values().filter(|m| m.gone_at.is_none()).count();
@@ -30,17 +30,17 @@
                     if count == 0 {
                         return answer(503, &MapBuilder::new().set("error", "no capacity").build());
                     }
-                    let names = (0..count).map(|_| self.rent(now, zone, spot)).collect();
-                    self.rentals.insert(name.clone(), names);
+                    let names = (0..count).map(|_| self.provision(now, zone, spot)).collect();
+                    self.node_pools.insert(name.clone(), names);
                 }
-                let names = texts(self.rentals[&name].iter().map(String::as_str));
+                let names = texts(self.node_pools[&name].iter().map(String::as_str));
                 answer(200, &MapBuilder::new().set("benches", names).build())
             }
             _ => {
                 let query = call.target.split('?').nth(1).unwrap_or_default();
                 let from = query.split('&').find_map(|part| part.strip_prefix("from=")).unwrap_or_default();
                 let shown = |m: &&(&String, &Worker)| {
-                    now >= m.1.rented + LAG && m.1.gone_at.is_none_or(|at| now < at + LAG)
+                    now >= m.1.provisioned_at + LIST_LAG && m.1.gone_at.is_none_or(|at| now < at + LIST_LAG)
                 };
                 let listed = self
                     .machines
@@ -64,7 +64,7 @@
         }
     }
 
-    pub(super) fn rent(&mut self, now: Instant, zone: &'static str, spot: bool) -> String {
+    pub(super) fn provision(&mut self, now: Instant, zone: &'static str, spot: bool) -> String {
         self.next_machine += 1;
         let n = self.next_machine;
         let up_at = now + seconds(self.rng.random_range(4.0..12.0));
@@ -73,22 +73,22 @@
             zone,
             spot,
             address: SocketAddr::from(([127, 9, (n / 256) as u8, (n % 256) as u8], 9000)),
-            rented: now,
+            provisioned_at: now,
             up_at,
             gone_at: None,
-            session: 1,
-            tick: 0,
-            token: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             lease_from: up_at,
             tasks: Vec::new(),
             target: self.rng.random_range(0..self.controllers.len()),
-            next_report: up_at,
+            next_heartbeat: up_at,
             in_flight: false,
             changed: false,
             deaf_until: now,
             mute_until: now,
             hung_until: now,
-            held: Vec::new(),
+            held_commands: Vec::new(),
             empty_since: up_at,
         };
         self.machines.insert(name.clone(), worker);
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -8,7 +8,7 @@
         let controllers = self.controllers.len();
         let c = &mut self.controllers[at];
         c.incarnation += 1;
-        c.back_at = None;
+        c.restart_at = None;
         c.stalls = stalls::Stalls::new(now);
         let port = 1000 + c.incarnation;
         let here = |kind: u8, other: usize| SocketAddr::from(([127, kind, at as u8, other as u8], port));
@@ -47,7 +47,7 @@
         c.handle = None;
         // Nothing of the dead process ever goes on, nor answers anybody.
         c.stalls.begin(Instant::now() + LONG_AFTER);
-        c.back_at = Some(Instant::now() + seconds(back));
+        c.restart_at = Some(Instant::now() + seconds(back));
     }
 
     /// Who leads by the state service's word.
@@ -81,10 +81,10 @@
         if slow { seconds(self.rng.random_range(0.05..1.2)) } else { Duration::ZERO }
     }
 
-    pub(super) fn ask(&mut self, ask: Ask) {
+    pub(super) fn deliver(&mut self, ask: Ask) {
         let now = Instant::now();
         if let Some(until) = self.sender(&ask).map(|at| self.stalled_until(at)).filter(|until| now < *until) {
-            return self.held_asks.push((until, ask));
+            return self.held_messages.push((until, ask));
         }
         self.trace_ask(self.sender(&ask), &ask);
         match ask {
@@ -93,7 +93,7 @@
                 let [_, _, from, other] = v4.ip().octets();
                 let (from, other) = (usize::from(from), usize::from(other));
                 let alive = self.controllers[from].incarnation + 1000 == to.port();
-                let apart = |c: &SimulatedController| now < c.alone_until;
+                let apart = |c: &SimulatedController| now < c.isolated_until;
                 if now < self.peers_refuse_until {
                     return;
                 }
@@ -117,7 +117,11 @@
                 let SocketAddr::V4(v4) = to else { return };
                 let [_, kind, from, other] = v4.ip().octets();
                 if kind == 9 {
-                    return self.order(usize::from(from) * 256 + usize::from(other), &call, reply);
+                    return self.deliver_pushed_commands(
+                        usize::from(from) * 256 + usize::from(other),
+                        &call,
+                        reply,
+                    );
                 }
                 let at = usize::from(from);
                 if self.controllers[at].incarnation + 1000 != to.port() {
@@ -127,9 +131,9 @@
                     return;
                 }
                 match kind {
-                    1 => self.ask_state(now, at, call, reply),
+                    1 => self.handle_state_request(now, at, call, reply),
                     _ => {
-                        let result = self.ask_cloud(now, &call);
+                        let result = self.handle_cloud_request(now, &call);
                         later(reply, Ok(result), Duration::from_millis(50));
                     }
                 }
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -48,7 +48,7 @@
         share: f64,
         lasts: f64,
     },
-    LateReports {
+    LateHeartbeats {
         share: f64,
         lasts: f64,
     },
@@ -108,7 +108,7 @@
         names.into_iter().filter(|_| self.rng.random_bool(share)).collect()
     }
 
-    pub(super) fn begin_trouble(&mut self, now: Instant, fault: Fault) {
+    pub(super) fn inject_fault(&mut self, now: Instant, fault: Fault) {
         let lead = self.leader().unwrap_or(0);
         let until = |lasts: f64| now + seconds(lasts);
         match fault {
@@ -118,13 +118,13 @@
             Fault::Refused { lasts, peers } => {
                 self.controllers[lead].refused_until = until(lasts);
                 if peers {
-                    self.controllers[lead].alone_until = until(lasts);
+                    self.controllers[lead].isolated_until = until(lasts);
                 }
             }
             Fault::Cut { lasts, peers } => {
                 self.controllers[lead].cut_until = until(lasts);
                 if peers {
-                    self.controllers[lead].alone_until = until(lasts);
+                    self.controllers[lead].isolated_until = until(lasts);
                 }
             }
             Fault::Deaf { share, lasts } => {
@@ -160,7 +160,7 @@
                     c.stalls.begin(until(lasts));
                 }
             }
-            Fault::LateReports { share, lasts } => self.late_reports = (share, until(lasts)),
+            Fault::LateHeartbeats { share, lasts } => self.late_heartbeats = (share, until(lasts)),
             Fault::CancelAtEnd { share, lasts } => self.cancel_at_end = (share, until(lasts)),
             Fault::CancelNow { count, hang } => {
                 let running: Vec<(String, String)> =
@@ -174,7 +174,7 @@
                     job.next = now;
                 }
             }
-            Fault::Burst { jobs } => (0..jobs).for_each(|_| self.arrive(now)),
+            Fault::Burst { jobs } => (0..jobs).for_each(|_| self.submit_random_job(now)),
             Fault::LimitsFall => {
                 let limits = self.settings.cluster.state.announced();
                 self.state.limit(limits);
@@ -183,7 +183,7 @@
             Fault::ZoneCut { lasts } => {
                 self.zone_cut_until = until(lasts);
                 let c = &mut self.controllers[1];
-                (c.cut_until, c.alone_until) = (until(lasts), until(lasts));
+                (c.cut_until, c.isolated_until) = (until(lasts), until(lasts));
             }
         }
     }
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -53,8 +53,8 @@
 const STEP: Duration = Duration::from_millis(100);
 /// Later than any simulation lasts.
 const LONG_AFTER: Duration = Duration::from_secs(24 * 3600);
-const FIGURES_EVERY: Duration = Duration::from_secs(2);
-const LAG: Duration = Duration::from_secs(4);
+const METRICS_INTERVAL: Duration = Duration::from_secs(2);
+const LIST_LAG: Duration = Duration::from_secs(4);
 
 fn seconds(s: f64) -> Duration {
     Duration::from_secs_f64(s)
@@ -64,10 +64,10 @@
     incarnation: u16,
     handle: Option<ControllerHandle>,
     tasks: Vec<AbortHandle>,
-    back_at: Option<Instant>,
+    restart_at: Option<Instant>,
     refused_until: Instant,
     cut_until: Instant,
-    alone_until: Instant,
+    isolated_until: Instant,
     /// Until when it stands still: none of its code runs, its clocks do.
     stalls: stalls::Stalls,
 }
@@ -92,24 +92,24 @@
     zone: &'static str,
     spot: bool,
     address: SocketAddr,
-    rented: Instant,
+    provisioned_at: Instant,
     up_at: Instant,
     gone_at: Option<Instant>,
-    session: u64,
-    tick: u64,
-    token: u64,
+    incarnation: u64,
+    sequence: u64,
+    fencing_token: u64,
     /// The sending of the last answered report, or the session's begin.
     lease_from: Instant,
     tasks: Vec<(TaskKey, RunningTask)>,
     target: usize,
-    next_report: Instant,
+    next_heartbeat: Instant,
     in_flight: bool,
     changed: bool,
     deaf_until: Instant,
     mute_until: Instant,
     hung_until: Instant,
     /// Direct orders that wait for a hung machine to go on.
-    held: Vec<Vec<u8>>,
+    held_commands: Vec<Vec<u8>>,
     empty_since: Instant,
 }
 
@@ -118,7 +118,7 @@
 
 /// A final state as a user first heard it.
 #[derive(Debug)]
-struct Told {
+struct TerminalState {
     standing: &'static str,
     at: Instant,
     /// Which processes have said so, and their first answer's number in the order
@@ -145,7 +145,7 @@
     given_up: bool,
     cancel_from: Option<Instant>,
     cancelled: Option<Instant>,
-    told: Option<Told>,
+    terminal: Option<TerminalState>,
     answered: Instant,
     next: Instant,
     in_flight: bool,
@@ -158,18 +158,18 @@
 pub enum Question {
     Submit,
     Poll,
-    Withdraw,
+    Cancel,
     /// Not to be accepted: lacks a field, or fits nothing.
-    Odd(u16),
+    Invalid(u16),
     /// About a job that nobody submitted.
     Unknown,
 }
 
 enum Event {
-    Reported {
+    HeartbeatAnswered {
         machine: String,
         controller: usize,
-        session: u64,
+        incarnation: u64,
         sent: Instant,
         answer: Option<Response>,
     },
@@ -178,7 +178,7 @@
         question: Question,
         origin: Origin,
         answer: Option<Response>,
-        look: bool,
+        is_extra: bool,
     },
     /// Another controller's call was answered.
     PeerReplied {
@@ -187,7 +187,7 @@
         reply: PeerReply,
     },
     /// A controller's own figures.
-    Figures {
+    Metrics {
         controller: usize,
         answer: Response,
     },
@@ -205,16 +205,16 @@
 
 /// How large a simulated cluster is, and how busy.
 #[derive(Debug, Clone, Copy)]
-pub struct Shape {
+pub struct ClusterShape {
     pub controllers: usize,
     /// Mean pause between two submissions, in seconds.
-    pub job_every: f64,
+    pub mean_submit_interval_s: f64,
     /// Longest run time of a task, in seconds.
-    pub longest_run: f64,
+    pub max_run_s: f64,
     /// Tasks of the largest arrays.
-    pub most_tasks: u32,
+    pub max_tasks: u32,
     /// Requests a second that users send beside those that they need.
-    pub looks: f64,
+    pub extra_requests: f64,
     /// Changes a second of the state service.
     pub writes: f64,
     /// Largest value of the state service; small ones split done tasks into blocks.
@@ -224,51 +224,56 @@
     /// Most keys in one page of the state service.
     pub page: usize,
     /// The part of the arrays that await others.
-    pub awaiting: f64,
+    pub dependent_share: f64,
     /// Limits of the state service are announced, to hold from [`Fault::LimitsFall`] on.
     pub limits_fall: bool,
 }
 
-impl Shape {
+impl ClusterShape {
     pub fn usual(controllers: usize) -> Self {
-        Shape {
+        ClusterShape {
             controllers,
-            job_every: 4.0,
-            longest_run: 25.0,
-            most_tasks: 6,
-            looks: 1.0,
+            mean_submit_interval_s: 4.0,
+            max_run_s: 25.0,
+            max_tasks: 6,
+            extra_requests: 1.0,
             writes: 80.0,
             value_kb: settings::tests::sample().cluster.state.value_kb,
             memory_mb: settings::tests::sample().cluster.limits.memory_mb,
             page: 1000,
-            awaiting: 0.0,
+            dependent_share: 0.0,
             limits_fall: false,
         }
     }
 
     /// Many jobs await others, and the state service's limits are going to fall.
-    pub fn with_pipelines(self) -> Self {
-        Shape { awaiting: 0.4, limits_fall: true, ..self }
+    pub fn with_dependencies(self) -> Self {
+        ClusterShape { dependent_share: 0.4, limits_fall: true, ..self }
     }
 
     /// Tens of small jobs, and users that ask a lot.
     pub fn busy(controllers: usize) -> Self {
-        Shape { job_every: 1.0, longest_run: 8.0, looks: 20.0, ..Shape::usual(controllers) }
+        ClusterShape {
+            mean_submit_interval_s: 1.0,
+            max_run_s: 8.0,
+            extra_requests: 20.0,
+            ..ClusterShape::usual(controllers)
+        }
     }
 
     /// Hundreds of small jobs, some of several blocks, more rows than a page holds
     /// and more final states than are remembered.
     pub fn crowded(controllers: usize) -> Self {
-        Shape {
-            job_every: 0.25,
-            longest_run: 6.0,
-            most_tasks: 16,
-            looks: 20.0,
+        ClusterShape {
+            mean_submit_interval_s: 0.25,
+            max_run_s: 6.0,
+            max_tasks: 16,
+            extra_requests: 20.0,
             writes: 240.0,
             value_kb: 0.002,
             memory_mb: 8.0,
             page: 7,
-            ..Shape::usual(controllers)
+            ..ClusterShape::usual(controllers)
         }
     }
 }
@@ -278,7 +283,7 @@
     begin: Instant,
     pub trace: Trace,
     settings: Settings,
-    asks: mpsc::UnboundedReceiver<Ask>,
+    messages: mpsc::UnboundedReceiver<Ask>,
     events: JoinSet<Event>,
     state: in_memory_kv::InMemoryKv,
     renewed: BTreeMap<u64, Instant>,
@@ -292,36 +297,36 @@
     late_requests: (f64, Instant),
     peers_refuse_until: Instant,
     /// What controllers that stand still have sent, as far as it has not left yet.
-    held_asks: Vec<(Instant, Ask)>,
+    held_messages: Vec<(Instant, Ask)>,
     late: Vec<(Instant, Request)>,
     watches: Vec<Watch>,
     cloud_down_until: Instant,
-    rentals: HashMap<String, Vec<String>>,
+    node_pools: HashMap<String, Vec<String>>,
     next_machine: usize,
     controllers: Vec<SimulatedController>,
     machines: BTreeMap<String, Worker>,
-    late_reports: (f64, Instant),
+    late_heartbeats: (f64, Instant),
     cancel_at_end: (f64, Instant),
     jobs: BTreeMap<String, Job>,
     next_job: usize,
-    shape: Shape,
+    shape: ClusterShape,
     /// Answers sent so far, over all controllers.
     answers: Arc<AtomicU64>,
     next_arrival: Instant,
     arrivals_until: Instant,
-    odd_from: Instant,
+    next_invalid_request: Instant,
     /// When the controllers are next asked for their figures.
-    figures_from: Instant,
+    next_metrics: Instant,
     zone_cut_until: Instant,
     faults: Vec<(f64, Fault)>,
     pub calm_at: Instant,
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     pub starts: usize,
     pub late_changes: usize,
     /// Transactions refused for the limits that have come into force.
     pub beyond_limits: usize,
     pub late_copies: usize,
-    pub called_off: usize,
+    pub cancellations: usize,
     pub lost_leases: usize,
     /// Answers older than a final state that had arrived before them, though their
     /// requests were sent earlier, and by another process: no controller could know.
@@ -352,12 +357,12 @@
 
 impl Simulation {
     pub fn new(seed: u64, controllers: usize, faults: Vec<(f64, Fault)>, calm: f64) -> Self {
-        Simulation::shaped(seed, Shape::usual(controllers), faults, calm)
+        Simulation::shaped(seed, ClusterShape::usual(controllers), faults, calm)
     }
 
-    pub fn shaped(seed: u64, shape: Shape, mut faults: Vec<(f64, Fault)>, calm: f64) -> Self {
+    pub fn shaped(seed: u64, shape: ClusterShape, mut faults: Vec<(f64, Fault)>, calm: f64) -> Self {
         let controllers = shape.controllers;
-        let asks = scripted::install();
+        let messages = scripted::install();
         let begin = Instant::now();
         let mut settings = settings::tests::sample();
         settings.cluster.size = controllers as u32;
@@ -378,17 +383,17 @@
         settings.cluster.workers.cancel_s = 45.0;
         if seed % 4 >= 2 {
             // Answers to reports are held for prompt starts.
-            settings.cluster.objectives.push(placement::prompt_aim(&settings.cluster.workers));
+            settings.cluster.objectives.push(placement::latency_objective(&settings.cluster.workers));
         }
         faults.sort_by(|a, b| a.0.total_cmp(&b.0));
         let controller = || SimulatedController {
             incarnation: 0,
             handle: None,
             tasks: Vec::new(),
-            back_at: Some(begin),
+            restart_at: Some(begin),
             refused_until: begin,
             cut_until: begin,
-            alone_until: begin,
+            isolated_until: begin,
             stalls: stalls::Stalls::new(begin),
         };
         Simulation {
@@ -396,7 +401,7 @@
             begin,
             trace: Trace::default(),
             settings,
-            asks,
+            messages,
             events: JoinSet::new(),
             state: in_memory_kv::InMemoryKv::with_pages_of(shape.page),
             renewed: BTreeMap::new(),
@@ -408,15 +413,15 @@
             slow_answers: (0.0, begin),
             late_requests: (0.0, begin),
             peers_refuse_until: begin,
-            held_asks: Vec::new(),
+            held_messages: Vec::new(),
             late: Vec::new(),
             watches: Vec::new(),
             cloud_down_until: begin,
-            rentals: HashMap::default(),
+            node_pools: HashMap::default(),
             next_machine: 0,
             controllers: (0..controllers).map(|_| controller()).collect(),
             machines: BTreeMap::new(),
-            late_reports: (0.0, begin),
+            late_heartbeats: (0.0, begin),
             cancel_at_end: (0.0, begin),
             jobs: BTreeMap::new(),
             next_job: 0,
@@ -424,17 +429,17 @@
             answers: Arc::default(),
             next_arrival: begin + seconds(3.0),
             arrivals_until: begin + seconds(calm),
-            odd_from: begin + seconds(20.0),
-            figures_from: begin + FIGURES_EVERY,
+            next_invalid_request: begin + seconds(20.0),
+            next_metrics: begin + METRICS_INTERVAL,
             zone_cut_until: begin,
             faults,
             calm_at: begin + seconds(calm),
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts: 0,
             late_changes: 0,
             beyond_limits: 0,
             late_copies: 0,
-            called_off: 0,
+            cancellations: 0,
             lost_leases: 0,
             overtaken: 0,
             repeated_answers: 0,
@@ -446,9 +451,9 @@
         (Instant::now() - self.begin).as_secs_f64()
     }
 
-    pub fn breaks(&mut self, rule: &str, what: String) {
-        if self.broken.len() < 50 {
-            self.broken.push(format!("{rule} at {:.1} s: {what}", self.at()));
+    pub fn record_violation(&mut self, rule: &str, what: String) {
+        if self.violations.len() < 50 {
+            self.violations.push(format!("{rule} at {:.1} s: {what}", self.at()));
         }
     }
 
@@ -459,7 +464,7 @@
         while Instant::now() < end {
             tokio::select! {
                 biased;
-                Some(ask) = self.asks.recv() => self.ask(ask),
+                Some(ask) = self.messages.recv() => self.deliver(ask),
                 Some(event) = self.events.join_next(), if !self.events.is_empty() => {
                     if let Ok(event) = event { self.event(event) }
                 }
@@ -472,19 +477,19 @@
 
     fn event(&mut self, event: Event) {
         match event {
-            Event::Reported { machine, controller, session, sent, answer } => {
+            Event::HeartbeatAnswered { machine, controller, incarnation, sent, answer } => {
                 if let Some(answer) = &answer {
                     self.trace_answer(controller, &machine, answer);
                 }
-                self.reported(&machine, session, sent, answer);
+                self.heartbeat_answered(&machine, incarnation, sent, answer);
             }
-            Event::Answered { job, question, origin, answer, look } => {
+            Event::Answered { job, question, origin, answer, is_extra } => {
                 if let Some(answer) = &answer {
                     self.trace_answer(origin.process.0, &job, answer);
                 }
-                self.answered(&job, question, origin, answer, look);
+                self.answered(&job, question, origin, answer, is_extra);
             }
-            Event::Figures { controller, answer } => self.check_figures(controller, &answer),
+            Event::Metrics { controller, answer } => self.check_metrics(controller, &answer),
             Event::PeerReplied { sender, peer, reply } => self.trace_peer_reply(sender, peer, &reply),
             Event::Nothing => {}
         }
@@ -494,35 +499,36 @@
         self.step_state(now);
         while self.faults.first().is_some_and(|(at, _)| now >= self.begin + seconds(*at)) {
             let (_, fault) = self.faults.remove(0);
-            self.begin_trouble(now, fault);
+            self.inject_fault(now, fault);
         }
         for at in 0..self.controllers.len() {
-            if self.controllers[at].back_at.is_some_and(|back| now >= back) {
+            if self.controllers[at].restart_at.is_some_and(|back| now >= back) {
                 self.start(at);
             }
         }
         self.leader();
         if now >= self.next_arrival && now < self.arrivals_until {
-            self.next_arrival = now + seconds(self.rng.random_range(0.2..2.0) * self.shape.job_every);
-            self.arrive(now);
+            self.next_arrival =
+                now + seconds(self.rng.random_range(0.2..2.0) * self.shape.mean_submit_interval_s);
+            self.submit_random_job(now);
         }
-        if now >= self.odd_from {
-            self.odd_from = now + seconds(self.rng.random_range(1.0..5.0));
-            self.odd(now);
+        if now >= self.next_invalid_request {
+            self.next_invalid_request = now + seconds(self.rng.random_range(1.0..5.0));
+            self.send_invalid_request(now);
         }
-        self.release_held(now);
+        self.release_held_messages(now);
         for name in self.machines.keys().cloned().collect::<Vec<_>>() {
             self.step_worker(now, &name);
         }
         for id in self.jobs.keys().cloned().collect::<Vec<_>>() {
             self.step_user(now, &id);
         }
-        self.look_around(now);
+        self.send_extra_requests(now);
         self.check_cancelled(now);
         self.check_waiting(now);
-        if now >= self.figures_from {
-            self.figures_from = now + FIGURES_EVERY;
-            self.ask_figures();
+        if now >= self.next_metrics {
+            self.next_metrics = now + METRICS_INTERVAL;
+            self.request_metrics();
         }
     }
 }
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -19,10 +19,10 @@
             .map(|(m, ..)| m.to_owned())
             .collect();
         if !others.is_empty() {
-            self.breaks("ran_twice", format!("{}/{} on {name} and {others:?}", key.0, key.1));
+            self.record_violation("ran_twice", format!("{}/{} on {name} and {others:?}", key.0, key.1));
         }
         let (Some(job), Some(m)) = (self.jobs.get(&key.0), self.machines.get(name)) else {
-            return self.breaks("unknown_job", format!("{}/{}", key.0, key.1));
+            return self.record_violation("unknown_job", format!("{}/{}", key.0, key.1));
         };
         let (spec, told) = (job.spec.clone(), job.cancelled);
         let zones: Vec<&str> =
@@ -33,17 +33,21 @@
             || (spec.one_zone && zones.iter().any(|zone| *zone != m.zone))
             || (spec.spread && here > spec.tasks.div_ceil(2));
         if wrong {
-            self.breaks("wrong_place", format!("{}/{} on {name}, zones {zones:?}", key.0, key.1));
+            self.record_violation("wrong_place", format!("{}/{} on {name}, zones {zones:?}", key.0, key.1));
         }
-        let unfinished = |need: &JobId| {
-            self.jobs.get(need.as_str()).is_none_or(|job| (job.done.len() as u32) < job.spec.tasks)
+        let has_unfinished_jobs = |dependency: &JobId| {
+            self.jobs.get(dependency.as_str()).is_none_or(|job| (job.done.len() as u32) < job.spec.tasks)
         };
-        if let Some(need) = spec.dependencies.iter().find(|need| unfinished(need)) {
-            self.breaks("too_early", format!("{}/{} starts before {need} is done", key.0, key.1));
+        if let Some(dependency) = spec.dependencies.iter().find(|dependency| has_unfinished_jobs(dependency))
+        {
+            self.record_violation(
+                "too_early",
+                format!("{}/{} starts before {dependency} is done", key.0, key.1),
+            );
         }
         let cancelled = self.settings.cluster.workers.cancellation();
         if told.is_some_and(|at| now > at + cancelled) {
-            self.breaks("ran_cancelled", format!("{}/{} starts on {name}", key.0, key.1));
+            self.record_violation("ran_cancelled", format!("{}/{} starts on {name}", key.0, key.1));
         }
         self.check_limits();
     }
@@ -57,7 +61,7 @@
                 .map(|job| job.spec.cpus)
                 .sum();
             if used > team.cpus_max + 1e-6 {
-                self.breaks("quota", format!("{} uses {used}", team.name));
+                self.record_violation("quota", format!("{} uses {used}", team.name));
             }
         }
     }
@@ -72,16 +76,16 @@
             .map(|(name, _, key)| format!("{}/{} is still on {name}", key.0, key.1))
             .collect();
         for what in late {
-            self.breaks("ran_cancelled", what);
+            self.record_violation("ran_cancelled", what);
         }
     }
 
     pub(super) fn task_done(&mut self, now: Instant, key: &TaskKey) {
         let (share, until) = self.cancel_at_end;
-        let called_off = now < until && self.rng.random_bool(share);
+        let cancelled = now < until && self.rng.random_bool(share);
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         job.done.insert(key.1);
-        if called_off && job.done.len() as u32 == job.spec.tasks {
+        if cancelled && job.done.len() as u32 == job.spec.tasks {
             job.cancel_from.get_or_insert(now);
             job.next = now;
         }
@@ -96,10 +100,11 @@
         for job in self.on_machines().filter_map(|(_, _, key)| self.jobs.get(&key.0)) {
             *used.entry(job.spec.team.as_str()).or_default() += job.spec.cpus;
         }
-        let over = |need: &JobId| self.jobs.get(need.as_str()).is_some_and(|job| job.told.is_some());
+        let over =
+            |dependency: &JobId| self.jobs.get(dependency.as_str()).is_some_and(|job| job.terminal.is_some());
         let passed_over = |job: &Job| {
             let spec = &job.spec;
-            let waits = job.told.is_none()
+            let waits = job.terminal.is_none()
                 && job.accepted.is_some()
                 && (job.done.len() as u32) < spec.tasks
                 && spec.dependencies.iter().all(over)
@@ -131,19 +136,19 @@
             }
         }
         for (rule, what) in wrong {
-            self.breaks(rule, what);
+            self.record_violation(rule, what);
         }
     }
 
     /// Asks each controller for its figures.
-    pub(super) fn ask_figures(&mut self) {
+    pub(super) fn request_metrics(&mut self) {
         for (controller, c) in self.controllers.iter().enumerate() {
             let Some(handle) = c.handle.clone() else { continue };
             let stalls = c.stalls.clone();
             self.events.spawn(async move {
                 let handled = stalls.run(Handler::handle(&handle, get("/status")));
-                match tokio::time::timeout(FIGURES_EVERY, handled).await {
-                    Ok(answer) => Event::Figures { controller, answer },
+                match tokio::time::timeout(METRICS_INTERVAL, handled).await {
+                    Ok(answer) => Event::Metrics { controller, answer },
                     Err(_) => Event::Nothing,
                 }
             });
@@ -151,18 +156,18 @@
     }
 
     /// No controller has had to refuse an act that would have broken an invariant.
-    pub fn check_figures(&mut self, controller: usize, answer: &Response) {
-        let Ok(figures) = decode(&answer.body) else { return };
-        let Ok(fields) = Fields::of(&figures) else { return };
-        for figure in ["invariantsViolated", "epochsReused"] {
-            if fields.opt_count(figure).ok().flatten().is_some_and(|count| count > 0) {
-                self.breaks("violated", format!("{figure} of controller {controller}"));
+    pub fn check_metrics(&mut self, controller: usize, answer: &Response) {
+        let Ok(metrics) = decode(&answer.body) else { return };
+        let Ok(fields) = Fields::of(&metrics) else { return };
+        for metric in ["invariantsViolated", "epochsReused"] {
+            if fields.opt_count(metric).ok().flatten().is_some_and(|count| count > 0) {
+                self.record_violation("violated", format!("{metric} of controller {controller}"));
             }
         }
     }
 
-    pub fn unfinished(&self) -> bool {
-        self.jobs.values().any(|job| job.accepted.is_some() && job.told.is_none())
+    pub fn has_unfinished_jobs(&self) -> bool {
+        self.jobs.values().any(|job| job.accepted.is_some() && job.terminal.is_none())
     }
 
     /// At the end everything has run, or was called off.
@@ -170,25 +175,25 @@
         let left: Vec<String> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.accepted.is_some() && job.told.is_none())
+            .filter(|(_, job)| job.accepted.is_some() && job.terminal.is_none())
             .map(|(_, job)| format!("{} done of {:?}", job.done.len(), job.spec))
             .collect();
         for what in left {
-            self.breaks("unfinished", what);
+            self.record_violation("unfinished", what);
         }
     }
 
-    pub fn idle_machine(&mut self, zone: &'static str) {
+    pub fn add_idle_machine(&mut self, zone: &'static str) {
         let now = Instant::now();
-        let name = self.rent(now, zone, false);
+        let name = self.provision(now, zone, false);
         let m = self.machines.get_mut(&name).expect("just rented");
         (m.up_at, m.empty_since) = (now, now);
     }
 
     /// Puts a task on a new machine as if it had been started there.
-    pub fn place_wrongly(&mut self, job: &str, index: u32, zone: &'static str, spot: bool) -> String {
+    pub fn force_start(&mut self, job: &str, index: u32, zone: &'static str, spot: bool) -> String {
         let now = Instant::now();
-        let name = self.rent(now, zone, spot);
+        let name = self.provision(now, zone, spot);
         let key = (job.to_owned(), index);
         let m = self.machines.get_mut(&name).expect("just rented");
         m.up_at = now;
--- a/src/coordination/tests/simulation/stalls.rs
+++ b/src/coordination/tests/simulation/stalls.rs
@@ -64,12 +64,12 @@
 
     /// What a controller sent before it stood still, or by a timer meanwhile, leaves
     /// when it goes on.
-    pub(super) fn release_held(&mut self, now: Instant) {
+    pub(super) fn release_held_messages(&mut self, now: Instant) {
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.held_asks).into_iter().partition(|(at, _)| now >= *at);
-        self.held_asks = rest;
+            std::mem::take(&mut self.held_messages).into_iter().partition(|(at, _)| now >= *at);
+        self.held_messages = rest;
         for (_, ask) in due {
-            self.ask(ask);
+            self.deliver(ask);
         }
     }
 }
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 impl Simulation {
-    pub(super) fn ask_state(
+    pub(super) fn handle_state_request(
         &mut self,
         now: Instant,
         at: usize,
