--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A request that a user is about to send.
-struct Sending {
+struct UserRequest {
     id: String,
     question: Question,
     request: Request,
@@ -11,15 +11,15 @@
     at: Option<usize>,
     after: Duration,
     /// Beside those that its user needs.
-    look: bool,
+    is_extra: bool,
 }
 
 impl Simulation {
-    pub fn arrive(&mut self, now: Instant) {
+    pub fn submit_random_job(&mut self, now: Instant) {
         self.next_job += 1;
         let n = self.next_job;
         let r = &mut self.rng;
-        let largest = self.shape.most_tasks;
+        let largest = self.shape.max_tasks;
         let tasks = [1, 2, 2, 3, largest.min(4), largest][r.random_range(0..6)];
         let cpus = [1.0, 2.0, 4.0][r.random_range(0..3)];
         let team = if r.random_bool(0.5) { "red" } else { "blue" };
@@ -34,9 +34,9 @@
             3 if team == "blue" => spec.kind = JobKind::Service,
             _ => {}
         }
-        spec.dependencies = self.choose_needs(n);
+        spec.dependencies = self.choose_dependencies(n);
         let r = &mut self.rng;
-        let run = r.random_range(self.shape.longest_run * 0.08..self.shape.longest_run);
+        let run = r.random_range(self.shape.max_run_s * 0.08..self.shape.max_run_s);
         spec.estimated_run_s =
             if spec.kind == JobKind::Service { 0.0 } else { run * r.random_range(0.5..1.5) };
         let cancels = spec.kind == JobKind::Service || r.random_bool(0.25);
@@ -45,24 +45,29 @@
     }
 
     /// Its user wants the job cancelled from now on.
-    pub fn call_off(&mut self, now: Instant, id: &str) {
+    pub fn request_cancellation(&mut self, now: Instant, id: &str) {
         self.jobs.get_mut(id).expect("submitted").cancel_from = Some(now);
     }
 
     /// Jobs that a new one awaits: mostly none, else some of the last few or of all before,
     /// in whatever state they are, so that chains, diamonds and long finished needs occur.
-    fn choose_needs(&mut self, n: usize) -> Vec<JobId> {
+    fn choose_dependencies(&mut self, n: usize) -> Vec<JobId> {
         let r = &mut self.rng;
-        if self.shape.awaiting == 0.0 || n < 2 || !r.random_bool(self.shape.awaiting) {
+        if self.shape.dependent_share == 0.0 || n < 2 || !r.random_bool(self.shape.dependent_share) {
             return Vec::new();
         }
-        let mut needs = BTreeSet::new();
+        let mut dependencies = BTreeSet::new();
         for _ in 0..r.random_range(1..4) {
             let first = if r.random_bool(0.8) { n.saturating_sub(5).max(1) } else { 1 };
-            needs.insert(format!("job-{:05}", r.random_range(first..n)));
+            dependencies.insert(format!("job-{:05}", r.random_range(first..n)));
         }
-        let arrays = |need: &String| self.jobs.get(need).is_some_and(|j| j.spec.kind == JobKind::Array);
-        needs.iter().filter(|need| arrays(need)).filter_map(|need| JobId::parse(need)).collect()
+        let arrays =
+            |dependency: &String| self.jobs.get(dependency).is_some_and(|j| j.spec.kind == JobKind::Array);
+        dependencies
+            .iter()
+            .filter(|dependency| arrays(dependency))
+            .filter_map(|dependency| JobId::parse(dependency))
+            .collect()
     }
 
     /// All jobs that a job needs, directly or not.
@@ -70,11 +75,11 @@
         let mut found: BTreeMap<&str, &Job> = BTreeMap::new();
         let mut work = vec![id];
         while let Some(job) = work.pop().and_then(|id| self.jobs.get(id)) {
-            for need in &job.spec.dependencies {
-                if let Some(needed) = self.jobs.get(need.as_str())
-                    && found.insert(need.as_str(), needed).is_none()
+            for dependency in &job.spec.dependencies {
+                if let Some(needed) = self.jobs.get(dependency.as_str())
+                    && found.insert(dependency.as_str(), needed).is_none()
                 {
-                    work.push(need.as_str());
+                    work.push(dependency.as_str());
                 }
             }
         }
@@ -89,7 +94,7 @@
             given_up: false,
             cancel_from,
             cancelled: None,
-            told: None,
+            terminal: None,
             answered: now,
             next: now,
             in_flight: false,
@@ -102,7 +107,8 @@
 
     pub(super) fn step_user(&mut self, now: Instant, id: &str) {
         let resubmits = self.rng.random_bool(0.05);
-        let accepted = |need: &JobId| self.jobs.get(need.as_str()).is_some_and(|job| job.accepted.is_some());
+        let accepted =
+            |dependency: &JobId| self.jobs.get(dependency.as_str()).is_some_and(|job| job.accepted.is_some());
         if !self.jobs.get(id).is_some_and(|job| job.spec.dependencies.iter().all(accepted)) {
             return;
         }
@@ -110,41 +116,47 @@
         if job.in_flight || job.given_up || now < job.next {
             return;
         }
-        let wants_off = job.cancel_from.is_some_and(|at| now >= at) && job.told.is_none();
+        let wants_off = job.cancel_from.is_some_and(|at| now >= at) && job.terminal.is_none();
         let question = match (job.accepted, wants_off) {
             (None, _) => Question::Submit,
-            (Some(_), true) => Question::Withdraw,
+            (Some(_), true) => Question::Cancel,
             _ if resubmits => Question::Submit,
             _ => Question::Poll,
         };
         job.in_flight = true;
         job.asked = true;
         let request = self.request_about(id, question);
-        self.question(now, id, question, request);
+        self.send_to_any_controller(now, id, question, request);
     }
 
     fn request_about(&self, id: &str, question: Question) -> Request {
         match (question, self.jobs.get(id)) {
             (Question::Submit, Some(job)) => post("/api/jobs", encode(&job.spec.encode().build())),
-            (Question::Withdraw, _) => post(&format!("/api/jobs/{id}/withdraw"), Vec::new()),
+            (Question::Cancel, _) => post(&format!("/api/jobs/{id}/withdraw"), Vec::new()),
             _ => get(&format!("/api/jobs/{id}")),
         }
     }
 
-    pub(super) fn question(&mut self, now: Instant, id: &str, question: Question, request: Request) {
+    pub(super) fn send_to_any_controller(
+        &mut self,
+        now: Instant,
+        id: &str,
+        question: Question,
+        request: Request,
+    ) {
         let cut = now < self.zone_cut_until;
         let up = |at: &usize| !(cut && *at == 1) && self.controllers[*at].handle.is_some();
         let reached: Vec<usize> = (0..self.controllers.len()).filter(up).collect();
         let at = (!reached.is_empty()).then(|| reached[self.rng.random_range(0..reached.len())]);
         let (id, after) = (id.to_owned(), Duration::from_millis(2));
-        self.send(now, Sending { id, question, request, at, after, look: false });
+        self.send(now, UserRequest { id, question, request, at, after, is_extra: false });
     }
 
-    fn send(&mut self, now: Instant, sending: Sending) {
-        let Sending { id, question, request, at, after, look } = sending;
+    fn send(&mut self, now: Instant, user_request: UserRequest) {
+        let UserRequest { id, question, request, at, after, is_extra } = user_request;
         let (share, until) = self.late_requests;
         let late = now < until && self.rng.random_bool(share);
-        if late && !matches!(question, Question::Odd(_) | Question::Unknown) {
+        if late && !matches!(question, Question::Invalid(_) | Question::Unknown) {
             self.late_copy(&request);
         }
         let patience = seconds(if question == Question::Poll { 2.0 } else { 5.0 });
@@ -159,12 +171,12 @@
             let sent = Instant::now();
             let Some((process, handle, stalls)) = reached else {
                 let origin = Origin { sent, process: (usize::MAX, 0), order: 0 };
-                return Event::Answered { job, question, origin, answer: None, look };
+                return Event::Answered { job, question, origin, answer: None, is_extra };
             };
             let handled = stalls.run(Handler::handle(&handle, request));
             let answer = tokio::time::timeout(patience, handled).await.ok();
             let order = answers.fetch_add(1, Ordering::Relaxed);
-            Event::Answered { job, question, origin: Origin { sent, process, order }, answer, look }
+            Event::Answered { job, question, origin: Origin { sent, process, order }, answer, is_extra }
         });
     }
 
@@ -184,41 +196,41 @@
     }
 
     /// Asks all controllers within milliseconds, and again within a second.
-    fn look_closely(&mut self, now: Instant, id: &str) {
+    fn poll_all_controllers(&mut self, now: Instant, id: &str) {
         for at in 0..self.controllers.len() {
             for after in [0.001, 0.02, 0.2, 0.9] {
                 let after = seconds(after * self.rng.random_range(0.5..1.5));
-                self.look(now, id, at, after);
+                self.send_extra_request(now, id, at, after);
             }
         }
     }
 
-    fn look(&mut self, now: Instant, id: &str, at: usize, after: Duration) {
+    fn send_extra_request(&mut self, now: Instant, id: &str, at: usize, after: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
-        let over = job.told.is_some();
-        let called_off = job.cancel_from.is_some_and(|from| now >= from);
+        let over = job.terminal.is_some();
+        let cancelled = job.cancel_from.is_some_and(|from| now >= from);
         let question = match self.rng.random_range(0..8) {
             0 | 1 => Question::Submit,
-            2 if over || called_off => Question::Withdraw,
+            2 if over || cancelled => Question::Cancel,
             _ => Question::Poll,
         };
         let request = self.request_about(id, question);
         let reached = (!(now < self.zone_cut_until && at == 1)).then_some(at);
         let id = id.to_owned();
-        self.send(now, Sending { id, question, request, at: reached, after, look: true });
+        self.send(now, UserRequest { id, question, request, at: reached, after, is_extra: true });
     }
 
     /// Polls every job that is over at every controller, one after the other; returns how
     /// many jobs there are.
-    pub fn ask_everywhere(&mut self, pause: Duration) -> usize {
+    pub fn poll_finished_jobs_everywhere(&mut self, pause: Duration) -> usize {
         let over: Vec<String> =
-            self.jobs.iter().filter(|(_, job)| job.told.is_some()).map(|(id, _)| id.clone()).collect();
+            self.jobs.iter().filter(|(_, job)| job.terminal.is_some()).map(|(id, _)| id.clone()).collect();
         let (now, mut after) = (Instant::now(), Duration::ZERO);
         for id in &over {
             for at in 0..self.controllers.len() {
                 let request = self.request_about(id, Question::Poll);
                 let (id, question) = (id.clone(), Question::Poll);
-                self.send(now, Sending { id, question, request, at: Some(at), after, look: true });
+                self.send(now, UserRequest { id, question, request, at: Some(at), after, is_extra: true });
                 after += pause;
             }
         }
@@ -226,59 +238,64 @@
     }
 
     /// Users ask about any job, also long after it is over, beside what they need.
-    pub(super) fn look_around(&mut self, now: Instant) {
-        let chance = self.shape.looks * STEP.as_secs_f64();
-        let looks = chance.floor() as usize + usize::from(self.rng.random_bool(chance.fract()));
+    pub(super) fn send_extra_requests(&mut self, now: Instant) {
+        let chance = self.shape.extra_requests * STEP.as_secs_f64();
+        let extra_requests = chance.floor() as usize + usize::from(self.rng.random_bool(chance.fract()));
         let known: Vec<String> =
             self.jobs.iter().filter(|(_, job)| job.accepted.is_some()).map(|(id, _)| id.clone()).collect();
-        for _ in 0..looks.min(known.len()) {
+        for _ in 0..extra_requests.min(known.len()) {
             let id = &known[self.rng.random_range(0..known.len())];
             let at = self.rng.random_range(0..self.controllers.len());
-            self.look(now, id, at, Duration::from_millis(2));
+            self.send_extra_request(now, id, at, Duration::from_millis(2));
         }
     }
 
     /// Requests that must be refused, and questions about what nobody submitted.
-    pub(super) fn odd(&mut self, now: Instant) {
+    pub(super) fn send_invalid_request(&mut self, now: Instant) {
         let n = self.rng.random_range(0..1000);
         let mut spec = sample(&format!("job-9{n:05}"), "red", 1, 1.0);
-        let kinds = if self.shape.awaiting > 0.0 { 7 } else { 4 };
+        let kinds = if self.shape.dependent_share > 0.0 { 7 } else { 4 };
         match self.rng.random_range(0..kinds) {
             4 => {
                 let awaits = ["job-77777", spec.id.as_str()][n % 2];
                 spec.dependencies = JobId::parse(awaits).into_iter().collect();
                 let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.question(now, "odd", Question::Odd(422), request);
+                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
             }
             5 => {
                 let service = |job: &&Job| job.spec.kind == JobKind::Service && job.accepted.is_some();
                 let Some(service) = self.jobs.values().find(service) else { return };
                 spec.dependencies = vec![service.spec.id.clone()];
                 let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.question(now, "odd", Question::Odd(422), request);
+                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
             }
             6 => {
                 let request = post("/api/jobs", encode(&spec.encode().set("awaits", "job-1").build()));
-                self.question(now, "odd", Question::Odd(400), request);
+                self.send_to_any_controller(now, "odd", Question::Invalid(400), request);
             }
             0 => {
                 let Value::Map(mut fields) = spec.encode().build() else { return };
                 let at = self.rng.random_range(0..fields.len());
                 fields.remove(at);
                 let request = post("/api/jobs", encode(&Value::Map(fields)));
-                self.question(now, "odd", Question::Odd(400), request);
+                self.send_to_any_controller(now, "odd", Question::Invalid(400), request);
             }
             1 => {
                 spec.cpus = 64.0;
                 let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.question(now, "odd", Question::Odd(422), request);
+                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
             }
             2 => {
                 (spec.kind, spec.tasks, spec.cpus) = (JobKind::Service, 9, 2.0);
                 let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.question(now, "odd", Question::Odd(422), request);
+                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
             }
-            _ => self.question(now, "odd", Question::Unknown, get(&format!("/api/jobs/job-8{n:05}"))),
+            _ => self.send_to_any_controller(
+                now,
+                "odd",
+                Question::Unknown,
+                get(&format!("/api/jobs/job-8{n:05}")),
+            ),
         }
     }
 
@@ -288,31 +305,31 @@
         question: Question,
         origin: Origin,
         answer: Option<Response>,
-        look: bool,
+        is_extra: bool,
     ) {
         let now = Instant::now();
         let status = answer.as_ref().map_or(0, |a| a.status);
         let body = answer.as_ref().and_then(|a| decode(&a.body).ok()).unwrap_or(Value::Null);
         let standing = Fields::of(&body).ok().and_then(|f| f.text("standing").ok().map(str::to_owned));
         match question {
-            Question::Odd(expected) => {
+            Question::Invalid(expected) => {
                 if !(status == expected || matches!(status, 0 | 429 | 503 | 504)) {
-                    self.breaks("accepted_odd", format!("{status} where {expected} was due"));
+                    self.record_violation("accepted_odd", format!("{status} where {expected} was due"));
                 }
                 return;
             }
-            Question::Unknown if status == 200 => return self.breaks("invented", "200".into()),
+            Question::Unknown if status == 200 => return self.record_violation("invented", "200".into()),
             Question::Unknown => return,
             _ => {}
         }
-        let known = |job: &Job| (job.accepted.is_some(), job.told.is_some());
+        let known = |job: &Job| (job.accepted.is_some(), job.terminal.is_some());
         let before = self.jobs.get(id).map(known);
-        let withdraws = question == Question::Withdraw;
-        self.note_answer(now, id, origin, status, standing.as_deref(), withdraws);
-        if self.shape.looks > 1.0 && self.jobs.get(id).map(known) != before {
-            self.look_closely(now, id);
+        let cancels_job = question == Question::Cancel;
+        self.note_answer(now, id, origin, status, standing.as_deref(), cancels_job);
+        if self.shape.extra_requests > 1.0 && self.jobs.get(id).map(known) != before {
+            self.poll_all_controllers(now, id);
         }
-        if look {
+        if is_extra {
             return;
         }
         let wait = seconds(self.rng.random_range(1.0..1.5));
@@ -322,7 +339,7 @@
         job.next = now + if status == 200 || status == 201 { often } else { wait };
         job.given_up |= job.accepted.is_none() && matches!(status, 400 | 422);
         if job.given_up {
-            self.breaks("refused", format!("{id} got {status}"));
+            self.record_violation("refused", format!("{id} got {status}"));
         }
     }
 
@@ -334,14 +351,15 @@
         origin: Origin,
         status: u16,
         standing: Option<&str>,
-        withdraws: bool,
+        cancels_job: bool,
     ) {
         let within = self.settings.cluster.workers.cancellation();
         let ancestors = self.ancestors(id);
         let cancels = |a: &&Job| {
-            a.cancel_from.is_some_and(|at| now >= at) && a.told.as_ref().is_none_or(|t| t.standing != "done")
+            a.cancel_from.is_some_and(|at| now >= at)
+                && a.terminal.as_ref().is_none_or(|t| t.standing != "done")
         };
-        let called_off_before = ancestors.iter().any(cancels);
+        let ancestor_cancelled = ancestors.iter().any(cancels);
         let orphaned = ancestors.iter().any(|a| a.cancelled.is_some_and(|at| origin.sent > at + within));
         let Some(job) = self.jobs.get_mut(id) else { return };
         let accepted = job.accepted.is_some_and(|at| at < origin.sent);
@@ -354,7 +372,7 @@
             (400 | 422, _) if accepted => wrong.push(("forgotten", "refused as new")),
             (200 | 201, Some(standing)) => {
                 job.accepted.get_or_insert(now);
-                if let Some(told) = &job.told {
+                if let Some(told) = &job.terminal {
                     self.repeated_answers += 1;
                     let same_process = told.by.get(&origin.process).is_some_and(|at| *at < origin.order);
                     match told.standing != standing {
@@ -371,19 +389,19 @@
                     "queued" | "running" if orphaned => {
                         wrong.push(("orphaned", "a job before it was cancelled long ago"));
                     }
-                    "cancelled" if job.cancel_from.is_none_or(|at| now < at) && !called_off_before => {
+                    "cancelled" if job.cancel_from.is_none_or(|at| now < at) && !ancestor_cancelled => {
                         wrong.push(("went_back", "its user did not cancel it"));
                     }
                     "done" | "cancelled" => {}
-                    _ if withdraws => wrong.push(("withdrawn", "200 with no final standing")),
+                    _ if cancels_job => wrong.push(("withdrawn", "200 with no final standing")),
                     _ => {}
                 }
                 if let Some(last) = ["done", "cancelled"].into_iter().find(|last| *last == standing) {
-                    let first = || Told { standing: last, at: now, by: BTreeMap::new() };
-                    let told = job.told.get_or_insert_with(first);
+                    let first = || TerminalState { standing: last, at: now, by: BTreeMap::new() };
+                    let told = job.terminal.get_or_insert_with(first);
                     told.by.entry(origin.process).or_insert(origin.order);
                     if last == "cancelled" {
-                        self.called_off += usize::from(job.cancelled.is_none());
+                        self.cancellations += usize::from(job.cancelled.is_none());
                         job.cancelled.get_or_insert(now);
                     }
                 }
@@ -391,7 +409,10 @@
             _ => {}
         }
         for (rule, what) in wrong {
-            self.breaks(rule, format!("{id}: {what} ({status} {standing:?} by {:?})", origin.process));
+            self.record_violation(
+                rule,
+                format!("{id}: {what} ({status} {standing:?} by {:?})", origin.process),
+            );
         }
     }
 }
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -4,7 +4,8 @@
 
 impl Simulation {
     pub(super) fn step_worker(&mut self, now: Instant, name: &str) {
-        let (lease, report) = (self.settings.cluster.workers.lease(), self.settings.cluster.workers.report());
+        let (lease, heartbeat) =
+            (self.settings.cluster.workers.lease(), self.settings.cluster.workers.report());
         let Some(m) = self.machines.get_mut(name).filter(|m| m.gone_at.is_none() && now >= m.up_at) else {
             return;
         };
@@ -12,7 +13,7 @@
             // The lease is over: everything is killed and forgotten.
             self.lost_leases += usize::from(!m.tasks.is_empty());
             m.tasks.clear();
-            m.session += 1;
+            m.incarnation += 1;
             (m.lease_from, m.changed) = (now, true);
         }
         if now < m.hung_until {
@@ -25,8 +26,8 @@
             }
             return;
         }
-        for body in std::mem::take(&mut m.held) {
-            self.direct(now, name, &body);
+        for body in std::mem::take(&mut m.held_commands) {
+            self.handle_pushed_commands(now, name, &body);
         }
         let Some(m) = self.machines.get_mut(name) else { return };
         let (mut begun, mut ended) = (Vec::new(), Vec::new());
@@ -58,20 +59,20 @@
             self.task_done(now, &key);
         }
         let Some(m) = self.machines.get_mut(name) else { return };
-        if m.in_flight || now < m.next_report {
+        if m.in_flight || now < m.next_heartbeat {
             return;
         }
-        let pause = report.mul_f64(self.rng.random_range(0.75..1.25));
-        m.next_report = now + pause;
+        let pause = heartbeat.mul_f64(self.rng.random_range(0.75..1.25));
+        m.next_heartbeat = now + pause;
         m.changed = false;
-        m.tick += 1;
-        let body = report_of(name, m);
+        m.sequence += 1;
+        let body = encode_heartbeat(name, m);
         let target = m.target;
         let apart = now < self.zone_cut_until && (m.zone == "z2") != (target == 1);
         let handle = self.controllers[target].handle.clone().filter(|_| now >= m.mute_until && !apart);
-        let (machine, session, sent) = (name.to_owned(), m.session, now);
+        let (machine, incarnation, sent) = (name.to_owned(), m.incarnation, now);
         m.in_flight = true;
-        let (share, until) = self.late_reports;
+        let (share, until) = self.late_heartbeats;
         if now < until && self.rng.random_bool(share) {
             // A copy arrives again, wherever.
             self.late_copies += 1;
@@ -95,11 +96,17 @@
                 }
                 None => None,
             };
-            Event::Reported { machine, controller: target, session, sent, answer }
+            Event::HeartbeatAnswered { machine, controller: target, incarnation, sent, answer }
         });
     }
 
-    pub(super) fn reported(&mut self, machine: &str, session: u64, sent: Instant, answer: Option<Response>) {
+    pub(super) fn heartbeat_answered(
+        &mut self,
+        machine: &str,
+        incarnation: u64,
+        sent: Instant,
+        answer: Option<Response>,
+    ) {
         let (now, controllers) = (Instant::now(), self.controllers.len());
         let Some(m) = self.machines.get_mut(machine).filter(|m| m.gone_at.is_none()) else { return };
         m.in_flight = false;
@@ -108,22 +115,22 @@
         let next = (m.target + 1) % controllers;
         let turn = |m: &mut Worker, target: usize, after: f64| {
             m.target = target;
-            m.next_report = now + seconds(after);
+            m.next_heartbeat = now + seconds(after);
         };
         match answer.map(|a| (a.status, decode(&a.body).unwrap_or(Value::Null))) {
-            Some((200, body)) if session == m.session => {
-                let token = Fields::of(&body).ok().and_then(|f| f.count("baton").ok()).unwrap_or(0);
-                if token < m.token {
+            Some((200, body)) if incarnation == m.incarnation => {
+                let fencing_token = Fields::of(&body).ok().and_then(|f| f.count("baton").ok()).unwrap_or(0);
+                if fencing_token < m.fencing_token {
                     return;
                 }
-                if token > m.token {
-                    (m.token, m.changed) = (token, true);
+                if fencing_token > m.fencing_token {
+                    (m.fencing_token, m.changed) = (fencing_token, true);
                 }
                 m.lease_from = sent;
                 self.carry_out(now, machine, &body);
                 let Some(m) = self.machines.get_mut(machine) else { return };
                 if m.changed {
-                    m.next_report = m.next_report.min(now + seconds(0.5));
+                    m.next_heartbeat = m.next_heartbeat.min(now + seconds(0.5));
                 }
             }
             Some((200, _)) => {}
@@ -139,7 +146,7 @@
     }
 
     /// Orders straight to a worker.
-    pub(super) fn order(
+    pub(super) fn deliver_pushed_commands(
         &mut self,
         n: usize,
         call: &Call,
@@ -154,32 +161,37 @@
             return;
         }
         if now < m.hung_until {
-            return m.held.push(call.body.clone());
+            return m.held_commands.push(call.body.clone());
         }
-        if let Some(response) = self.direct(now, &name, &call.body) {
+        if let Some(response) = self.handle_pushed_commands(now, &name, &call.body) {
             let _ = reply.send(Ok(response));
         }
     }
 
-    pub(super) fn direct(&mut self, now: Instant, name: &str, body: &[u8]) -> Option<Response> {
+    pub(super) fn handle_pushed_commands(
+        &mut self,
+        now: Instant,
+        name: &str,
+        body: &[u8],
+    ) -> Option<Response> {
         let body = decode(body).ok()?;
         let f = Fields::of(&body).ok()?;
-        let (token, session) = (f.count("baton").ok()?, f.count("shift").ok()?);
+        let (fencing_token, incarnation) = (f.count("baton").ok()?, f.count("shift").ok()?);
         let m = self.machines.get_mut(name)?;
-        m.tick += 1;
-        let status = if token < m.token || session != m.session { 409 } else { 200 };
+        m.sequence += 1;
+        let status = if fencing_token < m.fencing_token || incarnation != m.incarnation { 409 } else { 200 };
         if status == 200 {
-            m.token = token;
+            m.fencing_token = fencing_token;
             self.carry_out(now, name, &body);
         }
         let m = self.machines.get(name)?;
-        Some(Response { status, body: report_of(name, m), retry_after_s: None, close: false })
+        Some(Response { status, body: encode_heartbeat(name, m), retry_after_s: None, close: false })
     }
 
     pub fn carry_out(&mut self, now: Instant, name: &str, body: &Value) {
-        let Some(orders) = Fields::of(body).ok().and_then(|f| f.list("orders").ok()) else { return };
-        for order in orders {
-            let f = Fields::of(order).expect("a map");
+        let Some(commands) = Fields::of(body).ok().and_then(|f| f.list("orders").ok()) else { return };
+        for command in commands {
+            let f = Fields::of(command).expect("a map");
             let sheet = f.text("sheet").expect("a task");
             let (job, index) = sheet.split_once('/').expect("a task");
             let key: TaskKey = (job.to_owned(), index.parse().expect("a number"));
@@ -213,7 +225,7 @@
                     // the worker four seconds later.
                     let told = self.jobs.get(&key.0).and_then(|j| j.cancelled);
                     if told.is_some_and(|at| now > at + seconds(4.0)) {
-                        self.breaks("started_cancelled", format!("{}/{} on {name}", key.0, key.1));
+                        self.record_violation("started_cancelled", format!("{}/{} on {name}", key.0, key.1));
                     }
                 }
                 ("stop", Some((_, task))) if !matches!(task.state, RunState::Exited(_)) => {
@@ -230,7 +242,7 @@
     }
 }
 
-fn report_of(name: &str, m: &Worker) -> Vec<u8> {
+fn encode_heartbeat(name: &str, m: &Worker) -> Vec<u8> {
     let sheets = m
         .tasks
         .iter()
@@ -248,16 +260,16 @@
                 .build()
         })
         .collect();
-    let report = MapBuilder::new()
+    let heartbeat = MapBuilder::new()
         .set("bench", name)
         .set("address", m.address.to_string())
         .set("build", "m8")
         .set("hall", m.zone)
         .set("loaners", m.spot)
-        .set("shift", m.session)
-        .set("tick", m.tick)
-        .set("baton", m.token)
+        .set("shift", m.incarnation)
+        .set("tick", m.sequence)
+        .set("baton", m.fencing_token)
         .set("sheets", Value::Array(sheets))
         .build();
-    encode(&report)
+    encode(&heartbeat)
 }
