--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -1,8 +1,12 @@
-//! The cloud: rentals, deletions and lists that lag.
+//! The cloud: provisioning, deletion, and an inventory that lags.
 
 use super::*;
 
+/// Machines that the cloud has at most.
+const CAPACITY: usize = 24;
+
 impl Simulation {
+    /// Handles a request of a controller.
     pub(super) fn handle_cloud_request(&mut self, now: Instant, call: &Call) -> Response {
         if now < self.cloud_down_until {
             return answer(503, &MapBuilder::new().set("error", "trouble").build());
@@ -11,68 +15,68 @@
         let path = call.target.split('?').next().unwrap_or_default();
         match path {
             "/catalog" => answer(200, &encode_catalog(&catalog())),
-            "/machines/delete" => {
-                let f = Fields::of(&body).expect("a map");
-                for name in f.opt_texts("benches").expect("names").unwrap_or_default() {
-                    self.remove(now, &name);
-                }
-                answer(200, &Value::Map(Vec::new()))
-            }
-            "/machines" if call.method == "POST" => {
-                let f = Fields::of(&body).expect("a map");
-                let name = f.text("hire").expect("a name").to_owned();
-                if !self.node_pools.contains_key(&name) {
-                    let zone = if f.text("hall").expect("a zone") == "z2" { "z2" } else { "z1" };
-                    let spot = f.bool("loaners").expect("a kind");
-                    let up = self.machines.values().filter(|m| m.gone_at.is_none()).count();
-                    let most = 24usize.saturating_sub(up) as u64;
-                    let count = f.count("howMany").expect("a count").min(most);
-                    if count == 0 {
-                        return answer(503, &MapBuilder::new().set("error", "no capacity").build());
-                    }
-                    let names = (0..count).map(|_| self.provision(now, zone, spot)).collect();
-                    self.node_pools.insert(name.clone(), names);
-                }
-                let names = texts(self.node_pools[&name].iter().map(String::as_str));
-                answer(200, &MapBuilder::new().set("benches", names).build())
-            }
-            _ => {
-                let query = call.target.split('?').nth(1).unwrap_or_default();
-                let from = query.split('&').find_map(|part| part.strip_prefix("from=")).unwrap_or_default();
-                let shown = |m: &&(&String, &Worker)| {
-                    now >= m.1.provisioned_at + LIST_LAG && m.1.gone_at.is_none_or(|at| now < at + LIST_LAG)
-                };
-                let listed = self
-                    .machines
-                    .iter()
-                    .filter(|(name, _)| name.as_str() > from)
-                    .filter(|m| shown(&m))
-                    .map(|(name, m)| {
-                        MapBuilder::new()
-                            .set("nameId", name.as_str())
-                            .set("address", m.address.to_string())
-                            .set("build", "m8")
-                            .set("hall", m.zone)
-                            .set("loaners", m.spot)
-                            .set("standing", if now < m.up_at { "starting" } else { "running" })
-                            .build()
-                    })
-                    .collect();
-                let page = MapBuilder::new().set("benches", Value::Array(listed)).set("more", false);
-                answer(200, &page.build())
+            "/machines/delete" => self.delete_machines(now, &body),
+            "/machines" if call.method == "POST" => self.provision_node_pool(now, &body),
+            _ => self.inventory_page(now, &call.target),
+        }
+    }
+
+    fn delete_machines(&mut self, now: Instant, body: &Value) -> Response {
+        let fields = Fields::of(body).expect("a map");
+        for name in fields.opt_texts("benches").expect("names").unwrap_or_default() {
+            self.remove(now, &name);
+        }
+        answer(200, &Value::Map(Vec::new()))
+    }
+
+    /// Provisions the machines of a node pool request; a repeated request gets the same ones.
+    fn provision_node_pool(&mut self, now: Instant, body: &Value) -> Response {
+        let fields = Fields::of(body).expect("a map");
+        let name = fields.text("hire").expect("a name").to_owned();
+        if !self.node_pools.contains_key(&name) {
+            let zone = if fields.text("hall").expect("a zone") == "z2" { "z2" } else { "z1" };
+            let spot = fields.bool("loaners").expect("a kind");
+            let existing = self.machines.values().filter(|worker| worker.gone_at.is_none()).count();
+            let free = CAPACITY.saturating_sub(existing) as u64;
+            let count = fields.count("howMany").expect("a count").min(free);
+            if count == 0 {
+                return answer(503, &MapBuilder::new().set("error", "no capacity").build());
             }
+            let names = (0..count).map(|_| self.provision(now, zone, spot)).collect();
+            self.node_pools.insert(name.clone(), names);
         }
+        let names = texts(self.node_pools[&name].iter().map(String::as_str));
+        answer(200, &MapBuilder::new().set("benches", names).build())
     }
 
+    /// The machines after the one that the request names, as they were [`LIST_LAG`] ago.
+    fn inventory_page(&self, now: Instant, target: &str) -> Response {
+        let query = target.split('?').nth(1).unwrap_or_default();
+        let from = query.split('&').find_map(|part| part.strip_prefix("from=")).unwrap_or_default();
+        let is_listed = |worker: &Worker| {
+            now >= worker.provisioned_at + LIST_LAG && worker.gone_at.is_none_or(|at| now < at + LIST_LAG)
+        };
+        let listed = self
+            .machines
+            .iter()
+            .filter(|(name, worker)| name.as_str() > from && is_listed(worker))
+            .map(|(name, worker)| inventory_entry(now, name, worker))
+            .collect();
+        let page = MapBuilder::new().set("benches", Value::Array(listed)).set("more", false);
+        answer(200, &page.build())
+    }
+
+    /// Provisions one machine, which boots for some seconds; returns its name.
     pub(super) fn provision(&mut self, now: Instant, zone: &'static str, spot: bool) -> String {
         self.next_machine += 1;
-        let n = self.next_machine;
+        let number = self.next_machine;
         let up_at = now + seconds(self.rng.random_range(4.0..12.0));
-        let name = format!("vm-{n:06}");
+        let name = format!("vm-{number:06}");
+        let octets = [127, network::WORKER, (number / 256) as u8, (number % 256) as u8];
         let worker = Worker {
             zone,
             spot,
-            address: SocketAddr::from(([127, 9, (n / 256) as u8, (n % 256) as u8], 9000)),
+            address: SocketAddr::from((octets, 9000)),
             provisioned_at: now,
             up_at,
             gone_at: None,
@@ -95,10 +99,23 @@
         name
     }
 
+    /// Ends a machine, with all that it runs.
     pub(super) fn remove(&mut self, now: Instant, name: &str) {
-        if let Some(m) = self.machines.get_mut(name) {
-            m.gone_at.get_or_insert(now);
-            m.tasks.clear();
+        if let Some(worker) = self.machines.get_mut(name) {
+            worker.gone_at.get_or_insert(now);
+            worker.tasks.clear();
         }
     }
 }
+
+/// A machine as the inventory lists it.
+fn inventory_entry(now: Instant, name: &str, worker: &Worker) -> Value {
+    MapBuilder::new()
+        .set("nameId", name)
+        .set("address", worker.address.to_string())
+        .set("build", "m8")
+        .set("hall", worker.zone)
+        .set("loaners", worker.spot)
+        .set("standing", if now < worker.up_at { "starting" } else { "running" })
+        .build()
+}
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -1,146 +1,100 @@
-//! What goes wrong in a simulated cluster, and how it is brought about.
+//! The faults of a simulated cluster, and how each is injected.
 
 use super::*;
 
-/// What goes wrong; where no controller is named, it is the one that leads by the
-/// state service's own word.
+/// A fault. Where it names no controller, it strikes the one that leads according to the state
+/// service. `lasts`, `back` and `hang` are seconds; `share` is the probability with which each
+/// machine or event is struck.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    Crash {
-        controller: Option<usize>,
-        back: f64,
-    },
-    CrashAll {
-        back: f64,
-    },
-    Outage {
-        lasts: f64,
-    },
-    /// The state service refuses one controller; with `peers` the others, too.
-    Refused {
-        lasts: f64,
-        peers: bool,
-    },
+    /// A controller's process ends, and is started again after `back`.
+    Crash { controller: Option<usize>, back: f64 },
+    /// All controllers crash at once.
+    CrashAll { back: f64 },
+    /// The state service answers nobody's requests but with an error.
+    Outage { lasts: f64 },
+    /// The state service refuses one controller; with `peers` the others do, too.
+    Refused { lasts: f64, peers: bool },
     /// The same, but its requests hang.
-    Cut {
-        lasts: f64,
-        peers: bool,
-    },
-    Deaf {
-        share: f64,
-        lasts: f64,
-    },
-    Mute {
-        share: f64,
-        lasts: f64,
-    },
-    Hung {
-        share: f64,
-        lasts: f64,
-    },
-    Die {
-        share: f64,
-    },
-    CloudDown {
-        lasts: f64,
-    },
-    LateWrites {
-        share: f64,
-        lasts: f64,
-    },
-    LateHeartbeats {
-        share: f64,
-        lasts: f64,
-    },
-    /// Users call off jobs that run; with `hang` their machines hang at once.
-    CancelNow {
-        count: usize,
-        hang: f64,
-    },
-    CancelAtEnd {
-        share: f64,
-        lasts: f64,
-    },
-    Burst {
-        jobs: usize,
-    },
+    Cut { lasts: f64, peers: bool },
+    /// Machines receive neither replies nor pushed commands.
+    Deaf { share: f64, lasts: f64 },
+    /// Heartbeats of machines are lost; pushed commands arrive.
+    Mute { share: f64, lasts: f64 },
+    /// Machines are stalled, with what they run.
+    Hung { share: f64, lasts: f64 },
+    /// Machines end, as by a preemption without notice.
+    Die { share: f64 },
+    /// The cloud answers with errors.
+    CloudDown { lasts: f64 },
+    /// Transactions are carried out late, without an answer.
+    LateWrites { share: f64, lasts: f64 },
+    /// Copies of heartbeats arrive later, at any controller.
+    LateHeartbeats { share: f64, lasts: f64 },
+    /// Users cancel jobs that run; with `hang` their machines are stalled at once.
+    CancelNow { count: usize, hang: f64 },
+    /// Users cancel jobs when their last task ends.
+    CancelAtEnd { share: f64, lasts: f64 },
+    /// Jobs are submitted at once.
+    Burst { jobs: usize },
     /// Transactions and reads are carried out at once; their answers are lost.
-    LostAnswers {
-        share: f64,
-        lasts: f64,
-    },
+    LostAnswers { share: f64, lasts: f64 },
     /// Transactions are carried out at once, and once more later.
-    DoubledWrites {
-        share: f64,
-        lasts: f64,
-    },
+    DoubledWrites { share: f64, lasts: f64 },
     /// Answers of the state service and of other controllers take longer.
-    SlowAnswers {
-        share: f64,
-        lasts: f64,
-    },
+    SlowAnswers { share: f64, lasts: f64 },
     /// Copies of users' requests arrive again later, at any controller.
-    LateRequests {
-        share: f64,
-        lasts: f64,
-    },
+    LateRequests { share: f64, lasts: f64 },
     /// No controller reaches another.
-    PeersRefuse {
-        lasts: f64,
-    },
-    /// A controller stands still while its clocks run on.
-    Stall {
-        controller: Option<usize>,
-        lasts: f64,
-    },
+    PeersRefuse { lasts: f64 },
+    /// A controller is stalled while its clocks run on.
+    Stall { controller: Option<usize>, lasts: f64 },
     /// The announced limits of the state service come into force, and stay.
     LimitsFall,
-    /// The zone with workers and one controller in it is cut off from everything.
-    ZoneCut {
-        lasts: f64,
-    },
+    /// The zone with workers and one controller is partitioned from everything.
+    ZoneCut { lasts: f64 },
 }
 
 impl Simulation {
-    pub(super) fn some_machines(&mut self, now: Instant, share: f64) -> Vec<String> {
+    /// Names of a random share of the machines that are up.
+    fn some_machines(&mut self, now: Instant, share: f64) -> Vec<String> {
         let up = self.machines.iter().filter(|(_, m)| m.gone_at.is_none() && now >= m.up_at);
         let names: Vec<String> = up.map(|(name, _)| name.clone()).collect();
         names.into_iter().filter(|_| self.rng.random_bool(share)).collect()
     }
 
+    /// Changes a random share of the machines that are up.
+    fn strike_machines(&mut self, now: Instant, share: f64, strike: impl Fn(&mut Worker)) {
+        for name in self.some_machines(now, share) {
+            strike(self.machines.get_mut(&name).expect("there"));
+        }
+    }
+
+    /// Injects a fault now.
     pub(super) fn inject_fault(&mut self, now: Instant, fault: Fault) {
-        let lead = self.leader().unwrap_or(0);
+        let leader = self.leader().unwrap_or(0);
         let until = |lasts: f64| now + seconds(lasts);
+        let random = |share: f64, lasts: f64| RandomFault { share, until: until(lasts) };
         match fault {
-            Fault::Crash { controller, back } => self.crash(controller.unwrap_or(lead), back),
+            Fault::Crash { controller, back } => self.crash(controller.unwrap_or(leader), back),
             Fault::CrashAll { back } => (0..self.controllers.len()).for_each(|at| self.crash(at, back)),
             Fault::Outage { lasts } => self.outage_until = until(lasts),
             Fault::Refused { lasts, peers } => {
-                self.controllers[lead].refused_until = until(lasts);
-                if peers {
-                    self.controllers[lead].isolated_until = until(lasts);
-                }
+                self.controllers[leader].refused_until = until(lasts);
+                self.isolate_if(peers, leader, until(lasts));
             }
             Fault::Cut { lasts, peers } => {
-                self.controllers[lead].cut_until = until(lasts);
-                if peers {
-                    self.controllers[lead].isolated_until = until(lasts);
-                }
+                self.controllers[leader].cut_until = until(lasts);
+                self.isolate_if(peers, leader, until(lasts));
             }
             Fault::Deaf { share, lasts } => {
-                for name in self.some_machines(now, share) {
-                    self.machines.get_mut(&name).expect("there").deaf_until = until(lasts);
-                }
+                self.strike_machines(now, share, |worker| worker.deaf_until = until(lasts));
             }
             Fault::Mute { share, lasts } => {
-                for name in self.some_machines(now, share) {
-                    self.machines.get_mut(&name).expect("there").mute_until = until(lasts);
-                }
+                self.strike_machines(now, share, |worker| worker.mute_until = until(lasts));
             }
             Fault::Hung { share, lasts } => {
-                for name in self.some_machines(now, share) {
-                    self.machines.get_mut(&name).expect("there").hung_until = until(lasts);
-                }
+                self.strike_machines(now, share, |worker| worker.hung_until = until(lasts));
             }
             Fault::Die { share } => {
                 for name in self.some_machines(now, share) {
@@ -148,32 +102,21 @@
                 }
             }
             Fault::CloudDown { lasts } => self.cloud_down_until = until(lasts),
-            Fault::LateWrites { share, lasts } => self.late_writes = (share, until(lasts)),
-            Fault::LostAnswers { share, lasts } => self.lost_answers = (share, until(lasts)),
-            Fault::DoubledWrites { share, lasts } => self.doubled_writes = (share, until(lasts)),
-            Fault::SlowAnswers { share, lasts } => self.slow_answers = (share, until(lasts)),
-            Fault::LateRequests { share, lasts } => self.late_requests = (share, until(lasts)),
+            Fault::LateWrites { share, lasts } => self.late_writes = random(share, lasts),
+            Fault::LostAnswers { share, lasts } => self.lost_answers = random(share, lasts),
+            Fault::DoubledWrites { share, lasts } => self.doubled_writes = random(share, lasts),
+            Fault::SlowAnswers { share, lasts } => self.slow_answers = random(share, lasts),
+            Fault::LateRequests { share, lasts } => self.late_requests = random(share, lasts),
+            Fault::LateHeartbeats { share, lasts } => self.late_heartbeats = random(share, lasts),
+            Fault::CancelAtEnd { share, lasts } => self.cancel_at_end = random(share, lasts),
             Fault::PeersRefuse { lasts } => self.peers_refuse_until = until(lasts),
             Fault::Stall { controller, lasts } => {
-                let c = &self.controllers[controller.unwrap_or(lead)];
-                if c.handle.is_some() {
-                    c.stalls.begin(until(lasts));
-                }
-            }
-            Fault::LateHeartbeats { share, lasts } => self.late_heartbeats = (share, until(lasts)),
-            Fault::CancelAtEnd { share, lasts } => self.cancel_at_end = (share, until(lasts)),
-            Fault::CancelNow { count, hang } => {
-                let running: Vec<(String, String)> =
-                    self.on_machines().map(|(name, _, key)| (name.to_owned(), key.0.clone())).collect();
-                let jobs: BTreeSet<String> = running.iter().map(|(_, job)| job.clone()).take(count).collect();
-                for (name, job) in running.iter().filter(|(_, job)| jobs.contains(job)) {
-                    self.machines.get_mut(name).expect("there").hung_until = until(hang);
-                    let job = self.jobs.get_mut(job).expect("there");
-                    job.cancel_from.get_or_insert(now);
-                    job.cancel_from = job.cancel_from.min(Some(now));
-                    job.next = now;
+                let controller = &self.controllers[controller.unwrap_or(leader)];
+                if controller.handle.is_some() {
+                    controller.stalls.begin(until(lasts));
                 }
             }
+            Fault::CancelNow { count, hang } => self.cancel_running_jobs(now, count, until(hang)),
             Fault::Burst { jobs } => (0..jobs).for_each(|_| self.submit_random_job(now)),
             Fault::LimitsFall => {
                 let limits = self.settings.cluster.state.announced();
@@ -182,9 +125,30 @@
             }
             Fault::ZoneCut { lasts } => {
                 self.zone_cut_until = until(lasts);
-                let c = &mut self.controllers[1];
-                (c.cut_until, c.isolated_until) = (until(lasts), until(lasts));
+                let controller = &mut self.controllers[PARTITIONED_CONTROLLER];
+                (controller.cut_until, controller.isolated_until) = (until(lasts), until(lasts));
             }
         }
     }
+
+    fn isolate_if(&mut self, isolates: bool, at: usize, until: Instant) {
+        if isolates {
+            self.controllers[at].isolated_until = until;
+        }
+    }
+
+    /// The users of the first `count` running jobs cancel them, and the machines that run these
+    /// are stalled until then.
+    fn cancel_running_jobs(&mut self, now: Instant, count: usize, hung_until: Instant) {
+        let running: Vec<(String, String)> =
+            self.on_machines().map(|(name, _, key)| (name.to_owned(), key.0.clone())).collect();
+        let jobs: BTreeSet<String> = running.iter().map(|(_, job)| job.clone()).take(count).collect();
+        for (name, job) in running.iter().filter(|(_, job)| jobs.contains(job)) {
+            self.machines.get_mut(name).expect("there").hung_until = hung_until;
+            let job = self.jobs.get_mut(job).expect("there");
+            job.cancel_from.get_or_insert(now);
+            job.cancel_from = job.cancel_from.min(Some(now));
+            job.next = now;
+        }
+    }
 }
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -1,57 +1,76 @@
-//! The rules, as they show on the workers and by what is left waiting.
+//! The rules, checked from outside: by what workers run, by what users are answered, and by
+//! what is left waiting.
 
 use super::*;
 
+/// Once all is calm, a user gets an answer about each accepted job within this time.
+const ANSWERED_WITHIN: Duration = Duration::from_secs(75);
+/// Once all is calm, no job waits beside free capacity for longer.
+const STARTED_WITHIN: Duration = Duration::from_secs(90);
+
 impl Simulation {
-    /// Every task that is on a machine, with its machine's name.
+    /// Every task that runs on a machine, with the machine's name.
     pub(super) fn on_machines(&self) -> impl Iterator<Item = (&str, &Worker, &TaskKey)> {
-        self.machines.iter().filter(|(_, m)| m.gone_at.is_none()).flat_map(|(name, m)| {
-            let running = m.tasks.iter().filter(|(_, t)| matches!(t.state, RunState::Running(_)));
-            running.map(move |(key, _)| (name.as_str(), m, key))
+        let machines = self.machines.iter().filter(|(_, worker)| worker.gone_at.is_none());
+        machines.flat_map(|(name, worker)| {
+            let running = worker.tasks.iter().filter(|(_, t)| matches!(t.state, RunState::Running(_)));
+            running.map(move |(key, _)| (name.as_str(), worker, key))
         })
     }
 
+    /// Checks a task that a worker starts to run.
     pub fn check_start(&mut self, now: Instant, name: &str, key: &TaskKey) {
         self.starts += 1;
+        self.check_runs_once(name, key);
+        let Some(job) = self.jobs.get(&key.0).filter(|_| self.machines.contains_key(name)) else {
+            return self.record_violation("unknown_job", format!("{}/{}", key.0, key.1));
+        };
+        let (spec, cancelled) = (job.spec.clone(), job.cancelled);
+        self.check_place(name, key, &spec);
+        self.check_dependencies(key, &spec);
+        let within = self.settings.cluster.workers.cancellation();
+        if cancelled.is_some_and(|at| now > at + within) {
+            self.record_violation("ran_cancelled", format!("{}/{} starts on {name}", key.0, key.1));
+        }
+        self.check_limits();
+    }
+
+    fn check_runs_once(&mut self, name: &str, key: &TaskKey) {
         let others: Vec<String> = self
             .on_machines()
-            .filter(|(m, _, k)| *k == key && *m != name)
-            .map(|(m, ..)| m.to_owned())
+            .filter(|(other, _, running)| *running == key && *other != name)
+            .map(|(other, ..)| other.to_owned())
             .collect();
         if !others.is_empty() {
             self.record_violation("ran_twice", format!("{}/{} on {name} and {others:?}", key.0, key.1));
         }
-        let (Some(job), Some(m)) = (self.jobs.get(&key.0), self.machines.get(name)) else {
-            return self.record_violation("unknown_job", format!("{}/{}", key.0, key.1));
-        };
-        let (spec, told) = (job.spec.clone(), job.cancelled);
-        let zones: Vec<&str> =
-            self.on_machines().filter(|(_, _, k)| k.0 == key.0).map(|(_, m, _)| m.zone).collect();
-        let here = zones.iter().filter(|zone| **zone == m.zone).count() as u32;
-        let wrong = (m.spot && !spec.spot)
-            || spec.zone.as_ref().is_some_and(|zone| zone != m.zone)
-            || (spec.one_zone && zones.iter().any(|zone| *zone != m.zone))
-            || (spec.spread && here > spec.tasks.div_ceil(2));
-        if wrong {
-            self.record_violation("wrong_place", format!("{}/{} on {name}, zones {zones:?}", key.0, key.1));
-        }
-        let has_unfinished_jobs = |dependency: &JobId| {
-            self.jobs.get(dependency.as_str()).is_none_or(|job| (job.done.len() as u32) < job.spec.tasks)
-        };
-        if let Some(dependency) = spec.dependencies.iter().find(|dependency| has_unfinished_jobs(dependency))
-        {
-            self.record_violation(
-                "too_early",
-                format!("{}/{} starts before {dependency} is done", key.0, key.1),
-            );
+    }
+
+    /// Zone, spot instance, one zone and spread.
+    fn check_place(&mut self, name: &str, key: &TaskKey, spec: &JobSpec) {
+        let Some(worker) = self.machines.get(name) else { return };
+        let same_job = self.on_machines().filter(|(_, _, running)| running.0 == key.0);
+        let zones: Vec<&str> = same_job.map(|(_, worker, _)| worker.zone).collect();
+        let in_zone = zones.iter().filter(|zone| **zone == worker.zone).count() as u32;
+        let is_wrong = (worker.spot && !spec.spot)
+            || spec.zone.as_ref().is_some_and(|zone| zone != worker.zone)
+            || (spec.one_zone && zones.iter().any(|zone| *zone != worker.zone))
+            || (spec.spread && in_zone > spec.tasks.div_ceil(2));
+        if is_wrong {
+            let what = format!("{}/{} on {name}, zones {zones:?}", key.0, key.1);
+            self.record_violation("wrong_place", what);
         }
-        let cancelled = self.settings.cluster.workers.cancellation();
-        if told.is_some_and(|at| now > at + cancelled) {
-            self.record_violation("ran_cancelled", format!("{}/{} starts on {name}", key.0, key.1));
+    }
+
+    fn check_dependencies(&mut self, key: &TaskKey, spec: &JobSpec) {
+        let is_unfinished = |job: &&JobId| self.jobs.get(job.as_str()).is_none_or(Job::has_unfinished_tasks);
+        if let Some(dependency) = spec.dependencies.iter().find(is_unfinished) {
+            let what = format!("{}/{} starts before {dependency} is done", key.0, key.1);
+            self.record_violation("too_early", what);
         }
-        self.check_limits();
     }
 
+    /// No team uses more than its quota.
     pub fn check_limits(&mut self) {
         for team in self.settings.cluster.teams.clone().into_iter().filter(|t| t.cpus_max > 0.0) {
             let used: f64 = self
@@ -66,13 +85,15 @@
         }
     }
 
+    /// No task of a cancelled job runs beyond the cancellation limit.
     pub fn check_cancelled(&mut self, now: Instant) {
         let within = self.settings.cluster.workers.cancellation();
+        let is_late = |key: &TaskKey| {
+            self.jobs.get(&key.0).and_then(|job| job.cancelled).is_some_and(|at| now > at + within)
+        };
         let late: Vec<String> = self
             .on_machines()
-            .filter(|(_, _, key)| {
-                self.jobs.get(&key.0).and_then(|j| j.cancelled).is_some_and(|at| now > at + within)
-            })
+            .filter(|(_, _, key)| is_late(key))
             .map(|(name, _, key)| format!("{}/{} is still on {name}", key.0, key.1))
             .collect();
         for what in late {
@@ -80,82 +101,87 @@
         }
     }
 
+    /// A worker has run a task to its end.
     pub(super) fn task_done(&mut self, now: Instant, key: &TaskKey) {
-        let (share, until) = self.cancel_at_end;
-        let cancelled = now < until && self.rng.random_bool(share);
+        let is_cancelled = self.cancel_at_end.strikes(now, &mut self.rng);
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         job.done.insert(key.1);
-        if cancelled && job.done.len() as u32 == job.spec.tasks {
+        if is_cancelled && !job.has_unfinished_tasks() {
             job.cancel_from.get_or_insert(now);
             job.next = now;
         }
     }
 
-    /// Nobody is forgotten, and nothing waits beside room once all is calm.
+    /// No job is forgotten, and none waits beside free capacity once all is calm.
     pub fn check_waiting(&mut self, now: Instant) {
-        let up = self.machines.values().filter(|m| m.gone_at.is_none());
-        let held = up.flat_map(|m| m.tasks.iter()).filter(|(_, t)| !matches!(t.state, RunState::Exited(_)));
-        let busy: BTreeSet<&str> = held.map(|(key, _)| key.0.as_str()).collect();
-        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
-        for job in self.on_machines().filter_map(|(_, _, key)| self.jobs.get(&key.0)) {
-            *used.entry(job.spec.team.as_str()).or_default() += job.spec.cpus;
-        }
-        let over =
-            |dependency: &JobId| self.jobs.get(dependency.as_str()).is_some_and(|job| job.terminal.is_some());
-        let passed_over = |job: &Job| {
-            let spec = &job.spec;
-            let waits = job.terminal.is_none()
-                && job.accepted.is_some()
-                && (job.done.len() as u32) < spec.tasks
-                && spec.dependencies.iter().all(over)
-                && !busy.contains(spec.id.as_str());
-            let limit = self.settings.cluster.teams.iter().find(|t| t.name == spec.team);
-            let limit = limit.map_or(0.0, |t| if t.cpus_max > 0.0 { t.cpus_max } else { f64::INFINITY });
-            let free = |m: &Worker| {
-                m.gone_at.is_none()
-                    && now > m.up_at.max(m.empty_since)
-                    && (spec.spot || !m.spot)
-                    && spec.zone.as_ref().is_none_or(|zone| zone == m.zone)
-            };
-            waits
-                && used.get(spec.team.as_str()).copied().unwrap_or(0.0) + spec.cpus <= limit
-                && self.machines.values().any(free)
-        };
-        let over: BTreeSet<String> =
-            self.jobs.iter().filter(|(_, job)| passed_over(job)).map(|(id, _)| id.clone()).collect();
+        let passed_over = self.passed_over_jobs(now);
         let calm_at = self.calm_at;
-        let mut wrong = Vec::new();
+        let mut violations = Vec::new();
         for (id, job) in self.jobs.iter_mut().filter(|(_, job)| job.accepted.is_some()) {
-            if now > job.answered.max(calm_at) + seconds(75.0) {
-                wrong.push(("forgotten", format!("{id}: no answer for 75 s")));
+            if now > job.answered.max(calm_at) + ANSWERED_WITHIN {
+                let what = format!("{id}: no answer for {} s", ANSWERED_WITHIN.as_secs());
+                violations.push(("forgotten", what));
             }
-            let since = over.contains(id).then(|| *job.passed_over.get_or_insert(now));
-            job.passed_over = since;
-            if since.is_some_and(|since| now > since.max(calm_at) + seconds(90.0)) {
-                wrong.push(("neglected", format!("waits beside room: {:?}", job.spec)));
+            job.passed_over = passed_over.contains(id).then(|| job.passed_over.unwrap_or(now));
+            if job.passed_over.is_some_and(|since| now > since.max(calm_at) + STARTED_WITHIN) {
+                violations.push(("neglected", format!("waits beside room: {:?}", job.spec)));
             }
         }
-        for (rule, what) in wrong {
+        for (rule, what) in violations {
             self.record_violation(rule, what);
         }
     }
 
-    /// Asks each controller for its figures.
+    /// Jobs that wait although a machine has free capacity and their teams are within quota.
+    fn passed_over_jobs(&self, now: Instant) -> BTreeSet<String> {
+        let up = self.machines.values().filter(|worker| worker.gone_at.is_none());
+        let live = up.flat_map(|worker| &worker.tasks).filter(|(_, task)| task.is_live());
+        let on_workers: BTreeSet<&str> = live.map(|(key, _)| key.0.as_str()).collect();
+        let mut used: BTreeMap<&str, f64> = BTreeMap::new();
+        for job in self.on_machines().filter_map(|(_, _, key)| self.jobs.get(&key.0)) {
+            *used.entry(job.spec.team.as_str()).or_default() += job.spec.cpus;
+        }
+        let is_passed_over = |job: &Job| {
+            let team = job.spec.team.as_str();
+            self.is_ready(job)
+                && !on_workers.contains(job.spec.id.as_str())
+                && used.get(team).copied().unwrap_or(0.0) + job.spec.cpus <= self.quota(team)
+                && self.machines.values().any(|worker| is_idle_for(now, worker, &job.spec))
+        };
+        self.jobs.iter().filter(|(_, job)| is_passed_over(job)).map(|(id, _)| id.clone()).collect()
+    }
+
+    /// Whether a job has tasks to start and its dependencies are terminal for its user.
+    fn is_ready(&self, job: &Job) -> bool {
+        let is_terminal = |job: &JobId| self.jobs.get(job.as_str()).is_some_and(|job| job.terminal.is_some());
+        job.terminal.is_none()
+            && job.accepted.is_some()
+            && job.has_unfinished_tasks()
+            && job.spec.dependencies.iter().all(is_terminal)
+    }
+
+    /// CPUs that a team may use; none for a team without settings.
+    fn quota(&self, team: &str) -> f64 {
+        let team = self.settings.cluster.teams.iter().find(|t| t.name == team);
+        team.map_or(0.0, |t| if t.cpus_max > 0.0 { t.cpus_max } else { f64::INFINITY })
+    }
+
+    /// Asks each controller for its metrics.
     pub(super) fn request_metrics(&mut self) {
-        for (controller, c) in self.controllers.iter().enumerate() {
-            let Some(handle) = c.handle.clone() else { continue };
-            let stalls = c.stalls.clone();
+        for (at, controller) in self.controllers.iter().enumerate() {
+            let Some(handle) = controller.handle.clone() else { continue };
+            let stalls = controller.stalls.clone();
             self.events.spawn(async move {
                 let handled = stalls.run(Handler::handle(&handle, get("/status")));
                 match tokio::time::timeout(METRICS_INTERVAL, handled).await {
-                    Ok(answer) => Event::Metrics { controller, answer },
+                    Ok(answer) => Event::Metrics { controller: at, answer },
                     Err(_) => Event::Nothing,
                 }
             });
         }
     }
 
-    /// No controller has had to refuse an act that would have broken an invariant.
+    /// No controller has had to refuse an act that would have violated an invariant.
     pub fn check_metrics(&mut self, controller: usize, answer: &Response) {
         let Ok(metrics) = decode(&answer.body) else { return };
         let Ok(fields) = Fields::of(&metrics) else { return };
@@ -166,40 +192,50 @@
         }
     }
 
+    /// Jobs that were accepted and are not terminal for their users.
+    fn unfinished_jobs(&self) -> impl Iterator<Item = &Job> {
+        self.jobs.values().filter(|job| job.accepted.is_some() && job.terminal.is_none())
+    }
+
+    /// Whether any accepted job is not terminal for its user.
     pub fn has_unfinished_jobs(&self) -> bool {
-        self.jobs.values().any(|job| job.accepted.is_some() && job.terminal.is_none())
+        self.unfinished_jobs().next().is_some()
     }
 
-    /// At the end everything has run, or was called off.
+    /// At the end every accepted job is done or cancelled.
     pub fn check_end(&mut self) {
-        let left: Vec<String> = self
-            .jobs
-            .iter()
-            .filter(|(_, job)| job.accepted.is_some() && job.terminal.is_none())
-            .map(|(_, job)| format!("{} done of {:?}", job.done.len(), job.spec))
-            .collect();
+        let left: Vec<String> =
+            self.unfinished_jobs().map(|job| format!("{} done of {:?}", job.done.len(), job.spec)).collect();
         for what in left {
             self.record_violation("unfinished", what);
         }
     }
 
+    /// For tests of the checker: a new machine that is up and has no tasks.
     pub fn add_idle_machine(&mut self, zone: &'static str) {
         let now = Instant::now();
         let name = self.provision(now, zone, false);
-        let m = self.machines.get_mut(&name).expect("just rented");
-        (m.up_at, m.empty_since) = (now, now);
+        let worker = self.machines.get_mut(&name).expect("just provisioned");
+        (worker.up_at, worker.empty_since) = (now, now);
     }
 
-    /// Puts a task on a new machine as if it had been started there.
+    /// For tests of the checker: runs a task on a new machine, as if it had been started there.
     pub fn force_start(&mut self, job: &str, index: u32, zone: &'static str, spot: bool) -> String {
         let now = Instant::now();
         let name = self.provision(now, zone, spot);
         let key = (job.to_owned(), index);
-        let m = self.machines.get_mut(&name).expect("just rented");
-        m.up_at = now;
-        let task = RunningTask { attempt: 1, state: RunState::Running(now) };
-        m.tasks.push((key.clone(), task));
+        let worker = self.machines.get_mut(&name).expect("just provisioned");
+        worker.up_at = now;
+        worker.tasks.push((key.clone(), RunningTask { attempt: 1, state: RunState::Running(now) }));
         self.check_start(now, &name, &key);
         name
     }
 }
+
+/// Whether a machine has been up and empty, and fits a job.
+fn is_idle_for(now: Instant, worker: &Worker, spec: &JobSpec) -> bool {
+    worker.gone_at.is_none()
+        && now > worker.up_at.max(worker.empty_since)
+        && (spec.spot || !worker.spot)
+        && spec.zone.as_ref().is_none_or(|zone| zone == worker.zone)
+}
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -1,9 +1,11 @@
-//! The state service: the stand-in, with leases that end in simulated time, watches,
-//! outages and answers that are late or lost.
+//! The state service: an in-memory store with leases that expire in simulated time, watches,
+//! outages, and requests whose effects or replies are late, doubled or lost.
 
 use super::*;
 
 impl Simulation {
+    /// Handles a request of a controller. The draws come in the order of the code, whether or
+    /// not their results are used.
     pub(super) fn handle_state_request(
         &mut self,
         now: Instant,
@@ -11,29 +13,16 @@
         call: Call,
         reply: oneshot::Sender<Result<Response, ClientError>>,
     ) {
-        let soon = Duration::from_millis(self.rng.random_range(2..6)) + self.slowness(now);
-        let c = &self.controllers[at];
-        if now < c.cut_until {
+        let latency = Duration::from_millis(self.rng.random_range(2..6)) + self.slowness(now);
+        let controller = &self.controllers[at];
+        if now < controller.cut_until {
             return;
         }
-        if call.target.starts_with("/watch?") {
-            let field = |name: &str| {
-                let query = call.target.trim_start_matches("/watch?");
-                query.split('&').find_map(|part| part.strip_prefix(name)).unwrap_or_default().to_owned()
-            };
-            let wait: u64 = field("waitMs=").parse().unwrap_or(0);
-            self.watches.push(Watch {
-                controller: at,
-                incarnation: c.incarnation,
-                prefix: field("starts="),
-                from: field("from=").parse().unwrap_or(0),
-                until: now + Duration::from_millis(wait),
-                reply,
-            });
-            return;
+        if let Some(query) = call.target.strip_prefix("/watch?") {
+            return self.open_watch(now, at, query, reply);
         }
-        if now < c.refused_until || now < self.outage_until {
-            return later(reply, Ok(answer(503, &Value::Null)), soon);
+        if now < controller.refused_until || now < self.outage_until {
+            return later(reply, Ok(answer(503, &Value::Null)), latency);
         }
         let request = Request {
             method: call.method.into(),
@@ -41,36 +30,64 @@
             body: call.body,
             close: false,
         };
-        let (share, until) = self.late_writes;
-        if call.target == "/commit" && now < until && self.rng.random_bool(share) {
-            // No answer; and the change comes, late, after newer ones.
-            let after = seconds(self.rng.random_range(2.0..12.0));
-            self.late.push((now + after, request));
+        if self.delay_or_double(now, &request) {
             return;
         }
-        let (share, until) = self.doubled_writes;
-        if call.target == "/commit" && now < until && self.rng.random_bool(share) {
-            // Carried out now, and once more later: an old copy.
-            self.late.push((now + seconds(self.rng.random_range(0.01..12.0)), request.clone()));
-        }
-        let (share, until) = self.lost_answers;
-        let lost = now < until && self.rng.random_bool(share);
+        let is_lost = self.lost_answers.strikes(now, &mut self.rng);
         if !self.is_allowed(now, &request) {
-            return later(reply, Ok(answer(429, &Value::Null)), soon);
-        }
-        if let Some((status, body)) = self.state.answer(&request) {
-            self.beyond_limits += usize::from(status == 400);
-            self.note_leases(now, &request, status);
-            if lost {
-                // Carried out, and others may read it; whoever asked does not hear.
-                return;
-            }
-            let soon = soon.max(self.stalled_until(at).saturating_duration_since(now));
-            later(reply, Ok(answer(status, &body)), soon);
+            return later(reply, Ok(answer(429, &Value::Null)), latency);
+        }
+        let Some((status, body)) = self.state.answer(&request) else { return };
+        self.beyond_limits += usize::from(status == 400);
+        self.note_leases(now, &request, status);
+        if is_lost {
+            // It was carried out and others may read it; only its sender gets no answer.
+            return;
+        }
+        let latency = latency.max(self.stalled_until(at).saturating_duration_since(now));
+        later(reply, Ok(answer(status, &body)), latency);
+    }
+
+    /// Holds a watch open until a key changes or its time is over.
+    fn open_watch(
+        &mut self,
+        now: Instant,
+        at: usize,
+        query: &str,
+        reply: oneshot::Sender<Result<Response, ClientError>>,
+    ) {
+        let field =
+            |name: &str| query.split('&').find_map(|part| part.strip_prefix(name)).unwrap_or_default();
+        let wait_ms: u64 = field("waitMs=").parse().unwrap_or(0);
+        self.watches.push(Watch {
+            controller: at,
+            incarnation: self.controllers[at].incarnation,
+            prefix: field("starts=").to_owned(),
+            from: field("from=").parse().unwrap_or(0),
+            until: now + Duration::from_millis(wait_ms),
+            reply,
+        });
+    }
+
+    /// Whether a transaction is carried out only later, after newer ones and without an answer.
+    /// Or else it may be doubled: carried out now, and once more later, as an old copy.
+    fn delay_or_double(&mut self, now: Instant, request: &Request) -> bool {
+        if request.target != "/commit" {
+            return false;
+        }
+        if self.late_writes.strikes(now, &mut self.rng) {
+            let after = seconds(self.rng.random_range(2.0..12.0));
+            self.late.push((now + after, request.clone()));
+            return true;
         }
+        if self.doubled_writes.strikes(now, &mut self.rng) {
+            let after = seconds(self.rng.random_range(0.01..12.0));
+            self.late.push((now + after, request.clone()));
+        }
+        false
     }
 
-    /// Whether the changes of a transaction are within the pace that holds.
+    /// Whether the changes of a transaction are within the write rate in force.
     fn is_allowed(&mut self, now: Instant, request: &Request) -> bool {
         let Some(allowance) = self.allowance.as_mut().filter(|_| request.target == "/commit") else {
             return true;
@@ -85,57 +102,67 @@
         allowed
     }
 
-    pub(super) fn note_leases(&mut self, now: Instant, request: &Request, status: u16) {
-        if request.target == "/leases" && status == 200 {
+    /// Notes when a lease was granted or extended.
+    fn note_leases(&mut self, now: Instant, request: &Request, status: u16) {
+        if status != 200 {
+            return;
+        }
+        if request.target == "/leases" {
             if let Some(newest) = self.state.leases().keys().last() {
                 self.renewed.insert(*newest, now);
             }
         } else if let Some(rest) = request.target.strip_prefix("/leases/")
             && let Some(lease) = rest.strip_suffix("/extend").and_then(|id| id.parse().ok())
-            && status == 200
         {
             self.renewed.insert(lease, now);
         }
     }
 
+    /// Late transactions, expired leases and watches, in this order.
     pub(super) fn step_state(&mut self, now: Instant) {
         if now < self.outage_until {
             // After an outage every lease has its full time again.
             self.renewed.values_mut().for_each(|at| *at = now);
             return;
         }
-        let due: Vec<Request> = {
-            let (due, rest) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| now >= *at);
-            self.late = rest;
-            let mut due: Vec<(Instant, Request)> = due;
-            due.sort_by_key(|(at, _)| *at);
-            due.into_iter().map(|(_, request)| request).collect()
-        };
+        self.carry_out_late_transactions(now);
+        self.expire_leases(now);
+        self.answer_watches(now);
+    }
+
+    fn carry_out_late_transactions(&mut self, now: Instant) {
+        let (mut due, rest): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.late).into_iter().partition(|(at, _)| now >= *at);
+        self.late = rest;
+        due.sort_by_key(|(at, _)| *at);
         self.late_changes += due.len();
-        for request in due {
+        for (_, request) in due {
             self.state.answer(&request);
         }
-        let ended: Vec<u64> = self
-            .state
-            .leases()
-            .iter()
-            .filter(|(id, life)| {
-                now >= self.renewed.get(id).copied().unwrap_or(now) + Duration::from_millis(**life)
-            })
-            .map(|(id, _)| *id)
-            .collect();
-        for lease in ended {
+    }
+
+    fn expire_leases(&mut self, now: Instant) {
+        let has_expired = |id: &u64, ttl_ms: u64| {
+            now >= self.renewed.get(id).copied().unwrap_or(now) + Duration::from_millis(ttl_ms)
+        };
+        let leases = self.state.leases().iter();
+        let expired: Vec<u64> =
+            leases.filter(|(id, ttl_ms)| has_expired(id, **ttl_ms)).map(|(id, _)| *id).collect();
+        for lease in expired {
             self.state.end_lease(lease);
         }
+    }
+
+    fn answer_watches(&mut self, now: Instant) {
         for watch in std::mem::take(&mut self.watches) {
-            let c = &self.controllers[watch.controller];
-            if c.incarnation != watch.incarnation || c.handle.is_none() {
+            let controller = &self.controllers[watch.controller];
+            if controller.incarnation != watch.incarnation || controller.handle.is_none() {
                 continue;
             }
-            // Of one that is refused, the watches that are open go on waiting.
-            let served = now >= c.refused_until && now >= c.cut_until;
-            let changed = self.state.changed_since(&watch.prefix, watch.from).filter(|_| served);
-            if changed.is_some() || (now >= watch.until && served) {
+            // Open watches of a controller that is refused stay open.
+            let is_served = now >= controller.refused_until && now >= controller.cut_until;
+            let changed = self.state.changed_since(&watch.prefix, watch.from).filter(|_| is_served);
+            if changed.is_some() || (now >= watch.until && is_served) {
                 let body = MapBuilder::new().set("ledger", changed.unwrap_or(watch.from)).build();
                 let _ = watch.reply.send(Ok(answer(200, &body)));
             } else {
--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -1,56 +1,77 @@
-//! Users: what they submit, ask and call off, and what they are told.
+//! Users: what they submit, poll and cancel, and how their answers are checked.
 
 use super::*;
 
 /// A request that a user is about to send.
 struct UserRequest {
+    /// The job that it is about, or a name for requests about none.
     id: String,
     question: Question,
     request: Request,
     /// The controller that it reaches, if it reaches any.
     at: Option<usize>,
+    /// When it is sent, from now.
     after: Duration,
-    /// Beside those that its user needs.
+    /// Sent beside the requests that the user needs: its answer is only checked.
     is_extra: bool,
 }
 
+/// An answer to a user that names the state of a job, as the checker takes it.
+struct UserAnswer<'a> {
+    now: Instant,
+    id: &'a str,
+    origin: Origin,
+    /// The request was a cancellation.
+    is_cancellation: bool,
+}
+
+/// A violated rule and what happened.
+type Violation = (&'static str, &'static str);
+
 impl Simulation {
+    /// Submits a job with random tasks, priority, placement, dependencies and run time, which
+    /// may be cancelled later.
     pub fn submit_random_job(&mut self, now: Instant) {
         self.next_job += 1;
-        let n = self.next_job;
-        let r = &mut self.rng;
+        let number = self.next_job;
+        let mut spec = self.random_spec(number);
+        spec.dependencies = self.choose_dependencies(number);
+        let rng = &mut self.rng;
+        let run_s = rng.random_range(self.shape.max_run_s * 0.08..self.shape.max_run_s);
+        let is_service = spec.kind == JobKind::Service;
+        spec.estimated_run_s = if is_service { 0.0 } else { run_s * rng.random_range(0.5..1.5) };
+        let cancels = is_service || rng.random_bool(0.25);
+        let cancel_from = cancels.then(|| now + seconds(rng.random_range(1.0..40.0)));
+        self.submit(now, spec, run_s, cancel_from);
+    }
+
+    fn random_spec(&mut self, number: usize) -> JobSpec {
+        let rng = &mut self.rng;
         let largest = self.shape.max_tasks;
-        let tasks = [1, 2, 2, 3, largest.min(4), largest][r.random_range(0..6)];
-        let cpus = [1.0, 2.0, 4.0][r.random_range(0..3)];
-        let team = if r.random_bool(0.5) { "red" } else { "blue" };
-        let mut spec = sample(&format!("job-{n:05}"), team, tasks, cpus);
-        spec.spot = r.random_bool(0.6);
+        let tasks = [1, 2, 2, 3, largest.min(4), largest][rng.random_range(0..6)];
+        let cpus = [1.0, 2.0, 4.0][rng.random_range(0..3)];
+        let team = if rng.random_bool(0.5) { "red" } else { "blue" };
+        let mut spec = sample(&format!("job-{number:05}"), team, tasks, cpus);
+        spec.spot = rng.random_bool(0.6);
         spec.priority = [Priority::Critical, Priority::High, Priority::Standard, Priority::BestEffort]
-            [r.random_range(0..4)];
-        match r.random_range(0..10) {
+            [rng.random_range(0..4)];
+        match rng.random_range(0..10) {
             0 => spec.one_zone = true,
             1 => spec.spread = true,
             2 => spec.zone = Some("z2".into()),
             3 if team == "blue" => spec.kind = JobKind::Service,
             _ => {}
         }
-        spec.dependencies = self.choose_dependencies(n);
-        let r = &mut self.rng;
-        let run = r.random_range(self.shape.max_run_s * 0.08..self.shape.max_run_s);
-        spec.estimated_run_s =
-            if spec.kind == JobKind::Service { 0.0 } else { run * r.random_range(0.5..1.5) };
-        let cancels = spec.kind == JobKind::Service || r.random_bool(0.25);
-        let cancel_from = cancels.then(|| now + seconds(r.random_range(1.0..40.0)));
-        self.submit(now, spec, run, cancel_from);
+        spec
     }
 
-    /// Its user wants the job cancelled from now on.
+    /// From now on the user of a job wants it cancelled.
     pub fn request_cancellation(&mut self, now: Instant, id: &str) {
         self.jobs.get_mut(id).expect("submitted").cancel_from = Some(now);
     }
 
-    /// Jobs that a new one awaits: mostly none, else some of the last few or of all before,
-    /// in whatever state they are, so that chains, diamonds and long finished needs occur.
+    /// Dependencies of a new job: mostly none, else some of the last few or of all earlier jobs,
+    /// in whatever state they are, so that chains, diamonds and long finished dependencies occur.
     fn choose_dependencies(&mut self, n: usize) -> Vec<JobId> {
         let r = &mut self.rng;
         if self.shape.dependent_share == 0.0 || n < 2 || !r.random_bool(self.shape.dependent_share) {
@@ -70,41 +91,30 @@
             .collect()
     }
 
-    /// All jobs that a job needs, directly or not.
-    pub(super) fn ancestors(&self, id: &str) -> Vec<&Job> {
+    /// All direct and indirect dependencies of a job.
+    fn ancestors(&self, id: &str) -> Vec<&Job> {
         let mut found: BTreeMap<&str, &Job> = BTreeMap::new();
-        let mut work = vec![id];
-        while let Some(job) = work.pop().and_then(|id| self.jobs.get(id)) {
+        let mut unvisited = vec![id];
+        while let Some(job) = unvisited.pop().and_then(|id| self.jobs.get(id)) {
             for dependency in &job.spec.dependencies {
-                if let Some(needed) = self.jobs.get(dependency.as_str())
-                    && found.insert(dependency.as_str(), needed).is_none()
+                if let Some(ancestor) = self.jobs.get(dependency.as_str())
+                    && found.insert(dependency.as_str(), ancestor).is_none()
                 {
-                    work.push(dependency.as_str());
+                    unvisited.push(dependency.as_str());
                 }
             }
         }
         found.into_values().collect()
     }
 
-    pub fn submit(&mut self, now: Instant, spec: JobSpec, run: f64, cancel_from: Option<Instant>) {
-        let job = Job {
-            run: seconds(run),
-            asked: false,
-            accepted: None,
-            given_up: false,
-            cancel_from,
-            cancelled: None,
-            terminal: None,
-            answered: now,
-            next: now,
-            in_flight: false,
-            done: BTreeSet::new(),
-            passed_over: None,
-            spec,
-        };
-        self.jobs.insert(job.spec.id.as_str().to_owned(), job);
+    /// Adds a job that its user submits with the next step; `run_s` is the run time of each
+    /// task in seconds.
+    pub fn submit(&mut self, now: Instant, spec: JobSpec, run_s: f64, cancel_from: Option<Instant>) {
+        let id = spec.id.as_str().to_owned();
+        self.jobs.insert(id, Job::new(now, spec, run_s, cancel_from));
     }
 
+    /// The next request of a job's user, if one is due.
     pub(super) fn step_user(&mut self, now: Instant, id: &str) {
         let resubmits = self.rng.random_bool(0.05);
         let accepted =
@@ -116,8 +126,8 @@
         if job.in_flight || job.given_up || now < job.next {
             return;
         }
-        let wants_off = job.cancel_from.is_some_and(|at| now >= at) && job.terminal.is_none();
-        let question = match (job.accepted, wants_off) {
+        let wants_cancelled = job.cancel_from.is_some_and(|at| now >= at) && job.terminal.is_none();
+        let question = match (job.accepted, wants_cancelled) {
             (None, _) => Question::Submit,
             (Some(_), true) => Question::Cancel,
             _ if resubmits => Question::Submit,
@@ -129,6 +139,7 @@
         self.send_to_any_controller(now, id, question, request);
     }
 
+    /// The request that asks this question about a job.
     fn request_about(&self, id: &str, question: Question) -> Request {
         match (question, self.jobs.get(id)) {
             (Question::Submit, Some(job)) => post("/api/jobs", encode(&job.spec.encode().build())),
@@ -137,29 +148,25 @@
         }
     }
 
-    pub(super) fn send_to_any_controller(
-        &mut self,
-        now: Instant,
-        id: &str,
-        question: Question,
-        request: Request,
-    ) {
-        let cut = now < self.zone_cut_until;
-        let up = |at: &usize| !(cut && *at == 1) && self.controllers[*at].handle.is_some();
-        let reached: Vec<usize> = (0..self.controllers.len()).filter(up).collect();
+    /// Sends a request to a random controller that can be reached.
+    fn send_to_any_controller(&mut self, now: Instant, id: &str, question: Question, request: Request) {
+        let is_cut = now < self.zone_cut_until;
+        let is_up =
+            |at: &usize| !(is_cut && *at == PARTITIONED_CONTROLLER) && self.controllers[*at].handle.is_some();
+        let reached: Vec<usize> = (0..self.controllers.len()).filter(is_up).collect();
         let at = (!reached.is_empty()).then(|| reached[self.rng.random_range(0..reached.len())]);
         let (id, after) = (id.to_owned(), Duration::from_millis(2));
         self.send(now, UserRequest { id, question, request, at, after, is_extra: false });
     }
 
+    /// Sends a request; its answer comes as an [`Event::Answered`].
     fn send(&mut self, now: Instant, user_request: UserRequest) {
         let UserRequest { id, question, request, at, after, is_extra } = user_request;
-        let (share, until) = self.late_requests;
-        let late = now < until && self.rng.random_bool(share);
-        if late && !matches!(question, Question::Invalid(_) | Question::Unknown) {
-            self.late_copy(&request);
+        let has_late_copy = self.late_requests.strikes(now, &mut self.rng);
+        if has_late_copy && !matches!(question, Question::Invalid(_) | Question::Unknown) {
+            self.send_late_copy_of_request(&request);
         }
-        let patience = seconds(if question == Question::Poll { 2.0 } else { 5.0 });
+        let timeout = seconds(if question == Question::Poll { 2.0 } else { 5.0 });
         let (job, answers) = (id, self.answers.clone());
         let reached = at.and_then(|at| {
             let controller = &self.controllers[at];
@@ -174,14 +181,14 @@
                 return Event::Answered { job, question, origin, answer: None, is_extra };
             };
             let handled = stalls.run(Handler::handle(&handle, request));
-            let answer = tokio::time::timeout(patience, handled).await.ok();
+            let answer = tokio::time::timeout(timeout, handled).await.ok();
             let order = answers.fetch_add(1, Ordering::Relaxed);
             Event::Answered { job, question, origin: Origin { sent, process, order }, answer, is_extra }
         });
     }
 
-    /// A copy of a request arrives again later, wherever; nobody waits for its answer.
-    fn late_copy(&mut self, request: &Request) {
+    /// A copy of a request arrives later, at any controller; nobody waits for its answer.
+    fn send_late_copy_of_request(&mut self, request: &Request) {
         let after = seconds(self.rng.random_range(1.0..40.0));
         let at = self.rng.random_range(0..self.controllers.len());
         let Some(handle) = self.controllers[at].handle.clone() else { return };
@@ -195,7 +202,7 @@
         });
     }
 
-    /// Asks all controllers within milliseconds, and again within a second.
+    /// Sends extra requests to all controllers within milliseconds, and again within a second.
     fn poll_all_controllers(&mut self, now: Instant, id: &str) {
         for at in 0..self.controllers.len() {
             for after in [0.001, 0.02, 0.2, 0.9] {
@@ -205,28 +212,31 @@
         }
     }
 
+    /// Sends an extra request about a job: mostly a poll, else a repeated submission, or a
+    /// cancellation where that changes nothing.
     fn send_extra_request(&mut self, now: Instant, id: &str, at: usize, after: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
-        let over = job.terminal.is_some();
-        let cancelled = job.cancel_from.is_some_and(|from| now >= from);
+        let is_terminal = job.terminal.is_some();
+        let is_cancelled = job.cancel_from.is_some_and(|from| now >= from);
         let question = match self.rng.random_range(0..8) {
             0 | 1 => Question::Submit,
-            2 if over || cancelled => Question::Cancel,
+            2 if is_terminal || is_cancelled => Question::Cancel,
             _ => Question::Poll,
         };
         let request = self.request_about(id, question);
-        let reached = (!(now < self.zone_cut_until && at == 1)).then_some(at);
+        let is_cut = now < self.zone_cut_until && at == PARTITIONED_CONTROLLER;
+        let reached = (!is_cut).then_some(at);
         let id = id.to_owned();
         self.send(now, UserRequest { id, question, request, at: reached, after, is_extra: true });
     }
 
-    /// Polls every job that is over at every controller, one after the other; returns how
-    /// many jobs there are.
+    /// Polls every terminal job at every controller, one after the other with a pause; returns
+    /// the number of jobs.
     pub fn poll_finished_jobs_everywhere(&mut self, pause: Duration) -> usize {
-        let over: Vec<String> =
+        let terminal: Vec<String> =
             self.jobs.iter().filter(|(_, job)| job.terminal.is_some()).map(|(id, _)| id.clone()).collect();
         let (now, mut after) = (Instant::now(), Duration::ZERO);
-        for id in &over {
+        for id in &terminal {
             for at in 0..self.controllers.len() {
                 let request = self.request_about(id, Question::Poll);
                 let (id, question) = (id.clone(), Question::Poll);
@@ -234,71 +244,80 @@
                 after += pause;
             }
         }
-        over.len()
+        terminal.len()
     }
 
-    /// Users ask about any job, also long after it is over, beside what they need.
+    /// Users send extra requests about any job, also long after it is terminal.
     pub(super) fn send_extra_requests(&mut self, now: Instant) {
-        let chance = self.shape.extra_requests * STEP.as_secs_f64();
-        let extra_requests = chance.floor() as usize + usize::from(self.rng.random_bool(chance.fract()));
+        let expected = self.shape.extra_requests * STEP.as_secs_f64();
+        let count = expected.floor() as usize + usize::from(self.rng.random_bool(expected.fract()));
         let known: Vec<String> =
             self.jobs.iter().filter(|(_, job)| job.accepted.is_some()).map(|(id, _)| id.clone()).collect();
-        for _ in 0..extra_requests.min(known.len()) {
+        for _ in 0..count.min(known.len()) {
             let id = &known[self.rng.random_range(0..known.len())];
             let at = self.rng.random_range(0..self.controllers.len());
             self.send_extra_request(now, id, at, Duration::from_millis(2));
         }
     }
 
-    /// Requests that must be refused, and questions about what nobody submitted.
+    /// Sends a submission that must be rejected, or a poll of a job that nobody submitted.
     pub(super) fn send_invalid_request(&mut self, now: Instant) {
-        let n = self.rng.random_range(0..1000);
-        let mut spec = sample(&format!("job-9{n:05}"), "red", 1, 1.0);
+        let number = self.rng.random_range(0..1000);
+        let spec = sample(&format!("job-9{number:05}"), "red", 1, 1.0);
         let kinds = if self.shape.dependent_share > 0.0 { 7 } else { 4 };
-        match self.rng.random_range(0..kinds) {
-            4 => {
-                let awaits = ["job-77777", spec.id.as_str()][n % 2];
-                spec.dependencies = JobId::parse(awaits).into_iter().collect();
-                let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
-            }
-            5 => {
-                let service = |job: &&Job| job.spec.kind == JobKind::Service && job.accepted.is_some();
-                let Some(service) = self.jobs.values().find(service) else { return };
-                spec.dependencies = vec![service.spec.id.clone()];
-                let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
-            }
-            6 => {
-                let request = post("/api/jobs", encode(&spec.encode().set("awaits", "job-1").build()));
-                self.send_to_any_controller(now, "odd", Question::Invalid(400), request);
-            }
+        let kind = self.rng.random_range(0..kinds);
+        let Some((question, request)) = self.invalid_request(kind, number, spec) else { return };
+        self.send_to_any_controller(now, "odd", question, request);
+    }
+
+    /// An invalid request of some kind, made from a valid description; none if no job fits.
+    fn invalid_request(
+        &mut self,
+        kind: u32,
+        number: usize,
+        mut spec: JobSpec,
+    ) -> Option<(Question, Request)> {
+        let status = match kind {
+            // A field is missing.
             0 => {
-                let Value::Map(mut fields) = spec.encode().build() else { return };
+                let Value::Map(mut fields) = spec.encode().build() else { return None };
                 let at = self.rng.random_range(0..fields.len());
                 fields.remove(at);
-                let request = post("/api/jobs", encode(&Value::Map(fields)));
-                self.send_to_any_controller(now, "odd", Question::Invalid(400), request);
+                return Some((Question::Invalid(400), submission(&Value::Map(fields))));
             }
+            // A task larger than any machine.
             1 => {
                 spec.cpus = 64.0;
-                let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
+                422
             }
+            // A service that does not fit the quota.
             2 => {
                 (spec.kind, spec.tasks, spec.cpus) = (JobKind::Service, 9, 2.0);
-                let request = post("/api/jobs", encode(&spec.encode().build()));
-                self.send_to_any_controller(now, "odd", Question::Invalid(422), request);
+                422
             }
-            _ => self.send_to_any_controller(
-                now,
-                "odd",
-                Question::Unknown,
-                get(&format!("/api/jobs/job-8{n:05}")),
-            ),
-        }
+            // A dependency that does not exist, or on itself.
+            4 => {
+                let dependency = ["job-77777", spec.id.as_str()][number % 2];
+                spec.dependencies = JobId::parse(dependency).into_iter().collect();
+                422
+            }
+            // A dependency on a service.
+            5 => {
+                let is_service = |job: &&Job| job.spec.kind == JobKind::Service && job.accepted.is_some();
+                spec.dependencies = vec![self.jobs.values().find(is_service)?.spec.id.clone()];
+                422
+            }
+            // A list of dependencies that is none.
+            6 => {
+                let body = spec.encode().set("awaits", "job-1").build();
+                return Some((Question::Invalid(400), submission(&body)));
+            }
+            _ => return Some((Question::Unknown, get(&format!("/api/jobs/job-8{number:05}")))),
+        };
+        Some((Question::Invalid(status), submission(&spec.encode().build())))
     }
 
+    /// A user takes the answer to its request, or none; sends more after a change.
     pub fn answered(
         &mut self,
         id: &str,
@@ -312,38 +331,44 @@
         let body = answer.as_ref().and_then(|a| decode(&a.body).ok()).unwrap_or(Value::Null);
         let standing = Fields::of(&body).ok().and_then(|f| f.text("standing").ok().map(str::to_owned));
         match question {
-            Question::Invalid(expected) => {
-                if !(status == expected || matches!(status, 0 | 429 | 503 | 504)) {
-                    self.record_violation("accepted_odd", format!("{status} where {expected} was due"));
-                }
-                return;
-            }
+            Question::Invalid(expected) => return self.check_rejected(status, expected),
             Question::Unknown if status == 200 => return self.record_violation("invented", "200".into()),
             Question::Unknown => return,
             _ => {}
         }
-        let known = |job: &Job| (job.accepted.is_some(), job.terminal.is_some());
-        let before = self.jobs.get(id).map(known);
-        let cancels_job = question == Question::Cancel;
-        self.note_answer(now, id, origin, status, standing.as_deref(), cancels_job);
-        if self.shape.extra_requests > 1.0 && self.jobs.get(id).map(known) != before {
+        let progress = |job: &Job| (job.accepted.is_some(), job.terminal.is_some());
+        let before = self.jobs.get(id).map(progress);
+        let is_cancellation = question == Question::Cancel;
+        self.note_answer(now, id, origin, status, standing.as_deref(), is_cancellation);
+        if self.shape.extra_requests > 1.0 && self.jobs.get(id).map(progress) != before {
             self.poll_all_controllers(now, id);
         }
-        if is_extra {
-            return;
+        if !is_extra {
+            self.schedule_next_request(now, id, status);
+        }
+    }
+
+    /// An invalid request must be rejected, unless it was not answered or is to be retried.
+    fn check_rejected(&mut self, status: u16, expected: u16) {
+        if !(status == expected || matches!(status, 0 | 429 | 503 | 504)) {
+            self.record_violation("accepted_odd", format!("{status} where {expected} was due"));
         }
-        let wait = seconds(self.rng.random_range(1.0..1.5));
-        let often = seconds(if now > self.calm_at { 5.0 } else { 3.0 });
+    }
+
+    /// When the user of a job sends its next request; never if the job was rejected.
+    fn schedule_next_request(&mut self, now: Instant, id: &str, status: u16) {
+        let retry_after = seconds(self.rng.random_range(1.0..1.5));
+        let poll_interval = seconds(if now > self.calm_at { 5.0 } else { 3.0 });
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.in_flight = false;
-        job.next = now + if status == 200 || status == 201 { often } else { wait };
+        job.next = now + if status == 200 || status == 201 { poll_interval } else { retry_after };
         job.given_up |= job.accepted.is_none() && matches!(status, 400 | 422);
         if job.given_up {
             self.record_violation("refused", format!("{id} got {status}"));
         }
     }
 
-    /// What a user is told, against what it was told before and what has happened.
+    /// Checks an answer against earlier ones and against what has happened.
     pub fn note_answer(
         &mut self,
         now: Instant,
@@ -351,68 +376,94 @@
         origin: Origin,
         status: u16,
         standing: Option<&str>,
-        cancels_job: bool,
+        is_cancellation: bool,
     ) {
-        let within = self.settings.cluster.workers.cancellation();
-        let ancestors = self.ancestors(id);
-        let cancels = |a: &&Job| {
-            a.cancel_from.is_some_and(|at| now >= at)
-                && a.terminal.as_ref().is_none_or(|t| t.standing != "done")
-        };
-        let ancestor_cancelled = ancestors.iter().any(cancels);
-        let orphaned = ancestors.iter().any(|a| a.cancelled.is_some_and(|at| origin.sent > at + within));
+        let answer = UserAnswer { now, id, origin, is_cancellation };
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let accepted = job.accepted.is_some_and(|at| at < origin.sent);
+        let was_accepted = job.accepted.is_some_and(|at| at < origin.sent);
         if matches!(status, 200 | 201 | 404) {
             job.answered = now;
         }
-        let mut wrong = Vec::new();
-        match (status, standing) {
-            (404, _) if accepted => wrong.push(("forgotten", "404")),
-            (400 | 422, _) if accepted => wrong.push(("forgotten", "refused as new")),
-            (200 | 201, Some(standing)) => {
-                job.accepted.get_or_insert(now);
-                if let Some(told) = &job.terminal {
-                    self.repeated_answers += 1;
-                    let same_process = told.by.get(&origin.process).is_some_and(|at| *at < origin.order);
-                    match told.standing != standing {
-                        true if told.at < origin.sent => wrong.push(("went_back", "told otherwise before")),
-                        true if same_process => wrong.push(("went_back", "its sender had told otherwise")),
-                        true => self.overtaken += 1,
-                        false => {}
-                    }
-                }
-                match standing {
-                    "done" if (job.done.len() as u32) < job.spec.tasks => {
-                        wrong.push(("not_done", "tasks are left"));
-                    }
-                    "queued" | "running" if orphaned => {
-                        wrong.push(("orphaned", "a job before it was cancelled long ago"));
-                    }
-                    "cancelled" if job.cancel_from.is_none_or(|at| now < at) && !ancestor_cancelled => {
-                        wrong.push(("went_back", "its user did not cancel it"));
-                    }
-                    "done" | "cancelled" => {}
-                    _ if cancels_job => wrong.push(("withdrawn", "200 with no final standing")),
-                    _ => {}
-                }
-                if let Some(last) = ["done", "cancelled"].into_iter().find(|last| *last == standing) {
-                    let first = || TerminalState { standing: last, at: now, by: BTreeMap::new() };
-                    let told = job.terminal.get_or_insert_with(first);
-                    told.by.entry(origin.process).or_insert(origin.order);
-                    if last == "cancelled" {
-                        self.cancellations += usize::from(job.cancelled.is_none());
-                        job.cancelled.get_or_insert(now);
-                    }
-                }
+        let violations = match (status, standing) {
+            (404, _) if was_accepted => vec![("forgotten", "404")],
+            (400 | 422, _) if was_accepted => vec![("forgotten", "refused as new")],
+            (200 | 201, Some(standing)) => self.check_state(&answer, standing),
+            _ => Vec::new(),
+        };
+        for (rule, what) in violations {
+            let what = format!("{id}: {what} ({status} {standing:?} by {:?})", origin.process);
+            self.record_violation(rule, what);
+        }
+    }
+
+    /// Checks a state that a user was answered, and notes it.
+    fn check_state(&mut self, answer: &UserAnswer<'_>, standing: &str) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        if let Some(job) = self.jobs.get_mut(answer.id) {
+            job.accepted.get_or_insert(answer.now);
+        }
+        violations.extend(self.check_monotonic(answer, standing));
+        violations.extend(self.check_reason(answer, standing));
+        self.note_terminal_state(answer, standing);
+        violations
+    }
+
+    /// After a terminal state no other may follow, unless its sender could not know of it.
+    fn check_monotonic(&mut self, answer: &UserAnswer<'_>, standing: &str) -> Option<Violation> {
+        let terminal = self.jobs.get(answer.id)?.terminal.as_ref()?;
+        self.repeated_answers += 1;
+        if terminal.standing == standing {
+            return None;
+        }
+        if terminal.at < answer.origin.sent {
+            return Some(("went_back", "told otherwise before"));
+        }
+        if terminal.by.get(&answer.origin.process).is_some_and(|order| *order < answer.origin.order) {
+            return Some(("went_back", "its sender had told otherwise"));
+        }
+        self.overtaken += 1;
+        None
+    }
+
+    /// A state must have a reason: the tasks that have ended, or a cancellation.
+    fn check_reason(&self, answer: &UserAnswer<'_>, standing: &str) -> Option<Violation> {
+        let job = self.jobs.get(answer.id)?;
+        let wants_cancelled = |job: &Job| job.cancel_from.is_some_and(|at| answer.now >= at);
+        let was_done = |job: &Job| job.terminal.as_ref().is_some_and(|terminal| terminal.standing == "done");
+        let ancestors = self.ancestors(answer.id);
+        let is_ancestor_cancelled = ancestors.iter().any(|job| wants_cancelled(job) && !was_done(job));
+        let within = self.settings.cluster.workers.cancellation();
+        let is_orphaned =
+            ancestors.iter().any(|job| job.cancelled.is_some_and(|at| answer.origin.sent > at + within));
+        match standing {
+            "done" if job.has_unfinished_tasks() => Some(("not_done", "tasks are left")),
+            "queued" | "running" if is_orphaned => {
+                Some(("orphaned", "a job before it was cancelled long ago"))
             }
-            _ => {}
+            "cancelled" if !wants_cancelled(job) && !is_ancestor_cancelled => {
+                Some(("went_back", "its user did not cancel it"))
+            }
+            "done" | "cancelled" => None,
+            _ if answer.is_cancellation => Some(("withdrawn", "200 with no final standing")),
+            _ => None,
         }
-        for (rule, what) in wrong {
-            self.record_violation(
-                rule,
-                format!("{id}: {what} ({status} {standing:?} by {:?})", origin.process),
-            );
+    }
+
+    /// Notes a terminal state, by whom it was answered, and the first answer of a cancellation.
+    fn note_terminal_state(&mut self, answer: &UserAnswer<'_>, standing: &str) {
+        let Some(job) = self.jobs.get_mut(answer.id) else { return };
+        let Some(standing) = ["done", "cancelled"].into_iter().find(|last| *last == standing) else { return };
+        let first = || TerminalState { standing, at: answer.now, by: BTreeMap::new() };
+        let terminal = job.terminal.get_or_insert_with(first);
+        terminal.by.entry(answer.origin.process).or_insert(answer.origin.order);
+        if standing == "cancelled" {
+            self.cancellations += usize::from(job.cancelled.is_none());
+            job.cancelled.get_or_insert(answer.now);
         }
     }
 }
+
+/// A submission with this body.
+fn submission(body: &Value) -> Request {
+    post("/api/jobs", encode(body))
+}
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -1,105 +1,161 @@
-//! Workers as PROTOCOL describes them: reports, leases, tasks and orders.
+//! Workers as PROTOCOL describes them: heartbeats, leases, tasks and commands.
 
 use super::*;
 
+/// Workers drop a heartbeat's reply that takes longer.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
+/// CPUs of every machine.
+const CPUS: f64 = 8.0;
+
+/// A command as the protocol encodes it.
+struct WorkerCommand<'a> {
+    verb: &'a str,
+    key: TaskKey,
+    attempt: u64,
+}
+
+impl<'a> WorkerCommand<'a> {
+    /// Decodes a command; panics where it is none, since only controllers send them.
+    fn decode(command: &'a Value) -> Self {
+        let fields = Fields::of(command).expect("a map");
+        let task = fields.text("sheet").expect("a task");
+        let (job, index) = task.split_once('/').expect("a task");
+        let key = (job.to_owned(), index.parse().expect("a number"));
+        let attempt = fields.count("try").expect("an attempt");
+        WorkerCommand { verb: fields.text("verb").expect("a verb"), key, attempt }
+    }
+}
+
+impl Worker {
+    /// At the end of its lease a worker kills and forgets all tasks.
+    fn expire_lease(&mut self, now: Instant) {
+        self.tasks.clear();
+        self.incarnation += 1;
+        (self.lease_from, self.changed) = (now, true);
+    }
+
+    /// While a machine is stalled, what it runs neither goes on nor ends.
+    fn postpone_tasks(&mut self) {
+        for (_, task) in &mut self.tasks {
+            match &mut task.state {
+                RunState::Fetching(at) | RunState::Running(at) => *at += STEP,
+                RunState::Exited(_) => {}
+            }
+        }
+    }
+
+    /// Sends the next heartbeats to that controller, the first after some seconds.
+    fn turn_to(&mut self, target: usize, next_heartbeat: Instant) {
+        self.target = target;
+        self.next_heartbeat = next_heartbeat;
+    }
+}
+
 impl Simulation {
+    /// One step of a worker: its lease, its tasks and its heartbeat.
     pub(super) fn step_worker(&mut self, now: Instant, name: &str) {
-        let (lease, heartbeat) =
-            (self.settings.cluster.workers.lease(), self.settings.cluster.workers.report());
-        let Some(m) = self.machines.get_mut(name).filter(|m| m.gone_at.is_none() && now >= m.up_at) else {
+        let lease = self.settings.cluster.workers.lease();
+        let Some(worker) = self.machines.get_mut(name).filter(|m| m.gone_at.is_none() && now >= m.up_at)
+        else {
             return;
         };
-        if now > m.lease_from + lease {
-            // The lease is over: everything is killed and forgotten.
-            self.lost_leases += usize::from(!m.tasks.is_empty());
-            m.tasks.clear();
-            m.incarnation += 1;
-            (m.lease_from, m.changed) = (now, true);
+        if now > worker.lease_from + lease {
+            self.lost_leases += usize::from(!worker.tasks.is_empty());
+            worker.expire_lease(now);
         }
-        if now < m.hung_until {
-            // What it runs neither goes on nor ends.
-            for (_, task) in &mut m.tasks {
-                match &mut task.state {
-                    RunState::Fetching(at) | RunState::Running(at) => *at += STEP,
-                    RunState::Exited(_) => {}
-                }
-            }
-            return;
+        if now < worker.hung_until {
+            return worker.postpone_tasks();
         }
-        for body in std::mem::take(&mut m.held_commands) {
+        for body in std::mem::take(&mut worker.held_commands) {
             self.handle_pushed_commands(now, name, &body);
         }
-        let Some(m) = self.machines.get_mut(name) else { return };
-        let (mut begun, mut ended) = (Vec::new(), Vec::new());
-        for (key, task) in &mut m.tasks {
+        self.progress_tasks(now, name);
+        let is_due = |m: &&Worker| !m.in_flight && now >= m.next_heartbeat;
+        if self.machines.get(name).as_ref().is_some_and(is_due) {
+            self.send_heartbeat(now, name);
+        }
+    }
+
+    /// Starts tasks whose image is fetched, and ends those that have run their time.
+    fn progress_tasks(&mut self, now: Instant, name: &str) {
+        let Some(worker) = self.machines.get_mut(name) else { return };
+        let (mut started, mut ended) = (Vec::new(), Vec::new());
+        for (key, task) in &mut worker.tasks {
+            let has_run = |since: Instant| {
+                self.jobs.get(&key.0).is_some_and(|job| {
+                    job.spec.kind == JobKind::Array && (now >= since + job.run || job.done.contains(&key.1))
+                })
+            };
             match task.state {
                 RunState::Fetching(until) if now >= until => {
                     task.state = RunState::Running(now);
-                    begun.push(key.clone());
+                    started.push(key.clone());
                 }
-                RunState::Running(since)
-                    if self.jobs.get(&key.0).is_some_and(|j| {
-                        j.spec.kind == JobKind::Array && (now >= since + j.run || j.done.contains(&key.1))
-                    }) =>
-                {
+                RunState::Running(since) if has_run(since) => {
                     task.state = RunState::Exited("done");
                     ended.push(key.clone());
                 }
                 _ => {}
             }
         }
-        m.changed |= !begun.is_empty() || !ended.is_empty();
-        if m.tasks.iter().any(|(_, t)| !matches!(t.state, RunState::Exited(_))) {
-            m.empty_since = now;
+        worker.changed |= !started.is_empty() || !ended.is_empty();
+        if worker.tasks.iter().any(|(_, task)| task.is_live()) {
+            worker.empty_since = now;
         }
-        for key in begun {
+        for key in started {
             self.check_start(now, name, &key);
         }
         for key in ended {
             self.task_done(now, &key);
         }
-        let Some(m) = self.machines.get_mut(name) else { return };
-        if m.in_flight || now < m.next_heartbeat {
-            return;
-        }
-        let pause = heartbeat.mul_f64(self.rng.random_range(0.75..1.25));
-        m.next_heartbeat = now + pause;
-        m.changed = false;
-        m.sequence += 1;
-        let body = encode_heartbeat(name, m);
-        let target = m.target;
-        let apart = now < self.zone_cut_until && (m.zone == "z2") != (target == 1);
-        let handle = self.controllers[target].handle.clone().filter(|_| now >= m.mute_until && !apart);
-        let (machine, incarnation, sent) = (name.to_owned(), m.incarnation, now);
-        m.in_flight = true;
-        let (share, until) = self.late_heartbeats;
-        if now < until && self.rng.random_bool(share) {
-            // A copy arrives again, wherever.
-            self.late_copies += 1;
-            let copy = body.clone();
-            let after = seconds(self.rng.random_range(2.0..30.0));
-            let other = self.rng.random_range(0..self.controllers.len());
-            if let Some(handle) = self.controllers[other].handle.clone() {
-                self.events.spawn(async move {
-                    tokio::time::sleep(after).await;
-                    Handler::handle(&handle, post("/agent/beat", copy)).await;
-                    Event::Nothing
-                });
-            }
+    }
+
+    /// Sends a heartbeat to the worker's controller, and perhaps a copy later.
+    fn send_heartbeat(&mut self, now: Instant, name: &str) {
+        let interval = self.settings.cluster.workers.report();
+        let Some(worker) = self.machines.get_mut(name) else { return };
+        worker.next_heartbeat = now + interval.mul_f64(self.rng.random_range(0.75..1.25));
+        worker.changed = false;
+        worker.sequence += 1;
+        worker.in_flight = true;
+        let body = encode_heartbeat(name, worker);
+        let (target, incarnation) = (worker.target, worker.incarnation);
+        let is_partitioned =
+            now < self.zone_cut_until && (worker.zone == "z2") != (target == PARTITIONED_CONTROLLER);
+        let is_received = now >= worker.mute_until && !is_partitioned;
+        let handle = self.controllers[target].handle.clone().filter(|_| is_received);
+        if self.late_heartbeats.strikes(now, &mut self.rng) {
+            self.send_late_copy_of_heartbeat(&body);
         }
+        let machine = name.to_owned();
         self.events.spawn(async move {
             tokio::time::sleep(Duration::from_millis(2)).await;
             let answer = match handle {
                 Some(handle) => {
-                    let asked = Handler::handle(&handle, post("/agent/beat", body));
-                    tokio::time::timeout(seconds(4.0), asked).await.ok()
+                    let handled = Handler::handle(&handle, post("/agent/beat", body));
+                    tokio::time::timeout(REPLY_TIMEOUT, handled).await.ok()
                 }
                 None => None,
             };
-            Event::HeartbeatAnswered { machine, controller: target, incarnation, sent, answer }
+            Event::HeartbeatAnswered { machine, controller: target, incarnation, sent: now, answer }
         });
     }
 
+    /// A copy of a heartbeat arrives later, at any controller.
+    fn send_late_copy_of_heartbeat(&mut self, body: &[u8]) {
+        self.late_copies += 1;
+        let after = seconds(self.rng.random_range(2.0..30.0));
+        let receiver = self.rng.random_range(0..self.controllers.len());
+        let Some(handle) = self.controllers[receiver].handle.clone() else { return };
+        let copy = body.to_vec();
+        self.events.spawn(async move {
+            tokio::time::sleep(after).await;
+            Handler::handle(&handle, post("/agent/beat", copy)).await;
+            Event::Nothing
+        });
+    }
+
+    /// A worker takes the answer to its heartbeat, or none, and chooses its next controller.
     pub(super) fn heartbeat_answered(
         &mut self,
         machine: &str,
@@ -108,168 +164,164 @@
         answer: Option<Response>,
     ) {
         let (now, controllers) = (Instant::now(), self.controllers.len());
-        let Some(m) = self.machines.get_mut(machine).filter(|m| m.gone_at.is_none()) else { return };
-        m.in_flight = false;
-        let lost = now < m.deaf_until || now < m.hung_until || now < m.mute_until;
-        let answer = answer.filter(|_| !lost && now < sent + seconds(4.0));
-        let next = (m.target + 1) % controllers;
-        let turn = |m: &mut Worker, target: usize, after: f64| {
-            m.target = target;
-            m.next_heartbeat = now + seconds(after);
-        };
+        let Some(worker) = self.machines.get_mut(machine).filter(|m| m.gone_at.is_none()) else { return };
+        worker.in_flight = false;
+        let is_lost = now < worker.deaf_until || now < worker.hung_until || now < worker.mute_until;
+        let answer = answer.filter(|_| !is_lost && now < sent + REPLY_TIMEOUT);
+        let next = (worker.target + 1) % controllers;
         match answer.map(|a| (a.status, decode(&a.body).unwrap_or(Value::Null))) {
-            Some((200, body)) if incarnation == m.incarnation => {
-                let fencing_token = Fields::of(&body).ok().and_then(|f| f.count("baton").ok()).unwrap_or(0);
-                if fencing_token < m.fencing_token {
-                    return;
-                }
-                if fencing_token > m.fencing_token {
-                    (m.fencing_token, m.changed) = (fencing_token, true);
-                }
-                m.lease_from = sent;
-                self.carry_out(now, machine, &body);
-                let Some(m) = self.machines.get_mut(machine) else { return };
-                if m.changed {
-                    m.next_heartbeat = m.next_heartbeat.min(now + seconds(0.5));
-                }
+            Some((200, body)) if incarnation == worker.incarnation => {
+                self.accept_reply(now, machine, sent, &body);
             }
             Some((200, _)) => {}
             Some((421, body)) => {
-                let named = Fields::of(&body).ok().and_then(|f| f.opt_text("foreman").ok().flatten());
-                match named.and_then(|n| n.strip_prefix("c-")?.parse().ok()).filter(|to| *to != m.target) {
-                    Some(to) => turn(m, to, 0.3),
-                    None => turn(m, next, 1.0),
+                let leader = Fields::of(&body).ok().and_then(|f| f.opt_text("foreman").ok().flatten());
+                let leader = leader.and_then(|name| name.strip_prefix("c-")?.parse().ok());
+                match leader.filter(|to| *to != worker.target) {
+                    Some(to) => worker.turn_to(to, now + seconds(0.3)),
+                    None => worker.turn_to(next, now + seconds(1.0)),
                 }
             }
-            _ => turn(m, next, 1.0),
+            _ => worker.turn_to(next, now + seconds(1.0)),
         }
     }
 
-    /// Orders straight to a worker.
+    /// A reply with a current fencing token renews the worker's lease and carries commands.
+    fn accept_reply(&mut self, now: Instant, machine: &str, sent: Instant, body: &Value) {
+        let Some(worker) = self.machines.get_mut(machine) else { return };
+        let fencing_token = Fields::of(body).ok().and_then(|f| f.count("baton").ok()).unwrap_or(0);
+        if fencing_token < worker.fencing_token {
+            return;
+        }
+        if fencing_token > worker.fencing_token {
+            (worker.fencing_token, worker.changed) = (fencing_token, true);
+        }
+        worker.lease_from = sent;
+        self.carry_out(now, machine, body);
+        let Some(worker) = self.machines.get_mut(machine) else { return };
+        if worker.changed {
+            worker.next_heartbeat = worker.next_heartbeat.min(now + seconds(0.5));
+        }
+    }
+
+    /// Commands that a controller pushes to a worker, by its number.
     pub(super) fn deliver_pushed_commands(
         &mut self,
-        n: usize,
+        number: usize,
         call: &Call,
         reply: oneshot::Sender<Result<Response, ClientError>>,
     ) {
         let now = Instant::now();
-        let name = format!("vm-{n:06}");
-        let Some(m) = self.machines.get_mut(&name).filter(|m| m.gone_at.is_none() && now >= m.up_at) else {
+        let name = format!("vm-{number:06}");
+        let Some(worker) = self.machines.get_mut(&name).filter(|m| m.gone_at.is_none() && now >= m.up_at)
+        else {
             return;
         };
-        if now < m.deaf_until || (now < self.zone_cut_until && m.zone == "z2") {
+        if now < worker.deaf_until || (now < self.zone_cut_until && worker.zone == "z2") {
             return;
         }
-        if now < m.hung_until {
-            return m.held_commands.push(call.body.clone());
+        if now < worker.hung_until {
+            return worker.held_commands.push(call.body.clone());
         }
         if let Some(response) = self.handle_pushed_commands(now, &name, &call.body) {
             let _ = reply.send(Ok(response));
         }
     }
 
-    pub(super) fn handle_pushed_commands(
-        &mut self,
-        now: Instant,
-        name: &str,
-        body: &[u8],
-    ) -> Option<Response> {
+    /// A worker takes pushed commands, unless their fencing token or its incarnation is older;
+    /// its response is a heartbeat.
+    fn handle_pushed_commands(&mut self, now: Instant, name: &str, body: &[u8]) -> Option<Response> {
         let body = decode(body).ok()?;
-        let f = Fields::of(&body).ok()?;
-        let (fencing_token, incarnation) = (f.count("baton").ok()?, f.count("shift").ok()?);
-        let m = self.machines.get_mut(name)?;
-        m.sequence += 1;
-        let status = if fencing_token < m.fencing_token || incarnation != m.incarnation { 409 } else { 200 };
-        if status == 200 {
-            m.fencing_token = fencing_token;
+        let fields = Fields::of(&body).ok()?;
+        let (fencing_token, incarnation) = (fields.count("baton").ok()?, fields.count("shift").ok()?);
+        let worker = self.machines.get_mut(name)?;
+        worker.sequence += 1;
+        let is_stale = fencing_token < worker.fencing_token || incarnation != worker.incarnation;
+        if !is_stale {
+            worker.fencing_token = fencing_token;
             self.carry_out(now, name, &body);
         }
-        let m = self.machines.get(name)?;
-        Some(Response { status, body: encode_heartbeat(name, m), retry_after_s: None, close: false })
+        let status = if is_stale { 409 } else { 200 };
+        let worker = self.machines.get(name)?;
+        Some(Response { status, body: encode_heartbeat(name, worker), retry_after_s: None, close: false })
     }
 
+    /// A worker carries out the commands of a message.
     pub fn carry_out(&mut self, now: Instant, name: &str, body: &Value) {
         let Some(commands) = Fields::of(body).ok().and_then(|f| f.list("orders").ok()) else { return };
         for command in commands {
-            let f = Fields::of(command).expect("a map");
-            let sheet = f.text("sheet").expect("a task");
-            let (job, index) = sheet.split_once('/').expect("a task");
-            let key: TaskKey = (job.to_owned(), index.parse().expect("a number"));
-            let attempt = f.count("try").expect("an attempt");
-            let verb = f.text("verb").expect("a verb");
+            let command = WorkerCommand::decode(command);
             let fetch = seconds(self.rng.random_range(0.2..2.0));
-            let Some(m) = self.machines.get_mut(name) else { return };
-            let held = m.tasks.iter_mut().find(|(k, t)| *k == key && t.attempt == attempt);
-            match (verb, held) {
-                ("start", None) => {
-                    let known = self.jobs.get(&key.0).filter(|j| j.asked);
-                    let live = |t: &RunningTask| !matches!(t.state, RunState::Exited(_));
-                    let used: f64 = m
-                        .tasks
-                        .iter()
-                        .filter(|(_, t)| live(t))
-                        .filter_map(|(k, _)| self.jobs.get(&k.0))
-                        .map(|j| j.spec.cpus)
-                        .sum();
-                    let state = match known {
-                        None => RunState::Exited("unknown"),
-                        Some(_) if m.tasks.iter().any(|(k, t)| *k == key && live(t)) => {
-                            RunState::Exited("in_use")
-                        }
-                        Some(j) if used + j.spec.cpus > 8.0 + 1e-6 => RunState::Exited("no_room"),
-                        Some(_) => RunState::Fetching(now + fetch),
-                    };
-                    m.tasks.push((key.clone(), RunningTask { attempt, state }));
-                    m.changed = true;
-                    // Whatever was on its way when the user was told is dropped by
-                    // the worker four seconds later.
-                    let told = self.jobs.get(&key.0).and_then(|j| j.cancelled);
-                    if told.is_some_and(|at| now > at + seconds(4.0)) {
-                        self.record_violation("started_cancelled", format!("{}/{} on {name}", key.0, key.1));
-                    }
-                }
-                ("stop", Some((_, task))) if !matches!(task.state, RunState::Exited(_)) => {
+            let Some(worker) = self.machines.get_mut(name) else { return };
+            let is_meant =
+                |key: &TaskKey, task: &RunningTask| *key == command.key && task.attempt == command.attempt;
+            let attempt = worker.tasks.iter_mut().find(|(key, task)| is_meant(key, task));
+            match (command.verb, attempt) {
+                ("start", None) => self.start_task(now, name, command.key, command.attempt, now + fetch),
+                ("stop", Some((_, task))) if task.is_live() => {
                     task.state = RunState::Exited("halted");
-                    m.changed = true;
+                    worker.changed = true;
                 }
-                ("reap", Some((_, task))) if matches!(task.state, RunState::Exited(_)) => {
-                    m.tasks.retain(|(k, t)| !(*k == key && t.attempt == attempt));
-                    m.changed = true;
+                ("reap", Some((_, task))) if !task.is_live() => {
+                    worker.tasks.retain(|(key, task)| !is_meant(key, task));
+                    worker.changed = true;
                 }
                 _ => {}
             }
         }
     }
+
+    /// A worker starts an attempt, or lists it as ended where it cannot.
+    fn start_task(&mut self, now: Instant, name: &str, key: TaskKey, attempt: u64, fetched_at: Instant) {
+        let Some(worker) = self.machines.get(name) else { return };
+        let live = || worker.tasks.iter().filter(|(_, task)| task.is_live());
+        let used: f64 = live().filter_map(|(key, _)| self.jobs.get(&key.0)).map(|job| job.spec.cpus).sum();
+        let state = match self.jobs.get(&key.0).filter(|job| job.asked) {
+            None => RunState::Exited("unknown"),
+            Some(_) if live().any(|(other, _)| *other == key) => RunState::Exited("in_use"),
+            Some(job) if used + job.spec.cpus > CPUS + 1e-6 => RunState::Exited("no_room"),
+            Some(_) => RunState::Fetching(fetched_at),
+        };
+        let cancelled = self.jobs.get(&key.0).and_then(|job| job.cancelled);
+        let Some(worker) = self.machines.get_mut(name) else { return };
+        worker.tasks.push((key.clone(), RunningTask { attempt, state }));
+        worker.changed = true;
+        // A start that was in flight when the user was answered is dropped by the worker once
+        // the reply has timed out.
+        if cancelled.is_some_and(|at| now > at + REPLY_TIMEOUT) {
+            self.record_violation("started_cancelled", format!("{}/{} on {name}", key.0, key.1));
+        }
+    }
 }
 
-fn encode_heartbeat(name: &str, m: &Worker) -> Vec<u8> {
-    let sheets = m
-        .tasks
-        .iter()
-        .map(|((job, index), task)| {
-            let (standing, cause) = match task.state {
-                RunState::Fetching(_) => ("fetching", None),
-                RunState::Running(_) => ("running", None),
-                RunState::Exited(cause) => ("exited", Some(cause)),
-            };
-            MapBuilder::new()
-                .set("sheet", format!("{job}/{index}"))
-                .set("try", task.attempt)
-                .set("standing", standing)
-                .set_some("cause", cause)
-                .build()
-        })
-        .collect();
+/// The heartbeat that a worker sends now.
+fn encode_heartbeat(name: &str, worker: &Worker) -> Vec<u8> {
+    let tasks = worker.tasks.iter().map(|(key, task)| encode_task(key, task)).collect();
     let heartbeat = MapBuilder::new()
         .set("bench", name)
-        .set("address", m.address.to_string())
+        .set("address", worker.address.to_string())
         .set("build", "m8")
-        .set("hall", m.zone)
-        .set("loaners", m.spot)
-        .set("shift", m.incarnation)
-        .set("tick", m.sequence)
-        .set("baton", m.fencing_token)
-        .set("sheets", Value::Array(sheets))
+        .set("hall", worker.zone)
+        .set("loaners", worker.spot)
+        .set("shift", worker.incarnation)
+        .set("tick", worker.sequence)
+        .set("baton", worker.fencing_token)
+        .set("sheets", Value::Array(tasks))
         .build();
     encode(&heartbeat)
 }
+
+/// A task as a heartbeat lists it.
+fn encode_task((job, index): &TaskKey, task: &RunningTask) -> Value {
+    let (standing, cause) = match task.state {
+        RunState::Fetching(_) => ("fetching", None),
+        RunState::Running(_) => ("running", None),
+        RunState::Exited(cause) => ("exited", Some(cause)),
+    };
+    MapBuilder::new()
+        .set("sheet", format!("{job}/{index}"))
+        .set("try", task.attempt)
+        .set("standing", standing)
+        .set_some("cause", cause)
+        .build()
+}
