--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -15,6 +15,7 @@
 pub mod machine;
 pub mod machine_table;
 pub mod node_pool;
+pub mod offer_selection;
 pub mod provisioning;
 pub mod registry;
 pub mod scale_in;
--- /dev/null
+++ b/src/coordination/fleet/offer_selection.rs
@@ -0,0 +1,113 @@
+//! The selection of an offer: the cheapest way to cover a need with new machines.
+
+use tokio::time::Instant;
+
+use crate::coordination::fleet::catalog::MachineTypeId;
+use crate::coordination::fleet::instance_offers::InstanceOffer;
+use crate::coordination::fleet::scale_out::{ScaleOutRequest, UnmetNeed, saturating_count};
+use crate::coordination::leader::Leader;
+use crate::protocol::cloud::{MachineType, NodePoolRequest};
+
+/// The part of a machine that may be missing without another one being requested.
+const TOLERATED_SHORTFALL: f64 = 0.05;
+/// Below this ratio of costs the cheaper candidate is chosen.
+const CLEARLY_CHEAPER: f64 = 0.99;
+/// Below this ratio of costs, and not clearly cheaper, candidates count as equally expensive.
+const EQUALLY_EXPENSIVE: f64 = 1.01;
+
+/// A way to cover a need, compared with others.
+struct Candidate {
+    /// The weighted price of all machines that the need would take.
+    cost: f64,
+    /// The machines in its zone, with those that are being requested.
+    machines_in_zone: usize,
+    /// What would be requested; its count is limited to one node pool.
+    request: ScaleOutRequest,
+}
+
+impl Candidate {
+    /// Whether this one is to be preferred: it is cheaper, or it evens out the zones at about the
+    /// same cost.
+    fn is_better_than(&self, other: &Candidate) -> bool {
+        self.cost < other.cost * CLEARLY_CHEAPER
+            || (self.cost < other.cost * EQUALLY_EXPENSIVE && self.machines_in_zone < other.machines_in_zone)
+    }
+}
+
+impl Leader {
+    /// The cheapest request that covers `units`, in addition to the requests chosen already; at
+    /// about the same cost the one whose zone has the fewest machines.
+    pub(super) fn choose_offer(
+        &self,
+        now: Instant,
+        need: &UnmetNeed<'_>,
+        units: f64,
+        chosen: &[ScaleOutRequest],
+    ) -> Option<ScaleOutRequest> {
+        let max_count = self.max_machines_per_pool(None);
+        let mut best: Option<Candidate> = None;
+        for &id in &need.group.machine_types {
+            let machine_type = self.catalog.get(id)?;
+            let units_per_machine = self.units_per_machine(id, need);
+            if units_per_machine <= 0.0 {
+                continue;
+            }
+            let count = saturating_count((units / units_per_machine - TOLERATED_SHORTFALL).ceil().max(0.0));
+            if count == 0 {
+                continue;
+            }
+            for zone in &machine_type.zones {
+                let machines_in_zone = self.machines_in_zone(zone, chosen);
+                for spot in [true, false] {
+                    let offer = InstanceOffer { machine_type: id, zone: zone.clone(), spot };
+                    if !need.group.allows(&offer) || self.is_unavailable(now, &offer, chosen) {
+                        continue;
+                    }
+                    let cost = f64::from(count) * self.weighted_price(machine_type, spot);
+                    let request = ScaleOutRequest { offer, count: count.min(max_count) };
+                    let candidate = Candidate { cost, machines_in_zone, request };
+                    if best.as_ref().is_none_or(|best| candidate.is_better_than(best)) {
+                        best = Some(candidate);
+                    }
+                }
+            }
+        }
+        best.map(|best| best.request)
+    }
+
+    /// The machines in a zone, with those that are being requested.
+    fn machines_in_zone(&self, zone: &str, chosen: &[ScaleOutRequest]) -> usize {
+        let in_zone = chosen.iter().filter(|request| request.offer.zone == zone);
+        let requested: usize =
+            in_zone.map(|request| usize::try_from(request.count).unwrap_or(usize::MAX)).sum();
+        self.machines.values().filter(|machine| machine.zone == zone).count() + requested
+    }
+
+    /// Whether the offer is being requested, or was refused a short time ago.
+    fn is_unavailable(&self, now: Instant, offer: &InstanceOffer, chosen: &[ScaleOutRequest]) -> bool {
+        let is_same_offer = |request: &NodePoolRequest| {
+            request.zone == offer.zone
+                && request.spot == offer.spot
+                && self
+                    .catalog
+                    .get(offer.machine_type)
+                    .is_some_and(|listed| listed.name == request.machine_type)
+        };
+        chosen.iter().any(|request| request.offer == *offer)
+            || self.node_pools.values().any(|pool| pool.is_pending() && is_same_offer(&pool.record.request))
+            || self.autoscaler.backoffs.is_backing_off(now, offer)
+    }
+
+    /// The weighted price of a CPU, by which machines are compared.
+    pub(crate) fn price_per_cpu(&self, id: MachineTypeId, spot: bool) -> f64 {
+        self.catalog.get(id).map_or(f64::MAX, |machine_type| {
+            self.weighted_price(machine_type, spot) / machine_type.cpus.max(1.0)
+        })
+    }
+
+    /// The price of a machine, by which offers are compared: that of spot machines is weighted
+    /// by the policy, since they may be lost.
+    fn weighted_price(&self, machine_type: &MachineType, spot: bool) -> f64 {
+        if spot { machine_type.spot_price * self.config.tuning.spot_price_weight } else { machine_type.price }
+    }
+}
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -11,7 +11,6 @@
 use crate::coordination::fleet::machine::{Machine, Phase};
 use crate::coordination::leader::Leader;
 use crate::maps::HashSet;
-use crate::protocol::cloud::{MachineType, NodePoolRequest};
 use crate::protocol::workers::MachineId;
 
 /// A number of machines to be requested from the cloud.
@@ -42,35 +41,19 @@
 }
 
 /// What a group still needs, in units (CPUs or GPUs).
-struct UnmetNeed<'a> {
+pub(super) struct UnmetNeed<'a> {
     /// The group.
-    group: &'a DemandGroup,
+    pub(super) group: &'a DemandGroup,
     /// The group's demand as measured.
-    demand: &'a Demand,
+    pub(super) demand: &'a Demand,
     /// Units that no machine covers yet; zero or less once all are covered.
-    units: f64,
+    pub(super) units: f64,
     /// Units that on-demand machines cover, which spot machines might.
-    on_demand_units: f64,
-}
-
-/// A way to cover a need, compared with others.
-struct Candidate {
-    /// The weighted price of all machines that the need would take.
-    cost: f64,
-    /// The machines in its zone, with those that are being requested.
-    machines_in_zone: usize,
-    /// What would be requested; its count is limited to one node pool.
-    request: ScaleOutRequest,
+    pub(super) on_demand_units: f64,
 }
 
 /// The part of a machine below which the rest of a group's need does not keep a machine.
 const MIN_USEFUL_SHARE: f64 = 0.2;
-/// The part of a machine that may be missing without another one being requested.
-const TOLERATED_SHORTFALL: f64 = 0.05;
-/// Below this ratio of costs the cheaper candidate is chosen.
-const CLEARLY_CHEAPER: f64 = 0.99;
-/// Below this ratio of costs, and not clearly cheaper, candidates count as equally expensive.
-const EQUALLY_EXPENSIVE: f64 = 1.01;
 /// Up to this number of machines is a minority, however few there are in all.
 const ALWAYS_MINORITY: usize = 2;
 
@@ -82,7 +65,7 @@
 
 /// The whole part of a number of machines or requests. `as` saturates at the limits of `u32`,
 /// which is what is wanted here: a count is limited further by the size of a node pool.
-fn saturating_count(number: f64) -> u32 {
+pub(super) fn saturating_count(number: f64) -> u32 {
     number as u32
 }
 
@@ -97,15 +80,6 @@
     }
 }
 
-impl Candidate {
-    /// Whether this one is to be preferred: it is cheaper, or it evens out the zones at about the
-    /// same cost.
-    fn is_better_than(&self, other: &Candidate) -> bool {
-        self.cost < other.cost * CLEARLY_CHEAPER
-            || (self.cost < other.cost * EQUALLY_EXPENSIVE && self.machines_in_zone < other.machines_in_zone)
-    }
-}
-
 impl Leader {
     /// Covers every group's need with machines, the cheapest first, and creates node pools for
     /// the rest. Returns the machines that are needed.
@@ -176,19 +150,6 @@
             .collect()
     }
 
-    /// The weighted price of a CPU, by which machines are compared.
-    pub(crate) fn price_per_cpu(&self, id: MachineTypeId, spot: bool) -> f64 {
-        self.catalog.get(id).map_or(f64::MAX, |machine_type| {
-            self.weighted_price(machine_type, spot) / machine_type.cpus.max(1.0)
-        })
-    }
-
-    /// The price of a machine, by which offers are compared: that of spot machines is weighted
-    /// by the policy, since they may be lost.
-    fn weighted_price(&self, machine_type: &MachineType, spot: bool) -> f64 {
-        if spot { machine_type.spot_price * self.config.tuning.spot_price_weight } else { machine_type.price }
-    }
-
     /// The units that a group's machines should be able to run at once.
     fn target_capacity(&self, now: Instant, group: &DemandGroup, demand: &Demand) -> f64 {
         let tuning = &self.config.tuning;
@@ -274,73 +235,10 @@
         }
     }
 
-    /// The cheapest request that covers `units`, in addition to the requests chosen already; at
-    /// about the same cost the one whose zone has the fewest machines.
-    fn choose_offer(
-        &self,
-        now: Instant,
-        need: &UnmetNeed<'_>,
-        units: f64,
-        chosen: &[ScaleOutRequest],
-    ) -> Option<ScaleOutRequest> {
-        let max_count = self.max_machines_per_pool(None);
-        let mut best: Option<Candidate> = None;
-        for &id in &need.group.machine_types {
-            let machine_type = self.catalog.get(id)?;
-            let units_per_machine = self.units_per_machine(id, need);
-            if units_per_machine <= 0.0 {
-                continue;
-            }
-            let count = saturating_count((units / units_per_machine - TOLERATED_SHORTFALL).ceil().max(0.0));
-            if count == 0 {
-                continue;
-            }
-            for zone in &machine_type.zones {
-                let machines_in_zone = self.machines_in_zone(zone, chosen);
-                for spot in [true, false] {
-                    let offer = InstanceOffer { machine_type: id, zone: zone.clone(), spot };
-                    if !need.group.allows(&offer) || self.is_unavailable(now, &offer, chosen) {
-                        continue;
-                    }
-                    let cost = f64::from(count) * self.weighted_price(machine_type, spot);
-                    let request = ScaleOutRequest { offer, count: count.min(max_count) };
-                    let candidate = Candidate { cost, machines_in_zone, request };
-                    if best.as_ref().is_none_or(|best| candidate.is_better_than(best)) {
-                        best = Some(candidate);
-                    }
-                }
-            }
-        }
-        best.map(|best| best.request)
-    }
-
-    /// The machines in a zone, with those that are being requested.
-    fn machines_in_zone(&self, zone: &str, chosen: &[ScaleOutRequest]) -> usize {
-        let in_zone = chosen.iter().filter(|request| request.offer.zone == zone);
-        let requested: usize =
-            in_zone.map(|request| usize::try_from(request.count).unwrap_or(usize::MAX)).sum();
-        self.machines.values().filter(|machine| machine.zone == zone).count() + requested
-    }
-
     /// Units of a group's work that a machine of the type takes; none if the type is unknown.
-    fn units_per_machine(&self, id: MachineTypeId, need: &UnmetNeed<'_>) -> f64 {
+    pub(super) fn units_per_machine(&self, id: MachineTypeId, need: &UnmetNeed<'_>) -> f64 {
         self.catalog.get(id).map_or(0.0, |machine_type| need.demand.units_on(machine_type, need.group.gpus))
     }
-
-    /// Whether the offer is being requested, or was refused a short time ago.
-    fn is_unavailable(&self, now: Instant, offer: &InstanceOffer, chosen: &[ScaleOutRequest]) -> bool {
-        let is_same_offer = |request: &NodePoolRequest| {
-            request.zone == offer.zone
-                && request.spot == offer.spot
-                && self
-                    .catalog
-                    .get(offer.machine_type)
-                    .is_some_and(|listed| listed.name == request.machine_type)
-        };
-        chosen.iter().any(|request| request.offer == *offer)
-            || self.node_pools.values().any(|pool| pool.is_pending() && is_same_offer(&pool.record.request))
-            || self.autoscaler.backoffs.is_backing_off(now, offer)
-    }
 }
 
 impl PresentMachine {
