--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -3,6 +3,8 @@
 //! Absolute times mean little on a shared machine. Each cost is printed as a multiple of the
 //! same cost on the smallest fleet, measured in the same run: 1.0 means that it does not grow.
 
+#![allow(clippy::cast_possible_truncation, reason = "counts are small here")]
+
 use std::path::Path;
 use std::sync::Arc;
 use std::time::{Duration, Instant as Clock};
--- a/src/coordination/fleet/cloud_results.rs
+++ b/src/coordination/fleet/cloud_results.rs
@@ -21,18 +21,18 @@
         }
         match (operation, result) {
             (PendingOperation::ReadCatalog, Ok(CloudReply::Catalog(types))) => {
-                self.update_catalog(now, types)
+                self.update_catalog(now, types);
             }
             (PendingOperation::ReadCatalog, _) => self.catalog.record_failed_read(now),
             (PendingOperation::ListMachines, Ok(CloudReply::List(page))) => {
-                self.handle_inventory_page(now, page)
+                self.handle_inventory_page(now, &page);
             }
             (PendingOperation::ListMachines, _) => self.inventory.abort(),
             (PendingOperation::ProvisionNodePool(name), result) => {
-                self.handle_node_pool_provisioned(now, &name, result)
+                self.handle_node_pool_provisioned(now, &name, result);
             }
             (PendingOperation::DeleteMachines(machines), Ok(_)) => {
-                self.handle_machines_deleted(now, &machines)
+                self.handle_machines_deleted(now, &machines);
             }
             (PendingOperation::DeleteMachines(machines), Err(_)) => self.handle_deletion_failed(&machines),
             _ => {}
--- a/src/coordination/fleet/inventory_scan.rs
+++ b/src/coordination/fleet/inventory_scan.rs
@@ -31,7 +31,7 @@
 
     /// Handles a page of the current scan: registers and updates the machines that it lists,
     /// deletes those that have failed, and reads the next page or completes the scan.
-    pub(crate) fn handle_inventory_page(&mut self, now: Instant, page: InventoryPage) {
+    pub(crate) fn handle_inventory_page(&mut self, now: Instant, page: &InventoryPage) {
         let Some(mut scan) = self.inventory.take_scan() else { return };
         let mut failed = Vec::new();
         let lists_no_deleted_machines =
@@ -50,7 +50,7 @@
         }
         if !failed.is_empty() {
             tracing::info!(count = failed.len(), "machines failed in the cloud; deletion requested");
-            self.delete_machines(now, failed);
+            self.delete_machines(now, &failed);
         }
         match page.machines.last() {
             Some(last) if page.more => {
@@ -91,7 +91,7 @@
         }
         if !gone.is_empty() {
             tracing::info!(count = gone.len(), "machines no longer listed by the cloud; deletion requested");
-            self.delete_machines(now, gone);
+            self.delete_machines(now, &gone);
         }
     }
 }
--- a/src/coordination/fleet/offer_selection.rs
+++ b/src/coordination/fleet/offer_selection.rs
@@ -4,8 +4,9 @@
 
 use crate::coordination::fleet::catalog::MachineTypeId;
 use crate::coordination::fleet::instance_offers::InstanceOffer;
-use crate::coordination::fleet::scale_out::{ScaleOutRequest, UnmetNeed, saturating_count};
+use crate::coordination::fleet::scale_out::{ScaleOutRequest, UnmetNeed};
 use crate::coordination::leader::Leader;
+use crate::numeric::whole_u32;
 use crate::protocol::cloud::{MachineType, NodePoolRequest};
 
 /// The part of a machine that may be missing without another one being requested.
@@ -52,7 +53,7 @@
             if units_per_machine <= 0.0 {
                 continue;
             }
-            let count = saturating_count((units / units_per_machine - TOLERATED_SHORTFALL).ceil().max(0.0));
+            let count = whole_u32((units / units_per_machine - TOLERATED_SHORTFALL).ceil().max(0.0));
             if count == 0 {
                 continue;
             }
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -77,7 +77,7 @@
         }
         if pool.rewrite_needed {
             // Changes since the write was sent are not stored yet; the next write has them.
-            return self.write_node_pool(&name);
+            return self.write_node_pool(name);
         }
         if pool.is_empty() {
             self.node_pools.remove(name);
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -65,7 +65,7 @@
             to_delete.push(machine.id.clone());
         }
         if !to_delete.is_empty() {
-            self.delete_machines(now, to_delete);
+            self.delete_machines(now, &to_delete);
         }
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Requests the deletion of machines, unless this leader may no longer decide that.
-    pub(crate) fn delete_machines(&mut self, now: Instant, machines: Vec<MachineId>) {
+    pub(crate) fn delete_machines(&mut self, now: Instant, machines: &[MachineId]) {
         let Ok(permit) = self.term.leader_permit(now) else { return };
         for chunk in machines.chunks(MAX_MACHINES_PER_DELETION) {
             for id in chunk {
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -11,6 +11,7 @@
 use crate::coordination::fleet::machine::{Machine, Phase};
 use crate::coordination::leader::Leader;
 use crate::maps::HashSet;
+use crate::numeric::whole_u32;
 use crate::protocol::workers::MachineId;
 
 /// A number of machines to be requested from the cloud.
@@ -63,12 +64,6 @@
     count * 2 <= all.max(1) || count <= ALWAYS_MINORITY
 }
 
-/// The whole part of a number of machines or requests. `as` saturates at the limits of `u32`,
-/// which is what is wanted here: a count is limited further by the size of a node pool.
-pub(super) fn saturating_count(number: f64) -> u32 {
-    number as u32
-}
-
 impl UnmetNeed<'_> {
     /// Claims up to `units` of the supply, of which each machine takes `units_per_machine`.
     /// Returns the part of the supply that was claimed, in machines.
@@ -219,7 +214,7 @@
     /// one tick as the cloud accepts in a second, but at least one.
     fn request_missing(&self, now: Instant, mut need: UnmetNeed<'_>, requests: &mut Vec<ScaleOutRequest>) {
         if need.units > 0.0 {
-            let per_second = saturating_count(self.config.settings.cluster.cloud.rps.max(1.0));
+            let per_second = whole_u32(self.config.settings.cluster.cloud.rps.max(1.0));
             let already = u32::try_from(requests.len()).unwrap_or(u32::MAX);
             for _ in 0..per_second.saturating_sub(already).max(1) {
                 let Some(request) = self.choose_offer(now, &need, need.units, requests) else { break };
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -353,7 +353,7 @@
         Response { status: 200, body, retry_after_s: None, close: false }
     };
     assert_caught("violated", |simulation| {
-        simulation.check_metrics(0, &metrics_answer("invariantsViolated"))
+        simulation.check_metrics(0, &metrics_answer("invariantsViolated"));
     });
     assert_caught("violated", |simulation| simulation.check_metrics(0, &metrics_answer("epochsReused")));
     let broken = in_simulated_time(async {
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -93,7 +93,7 @@
                 count = silent_machines.len(),
                 "silent machines may hold cancelled tasks; deleting them"
             );
-            self.delete_machines(now, silent_machines);
+            self.delete_machines(now, &silent_machines);
         }
     }
 
--- a/src/storage/kv.rs
+++ b/src/storage/kv.rs
@@ -2,10 +2,10 @@
 //! to it.
 //!
 //! The actor keeps requests below the store's rate limits, with lease renewals first
-//! ([`rates`], [`queue`]); packs changes of several callers into one transaction ([`batch`]);
+//! (`rates`, `queue`); packs changes of several callers into one transaction (`batch`);
 //! makes each transaction depend on the leader's epoch, which serves as fencing token; and
 //! finds out whether a transaction without a usable response was committed before it reports
-//! a result ([`outcome`]).
+//! a result (`outcome`).
 
 mod actor;
 mod batch;
--- a/src/storage/rate_limit.rs
+++ b/src/storage/rate_limit.rs
@@ -57,7 +57,7 @@
     }
 
     /// Time until `amount` tokens beyond `reserve` are there, as of the last call of
-    /// [`TokenBucket::allows`]; [`MAX_WAIT_S`] at most.
+    /// [`TokenBucket::allows`]; `MAX_WAIT_S` at most.
     pub fn wait(&self, amount: f64, reserve: f64) -> Duration {
         let missing = ((amount + reserve).min(self.burst) - self.tokens).max(0.0);
         Duration::from_secs_f64((missing / self.rate).min(MAX_WAIT_S))
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -14,7 +14,7 @@
 /// Code generated from `proto/peer.proto`.
 mod wire {
     // Generated code follows neither this program's lints nor its rules for comments.
-    #![allow(clippy::all, clippy::unwrap_used, missing_docs)]
+    #![allow(clippy::all, clippy::pedantic, clippy::unwrap_used, missing_docs, rust_2018_idioms)]
     tonic::include_proto!("shedtally.peer.v1");
 }
 
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -294,7 +294,7 @@
             (true, _) => {}
             (false, 404) => self.add_finding(Rule::Invented, at, format!("{status} for an unknown job")),
             (false, _) => {
-                self.add_finding(Rule::AcceptedOdd, at, format!("{status} where {expected} was due"))
+                self.add_finding(Rule::AcceptedOdd, at, format!("{status} where {expected} was due"));
             }
         }
     }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -12,6 +12,8 @@
 //!
 //! Logs, schedule and history of a run with findings are kept under the build's folder.
 
+#![allow(clippy::cast_possible_truncation, reason = "counts are small here")]
+
 mod checker;
 mod checker_tests;
 mod cloud;
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -464,7 +464,7 @@
         match fault {
             Fault::Kill { target, back_after } => self.kill(at(target), back_after),
             Fault::KillAll { back_after } => {
-                (0..self.controllers.count()).for_each(|at| self.kill(at, back_after))
+                (0..self.controllers.count()).for_each(|at| self.kill(at, back_after));
             }
             Fault::Pause { target, lasts } => {
                 self.controllers.pause(at(target), true);
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -249,7 +249,7 @@
                 self.handle_pushed(now, body, reply);
             }
             Message::Responded { incarnation, sent, response } => {
-                self.handle_response(now, incarnation, sent, response)
+                self.handle_response(now, incarnation, sent, response);
             }
             Message::Inject(fault) => match fault {
                 MachineFault::LosesIncoming { lasts } => self.incoming_lost_until = now + lasts,
