--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -87,7 +87,7 @@
     harness.accept(sample("job-1", "red", 1, 1.0));
     harness.accept(sample("job-2", "red", 1, 1.0));
     let held = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![]));
-    let running: Vec<_> = held.iter().map(|s| task_status(s, TaskState::Running)).collect();
+    let running: Vec<_> = running_statuses(&held);
     harness.heartbeat("vm-1", 6, EPOCH, running.clone());
     let reply = harness.cancel("job-1");
     harness.commit_all();
--- a/src/coordination/tests/dag.rs
+++ b/src/coordination/tests/dag.rs
@@ -12,6 +12,7 @@
     }
 }
 
+/// A new leader that has read these jobs and states of dependencies, with one machine.
 fn harness_with_snapshot(jobs: Vec<JobSnapshot>, dependencies: &[(&str, DependencyState)]) -> Harness {
     let mut harness = Harness::with_machines(&["vm-1"]);
     let node_pools = vec![rented("vm-1", true)];
@@ -36,6 +37,7 @@
         starts(&self.heartbeat("vm-1", sequence, EPOCH, tasks))
     }
 
+    /// Commits all transactions but those that make a job done; these stay waiting.
     fn commit_all_but_completions(&mut self) {
         let writes_completion = |transaction: &Transaction| {
             transaction.changes.iter().any(|change| match change {
@@ -52,6 +54,7 @@
         self.commits = completions;
     }
 
+    /// The states that polls of these jobs are answered with.
     fn job_states(&self, jobs: &[&str]) -> Vec<Option<JobState>> {
         jobs.iter().map(|job| self.job_state(job)).collect()
     }
@@ -86,7 +89,7 @@
     assert_eq!(harness.job_state("job-3"), Some(JobState::Queued));
     harness.commit_all();
     let last = harness.starts_for_heartbeat(8, vec![]);
-    assert_eq!(last.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
+    assert_eq!(job_ids(&last), [id("job-3")]);
     // A late copy of an earlier heartbeat changes nothing.
     assert_eq!(harness.send_heartbeat("vm-1", 1, 3, EPOCH, ended), HeartbeatReply::Redirect);
 }
@@ -113,7 +116,7 @@
         }
         harness.accept(sample("job-3", "red", 1, 1.0));
         let next = harness.starts_for_heartbeat(200, vec![task_status(&first[0], TaskState::Running)]);
-        assert_eq!(next.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-3")]);
+        assert_eq!(job_ids(&next), [id("job-3")]);
         assert_eq!(harness.job_state("job-2"), waiting.then_some(JobState::Queued));
         let rents = harness.cloud_calls.iter().filter(|(_, call)| matches!(call, CloudCall::Provision(_)));
         rents.map(|(_, call)| format!("{call:?}")).collect::<Vec<_>>()
@@ -257,7 +260,7 @@
         harness.answer(late_reply).map(|answer| (answer.status, answered_state(&answer))),
         Some((201, "cancelled".into()))
     );
-    let running = first.iter().map(|start| task_status(start, TaskState::Running)).collect();
+    let running = running_statuses(&first);
     assert!(harness.starts_for_heartbeat(3, running).is_empty());
     // A cancellation of a dependent does not cancel its dependencies.
     harness.accept(dependent_job("job-8", &["job-6"]));
@@ -334,7 +337,7 @@
     harness.accept(low("job-2"));
     harness.accept(JobSpec { priority: Priority::Critical, ..dependent_job("job-3", &["job-2"]) });
     let first = harness.starts_for_heartbeat(3, vec![task_status(&occupied[0], TaskState::Running)]);
-    assert_eq!(first.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-2")]);
+    assert_eq!(job_ids(&first), [id("job-2")]);
 }
 
 /// A dependency list that no record can hold under the announced limits is rejected.
@@ -388,11 +391,7 @@
         accepted(&mut harness);
         finish_admission(&mut harness);
         let first = harness.starts_for_heartbeat(2, vec![]);
-        assert_eq!(
-            first.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(),
-            [id("job-1")],
-            "{path}"
-        );
+        assert_eq!(job_ids(&first), [id("job-1")], "{path}");
         harness.starts_for_heartbeat(3, vec![task_status(&first[0], DONE)]);
         assert!(
             harness.starts_for_heartbeat(4, vec![]).is_empty(),
@@ -409,7 +408,7 @@
     harness.starts_for_heartbeat(2, vec![]);
     harness.commit_all();
     let first = harness.starts_for_heartbeat(3, vec![]);
-    assert_eq!(first.iter().map(|(task, _)| task.job.clone()).collect::<Vec<_>>(), [id("job-1")]);
+    assert_eq!(job_ids(&first), [id("job-1")]);
     let mut harness =
         harness_with_snapshot(vec![unstarted_job(dependent())], &[("job-1", DependencyState::Unreadable)]);
     harness.starts_for_heartbeat(2, vec![]);
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -14,7 +14,7 @@
     assert_eq!(harness.heartbeat("vm-1", 6, EPOCH, vec![]), vec![], "vm-2 may hold both tasks");
     harness.accept(sample("job-2", "red", 1, 1.0));
     let commands = harness.heartbeat("vm-1", 7, EPOCH, vec![]);
-    assert_eq!(starts(&commands).iter().map(|s| s.0.job.clone()).collect::<Vec<_>>(), [id("job-2")]);
+    assert_eq!(job_ids(&starts(&commands)), [id("job-2")]);
     // vm-3 never had a start, so only vm-2 is waited for: its whole lease, since an earlier
     // leader may have replied to it in its post-lease grace, too.
     let timeout_s = harness.config.failover_lease_timeout().as_secs_f64();
--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -100,6 +100,16 @@
         .collect()
 }
 
+/// The jobs of started tasks, in the same order.
+pub(super) fn job_ids(starts: &[(TaskId, u64)]) -> Vec<JobId> {
+    starts.iter().map(|(task, _)| task.job.clone()).collect()
+}
+
+/// Started tasks as their worker lists them once they run.
+pub(super) fn running_statuses(starts: &[(TaskId, u64)]) -> Vec<TaskStatus> {
+    starts.iter().map(|start| task_status(start, TaskState::Running)).collect()
+}
+
 /// A started task as its worker's heartbeat lists it.
 pub(super) fn task_status(start: &(TaskId, u64), state: TaskState) -> TaskStatus {
     TaskStatus { task: start.0.clone(), attempt: start.1, state }
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -7,13 +7,17 @@
 use crate::protocol::cloud::{INVENTORY_PAGE, MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST};
 use crate::protocol::workers::encode_heartbeat_reply;
 
+/// Machines of the fleet.
 const MACHINES: usize = 4_100;
+/// Machines of each node pool.
 const MACHINES_PER_NODE_POOL: usize = 50;
 
+/// The name of a machine by its number.
 fn name(n: usize) -> String {
     format!("vm-{n:06}")
 }
 
+/// The node pools of all machines.
 fn node_pools() -> Vec<(NodePoolRecord, u64)> {
     let node_pool = |first: usize| {
         let ids: Vec<MachineId> =
@@ -27,6 +31,7 @@
     (0..MACHINES).step_by(MACHINES_PER_NODE_POOL).map(node_pool).collect()
 }
 
+/// Settings for a fleet of this size, with low announced limits of the state service.
 fn config() -> Config {
     let mut settings = settings::tests::sample();
     settings.cluster.limits.max_connections = 4_600;
@@ -51,6 +56,7 @@
         answers.collect()
     }
 
+    /// Commits all transactions; each must be within the announced limits.
     fn commit_within_limits(&mut self) {
         let limits = self.config.settings.cluster.state.announced();
         for transaction in self.commit_all() {
@@ -63,6 +69,7 @@
         }
     }
 
+    /// Answers the calls to the cloud for which `answer` has a reply; returns their number.
     fn answer_cloud_calls(&mut self, answer: impl Fn(&CloudCall) -> Option<CloudReply>) -> usize {
         let mut answered = 0;
         for (operation, call) in std::mem::take(&mut self.cloud_calls) {
--- a/src/coordination/tests/harness.rs
+++ b/src/coordination/tests/harness.rs
@@ -207,6 +207,11 @@
         reply
     }
 
+    /// Whether any machine's deletion is requested from the cloud.
+    pub(super) fn requests_deletion(&self) -> bool {
+        self.cloud_calls.iter().any(|(_, call)| matches!(call, CloudCall::Delete(_)))
+    }
+
     /// A machine that the leader has registered; panics where it has not.
     pub(super) fn registered_machine(&self, name: &str) -> &Machine {
         self.leader.machines.get(&machine(name)).expect("registered with the leader")
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -121,7 +121,7 @@
     }
     let started = starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![]));
     assert_eq!(started.len(), 2);
-    let running = || started.iter().map(|s| task_status(s, TaskState::Running)).collect::<Vec<_>>();
+    let running = || running_statuses(&started);
     harness.heartbeat("vm-1", 3, EPOCH, running());
     harness.advance(5.0);
     harness.send_heartbeat_with_notice("vm-1", 1, 4, EPOCH, Some(15.0), running());
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -5,6 +5,7 @@
 use crate::protocol::cbor::MapBuilder;
 use crate::protocol::workers::encode_heartbeat_reply;
 
+/// How many violations of invariants the leader has counted.
 fn violations(harness: &Harness) -> u64 {
     let metrics = harness.leader.metrics(MapBuilder::new()).build();
     Fields::of(&metrics).and_then(|f| f.count("invariantsViolated")).expect("a metric")
@@ -47,10 +48,7 @@
         assert_eq!(violations(&harness), 1);
         assert_eq!(harness.job_state("job-2"), Some(state));
         harness.heartbeat("vm-1", 1, EPOCH, vec![]);
-        let started: Vec<JobId> = starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![]))
-            .into_iter()
-            .map(|(task, _)| task.job)
-            .collect();
+        let started = job_ids(&starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])));
         assert!(!started.contains(&id("job-2")), "{started:?}");
     }
 }
@@ -81,8 +79,6 @@
     let mut harness = Harness::new(vec![record], vec![rented("vm-1", true)]);
     let mut running: Vec<(TaskId, u64)> =
         (0..TASKS).map(|index| (TaskId { job: id("job-1"), index }, 7)).collect();
-    let running_statuses =
-        |tasks: &[(TaskId, u64)]| tasks.iter().map(|t| task_status(t, TaskState::Running)).collect();
     harness.heartbeat("vm-1", 1, EPOCH, running_statuses(&running));
     let reply = harness.cancel("job-1");
     harness.commit_all();
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -77,6 +77,7 @@
     }
 }
 
+/// The value of the only record that is being written.
 fn only_put(harness: &Harness) -> Value {
     let puts = harness.commits.iter().flat_map(|(_, transaction)| &transaction.changes);
     let mut records = puts.filter(|change| change.key().starts_with("rec/"));
@@ -111,7 +112,7 @@
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.accept(sample("job-1", "red", 4, 1.0));
     let held = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![]));
-    let running: Vec<_> = held.iter().map(|s| task_status(s, TaskState::Running)).collect();
+    let running: Vec<_> = running_statuses(&held);
     harness.heartbeat("vm-1", 6, EPOCH, running.clone());
     let reply = harness.submit(sample("job-2", "red", 1, 1.0));
     harness.commit_all();
--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -17,6 +17,7 @@
 
 /// The last fault has ended by then, in seconds of simulated time.
 const CALM: f64 = 45.0;
+/// The simulation ends then, in seconds of simulated time.
 const END: f64 = 75.0;
 
 /// Overlapping faults after which controllers differ in what they know.
@@ -50,6 +51,7 @@
         .collect()
 }
 
+/// Clusters of three and of five controllers, some crowded, some with dependencies.
 fn shape(seed: u64) -> ClusterShape {
     let controllers = if seed.is_multiple_of(2) { 5 } else { 3 };
     let shape =
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -7,7 +7,9 @@
 
 use Fault::*;
 
+/// The last fault has ended by then, in seconds of simulated time.
 const CALM: f64 = 130.0;
+/// The simulation ends then, in seconds of simulated time.
 const END: f64 = 300.0;
 
 /// Runs the concurrent faults with three controllers, and with five.
@@ -15,6 +17,8 @@
     run_concurrent_faults_in(ClusterShape::usual, faults, overlapped);
 }
 
+/// The same on clusters of a shape; `overlapped` tells by what happened that the faults did
+/// overlap.
 fn run_concurrent_faults_in(
     shape: impl Fn(usize) -> ClusterShape,
     faults: &[(f64, Fault)],
--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -66,7 +66,7 @@
         let mut urgent = sample(&format!("job-{n}"), "blue", 1, 4.0);
         urgent.priority = Priority::Critical;
         harness.accept(urgent);
-        let mut tasks: Vec<TaskStatus> = running.iter().map(|s| task_status(s, TaskState::Running)).collect();
+        let mut tasks: Vec<TaskStatus> = running_statuses(&running);
         if !running.is_empty() {
             tasks[0].state = DONE;
             running.remove(0);
@@ -123,7 +123,7 @@
     let mut sequence = 5;
     let mut heartbeat = |harness: &mut Harness, at: usize, tasks: &[(TaskId, u64)]| {
         sequence += 1;
-        let tasks = tasks.iter().map(|s| task_status(s, TaskState::Running)).collect();
+        let tasks = running_statuses(tasks);
         starts(&harness.heartbeat(["vm-1", "vm-3"][at], sequence, EPOCH, tasks))
     };
     for _ in 0..(half_bound / 3.0) as u32 + 1 {
@@ -192,7 +192,7 @@
     harness.advance(1.0);
     let (name, tasks) = running.iter().find(|(name, _)| machine(name) == reserved).expect("it is there");
     let started = starts(&harness.heartbeat(name, sequence + 1, EPOCH, tasks.clone()));
-    assert_eq!(started.iter().map(|s| s.0.job.clone()).collect::<Vec<_>>(), [id("job-7")]);
+    assert_eq!(job_ids(&started), [id("job-7")]);
 }
 
 /// An objective: a start within a third of a heartbeat interval.
@@ -213,6 +213,7 @@
     Config { settings, tuning: policy::tests::tuning() }
 }
 
+/// A job whose image takes seconds to fetch.
 fn job_with_large_image(id: &str, tasks: u32) -> JobSpec {
     JobSpec { image_gb: 5.0, ..sample(id, "blue", tasks, 1.0) }
 }
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -14,9 +14,12 @@
 /// Environment variable: the first seed.
 pub const FIRST: &str = "SHEDTALLY_FIRST_SEED";
 
+/// The last fault has ended by then, in seconds of simulated time.
 const CALM: f64 = 170.0;
+/// The simulation ends then, unless jobs are unfinished; seconds of simulated time.
 const END: f64 = 330.0;
 
+/// The whole number in an environment variable, or a default.
 pub fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
@@ -92,6 +95,7 @@
     runtime.expect("a runtime").block_on(work)
 }
 
+/// Runs a seed's cluster through these faults, to the end.
 pub fn play(seed: u64, faults: Vec<(f64, Fault)>) -> Simulation {
     in_simulated_time(async {
         let mut simulation = Simulation::shaped(seed, shape(seed), faults, CALM);
@@ -101,6 +105,7 @@
     })
 }
 
+/// Runs until no job is unfinished, but not for ever.
 async fn run_to_the_end(simulation: &mut Simulation) {
     simulation.run(END).await;
     // A backlog is worked off as fast as the quotas of the teams allow.
@@ -140,6 +145,7 @@
 // Tests of the checker: each rule must catch a script that violates it, as a wrong scheduler
 // would.
 
+/// Runs a script on a cluster without faults; the checker must find that rule violated.
 fn assert_caught(rule: &str, script: impl FnOnce(&mut Simulation)) {
     let broken = in_simulated_time(async {
         let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
@@ -154,6 +160,7 @@
     Origin { sent: at, process: (0, 1), order }
 }
 
+/// Submits `job-1` with four tasks and lets its user be answered that it is queued.
 fn submit_job(simulation: &mut Simulation, change: impl FnOnce(&mut JobSpec)) -> Instant {
     let now = Instant::now();
     let mut spec = sample("job-1", "red", 4, 4.0);
@@ -163,6 +170,7 @@
     now
 }
 
+/// Less than the delay that any rule allows.
 const SOON: Duration = Duration::from_secs(1);
 
 #[test]
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -128,9 +128,9 @@
         let mut held = starts(&harness.heartbeat(name, 2, EPOCH, vec![]));
         // Some records must be marked started before the tasks start.
         harness.commit_all();
-        let sent: Vec<_> = held.iter().map(|s| task_status(s, TaskState::Running)).collect();
+        let sent: Vec<_> = running_statuses(&held);
         held.extend(starts(&harness.heartbeat(name, 3, EPOCH, sent)));
-        harness.heartbeat(name, 4, EPOCH, held.iter().map(|s| task_status(s, TaskState::Running)).collect());
+        harness.heartbeat(name, 4, EPOCH, running_statuses(&held));
         // A machine may have been passed over for one whose heartbeat is due sooner.
         let Some((ended, rest)) = held.split_first() else { continue };
         let rest = rest.iter().map(|s| task_status(s, TaskState::Running));
@@ -166,6 +166,7 @@
     }
 }
 
+/// The value of a key, if it exists.
 fn read(state: &mut InMemoryKv, key: &str) -> Option<Value> {
     let target = format!("/keys/{key}");
     let request = Request { method: "GET".into(), target, body: Vec::new(), close: false };
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -131,7 +131,7 @@
             Ok(CloudReply::List(InventoryPage { machines, more: false })),
         );
         harness.collect_effects();
-        harness.cloud_calls.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_)))
+        harness.requests_deletion()
     };
     assert!(!list(&mut harness, vec![entry(ListedState::Running)]));
     assert!(!list(&mut harness, vec![]), "this page may be older than the last");
@@ -148,7 +148,7 @@
     let node_pools = ["vm-1", "vm-2b"].map(|name| rented(name, true)).to_vec();
     let mut harness = Harness::with_tuning(Vec::new(), node_pools, policy::tests::tuning());
     let (begin, mut sequence) = (harness.now, 1);
-    while !harness.cloud_calls.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_))) {
+    while !harness.requests_deletion() {
         harness.advance(1.0);
         sequence += 1;
         for name in ["vm-1", "vm-2b"] {
@@ -212,10 +212,7 @@
         for name in heard {
             harness.heartbeat(name, sequence, EPOCH, vec![]);
         }
-        assert!(
-            !harness.cloud_calls.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_))),
-            "perhaps partitioned"
-        );
+        assert!(!harness.requests_deletion(), "perhaps partitioned");
         let needed = ["vm-2b", "vm-3b"].map(|name| harness.registered_machine(name).need.is_needed);
         assert!(harness.now < begin + silence + Duration::from_secs(2) || needed == [false, false]);
     }
@@ -270,8 +267,7 @@
             assert_eq!(starts(&harness.heartbeat(name, 5, EPOCH, vec![])).len(), 1);
         }
         harness.cloud_calls.clear();
-        let returned =
-            |harness: &Harness| harness.cloud_calls.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_)));
+        let returned = |harness: &Harness| harness.requests_deletion();
         let workers = harness.config.settings.cluster.workers.clone();
         let (begin, mut sequence) = (harness.now, 5);
         while !returned(&harness) {
@@ -298,10 +294,7 @@
     for _ in 0..40 {
         harness.advance(1.0);
     }
-    assert!(
-        !harness.cloud_calls.iter().any(|(_, c)| matches!(c, CloudCall::Delete(_))),
-        "the fault is on the leader's side"
-    );
+    assert!(!harness.requests_deletion(), "the fault is on the leader's side");
 }
 
 /// After a wave of preemptions hundreds of machines are missing: one request of at most fifty
--- a/src/coordination/tests/simulation/events.rs
+++ b/src/coordination/tests/simulation/events.rs
@@ -52,6 +52,7 @@
 }
 
 impl Simulation {
+    /// Handles the end of a task, with its answer in the trace first.
     pub(super) fn event(&mut self, event: Event) {
         match event {
             Event::HeartbeatAnswered { machine, controller, incarnation, sent, answer } => {
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -4,8 +4,8 @@
 //! ([`workers`]), the users ([`users`]) and the network ([`network`]), as PROTOCOL describes
 //! them. The controllers are real: each has its election, its actors and its rate-limited
 //! clients ([`controllers`]). Faults are injected at given times ([`faults`]). The rules are
-//! checked from outside, on what workers run and what users are answered ([`rules`]), never by
-//! the state of the controllers.
+//! checked from outside, on what workers run ([`rules`]) and on what users are answered
+//! ([`answers`]), never by the state of the controllers.
 //!
 //! A simulation is deterministic for a seed: one thread, a paused clock that advances only
 //! when every task waits, one random number generator for all draws, ordered maps wherever the
@@ -13,6 +13,7 @@
 //! of tasks before steps of the clock. A change in the order of draws, of spawned tasks or of
 //! messages changes all that follows; the trace ([`trace`]) shows it.
 
+mod answers;
 mod cloud;
 mod cluster;
 mod controllers;
@@ -82,8 +83,9 @@
 /// The controller in the zone that [`Fault::ZoneCut`] partitions.
 const PARTITIONED_CONTROLLER: usize = 1;
 
-fn seconds(s: f64) -> Duration {
-    Duration::from_secs_f64(s)
+/// A duration of that many seconds.
+fn seconds(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds)
 }
 
 /// A cluster, its clock's begin, and what the checker has found.
@@ -95,13 +97,16 @@
     settings: Settings,
 
     // The network.
+    /// Messages that controllers have sent.
     messages: mpsc::UnboundedReceiver<Ask>,
     /// Ends of the tasks that the simulation has spawned.
     events: JoinSet<Event>,
     /// Messages of stalled controllers, each with when it is delivered.
     held_messages: Vec<(Instant, Ask)>,
     slow_answers: RandomFault,
+    /// Until then no controller reaches another.
     peers_refuse_until: Instant,
+    /// Until then the zone with workers and one controller is partitioned.
     zone_cut_until: Instant,
 
     // The state service.
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -33,11 +33,13 @@
     harness
 }
 
+/// The record and the live row of a job.
 fn live_job(record: &JobRecord) -> Vec<(String, Value)> {
     let job = &record.spec.id;
     vec![(job_record_key(job), record.encode(8.0)), (live_row_key(job), encode_row(JobState::Queued))]
 }
 
+/// The key and the record of a node pool of one machine.
 fn node_pool_record(name: &str) -> (String, Value) {
     let (record, _) = rented(name, true);
     (node_pool_key(&record.request.name), record.encode())
@@ -88,8 +90,7 @@
     let mut harness = harness_after_failover(snapshot.expect("read"));
     harness.heartbeat("vm-1", 1, EPOCH, vec![]);
     harness.commit_all();
-    let started: Vec<JobId> =
-        starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])).into_iter().map(|(task, _)| task.job).collect();
+    let started = job_ids(&starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])));
     assert_eq!(started, [id("job-4")]);
     assert_eq!(harness.job_state("job-3"), Some(JobState::Queued));
 }
