--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -14,12 +14,12 @@
     // The start may still be in flight: the row stays among the live ones.
     assert!(!written.iter().any(|t| t.changes.iter().any(|c| c.key() == archived_row_key(&id("job-1")))));
     let commands = harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&start, TaskState::Fetching)]);
-    assert_eq!(commands, [Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }]);
+    assert_eq!(commands, [stop(&start)]);
     let stopped = TaskState::Exited(ExitCause::Stopped { saved: false });
     let commands = harness.heartbeat("vm-1", 7, EPOCH, vec![task_status(&start, stopped)]);
     assert_eq!(
         commands,
-        [Command::Reap { task: start.0, attempt: start.1 }],
+        [Command::Reap { task: start.task, attempt: start.attempt }],
         "and nothing of it starts again"
     );
     let archived = harness.commit_all();
@@ -36,7 +36,7 @@
     harness.commit_all();
     assert_eq!(answered_state(&harness.answer(reply).expect("answered")), "cancelled");
     // Every heartbeat reply repeats the stop, and commands nothing else.
-    let stop = Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 };
+    let stop = stop(&start);
     for sequence in 7..10 {
         harness.advance(3.0);
         assert_eq!(
@@ -92,7 +92,7 @@
     let reply = harness.cancel("job-1");
     harness.commit_all();
     assert_eq!(answered_state(&harness.answer(reply).expect("answered")), "cancelled");
-    let cancelled = held.iter().find(|s| s.0.job == id("job-1")).expect("started");
+    let cancelled = held.iter().find(|s| s.task.job == id("job-1")).expect("started");
     harness.leader.extend_lease(harness.now, harness.now + Duration::from_millis(10));
     for sequence in 7..9 {
         harness.advance(1.0);
@@ -110,7 +110,7 @@
     cancelled.record.cancelled = true;
     let live = loaded_job(sample("job-2", "red", 1, 1.0));
     let mut harness = Harness::new(vec![cancelled, live], vec![rented("vm-1", true)]);
-    let task = |job: &str| (TaskId { job: id(job), index: 0 }, 7);
+    let task = |job: &str| StartedTask { task: TaskId { job: id(job), index: 0 }, attempt: 7 };
     let tasks = ["job-1", "job-2", "job-3"].map(|job| task_status(&task(job), TaskState::Running));
     // The third job is not in memory: it is terminal, and its row is archived.
     let stops = [stop(&task("job-1")), stop(&task("job-3"))];
@@ -181,7 +181,7 @@
     let mut harness = Harness::with_machines(&["vm-1"]);
     let ended = |index| TaskStatus { task: TaskId { job: id("job-8"), index }, attempt: 1, state: DONE };
     let mut tasks: Vec<_> = (0..400).map(ended).collect();
-    let left = (TaskId { job: id("job-9"), index: 0 }, 1);
+    let left = StartedTask { task: TaskId { job: id("job-9"), index: 0 }, attempt: 1 };
     tasks.push(task_status(&left, TaskState::Running));
     assert_eq!(harness.heartbeat("vm-1", 5, EPOCH, tasks)[0], stop(&left));
 }
--- a/src/coordination/tests/dag.rs
+++ b/src/coordination/tests/dag.rs
@@ -32,7 +32,7 @@
 impl Harness {
     /// Sends a heartbeat of the only machine with these tasks; returns what starts with its
     /// reply.
-    fn starts_for_heartbeat(&mut self, sequence: u64, tasks: Vec<TaskStatus>) -> Vec<(TaskId, u64)> {
+    fn starts_for_heartbeat(&mut self, sequence: u64, tasks: Vec<TaskStatus>) -> Vec<StartedTask> {
         self.advance(0.5);
         starts(&self.heartbeat("vm-1", sequence, EPOCH, tasks))
     }
@@ -194,7 +194,7 @@
         let unchecked = harness.unchecked_submissions.pop().expect("its record is read");
         assert_eq!((unchecked.unread, harness.commits.len()), (vec![id("job-9")], 0));
         let states = DependencyStates::from_iter([(id("job-9"), state)]);
-        harness.leader.submit_with_dependency_states(harness.now, MS, unchecked.reply, spec, states);
+        harness.leader.submit_with_dependency_states(harness.now, NOW_MS, unchecked.reply, spec, states);
         harness.collect_effects();
         harness.commit_all();
         assert_eq!(
@@ -290,7 +290,7 @@
 /// A new leader decides alike, at whatever point the earlier one stopped.
 #[test]
 fn dependencies_are_decided_alike_after_a_failover() {
-    let done = DependencyState::Done { at_ms: Some(MS) };
+    let done = DependencyState::Done { at_ms: Some(NOW_MS) };
     for (state, starts_job) in
         [(done, true), (DependencyState::Unfinished, false), (DependencyState::Absent, false)]
     {
@@ -382,7 +382,7 @@
                 jobs: vec![unstarted_job(dependent_job("job-2", &["job-1"]))],
                 ..Snapshot::default()
             };
-            harness.leader.restore_snapshot(harness.now, MS, restored);
+            harness.leader.restore_snapshot(harness.now, NOW_MS, restored);
             harness.advance(harness.config.failover_lease_timeout().as_secs_f64() + 1.0);
         }),
     ];
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -44,8 +44,8 @@
     let commands = harness.heartbeat("vm-1", 6, EPOCH, reported);
     let started = starts(&commands);
     assert_eq!(started.len(), 1);
-    assert_eq!(started[0].0, task(1));
-    assert!(started[0].1 > EPOCH, "attempts of an epoch are above all earlier ones");
+    assert_eq!(started[0].task, task(1));
+    assert!(started[0].attempt > EPOCH, "attempts of an epoch are above all earlier ones");
     assert!(!commands.iter().any(|o| matches!(o, Command::Reap { .. })), "done is not recorded yet");
 }
 
@@ -67,7 +67,7 @@
     let mut harness = Harness::new(Vec::new(), Vec::new());
     let node_pools = ["vm-1", "vm-2", "vm-3"].map(|name| rented(name, true)).to_vec();
     let jobs = vec![JobSnapshot {
-        record: JobRecord::new(sample("job-1", "red", 1, 1.0), MS),
+        record: JobRecord::new(sample("job-1", "red", 1, 1.0), NOW_MS),
         record_version: 5,
         live_row_version: 5,
         block_versions: Vec::new(),
@@ -206,13 +206,13 @@
     );
     harness.commit_all();
     let started = starts(&harness.heartbeat("vm-1", 7, EPOCH, vec![]));
-    let tasks: Vec<u32> = started.iter().map(|s| s.0.index).collect();
+    let tasks: Vec<u32> = started.iter().map(|s| s.task.index).collect();
     assert_eq!(
         tasks,
         [2, 3, 4, 5],
         "0 and 1 may run on vm-2b; so may job-2's first task, which binds the other to its zone"
     );
-    assert!(started.iter().all(|s| s.0.job == id("job-1")));
+    assert!(started.iter().all(|s| s.task.job == id("job-1")));
     // It sends a heartbeat without these tasks: they ran nowhere.
     assert_eq!(starts(&harness.heartbeat("vm-2b", 1, EPOCH, vec![])).len(), 3);
 }
--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -6,7 +6,7 @@
 pub(super) const EPOCH: u64 = 40;
 
 /// Wall-clock time of every submission, in milliseconds.
-pub(super) const MS: u64 = 1_000_000;
+pub(super) const NOW_MS: u64 = 1_000_000;
 
 /// A task that has ended with success.
 pub(super) const DONE: TaskState = TaskState::Exited(ExitCause::Done);
@@ -64,13 +64,13 @@
 /// A job as a new leader reads it, of which every task may have been started.
 pub(in crate::coordination) fn loaded_job(spec: JobSpec) -> JobSnapshot {
     let started = spec.tasks;
-    let record = JobRecord { started_high_water: started, ..JobRecord::new(spec, MS) };
+    let record = JobRecord { started_high_water: started, ..JobRecord::new(spec, NOW_MS) };
     JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() }
 }
 
 /// A job as a new leader reads it, of which no task has been started.
 pub(super) fn unstarted_job(spec: JobSpec) -> JobSnapshot {
-    JobSnapshot { record: JobRecord::new(spec, MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
+    JobSnapshot { record: JobRecord::new(spec, NOW_MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
 }
 
 /// A heartbeat of a machine's first incarnation under this epoch's fencing token.
@@ -89,35 +89,44 @@
     }
 }
 
-/// The starts among commands: each task with its attempt.
-pub(super) fn starts(commands: &[Command]) -> Vec<(TaskId, u64)> {
+/// An attempt of a task that the leader has commanded a machine to start.
+#[derive(Debug, Clone, PartialEq)]
+pub(super) struct StartedTask {
+    /// The task.
+    pub(super) task: TaskId,
+    /// Its attempt, a number that no other start of the task has.
+    pub(super) attempt: u64,
+}
+
+/// The starts among commands.
+pub(super) fn starts(commands: &[Command]) -> Vec<StartedTask> {
     commands
         .iter()
         .filter_map(|command| match command {
-            Command::Start { task, attempt } => Some((task.clone(), *attempt)),
+            Command::Start { task, attempt } => Some(StartedTask { task: task.clone(), attempt: *attempt }),
             _ => None,
         })
         .collect()
 }
 
 /// The jobs of started tasks, in the same order.
-pub(super) fn job_ids(starts: &[(TaskId, u64)]) -> Vec<JobId> {
-    starts.iter().map(|(task, _)| task.job.clone()).collect()
+pub(super) fn job_ids(starts: &[StartedTask]) -> Vec<JobId> {
+    starts.iter().map(|start| start.task.job.clone()).collect()
 }
 
 /// Started tasks as their worker lists them once they run.
-pub(super) fn running_statuses(starts: &[(TaskId, u64)]) -> Vec<TaskStatus> {
+pub(super) fn running_statuses(starts: &[StartedTask]) -> Vec<TaskStatus> {
     starts.iter().map(|start| task_status(start, TaskState::Running)).collect()
 }
 
 /// A started task as its worker's heartbeat lists it.
-pub(super) fn task_status(start: &(TaskId, u64), state: TaskState) -> TaskStatus {
-    TaskStatus { task: start.0.clone(), attempt: start.1, state }
+pub(super) fn task_status(start: &StartedTask, state: TaskState) -> TaskStatus {
+    TaskStatus { task: start.task.clone(), attempt: start.attempt, state }
 }
 
 /// The command that stops a started task at once.
-pub(super) fn stop(start: &(TaskId, u64)) -> Command {
-    Command::Stop { task: start.0.clone(), attempt: start.1, grace_s: 0.0 }
+pub(super) fn stop(start: &StartedTask) -> Command {
+    Command::Stop { task: start.task.clone(), attempt: start.attempt, grace_s: 0.0 }
 }
 
 /// The state that an answer gives its user.
--- a/src/coordination/tests/harness.rs
+++ b/src/coordination/tests/harness.rs
@@ -53,7 +53,7 @@
         let config = Arc::new(config);
         let now = Instant::now();
         let snapshot = Snapshot { jobs, node_pools, catalog: Some((catalog(), 2)), ..Snapshot::default() };
-        let mut leader = Leader::new(config.clone(), EPOCH, now, MS, snapshot);
+        let mut leader = Leader::new(config.clone(), EPOCH, now, NOW_MS, snapshot);
         leader.extend_lease(now, now + Duration::from_secs(3600));
         let mut harness = Harness {
             leader,
@@ -83,7 +83,7 @@
 
     /// Replaces the leader by one that has just read this snapshot.
     pub(super) fn replace_leader(&mut self, snapshot: Snapshot) {
-        self.leader = Leader::new(self.config.clone(), EPOCH, self.now, MS, snapshot);
+        self.leader = Leader::new(self.config.clone(), EPOCH, self.now, NOW_MS, snapshot);
         self.leader.extend_lease(self.now, self.now + Duration::from_secs(3600));
     }
 
@@ -187,7 +187,7 @@
     /// Submits a job; returns the id under which it is answered.
     pub(super) fn submit(&mut self, spec: JobSpec) -> ReplyId {
         let reply = self.next_reply();
-        self.leader.submit(self.now, MS, reply, spec);
+        self.leader.submit(self.now, NOW_MS, reply, spec);
         self.collect_effects();
         reply
     }
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -35,8 +35,8 @@
     }
     harness.advance(2.1);
     let second = starts(&harness.heartbeat("vm-2b", sequence + 1, EPOCH, vec![])).remove(0);
-    assert_eq!(second.0, first.0);
-    assert_ne!(second.1, first.1, "an attempt number is never used twice");
+    assert_eq!(second.task, first.task);
+    assert_ne!(second.attempt, first.attempt, "an attempt number is never used twice");
     // A delayed heartbeat of the ended incarnation changes nothing.
     harness.send_heartbeat("vm-1", 1, 6, EPOCH, vec![task_status(&first, TaskState::Running)]);
     assert_eq!(
@@ -57,8 +57,8 @@
     let first = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
     // The next heartbeat does not list the task: the worker never received the reply.
     let second = starts(&harness.heartbeat("vm-1", 6, EPOCH, vec![])).remove(0);
-    assert_eq!(first.0, second.0);
-    assert_ne!(first.1, second.1);
+    assert_eq!(first.task, second.task);
+    assert_ne!(first.attempt, second.attempt);
     // A new incarnation begins without tasks.
     let reply = harness.send_heartbeat("vm-1", 2, 1, EPOCH, vec![]);
     assert!(matches!(reply, HeartbeatReply::Commands { commands, .. } if starts(&commands).len() == 1));
@@ -84,7 +84,7 @@
 fn a_machine_that_fails_every_task_is_cordoned_but_a_failing_job_cordons_none() {
     let mut harness = Harness::with_machines(&["vm-1", "vm-2b", "vm-3", "vm-4b"]);
     harness.accept(sample("job-1", "red", 4, 1.0));
-    let failed = |s: &(TaskId, u64)| task_status(s, TaskState::Exited(ExitCause::Error));
+    let failed = |s: &StartedTask| task_status(s, TaskState::Exited(ExitCause::Error));
     let started = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![]));
     assert_eq!(started.len(), 4);
     let again = harness.heartbeat("vm-1", 6, EPOCH, started.iter().map(failed).collect());
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -24,13 +24,13 @@
         harness.leader.handle_commit_result(harness.now, operation, Ok(harness.version));
         harness.collect_effects();
     }
-    let orphan = (TaskId { job: id("job-1"), index: 0 }, 9);
+    let orphan = StartedTask { task: TaskId { job: id("job-1"), index: 0 }, attempt: 9 };
     harness.heartbeat("vm-1", 2, EPOCH, vec![task_status(&orphan, TaskState::Running)]);
     harness.commit_all();
     assert_eq!(violations(&harness), 1);
     assert!(harness.leader.jobs.contains_key(&id("job-1")));
     let commands = harness.heartbeat("vm-1", 3, EPOCH, vec![task_status(&orphan, TaskState::Running)]);
-    assert_eq!(commands, [Command::Stop { task: orphan.0, attempt: 9, grace_s: 0.0 }]);
+    assert_eq!(commands, [Command::Stop { task: orphan.task, attempt: 9, grace_s: 0.0 }]);
     harness.heartbeat("vm-1", 4, EPOCH, vec![]);
     assert!(!harness.leader.jobs.contains_key(&id("job-1")), "no machine lists its tasks any more");
 }
@@ -67,7 +67,7 @@
     harness.advance(1.0);
     let started = starts(&harness.heartbeat("vm-1", 3, EPOCH, vec![]));
     assert_eq!(started.len(), 1, "a refused start may be decided again");
-    assert_eq!(started[0].1, EPOCH << 32 | 1, "and no attempt number was spent");
+    assert_eq!(started[0].attempt, EPOCH << 32 | 1, "and no attempt number was spent");
 }
 
 /// More cancelled tasks on one machine than one reply holds commands for: each reply stops as
@@ -77,8 +77,9 @@
     const TASKS: u32 = 450;
     let record = loaded_job(JobSpec { cpus: 0.01, memory_gb: 0.01, ..sample("job-1", "red", TASKS, 0.01) });
     let mut harness = Harness::new(vec![record], vec![rented("vm-1", true)]);
-    let mut running: Vec<(TaskId, u64)> =
-        (0..TASKS).map(|index| (TaskId { job: id("job-1"), index }, 7)).collect();
+    let mut running: Vec<StartedTask> = (0..TASKS)
+        .map(|index| StartedTask { task: TaskId { job: id("job-1"), index }, attempt: 7 })
+        .collect();
     harness.heartbeat("vm-1", 1, EPOCH, running_statuses(&running));
     let reply = harness.cancel("job-1");
     harness.commit_all();
@@ -100,7 +101,7 @@
             })
             .collect();
         assert!(!stopped.is_empty());
-        running.retain(|(task, _)| !stopped.contains(task));
+        running.retain(|start| !stopped.contains(&start.task));
         sequence += 1;
     }
     assert!(harness.now < cancelled_at + harness.config.cancelled_task_reply_window());
--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -74,7 +74,7 @@
         let started = starts(&harness.heartbeat("vm-1", sequence, EPOCH, tasks));
         harness.commit_all();
         sequence += 1;
-        if started.iter().any(|s| s.0.job == id("job-1")) {
+        if started.iter().any(|s| s.task.job == id("job-1")) {
             started_after = Some((harness.now - begin).as_secs_f64());
         }
         running.extend(started);
@@ -104,10 +104,7 @@
         harness.advance(interval);
         harness.heartbeat("vm-1", sequence, EPOCH, vec![task_status(&low, TaskState::Running)]);
     }
-    assert_eq!(
-        harness.pushed_commands,
-        [Command::Stop { task: low.0.clone(), attempt: low.1, grace_s: 0.0 }]
-    );
+    assert_eq!(harness.pushed_commands, [stop(&low)]);
 }
 
 #[test]
@@ -121,7 +118,7 @@
     harness.accept(large);
     let half_bound = harness.config.tuning.begin_within.as_secs_f64() / 2.0;
     let mut sequence = 5;
-    let mut heartbeat = |harness: &mut Harness, at: usize, tasks: &[(TaskId, u64)]| {
+    let mut heartbeat = |harness: &mut Harness, at: usize, tasks: &[StartedTask]| {
         sequence += 1;
         let tasks = running_statuses(tasks);
         starts(&harness.heartbeat(["vm-1", "vm-3"][at], sequence, EPOCH, tasks))
@@ -144,7 +141,7 @@
     running[1].pop();
     harness.advance(0.5);
     assert_eq!(heartbeat(&mut harness, 1, &running[1]), vec![]);
-    assert_eq!(heartbeat(&mut harness, 1, &[])[0].0.job, id("job-2"));
+    assert_eq!(heartbeat(&mut harness, 1, &[])[0].task.job, id("job-2"));
 }
 
 /// A reservation for a job whose team has reached its quota meanwhile helps nobody: others must
@@ -235,7 +232,7 @@
     harness.advance(0.5);
     assert_eq!(harness.heartbeat("vm-1", 2, EPOCH, vec![]), vec![]);
     let second = starts(&harness.heartbeat("vm-3", 4, EPOCH, vec![task_status(&first, TaskState::Running)]));
-    assert_eq!(second[0].0.job, id("job-2"));
+    assert_eq!(second[0].task.job, id("job-2"));
 }
 
 /// After a failover running tasks show which images a machine has; before, no image counted as
@@ -255,7 +252,7 @@
     harness.accept(job_with_large_image("job-2", 1));
     harness.advance(0.5);
     assert_eq!(harness.heartbeat("vm-1", 2, EPOCH, vec![]), vec![]);
-    assert_eq!(starts(&harness.heartbeat("vm-3", 2, EPOCH, vec![running]))[0].0.job, id("job-2"));
+    assert_eq!(starts(&harness.heartbeat("vm-3", 2, EPOCH, vec![running]))[0].task.job, id("job-2"));
 }
 
 /// A leader with a latency objective and one idle machine, whose last heartbeat is returned.
@@ -296,7 +293,7 @@
     else {
         panic!("no answer")
     };
-    assert_eq!(starts(&commands)[0].0.job, id("job-2"));
+    assert_eq!(starts(&commands)[0].task.job, id("job-2"));
     // The next heartbeat, with a higher sequence, proves whether the start was received.
     assert_eq!(
         starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).len(),
@@ -337,8 +334,7 @@
     harness.cancel("job-1");
     harness.commit_all();
     assert_eq!(harness.leader.deferred_replies_to_decide(deferred.iter()), deferred);
-    let stop = Command::Stop { task: start.0, attempt: start.1, grace_s: 0.0 };
-    let stopping = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![stop] };
+    let stopping = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![stop(&start)] };
     assert_eq!(harness.leader.decide_deferred_reply(harness.now, &heartbeat), stopping);
 }
 
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -24,7 +24,7 @@
     assert_eq!(keys[1], [archived_row_key(&id("job-1")), live_row_key(&id("job-1"))]);
     assert_eq!(answered_state(&harness.answer(reply).expect("answered")), "done");
     let commands = harness.heartbeat("vm-1", 7, EPOCH, vec![task_status(&start, DONE)]);
-    assert_eq!(commands, [Command::Reap { task: start.0, attempt: start.1 }]);
+    assert_eq!(commands, [Command::Reap { task: start.task, attempt: start.attempt }]);
 }
 
 #[test]
@@ -43,7 +43,7 @@
 fn a_restored_job_waits_until_no_machine_can_hold_its_tasks() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     let jobs = vec![loaded_job(sample("job-1", "red", 1, 1.0))];
-    harness.leader.restore_snapshot(harness.now, MS, Snapshot { jobs, ..Snapshot::default() });
+    harness.leader.restore_snapshot(harness.now, NOW_MS, Snapshot { jobs, ..Snapshot::default() });
     assert_eq!(starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])), vec![]);
     let mut sequence = 5;
     while harness.now < harness.leader.snapshot_at() + harness.config.failover_lease_timeout() {
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -363,7 +363,7 @@
 }
 
 /// Two services with a replica each, on two machines, one of which would do.
-fn replicas_on_two_machines(images: [&str; 2]) -> (Harness, [(TaskId, u64); 2]) {
+fn replicas_on_two_machines(images: [&str; 2]) -> (Harness, [StartedTask; 2]) {
     let node_pools = ["vm-1", "vm-3"].map(|name| rented(name, true)).into();
     let mut harness = Harness::new(Vec::new(), node_pools);
     for name in ["vm-1", "vm-3"] {
@@ -383,7 +383,7 @@
 }
 
 /// Advances two minutes; returns which replica was stopped, if any.
-fn replica_stopped_within_two_minutes(harness: &mut Harness, replicas: &[(TaskId, u64); 2]) -> Option<usize> {
+fn replica_stopped_within_two_minutes(harness: &mut Harness, replicas: &[StartedTask; 2]) -> Option<usize> {
     let interval = harness.config.settings.cluster.workers.report_s;
     for sequence in 3..43 {
         harness.advance(interval);
@@ -416,7 +416,7 @@
         vec![]
     );
     let again = starts(&harness.heartbeat(to, 51, EPOCH, vec![stays]));
-    assert_eq!(again[0].0, replicas[moved].0);
+    assert_eq!(again[0].task, replicas[moved].task);
     harness.cloud_calls.clear();
     for sequence in 52..82 {
         harness.advance(3.0);
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -50,7 +50,8 @@
 /// unseen.
 #[tokio::test]
 async fn starts_wait_for_machines_of_an_unreadable_node_pool_record() {
-    let record = JobRecord { started_high_water: 1, ..JobRecord::new(sample("job-1", "red", 1, 1.0), MS) };
+    let record =
+        JobRecord { started_high_water: 1, ..JobRecord::new(sample("job-1", "red", 1, 1.0), NOW_MS) };
     let mut entries = live_job(&record);
     entries.extend([node_pool_record("vm-1"), (node_pool_key("1-vm-2"), damaged_value())]);
     let mut harness = harness_after_failover(snapshot_of(entries).await);
@@ -72,12 +73,12 @@
 #[tokio::test]
 async fn an_unreadable_dependency_holds_back_only_its_dependents() {
     let dependent_job = |job: &str, dependency: &str| {
-        JobRecord::new(JobSpec { dependencies: vec![id(dependency)], ..sample(job, "red", 1, 1.0) }, MS)
+        JobRecord::new(JobSpec { dependencies: vec![id(dependency)], ..sample(job, "red", 1, 1.0) }, NOW_MS)
     };
     let done = JobRecord {
         completed: true,
         started_high_water: 1,
-        ..JobRecord::new(sample("job-2", "red", 1, 1.0), MS)
+        ..JobRecord::new(sample("job-2", "red", 1, 1.0), NOW_MS)
     };
     let mut entries = live_job(&dependent_job("job-3", "job-1"));
     entries.extend(live_job(&dependent_job("job-4", "job-2")));
@@ -101,7 +102,7 @@
 #[test]
 fn a_conflicting_admission_keeps_the_links_to_dependents() {
     let unstarted_job = |spec: JobSpec| JobSnapshot {
-        record: JobRecord::new(spec, MS),
+        record: JobRecord::new(spec, NOW_MS),
         ..loaded_job(sample("job-0", "red", 1, 1.0))
     };
     let stranded = sample("job-1", "red", 1, 1.0);
@@ -122,7 +123,7 @@
     harness.submit(stranded.clone());
     harness.fail_next_commit(KvError::Conflict);
     let restored = Snapshot { jobs: vec![unstarted_job(stranded)], ..Snapshot::default() };
-    harness.leader.restore_snapshot(harness.now, MS, restored);
+    harness.leader.restore_snapshot(harness.now, NOW_MS, restored);
     harness.collect_effects();
     harness.cancel("job-1");
     let written = harness.commit_all();
@@ -176,7 +177,7 @@
     readable.record.done.insert(0);
     harness.leader.restore_snapshot(
         harness.now,
-        MS,
+        NOW_MS,
         Snapshot { jobs: vec![readable], ..Snapshot::default() },
     );
     harness.heartbeat("vm-1", 4, EPOCH, vec![ended]);
@@ -189,7 +190,7 @@
 #[tokio::test]
 async fn a_job_with_an_unreadable_block_starts_nothing() {
     let many = crate::storage::records::block_size(8.0) + 1;
-    let record = JobRecord::new(sample("job-1", "red", many, 1.0), MS);
+    let record = JobRecord::new(sample("job-1", "red", many, 1.0), NOW_MS);
     let block = record.layout(8.0).block_key(&id("job-1"), 0);
     let mut entries = live_job(&record);
     entries.extend([(block, damaged_value()), node_pool_record("vm-1")]);
@@ -205,7 +206,7 @@
 async fn records_that_become_readable_are_restored() {
     let server = FakeKvServer::start(&[]).await;
     let store = store(server.address(), 12);
-    let record = JobRecord::new(sample("job-1", "red", 1, 1.0), MS);
+    let record = JobRecord::new(sample("job-1", "red", 1, 1.0), NOW_MS);
     let (node_pool, _) = rented("vm-2", true);
     let keys = vec![job_record_key(&id("job-1")), node_pool_key(&node_pool.request.name)];
     server.seed(&live_row_key(&id("job-1")), encode_row(JobState::Queued), 4).await;
@@ -219,7 +220,7 @@
     server.seed(&keys[0], record.encode(8.0), 6).await;
     server.seed(&keys[1], node_pool.encode(), 7).await;
     let reread = snapshot::reread_unreadable(&store, keys, 8.0).await.expect("served");
-    harness.leader.restore_snapshot(harness.now, MS, reread);
+    harness.leader.restore_snapshot(harness.now, NOW_MS, reread);
     assert!(harness.leader.failover.unreadable().is_empty());
     assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
     assert!(harness.leader.machines.contains(&machine("vm-2")));
