--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -89,7 +89,7 @@
         team: "red".into(),
         kind: JobKind::Array,
         priority: Priority::High,
-        tasks,
+        task_count: tasks,
         cpus: 2.5,
         gpus: 0.0,
         memory_gb: 1.0,
@@ -132,7 +132,7 @@
             machine_type: "m8".into(),
             zone: "z1".into(),
             spot: false,
-            count: machines as u32,
+            machine_count: machines as u32,
         };
         let used = ids.iter().cloned().collect();
         let node_pools = vec![(NodePoolRecord { request, machines: Some(ids), machines_used: used }, 3)];
--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -18,7 +18,7 @@
 use crate::protocol::jobs::JobId;
 use crate::storage::kv::{self, KvClient, KvError};
 use crate::storage::records::LEADER;
-use crate::transport::client::Call;
+use crate::transport::client::HttpCall;
 
 /// A request to the state service is given up after the leader's lease divided by this. It
 /// is longer than a controller's own, as no renewal waits behind it.
@@ -58,8 +58,8 @@
     // never takes the leader's share of the request rate.
     let (_is_leader, is_leader_seen) = watch::channel(false);
     let store = kv::start(
-        config.settings.services.state,
-        &cluster.state,
+        config.settings.services.kv,
+        &cluster.kv,
         cluster.size,
         lease_ttl / KV_DEADLINES_PER_LEASE,
         is_leader_seen,
@@ -103,7 +103,7 @@
         && let Some(lease) = entry.lease
     {
         let target = format!("/leases/{lease}");
-        let call = Call { method: "DELETE", target, body: Vec::new(), deadline: store.deadline() };
+        let call = HttpCall { method: "DELETE", target, body: Vec::new(), timeout: store.deadline() };
         // If it fails the lease expires by itself.
         let _ = store.send_raw(kv::RequestClass::Renewal, call).await;
     }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -5,7 +5,7 @@
 use super::error::CliError;
 use super::exit_status::ExitStatus;
 use super::load_config;
-use crate::settings::{State, StateLimits};
+use crate::settings::{KvLimits, KvSettings};
 
 /// Reads the settings, and the policy if one is named, and prints that they are sound,
 /// with the state service's limits.
@@ -16,7 +16,7 @@
 pub(super) fn check(file: &Path, policy: Option<&Path>) -> Result<ExitStatus, CliError> {
     let config = load_config(file, policy)?;
     println!("{}: ok", file.display());
-    println!("{}", describe_limits(&config.settings.cluster.state));
+    println!("{}", describe_limits(&config.settings.cluster.kv));
     if let Some(policy) = policy {
         println!("{}: ok", policy.display());
     }
@@ -25,14 +25,14 @@
 
 /// One line with the state service's present limits, and with those announced for later if
 /// there are any.
-pub(super) fn describe_limits(state: &State) -> String {
-    let describe = |limits: StateLimits| {
+pub(super) fn describe_limits(state: &KvSettings) -> String {
+    let describe = |limits: KvLimits| {
         format!(
             "{} requests and {} changes a second, values up to {} KiB, {} changes a transaction",
             limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops
         )
     };
-    let present = describe(state.present());
+    let present = describe(state.in_force());
     match state.next {
         Some(_) => format!("state service: {present}; later: {}", describe(state.announced())),
         None => format!("state service: {present}"),
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -106,7 +106,7 @@
 fn start_kv_client(config: &Config, is_leader: watch::Receiver<bool>) -> KvClient {
     let Settings { services, cluster, .. } = &config.settings;
     let deadline = config.tuning.lease / KV_DEADLINES_PER_LEASE;
-    kv::start(services.state, &cluster.state, cluster.size, deadline, is_leader)
+    kv::start(services.kv, &cluster.kv, cluster.size, deadline, is_leader)
 }
 
 fn start_cloud_client(settings: &Settings, lease_expiry: watch::Receiver<Instant>) -> Cloud {
@@ -141,9 +141,9 @@
     let worker_lease = cluster.workers.lease();
     let options = ServerOptions {
         limits: Limits { head: HEAD_LIMIT, body: BODY_LIMIT },
-        connections: cluster.limits.incoming(),
-        idle: worker_lease * LEASES_PER_IDLE_TIMEOUT,
-        patience: worker_lease / TRANSFER_TIMEOUTS_PER_LEASE,
+        max_connections: cluster.limits.incoming(),
+        idle_timeout: worker_lease * LEASES_PER_IDLE_TIMEOUT,
+        io_timeout: worker_lease / TRANSFER_TIMEOUTS_PER_LEASE,
     };
     tokio::spawn(server::serve(listener, options, handle));
 }
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -7,7 +7,7 @@
 use crate::protocol::cbor::decode;
 use crate::protocol::{BODY_LIMIT, HEAD_LIMIT};
 use crate::settings::Settings;
-use crate::transport::client::{Call, PreparedCall};
+use crate::transport::client::{HttpCall, PreparedCall};
 use crate::transport::codec::Limits;
 
 /// Asks the controller that these settings are for (at `serve_on`) for its metrics, and
@@ -19,11 +19,11 @@
 /// [`CliError::NoMetrics`] if its answer is not a 200 with CBOR.
 pub(super) async fn status(settings: Settings) -> Result<ExitStatus, CliError> {
     let address = settings.listen;
-    let call = Call {
+    let call = HttpCall {
         method: "GET",
         target: "/status".into(),
         body: Vec::new(),
-        deadline: settings.cluster.workers.report(),
+        timeout: settings.cluster.workers.heartbeat_interval(),
     };
     let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
     let (answer, _) = PreparedCall::without_pool(address, limits, call).run().await;
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::jobs::{JobId, JobState};
-use crate::settings::NextState;
+use crate::settings::AnnouncedLimits;
 use crate::storage::in_memory_kv::{FakeKvServer, store};
 use crate::storage::kv;
 use crate::storage::records::{
@@ -12,9 +12,9 @@
 
 fn config(world: &FakeKvServer) -> Config {
     let mut settings = crate::settings::tests::sample();
-    settings.services.state = world.address();
-    settings.cluster.state.rps = 10_000.0;
-    settings.cluster.state.write_rps = 10_000.0;
+    settings.services.kv = world.address();
+    settings.cluster.kv.rps = 10_000.0;
+    settings.cluster.kv.write_rps = 10_000.0;
     Config { settings, tuning: crate::policy::tests::tuning() }
 }
 
@@ -115,10 +115,10 @@
 
 #[test]
 fn both_sets_of_limits_are_described() {
-    let mut state = crate::settings::tests::sample().cluster.state;
+    let mut state = crate::settings::tests::sample().cluster.kv;
     let present = "100 requests and 20 changes a second, values up to 8 KiB, 12 changes a transaction";
     assert_eq!(describe_limits(&state), format!("state service: {present}"));
-    let next = NextState { rps: None, write_rps: Some(15.0), value_kb: Some(2.0), txn_ops: Some(4) };
+    let next = AnnouncedLimits { rps: None, write_rps: Some(15.0), value_kb: Some(2.0), txn_ops: Some(4) };
     state.next = Some(next);
     let later = "100 requests and 15 changes a second, values up to 2 KiB, 4 changes a transaction";
     assert_eq!(describe_limits(&state), format!("state service: {present}; later: {later}"));
--- a/src/coordination/authority/answers/tests.rs
+++ b/src/coordination/authority/answers/tests.rs
@@ -5,7 +5,7 @@
 use crate::protocol::jobs::JobState;
 
 fn status(job: &str, standing: JobState) -> JobStatus {
-    JobStatus { id: JobId::parse(job).expect("valid"), state: standing, done: 0, running: 0 }
+    JobStatus { id: JobId::parse(job).expect("valid"), state: standing, done_tasks: 0, running_tasks: 0 }
 }
 
 fn reply(job: &str, standing: JobState, lease: Option<RemainingLease>) -> PeerReply {
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -29,7 +29,7 @@
     /// for timer steps.
     pub fn worker_lease_timeout(&self) -> Duration {
         let workers = &self.settings.cluster.workers;
-        workers.lease().mul_f64(WORKER_CLOCK_DRIFT) + workers.report() / TIMER_MARGIN_DIVISOR
+        workers.lease().mul_f64(WORKER_CLOCK_DRIFT) + workers.heartbeat_interval() / TIMER_MARGIN_DIVISOR
     }
 
     /// How long after a cancellation a worker may still be answered that goes on with the
--- a/src/coordination/controller/capacity.rs
+++ b/src/coordination/controller/capacity.rs
@@ -1,7 +1,7 @@
 //! The limits on what a controller queues, has under way or remembers.
 
 use crate::numeric::whole_usize;
-use crate::settings::Limits as Quota;
+use crate::settings::ProcessLimits as Quota;
 
 /// Machines remembered for each connection. Connections are for machines that run now; as
 /// many again may just have been replaced.
--- a/src/coordination/controller/effects.rs
+++ b/src/coordination/controller/effects.rs
@@ -11,7 +11,7 @@
 use crate::protocol::workers::encode_pushed_commands;
 use crate::protocol::{BODY_LIMIT, HEAD_LIMIT};
 use crate::storage::kv::Transaction;
-use crate::transport::client::{Call, PreparedCall};
+use crate::transport::client::{HttpCall, PreparedCall};
 use crate::transport::codec::Limits;
 
 /// Deadline of one push of commands to a worker.
@@ -72,7 +72,7 @@
             return;
         }
         let events = self.events.clone();
-        let call = Call { method: "POST", target: "/commands".into(), body, deadline: PUSH_TIMEOUT };
+        let call = HttpCall { method: "POST", target: "/commands".into(), body, timeout: PUSH_TIMEOUT };
         let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
         tokio::spawn(async move {
             let _ = PreparedCall::without_pool(address, limits, call).run().await;
--- a/src/coordination/controller/reconciliation.rs
+++ b/src/coordination/controller/reconciliation.rs
@@ -41,8 +41,8 @@
         Reconciliation {
             kv,
             events,
-            interval: config.tuning.reconcile,
-            value_kb: config.settings.cluster.state.value_kb,
+            interval: config.tuning.reconcile_interval,
+            value_kb: config.settings.cluster.kv.value_kb,
             row_cursor: String::new(),
             reread_cursor: String::new(),
             last_started_at: now,
--- a/src/coordination/controller/snapshot_loader.rs
+++ b/src/coordination/controller/snapshot_loader.rs
@@ -27,7 +27,7 @@
         SnapshotLoader {
             kv,
             events,
-            value_kb: config.settings.cluster.state.value_kb,
+            value_kb: config.settings.cluster.kv.value_kb,
             retry_pause: config.tuning.lease / RETRY_LEASE_DIVISOR,
         }
     }
--- a/src/coordination/controller/status.rs
+++ b/src/coordination/controller/status.rs
@@ -35,7 +35,7 @@
 
     fn store_limits(&self) -> Value {
         let limits = self.kv.limits();
-        let announced = self.config.settings.cluster.state.announced();
+        let announced = self.config.settings.cluster.kv.announced();
         MapBuilder::new()
             .set("changesPerSecond", limits.write_rps)
             .set("valueKib", limits.value_kb)
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -419,7 +419,7 @@
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
     controller.routing.set_role(follower_of("c-1"));
     let job = JobId::parse("job-1").expect("valid");
-    let status = |state| JobStatus { id: job.clone(), state, done: 0, running: 0 };
+    let status = |state| JobStatus { id: job.clone(), state, done_tasks: 0, running_tasks: 0 };
     let lease = RemainingLease { epoch: 7, remaining: Duration::from_secs(3) };
     let forwarded = |controller: &mut Controller, state, lease| {
         let (reply, answer) = oneshot::channel();
@@ -457,7 +457,7 @@
     let other = JobId::parse("job-2").expect("valid");
     let call = PeerCall::Cancel("job-2".into());
     let request = UserRequest { call, job: other.clone(), reply, origin: RequestOrigin::User };
-    let queued = JobStatus { id: other, state: JobState::Queued, done: 0, running: 0 };
+    let queued = JobStatus { id: other, state: JobState::Queued, done_tasks: 0, running_tasks: 0 };
     let peer_reply =
         PeerReply { status: 200, body: encode(&queued.encode()), retry_after_s: None, lease: Some(lease) };
     controller.handle_forwarded_reply(ForwardedReply {
@@ -479,7 +479,7 @@
         [(JobState::Running, false, 200), (JobState::Running, true, 503), (JobState::Done, true, 200)]
     {
         let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(1) };
-        let served = JobStatus { id: job.clone(), state, done: 0, running: 0 };
+        let served = JobStatus { id: job.clone(), state, done_tasks: 0, running_tasks: 0 };
         let to_user = handle.clone();
         let user = tokio::spawn(async move {
             crate::transport::server::Handler::handle(&to_user, request("GET", "/api/jobs/job-1", b"")).await
--- a/src/coordination/controller/wall_clock.rs
+++ b/src/coordination/controller/wall_clock.rs
@@ -5,7 +5,7 @@
 /// Milliseconds since 1970; in tests, those of the simulation if there is one.
 pub(super) fn wall_ms() -> u64 {
     #[cfg(test)]
-    if let Some(simulated) = crate::transport::scripted::wall_ms() {
+    if let Some(simulated) = crate::transport::simulated_network::time_of_day_ms() {
         return simulated;
     }
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/src/coordination/election/runner.rs
+++ b/src/coordination/election/runner.rs
@@ -8,12 +8,12 @@
 };
 use crate::protocol::cbor::{MapBuilder, decode, encode};
 use crate::protocol::kv::{
-    Change, Compare, decode_commit_revision, decode_lease, decode_watch, encode_compare_and_swap,
-    encode_lease,
+    Change, Compare, decode_commit_revision, decode_lease_id, decode_watch_revision, encode_compare_and_swap,
+    encode_lease_request,
 };
 use crate::storage::kv::{KvClient, RequestClass, with_write_marker};
 use crate::storage::records::LEADER;
-use crate::transport::client::{Call, ClientError};
+use crate::transport::client::{ClientError, HttpCall};
 use crate::transport::codec::Response;
 
 /// Runs the election, and sends each change of the role, for as long as somebody receives
@@ -89,10 +89,10 @@
     async fn grant_lease(&mut self) {
         let sent = Instant::now();
         let ttl_ms = u64::try_from(self.election.ttl().as_millis()).unwrap_or(u64::MAX);
-        let body = encode(&encode_lease(ttl_ms));
+        let body = encode(&encode_lease_request(ttl_ms));
         let lease = match self.send("POST", "/leases".to_owned(), body).await {
             Ok(response) if response.status == 200 => {
-                decode(&response.body).ok().and_then(|value| decode_lease(&value).ok())
+                decode(&response.body).ok().and_then(|value| decode_lease_id(&value).ok())
             }
             _ => None,
         };
@@ -136,11 +136,11 @@
 
     async fn watch(&mut self, from: u64) {
         let wait = self.election.ttl();
-        let call = Call {
+        let call = HttpCall {
             method: "GET",
             target: format!("/watch?starts={LEADER}&from={from}&waitMs={}", wait.as_millis()),
             body: Vec::new(),
-            deadline: wait * 2 + self.kv.deadline(),
+            timeout: wait * 2 + self.kv.deadline(),
         };
         let outcome = watch_outcome(self.kv.send_raw(RequestClass::Renewal, call).await);
         self.election.on_watch(Instant::now(), outcome);
@@ -152,7 +152,7 @@
         target: String,
         body: Vec<u8>,
     ) -> Result<Response, ClientError> {
-        let call = Call { method, target, body, deadline: self.kv.deadline() };
+        let call = HttpCall { method, target, body, timeout: self.kv.deadline() };
         self.kv.send_raw(RequestClass::Renewal, call).await
     }
 }
@@ -172,15 +172,15 @@
 fn watch_outcome(answer: Result<Response, ClientError>) -> WatchOutcome {
     match answer {
         Ok(response) if response.status == 200 => {
-            match decode(&response.body).ok().and_then(|value| decode_watch(&value).ok()) {
+            match decode(&response.body).ok().and_then(|value| decode_watch_revision(&value).ok()) {
                 Some(_) => WatchOutcome::Ended,
                 None => WatchOutcome::Failed,
             }
         }
         // The version is too old to watch from: reading the key is enough.
         Ok(response) if response.status == 410 => WatchOutcome::Ended,
-        Ok(_) | Err(ClientError::NotSent | ClientError::Lost(_)) => WatchOutcome::Failed,
+        Ok(_) | Err(ClientError::NotSent | ClientError::ConnectionLost(_)) => WatchOutcome::Failed,
         // Whether the store can be reached is seen by reading the key, which follows.
-        Err(ClientError::TimedOut | ClientError::Unreadable(_)) => WatchOutcome::Ended,
+        Err(ClientError::TimedOut | ClientError::InvalidResponse(_)) => WatchOutcome::Ended,
     }
 }
--- a/src/coordination/fleet/cloud.rs
+++ b/src/coordination/fleet/cloud.rs
@@ -20,7 +20,7 @@
     /// Read the machine types that the cloud offers.
     Catalog,
     /// Read one page of the inventory.
-    List {
+    ListMachines {
         /// The name after which the page begins; empty for the first page.
         from: String,
     },
@@ -36,7 +36,7 @@
     /// The machine types.
     Catalog(Vec<MachineType>),
     /// One page of the inventory.
-    List(InventoryPage),
+    MachinesListed(InventoryPage),
     /// The machines that were provisioned.
     Provisioned(Vec<MachineId>),
     /// The deletion was accepted.
--- a/src/coordination/fleet/cloud/actor.rs
+++ b/src/coordination/fleet/cloud/actor.rs
@@ -10,7 +10,7 @@
 use crate::coordination::fleet::cloud::codec::{decode_reply, encode_call};
 use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudResult};
 use crate::storage::rate_limit::{LogThrottle, TokenBucket};
-use crate::transport::client::{Connection, Pool};
+use crate::transport::client::{Connection, ConnectionPool};
 use crate::transport::codec::Limits;
 
 /// Requests that may wait for their turn; as many again may wait in the channel.
@@ -64,7 +64,7 @@
     /// For each request.
     deadline: Duration,
     rate: TokenBucket,
-    pool: Pool,
+    pool: ConnectionPool,
     waiting: VecDeque<Request>,
     in_flight: usize,
     finished_sender: mpsc::Sender<FinishedRequest>,
@@ -89,7 +89,7 @@
             deadline,
             // Others may have used up the rate before a failover: the bucket starts half full.
             rate: TokenBucket::new(rate, rate.max(1.0), Instant::now()),
-            pool: Pool::new(address, ANSWER_LIMITS, MAX_IN_FLIGHT),
+            pool: ConnectionPool::new(address, ANSWER_LIMITS, MAX_IN_FLIGHT),
             waiting: VecDeque::new(),
             in_flight: 0,
             finished_sender,
--- a/src/coordination/fleet/cloud/codec.rs
+++ b/src/coordination/fleet/cloud/codec.rs
@@ -7,30 +7,31 @@
 use crate::coordination::fleet::cloud::{CloudCall, CloudError, CloudReply, CloudResult};
 use crate::protocol::cbor::{Fields, Malformed, decode, encode};
 use crate::protocol::cloud::{
-    INVENTORY_PAGE, decode_catalog, decode_inventory_page, decode_provisioned, encode_delete,
+    MAX_MACHINES_PER_INVENTORY_PAGE, decode_catalog, decode_inventory_page, decode_provisioned,
+    encode_deletion,
 };
-use crate::transport::client::{Call, ClientError};
+use crate::transport::client::{ClientError, HttpCall};
 use crate::transport::codec::Response;
 
 /// The error of an answer with status 503 that says that there is no capacity.
 const NO_CAPACITY: &str = "no capacity";
 
 /// Encodes a call as an HTTP request with this deadline.
-pub(super) fn encode_call(call: &CloudCall, deadline: Duration) -> Call {
+pub(super) fn encode_call(call: &CloudCall, deadline: Duration) -> HttpCall {
     let (method, target, body) = match call {
         CloudCall::Catalog => ("GET", "/catalog".to_owned(), Vec::new()),
-        CloudCall::List { from } if from.is_empty() => {
-            ("GET", format!("/machines?page={INVENTORY_PAGE}"), Vec::new())
+        CloudCall::ListMachines { from } if from.is_empty() => {
+            ("GET", format!("/machines?page={MAX_MACHINES_PER_INVENTORY_PAGE}"), Vec::new())
         }
-        CloudCall::List { from } => {
-            ("GET", format!("/machines?from={from}&page={INVENTORY_PAGE}"), Vec::new())
+        CloudCall::ListMachines { from } => {
+            ("GET", format!("/machines?from={from}&page={MAX_MACHINES_PER_INVENTORY_PAGE}"), Vec::new())
         }
         CloudCall::Provision(request) => ("POST", "/machines".to_owned(), encode(&request.encode())),
         CloudCall::Delete(machines) => {
-            ("POST", "/machines/delete".to_owned(), encode(&encode_delete(machines)))
+            ("POST", "/machines/delete".to_owned(), encode(&encode_deletion(machines)))
         }
     };
-    Call { method, target, body, deadline }
+    HttpCall { method, target, body, timeout: deadline }
 }
 
 /// Decodes the answer to a call.
@@ -54,7 +55,9 @@
         // The status says all.
         CloudCall::Delete(_) => Ok(CloudReply::Deleted),
         CloudCall::Catalog => decode_with(body, decode_catalog).map(CloudReply::Catalog),
-        CloudCall::List { .. } => decode_with(body, decode_inventory_page).map(CloudReply::List),
+        CloudCall::ListMachines { .. } => {
+            decode_with(body, decode_inventory_page).map(CloudReply::MachinesListed)
+        }
         CloudCall::Provision(_) => decode_with(body, decode_provisioned).map(CloudReply::Provisioned),
     };
     reply.map_err(|_| CloudError::Failed)
--- a/src/coordination/fleet/cloud_results.rs
+++ b/src/coordination/fleet/cloud_results.rs
@@ -24,7 +24,7 @@
                 self.update_catalog(now, types);
             }
             (PendingOperation::ReadCatalog, _) => self.catalog.record_failed_read(now),
-            (PendingOperation::ListMachines, Ok(CloudReply::List(page))) => {
+            (PendingOperation::ListMachines, Ok(CloudReply::MachinesListed(page))) => {
                 self.handle_inventory_page(now, &page);
             }
             (PendingOperation::ListMachines, _) => self.inventory.abort(),
--- a/src/coordination/fleet/demand_measurement.rs
+++ b/src/coordination/fleet/demand_measurement.rs
@@ -45,8 +45,8 @@
                 job.offered_load = Some(load.offered);
             }
         }
-        let memory = self.catalog.longest_boot().mul_f64(self.config.tuning.memory_ratio);
-        self.autoscaler.demand.end_measurement(now, memory, self.config.tuning.begin_within);
+        let memory = self.catalog.longest_boot().mul_f64(self.config.tuning.demand_memory_boots);
+        self.autoscaler.demand.end_measurement(now, memory, self.config.tuning.start_within);
     }
 
     /// What a job adds to the demand; `None` if its team is not in the settings.
@@ -65,7 +65,8 @@
         // The part of a job beyond its team's limit cannot run at once.
         let offered =
             job.offered_load.unwrap_or_else(|| (units_per_task * f64::from(job.unfinished())).min(limit));
-        let start_delay = self.config.settings.cluster.workers.report().mul_f64(START_DELAY_INTERVALS);
+        let start_delay =
+            self.config.settings.cluster.workers.heartbeat_interval().mul_f64(START_DELAY_INTERVALS);
         let ideal_end = job.waiting_since(now) + run + start_delay;
         let group = DemandGroup {
             machine_types: self.catalog.feasible_types(spec),
--- a/src/coordination/fleet/inventory_scan.rs
+++ b/src/coordination/fleet/inventory_scan.rs
@@ -72,7 +72,7 @@
     fn delete_unlisted(&mut self, now: Instant, scan: &InventoryScan) {
         let cluster = &self.config.settings.cluster;
         let time_until_listed = Duration::from_secs_f64(cluster.cloud.list_lag_s) * LAGS_UNTIL_LISTED;
-        let silence = cluster.workers.report().mul_f64(SILENT_INTERVALS);
+        let silence = cluster.workers.heartbeat_interval().mul_f64(SILENT_INTERVALS);
         let snapshot_at = self.failover.snapshot_at();
         let mut gone = Vec::new();
         for machine in self.machines.values_mut() {
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -49,7 +49,7 @@
         };
         let name = self.node_pools.next_name(self.epoch());
         tracing::info!(node_pool = %name, %machine_type, %zone, spot, count, "node pool created");
-        let request = NodePoolRequest { name: name.clone(), machine_type, zone, spot, count };
+        let request = NodePoolRequest { name: name.clone(), machine_type, zone, spot, machine_count: count };
         let record = NodePoolRecord { request, machines: None, machines_used: Default::default() };
         self.node_pools.insert(NodePool::new(record, 0, now));
         self.write_node_pool(&name);
@@ -120,7 +120,7 @@
         let request = pool.record.request.clone();
         let is_short = match result {
             Ok(CloudReply::Provisioned(machines)) => {
-                let is_short = u32::try_from(machines.len()).is_ok_and(|count| count < request.count);
+                let is_short = u32::try_from(machines.len()).is_ok_and(|count| count < request.machine_count);
                 pool.record.machines = Some(machines);
                 is_short
             }
--- a/src/coordination/fleet/registry.rs
+++ b/src/coordination/fleet/registry.rs
@@ -88,7 +88,7 @@
     /// As no record has named them, no task was ever started on them. The first record already
     /// says that they are used, which saves the write before their first start.
     pub(crate) fn register_unregistered(&mut self, now: Instant) {
-        let delay = self.config.settings.cluster.workers.report() / 4;
+        let delay = self.config.settings.cluster.workers.heartbeat_interval() / 4;
         for (shape, mut ids) in self.unregistered.take_due(now, delay) {
             ids.retain(|id| !self.machines.contains(id) && !self.machines.is_deleted(id));
             let longest_name = ids.iter().map(|id| id.as_str().len()).max();
@@ -110,7 +110,7 @@
             zone: zone.clone(),
             spot: *spot,
             // At most `MAX_MACHINES_PER_REQUEST`.
-            count: u32::try_from(ids.len()).unwrap_or(u32::MAX),
+            machine_count: u32::try_from(ids.len()).unwrap_or(u32::MAX),
         };
         let record =
             NodePoolRecord { request, machines: Some(ids.to_vec()), machines_used: Default::default() };
@@ -133,7 +133,7 @@
     /// present and the announced limits of the store. `longest_name`: bytes of the longest
     /// machine name, if it is known.
     pub(crate) fn max_machines_per_pool(&self, longest_name: Option<usize>) -> u32 {
-        let value_bytes = self.config.settings.cluster.state.within_both().value_bytes();
+        let value_bytes = self.config.settings.cluster.kv.strictest().value_bytes();
         let last_name = || self.machines.last_name().map(|id| id.as_str().len());
         let name_bytes = longest_name.or_else(last_name).unwrap_or(UNKNOWN_NAME_BYTES);
         let bytes_per_machine = LISTS_PER_RECORD * (name_bytes + BYTES_AROUND_NAME);
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -83,7 +83,7 @@
         match machine.phase {
             Phase::Deleting => None,
             Phase::Booting => {
-                let boot_limit = boot.mul_f64(tuning.boot_limit_ratio).max(MIN_BILLED);
+                let boot_limit = boot.mul_f64(tuning.boot_limit_boots).max(MIN_BILLED);
                 (now > machine.requested_at + boot_limit).then_some(ScaleInReason::NeverStarted)
             }
             Phase::Up if detector.is_dead(machine) => Some(ScaleInReason::Dead),
@@ -91,7 +91,7 @@
                 Some(ScaleInReason::CordonedOrPreempted)
             }
             Phase::Up => {
-                let is_long_idle = now > machine.idle_since + boot.mul_f64(tuning.idle_ratio);
+                let is_long_idle = now > machine.idle_since + boot.mul_f64(tuning.idle_boots);
                 let is_billed = now > machine.requested_at + MIN_BILLED;
                 let is_cloud_up = !self.cloud_health.is_down(now);
                 let is_unneeded = !needed.contains(&machine.id);
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -140,7 +140,7 @@
                 let request = &pool.record.request;
                 let machine_type = self.catalog.id_of(&request.machine_type);
                 let offer = InstanceOffer { machine_type, zone: request.zone.clone(), spot: request.spot };
-                Supply { offer, unclaimed: f64::from(request.count) }
+                Supply { offer, unclaimed: f64::from(request.machine_count) }
             })
             .collect()
     }
@@ -150,7 +150,7 @@
         let tuning = &self.config.tuning;
         // Work that may wait queues for a while instead of finding machines ready.
         let usual = if group.delay_tolerant {
-            demand.mean * tuning.patient_ratio
+            demand.mean * tuning.delay_tolerant_ratio
         } else {
             demand.mean * tuning.mean_ratio + demand.standard_deviation() * tuning.headroom
         };
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -14,10 +14,10 @@
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::{Effect, PendingOperation, UncheckedSubmission};
 use crate::numeric::whole_usize;
-use crate::protocol::cbor::json_size;
+use crate::protocol::cbor::max_json_size;
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, JobState};
 use crate::protocol::kv::Compare;
-use crate::settings::State;
+use crate::settings::KvSettings;
 use crate::storage::kv::{KvError, RequestClass};
 use crate::storage::records::{JobRecord, block_size, encode_row, job_record_key, live_row_key};
 
@@ -32,10 +32,10 @@
 
 /// Whether the record fits into one value, before and after the limits change, with its done
 /// tasks in the form that leaves the most room for the description.
-fn fits_a_value(record: &JobRecord, state: &State) -> bool {
-    let limits = state.within_both();
-    let bitmap = (record.spec.tasks.min(block_size(limits.value_kb)) / 6) as usize;
-    json_size(&record.encode_without_done_tasks()) + bitmap + VALUE_OVERHEAD_BYTES <= limits.value_bytes()
+fn fits_a_value(record: &JobRecord, state: &KvSettings) -> bool {
+    let limits = state.strictest();
+    let bitmap = (record.spec.task_count.min(block_size(limits.value_kb)) / 6) as usize;
+    max_json_size(&record.encode_without_done_tasks()) + bitmap + VALUE_OVERHEAD_BYTES <= limits.value_bytes()
 }
 
 impl Leader {
@@ -119,7 +119,7 @@
         spec: JobSpec,
         dependencies: KnownDependencies,
     ) {
-        let state = &self.config.settings.cluster.state;
+        let state = &self.config.settings.cluster.kv;
         let job = spec.id.clone();
         let mut record = JobRecord::new(spec, now_ms);
         record.cancelled = dependencies.cancellation == Cancellation::Cancelled;
@@ -128,7 +128,7 @@
         }
         let is_ready = dependencies.unmet.is_empty() && !record.cancelled;
         if is_ready && self.may_start_at_once(&record.spec) {
-            record.started_high_water = record.spec.tasks;
+            record.started_high_water = record.spec.task_count;
         }
         let (record_key, row_key) = (job_record_key(&job), live_row_key(&job));
         let compares = vec![
@@ -162,7 +162,7 @@
         if self.catalog.feasible_types(spec).is_empty() {
             return Some("a task fits no allowed machine type");
         }
-        let at_once = if spec.kind == JobKind::Service { f64::from(spec.tasks) } else { 1.0 };
+        let at_once = if spec.kind == JobKind::Service { f64::from(spec.task_count) } else { 1.0 };
         let total = Resources { cpus: spec.cpus * at_once, gpus: spec.gpus * at_once, memory_gb: 0.0 };
         let fits = total.fits(&self.quotas.get(team).limit);
         (!fits).then_some("needs more than the team's limit")
@@ -226,8 +226,8 @@
     fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
         let spec = &record.spec;
         let is_ready = spec.dependencies.is_empty() || self.dependencies.is_ready(&spec.id);
-        let layout = record.layout(self.config.settings.cluster.state.value_kb);
-        let blocks = layout.blocks(spec.tasks);
+        let layout = record.layout(self.config.settings.cluster.kv.value_kb);
+        let blocks = layout.blocks(spec.task_count);
         let mut job = Job::new(record, version, version, now, blocks);
         job.team = self.quotas.find(&job.spec().team);
         job.ready_at = is_ready.then_some(now);
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -35,7 +35,7 @@
 
     /// Archives rows as long as few of their moves are in flight.
     pub(crate) fn archive_queued_rows(&mut self) {
-        let max_in_flight = self.config.settings.cluster.state.within_both().txn_ops;
+        let max_in_flight = self.config.settings.cluster.kv.strictest().txn_ops;
         while let Some(job_id) = self.record_writes.pop_archive(max_in_flight) {
             self.archive_row(&job_id);
         }
--- a/src/coordination/jobs/dag.rs
+++ b/src/coordination/jobs/dag.rs
@@ -131,7 +131,7 @@
         let best_rate = rates.fold(0.0, f64::max);
         let fetch_s = if best_rate > 0.0 { spec.image_gb / best_rate } else { 0.0 };
         let seconds = self.run_estimates.expected_run_s(spec) + fetch_s.min(MAX_FETCH_S);
-        self.config.settings.cluster.workers.report() + Duration::from_secs_f64(seconds)
+        self.config.settings.cluster.workers.heartbeat_interval() + Duration::from_secs_f64(seconds)
     }
 
     /// A job is done, and that is committed: those that waited only for it are ready.
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -152,7 +152,7 @@
         }
         if status.state == JobState::Queued && self.tasks.running_count > 0 {
             status.state = JobState::Running;
-            status.running = self.tasks.running_count;
+            status.running_tasks = self.tasks.running_count;
         }
         status
     }
@@ -167,7 +167,7 @@
 
     /// Tasks not done yet.
     pub fn unfinished(&self) -> u32 {
-        self.spec().tasks - self.record.done.len()
+        self.spec().task_count - self.record.done.len()
     }
 
     /// The next task from `least` on that may be started.
--- a/src/coordination/jobs/record_state.rs
+++ b/src/coordination/jobs/record_state.rs
@@ -157,7 +157,7 @@
         self.block_versions = conversion.versions;
         let layout = record.layout(value_kb);
         let is_unwritten = |task: &u32| record.done.contains(*task) && !self.done.contains(*task);
-        let unwritten = (0..record.spec.tasks).filter(is_unwritten);
+        let unwritten = (0..record.spec.task_count).filter(is_unwritten);
         self.dirty_blocks =
             unwritten.filter_map(|task| layout.block_tasks().map(|size| task / size)).collect();
     }
--- a/src/coordination/jobs/record_write.rs
+++ b/src/coordination/jobs/record_write.rs
@@ -11,7 +11,7 @@
 use crate::coordination::jobs::record_state::{BlockConversion, RecordWriteInFlight, WriteScope};
 use crate::numeric::count_u32;
 use crate::protocol::kv::{Change, Compare};
-use crate::settings::State;
+use crate::settings::KvSettings;
 use crate::storage::done_set::DoneSet;
 use crate::storage::kv::RequestClass;
 use crate::storage::records::{JobRecord, Layout, job_record_key};
@@ -35,7 +35,7 @@
 
 impl RecordWrite {
     /// The next write of a job's record, in the form that the store takes.
-    pub(crate) fn next(job: &mut Job, now_ms: u64, state: &State) -> RecordWrite {
+    pub(crate) fn next(job: &mut Job, now_ms: u64, state: &KvSettings) -> RecordWrite {
         let record = target_record(job, now_ms);
         let is_terminal = record.terminal_state().is_some();
         let conversion = job.stored.conversion.take();
@@ -50,11 +50,11 @@
     }
 
     /// The record with as many of its changed blocks as one transaction takes.
-    fn with_blocks(job: &mut Job, record: &JobRecord, state: &State) -> RecordWrite {
+    fn with_blocks(job: &mut Job, record: &JobRecord, state: &KvSettings) -> RecordWrite {
         let value_kb = state.value_kb;
         let layout = record.layout(value_kb);
         let id = record.spec.id.clone();
-        let max_blocks = state.within_both().txn_ops.saturating_sub(1).max(1);
+        let max_blocks = state.strictest().txn_ops.saturating_sub(1).max(1);
         let blocks: Vec<u32> = job.stored.dirty_blocks.iter().copied().take(max_blocks).collect();
         job.stored.dirty_blocks.retain(|block| !blocks.contains(block));
         let mut compares = vec![record_compare(job)];
@@ -87,15 +87,15 @@
         job: &Job,
         conversion: &BlockConversion,
         mut record: JobRecord,
-        state: &State,
+        state: &KvSettings,
     ) -> RecordWrite {
         let id = record.spec.id.clone();
         record.done = conversion.done.clone();
         record.block_tasks = Some(conversion.block_tasks);
         let layout = Layout::NamedBlocks(conversion.block_tasks);
         let first = count_u32(conversion.versions.len());
-        let max_blocks = count_u32(state.within_both().txn_ops);
-        let end = layout.blocks(record.spec.tasks).min(first.saturating_add(max_blocks));
+        let max_blocks = count_u32(state.strictest().txn_ops);
+        let end = layout.blocks(record.spec.task_count).min(first.saturating_add(max_blocks));
         let (scope, changes) = if first == end {
             let change = put(job_record_key(&id), record.encode(state.value_kb));
             (WriteScope::SwitchLayout, vec![change])
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -19,7 +19,7 @@
 impl Leader {
     /// A task has ended well: it is written with the next batch.
     pub(crate) fn mark_task_done(&mut self, now: Instant, job_id: &JobId, task: u32) {
-        let value_kb = self.config.settings.cluster.state.value_kb;
+        let value_kb = self.config.settings.cluster.kv.value_kb;
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         if job.record.terminal_state().is_some() || job.is_service() || !job.record.done.insert(task) {
             return;
@@ -52,7 +52,7 @@
     /// batches.
     pub(crate) fn flush_dirty_records(&mut self, now: Instant) {
         let max_writes = self.record_writes.begin_flush(now);
-        let delay = self.config.tuning.batch;
+        let delay = self.config.tuning.done_task_batch_delay;
         let mut writes = 0;
         for _ in 0..self.record_writes.dirty_len() {
             if writes >= max_writes {
@@ -90,7 +90,7 @@
     /// the next few thousand, before the first of them does.
     pub(crate) fn raise_started_high_water(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else { return };
-        let tasks = job.spec().tasks;
+        let tasks = job.spec().task_count;
         let committed = job.stored.started_high_water;
         // That a job has started says that its dependencies are done.
         let may_start = job.is_startable() && !job.waits_for_dependencies();
@@ -109,7 +109,7 @@
         if is_blocked || job.record.terminal_state().is_some() {
             return;
         }
-        let write = RecordWrite::next(job, now_ms, &self.config.settings.cluster.state);
+        let write = RecordWrite::next(job, now_ms, &self.config.settings.cluster.kv);
         job.stored.dirty_since = None;
         job.stored.write_in_flight = Some(write.in_flight);
         let operation = PendingOperation::WriteJobRecord(job_id.clone());
@@ -145,7 +145,7 @@
         write: RecordWriteInFlight,
         version: u64,
     ) {
-        let value_kb = self.config.settings.cluster.state.value_kb;
+        let value_kb = self.config.settings.cluster.kv.value_kb;
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         if let WriteScope::NewBlocks { count } = write.scope {
             if let Some(conversion) = &mut job.stored.conversion {
@@ -200,8 +200,8 @@
     /// The store does not take a value of that size any more. The write is made again in a
     /// smaller form, and holds nothing else up.
     fn handle_record_rejected(&mut self, now: Instant, job_id: &JobId, write: &RecordWriteInFlight) {
-        let state = &self.config.settings.cluster.state;
-        let (value_kb, announced) = (state.value_kb, block_size(state.within_both().value_kb));
+        let state = &self.config.settings.cluster.kv;
+        let (value_kb, announced) = (state.value_kb, block_size(state.strictest().value_kb));
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         if let WriteScope::Record { blocks } = &write.scope {
             job.stored.dirty_blocks.extend(blocks);
@@ -210,7 +210,7 @@
             job.stored.is_too_large = true;
             return self.write_record(now, job_id);
         }
-        let by_layout = job.record.layout(value_kb).block_tasks().unwrap_or(job.spec().tasks);
+        let by_layout = job.record.layout(value_kb).block_tasks().unwrap_or(job.spec().task_count);
         let present = job.stored.conversion.take().map_or(by_layout, |conversion| conversion.block_tasks);
         let smaller = announced.min(present / 2);
         if write.is_terminal() || smaller < MIN_BLOCK_TASKS {
--- a/src/coordination/jobs/task_placements.rs
+++ b/src/coordination/jobs/task_placements.rs
@@ -41,7 +41,7 @@
             }
             self.requeued.remove(&task);
         }
-        let tasks = record.spec.tasks;
+        let tasks = record.spec.task_count;
         let mut task = if least == 0 { self.next } else { self.next_reconciled.max(least) };
         while task < tasks && !self.is_free(record, task) {
             task += 1;
--- a/src/coordination/jobs/write_queue.rs
+++ b/src/coordination/jobs/write_queue.rs
@@ -7,7 +7,7 @@
 
 use crate::numeric::whole_usize;
 use crate::protocol::jobs::JobId;
-use crate::settings::StateLimits;
+use crate::settings::KvLimits;
 
 /// The part of the store's write rate that is for done tasks.
 const PROGRESS_WRITE_SHARE: f64 = 0.4;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct RecordWriteQueue {
     /// The store's limits as far as is known.
-    limits: StateLimits,
+    limits: KvLimits,
     /// The job that has waited longest first.
     dirty: VecDeque<DirtyJob>,
     /// Records that the store rejects in every size, and when to try them again.
@@ -40,7 +40,7 @@
 
 impl RecordWriteQueue {
     /// Nothing waits; `limits`: those of the store now.
-    pub(crate) fn new(now: Instant, limits: StateLimits) -> Self {
+    pub(crate) fn new(now: Instant, limits: KvLimits) -> Self {
         RecordWriteQueue {
             limits,
             dirty: VecDeque::new(),
@@ -52,12 +52,12 @@
     }
 
     /// The store's limits as far as is known.
-    pub(crate) fn limits(&self) -> &StateLimits {
+    pub(crate) fn limits(&self) -> &KvLimits {
         &self.limits
     }
 
     /// The store's limits have changed.
-    pub(crate) fn set_limits(&mut self, limits: StateLimits) {
+    pub(crate) fn set_limits(&mut self, limits: KvLimits) {
         self.limits = limits;
     }
 
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -165,7 +165,7 @@
         match query {
             CloudQuery::Catalog => self.call_cloud(PendingOperation::ReadCatalog, CloudCall::Catalog),
             CloudQuery::Machines { from } => {
-                self.call_cloud(PendingOperation::ListMachines, CloudCall::List { from });
+                self.call_cloud(PendingOperation::ListMachines, CloudCall::ListMachines { from });
             }
         }
     }
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -47,7 +47,7 @@
 use crate::protocol::jobs::JobId;
 use crate::protocol::kv::{Change, Compare};
 use crate::protocol::workers::Command;
-use crate::settings::StateLimits;
+use crate::settings::KvLimits;
 use crate::storage::kv::{KvError, RequestClass, Transaction};
 use crate::storage::records::{CATALOG, LEARNED_STATISTICS};
 
@@ -131,7 +131,7 @@
             admissions: Admissions::default(),
             dependencies: DependencyGraph::default(),
             quotas: Quotas::new(&cluster.teams),
-            record_writes: RecordWriteQueue::new(now, cluster.state.present()),
+            record_writes: RecordWriteQueue::new(now, cluster.kv.in_force()),
             singletons: SingletonKeys::default(),
             machines: MachineTable::new(CapacityLimits::new(&cluster.limits).machines),
             node_pools: NodePools::default(),
@@ -168,7 +168,7 @@
     }
 
     /// The store's limits now, as far as is known.
-    pub fn set_state_limits(&mut self, limits: StateLimits) {
+    pub fn set_state_limits(&mut self, limits: KvLimits) {
         self.record_writes.set_limits(limits);
     }
 
@@ -237,7 +237,7 @@
     /// Writes one of the keys that leaders keep for the next, unless its last write is under
     /// way or the value is too large.
     pub(crate) fn write_singleton(&mut self, key: &'static str, value: Value) {
-        let limit = self.config.settings.cluster.state.within_both().value_bytes();
+        let limit = self.config.settings.cluster.kv.strictest().value_bytes();
         let Some((compare, change)) = self.singletons.begin_write(key, value, limit) else { return };
         let operation = PendingOperation::WriteSingleton(key);
         self.commit(operation, RequestClass::Background, vec![compare], vec![change]);
--- a/src/coordination/leader/singleton_keys.rs
+++ b/src/coordination/leader/singleton_keys.rs
@@ -4,7 +4,7 @@
 use ciborium::value::Value;
 
 use crate::maps::HashMap;
-use crate::protocol::cbor::json_size;
+use crate::protocol::cbor::max_json_size;
 use crate::protocol::kv::{Change, Compare};
 
 /// Bytes that a stored value has beside what is encoded here.
@@ -38,7 +38,7 @@
         limit: usize,
     ) -> Option<(Compare, Change)> {
         let entry = self.keys.entry(key).or_default();
-        if entry.write_in_flight || json_size(&value) + VALUE_OVERHEAD_BYTES > limit {
+        if entry.write_in_flight || max_json_size(&value) + VALUE_OVERHEAD_BYTES > limit {
             return None;
         }
         entry.write_in_flight = true;
--- a/src/coordination/recovery/snapshot.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -336,7 +336,7 @@
     };
     let mut block_versions = Vec::new();
     let layout = record.layout(value_kb);
-    for block in 0..layout.blocks(record.spec.tasks) {
+    for block in 0..layout.blocks(record.spec.task_count) {
         let stored = store.get(RequestClass::Admission, &layout.block_key(&record.spec.id, block)).await?;
         block_versions.push(stored.as_ref().map_or(0, |entry| entry.version));
         if let Some(Err(source)) = stored.map(|entry| record.add_block(&entry.value)) {
--- a/src/coordination/scheduling/descheduler.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -77,7 +77,7 @@
     /// Whether the slot holds a replica of a service that has run for long enough and is not
     /// being stopped.
     fn may_move(&self, now: Instant, task: &TaskId, slot: &Slot) -> bool {
-        let min_run = self.config.settings.cluster.workers.report() * MIN_HEARTBEATS_BEFORE_MOVE;
+        let min_run = self.config.settings.cluster.workers.heartbeat_interval() * MIN_HEARTBEATS_BEFORE_MOVE;
         slot.state == SlotState::Running
             && slot.assigned
             && slot.stop_grace_s.is_none()
--- a/src/coordination/scheduling/filters.rs
+++ b/src/coordination/scheduling/filters.rs
@@ -34,7 +34,7 @@
     /// Whether at most half of the job's tasks are in the machine's zone with one more.
     fn leaves_job_spread(&self, spec: &JobSpec, machine: &Machine) -> bool {
         let in_zone = self.zones_of_tasks(spec).filter(|zone| *zone == machine.zone).count();
-        in_zone < spec.tasks.div_ceil(2) as usize
+        in_zone < spec.task_count.div_ceil(2) as usize
     }
 
     /// The zone of each task of the job that may be on a machine. Every one counts, whatever
--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -24,7 +24,7 @@
     /// Orders the waiting jobs: starved ones and guarantees first, then priority, then the
     /// latest start at which an objective is met, or age. An order that is fresh is kept.
     pub(crate) fn order_queue(&mut self, now: Instant) {
-        let heartbeat_interval = self.config.settings.cluster.workers.report();
+        let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         if self.queue.is_fresh(now, heartbeat_interval / MAX_AGE_DIVISOR) {
             return;
         }
@@ -64,7 +64,7 @@
     /// Machines that have free capacity. One whose heartbeat is overdue may be dead, and is
     /// left out.
     fn find_candidates(&self, now: Instant) -> Vec<MachineId> {
-        let timeout = self.config.settings.cluster.workers.report().mul_f64(CANDIDATE_INTERVALS);
+        let timeout = self.config.settings.cluster.workers.heartbeat_interval().mul_f64(CANDIDATE_INTERVALS);
         let is_live = |machine: &Machine| machine.agent.heartbeat_at.is_some_and(|at| now < at + timeout);
         let has_free_capacity = |machine: &&Machine| {
             machine.free.cpus > MIN_FREE_CPUS && machine.has_usable_capacity() && is_live(machine)
@@ -95,7 +95,7 @@
                 break;
             }
             left_cpus -= waiting_cpus(job);
-            if job.stored.started_high_water < job.spec().tasks {
+            if job.stored.started_high_water < job.spec().task_count {
                 found.push(job.id().clone());
             }
         }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -142,7 +142,7 @@
         if !(has_lower || has_borrowed) {
             return None;
         }
-        let heartbeat_interval = self.config.settings.cluster.workers.report();
+        let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         let waiting_since = job.waiting_since(now);
         let may_start_by_itself = now < waiting_since + heartbeat_interval.mul_f64(MIN_WAIT_INTERVALS);
         if may_start_by_itself || !self.is_within_quota(job) {
--- a/src/coordination/scheduling/sampling.rs
+++ b/src/coordination/scheduling/sampling.rs
@@ -23,7 +23,7 @@
     /// Draws a few machines other than this one that last had free capacity for a task, from
     /// the candidates of the last ordering of the queue.
     pub(crate) fn sample_candidates(&mut self, machine: &MachineId, task: &Resources) -> CandidateSample {
-        let max_machines = self.config.tuning.sample.saturating_sub(1);
+        let max_machines = self.config.tuning.sampled_machines.saturating_sub(1);
         let max_draws = (max_machines * DRAWS_PER_MACHINE).min(self.queue.candidates().len());
         let mut machines = Vec::with_capacity(max_machines);
         let mut drawn: u32 = 0;
--- a/src/coordination/scheduling/slack.rs
+++ b/src/coordination/scheduling/slack.rs
@@ -101,7 +101,7 @@
     /// The objectives for the job's start that are shorter than a heartbeat interval, in
     /// seconds.
     fn latency_objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
-        let heartbeat_interval_s = self.config.settings.cluster.workers.report_s;
+        let heartbeat_interval_s = self.config.settings.cluster.workers.heartbeat_interval_s;
         self.objectives_for(spec)
             .filter(|objective| objective.kind == KIND_WAIT)
             .filter_map(|objective| objective.within_s)
@@ -151,7 +151,7 @@
 
     /// Whether half the time is over within which every job must start.
     pub(super) fn has_waited_too_long(&self, job: &Job, now: Instant) -> bool {
-        now >= job.waiting_since(now) + self.config.tuning.begin_within / 2
+        now >= job.waiting_since(now) + self.config.tuning.start_within / 2
     }
 
     /// Jobs that fit into their team's guarantee together with the team's earlier unfinished
--- a/src/coordination/scheduling/start_decision.rs
+++ b/src/coordination/scheduling/start_decision.rs
@@ -77,7 +77,7 @@
         machine_id: &MachineId,
         score_here: f64,
     ) -> bool {
-        let heartbeat_interval = self.config.settings.cluster.workers.report();
+        let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         let task = queued.task_resources;
         let sample = self.sample_candidates(machine_id, &task);
         let Some(job) = self.jobs.get(&queued.job) else { return true };
--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -134,7 +134,7 @@
     let workers = harness.config.settings.cluster.workers.clone();
     let (mut sequence, mut last) = (6, harness.now);
     while harness.now < cancelled_at + workers.cancellation() {
-        harness.advance(workers.report_s);
+        harness.advance(workers.heartbeat_interval_s);
         sequence += 1;
         if harness.send_heartbeat("vm-1", 1, sequence, EPOCH, running.clone()) != HeartbeatReply::Redirect {
             last = harness.now;
@@ -171,7 +171,7 @@
     }
     let sent = harness.pushed_commands.len() as f64;
     assert!(sent >= 3.0 && harness.pushed_commands.iter().all(|order| *order == stop(&start)));
-    assert!(sent <= 1.0 + (harness.now - cancelled_at).as_secs_f64() / workers.report_s, "paced");
+    assert!(sent <= 1.0 + (harness.now - cancelled_at).as_secs_f64() / workers.heartbeat_interval_s, "paced");
     assert!(deleted_at.is_some_and(|at| at <= cancelled_at + workers.lease()));
 }
 
--- a/src/coordination/tests/dag.rs
+++ b/src/coordination/tests/dag.rs
@@ -103,7 +103,7 @@
         harness.accept(sample("job-1", "red", 1, 1.0));
         let first = harness.starts_for_heartbeat(2, vec![]);
         if waiting {
-            harness.accept(JobSpec { tasks: 100, ..dependent_job("job-2", &["job-1"]) });
+            harness.accept(JobSpec { task_count: 100, ..dependent_job("job-2", &["job-1"]) });
         }
         for sequence in 3..200 {
             harness.advance(3.0);
@@ -137,7 +137,7 @@
         times: None,
     };
     config.settings.cluster.objectives.push(aim);
-    let half_bound = config.tuning.begin_within / 2;
+    let half_bound = config.tuning.start_within / 2;
     let mut harness = Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config);
     harness.heartbeat("vm-1", 1, EPOCH, vec![]);
     harness.accept(sample("job-1", "red", 1, 8.0));
@@ -344,8 +344,8 @@
 #[test]
 fn a_dependency_list_too_large_for_a_record_is_rejected() {
     let mut config = Config { settings: settings::tests::sample(), tuning: policy::tests::tuning() };
-    let next = settings::NextState { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: None };
-    config.settings.cluster.state.next = Some(next);
+    let next = settings::AnnouncedLimits { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: None };
+    config.settings.cluster.kv.next = Some(next);
     let mut harness = Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config);
     let names: Vec<String> = (0..200).map(|n| format!("job-{n:06}")).collect();
     for name in &names {
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -93,7 +93,7 @@
     let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2b", true)]);
     harness.heartbeat("vm-2b", 1, EPOCH, vec![]);
     // vm-1 keeps sending heartbeats without the fencing token of any reply.
-    let interval = harness.config.settings.cluster.workers.report_s;
+    let interval = harness.config.settings.cluster.workers.heartbeat_interval_s;
     let latest = harness.config.failover_lease_timeout().as_secs_f64() + 4.0 * interval;
     let begin = harness.now;
     let (mut sequence, mut started_after) = (1, None);
@@ -156,9 +156,9 @@
         harness.cloud_calls.clear();
         harness.advance(pause);
         let list_call =
-            harness.cloud_calls.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
+            harness.cloud_calls.iter().find(|(_, c)| matches!(c, CloudCall::ListMachines { .. })).cloned();
         let machines = vec![inventory_entry("vm-9", ListedState::Running)];
-        let answer = Ok(CloudReply::List(InventoryPage { machines, more: false }));
+        let answer = Ok(CloudReply::MachinesListed(InventoryPage { machines, more: false }));
         harness.leader.handle_cloud_result(
             harness.now,
             list_call.expect("the inventory is read repeatedly").0,
--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -50,7 +50,7 @@
         machine_type: "m8".into(),
         zone: zone_of(name),
         spot: false,
-        count: 1,
+        machine_count: 1,
     };
     let id = machine(name);
     let record = NodePoolRecord {
@@ -63,7 +63,7 @@
 
 /// A job as a new leader reads it, of which every task may have been started.
 pub(in crate::coordination) fn loaded_job(spec: JobSpec) -> JobSnapshot {
-    let started = spec.tasks;
+    let started = spec.task_count;
     let record = JobRecord { started_high_water: started, ..JobRecord::new(spec, NOW_MS) };
     JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() }
 }
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -3,8 +3,10 @@
 
 use super::*;
 use crate::protocol::BODY_LIMIT;
-use crate::protocol::cbor::{encode, json_size};
-use crate::protocol::cloud::{INVENTORY_PAGE, MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_REQUEST};
+use crate::protocol::cbor::{encode, max_json_size};
+use crate::protocol::cloud::{
+    MAX_MACHINES_PER_DELETION, MAX_MACHINES_PER_INVENTORY_PAGE, MAX_MACHINES_PER_REQUEST,
+};
 use crate::protocol::workers::encode_heartbeat_reply;
 
 /// Machines of the fleet.
@@ -36,8 +38,9 @@
     let mut settings = settings::tests::sample();
     settings.cluster.limits.max_connections = 4_600;
     settings.cluster.limits.memory_mb = 256.0;
-    let next = settings::NextState { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: Some(4) };
-    settings.cluster.state.next = Some(next);
+    let next =
+        settings::AnnouncedLimits { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: Some(4) };
+    settings.cluster.kv.next = Some(next);
     Config { settings, tuning: policy::tests::tuning() }
 }
 
@@ -58,12 +61,16 @@
 
     /// Commits all transactions; each must be within the announced limits.
     fn commit_within_limits(&mut self) {
-        let limits = self.config.settings.cluster.state.announced();
+        let limits = self.config.settings.cluster.kv.announced();
         for transaction in self.commit_all() {
             assert!(transaction.changes.len() <= limits.txn_ops, "{:?}", transaction.changes.len());
             for change in &transaction.changes {
                 if let Change::Put { key, value, .. } = change {
-                    assert!(json_size(value) < limits.value_bytes(), "{key} takes {}", json_size(value));
+                    assert!(
+                        max_json_size(value) < limits.value_bytes(),
+                        "{key} takes {}",
+                        max_json_size(value)
+                    );
                 }
             }
         }
@@ -102,17 +109,17 @@
 
     // The inventory comes in pages, one call at a time.
     let mut pages = 0;
-    while pages < MACHINES.div_ceil(INVENTORY_PAGE) {
+    while pages < MACHINES.div_ceil(MAX_MACHINES_PER_INVENTORY_PAGE) {
         harness.advance(1.0);
         pages += harness.answer_cloud_calls(|call| {
-            let CloudCall::List { from } = call else { return None };
+            let CloudCall::ListMachines { from } = call else { return None };
             let mut rest = (0..MACHINES).map(name).filter(|name| name > from);
             let machines = rest
                 .by_ref()
-                .take(INVENTORY_PAGE)
+                .take(MAX_MACHINES_PER_INVENTORY_PAGE)
                 .map(|name| inventory_entry(&name, ListedState::Running))
                 .collect();
-            Some(CloudReply::List(InventoryPage { machines, more: rest.next().is_some() }))
+            Some(CloudReply::MachinesListed(InventoryPage { machines, more: rest.next().is_some() }))
         });
     }
     let all_listed = |harness: &Harness| harness.leader.machines.values().all(|m| m.listing.was_listed);
@@ -157,7 +164,7 @@
         harness.commit_within_limits();
     }
     let counts = harness.cloud_calls.iter().filter_map(|(_, call)| match call {
-        CloudCall::Provision(request) => Some(request.count),
+        CloudCall::Provision(request) => Some(request.machine_count),
         _ => None,
     });
     let counts: Vec<u32> = counts.collect();
--- a/src/coordination/tests/harness.rs
+++ b/src/coordination/tests/harness.rs
@@ -31,7 +31,7 @@
     /// A leader that has just read these records. Idle machines are kept for two boot
     /// times, so that tests of other behaviour keep theirs.
     pub(super) fn new(jobs: Vec<JobSnapshot>, node_pools: Vec<(NodePoolRecord, u64)>) -> Self {
-        let tuning = policy::Tuning { preempt_loss_s: 8.0, idle_ratio: 2.0, ..policy::tests::tuning() };
+        let tuning = policy::Tuning { preempt_loss_s: 8.0, idle_boots: 2.0, ..policy::tests::tuning() };
         Harness::with_tuning(jobs, node_pools, tuning)
     }
 
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -248,7 +248,7 @@
     // Nor does it count as alive: like a machine without heartbeats it is replaced, and the
     // confirmed deletion is the proof.
     harness.cloud_calls.clear();
-    let silence = harness.config.tuning.silence.as_secs_f64();
+    let silence = harness.config.tuning.suspicion_timeout.as_secs_f64();
     let mut sequence = 1;
     for _ in 0..(silence / 2.0) as u64 + 2 {
         harness.advance(2.0);
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -87,10 +87,10 @@
     let cancelled_at = harness.now;
     let mut sequence = 2;
     while !running.is_empty() {
-        harness.advance(harness.config.settings.cluster.workers.report_s);
+        harness.advance(harness.config.settings.cluster.workers.heartbeat_interval_s);
         let commands = harness.heartbeat("vm-1", sequence, EPOCH, running_statuses(&running));
         assert!(
-            crate::protocol::cbor::json_size(&encode_heartbeat_reply(EPOCH, &commands))
+            crate::protocol::cbor::max_json_size(&encode_heartbeat_reply(EPOCH, &commands))
                 <= crate::protocol::BODY_LIMIT
         );
         let stopped: Vec<TaskId> = commands
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -3,7 +3,7 @@
 use ciborium::value::Value;
 
 use super::*;
-use crate::protocol::cbor::json_size;
+use crate::protocol::cbor::max_json_size;
 
 #[test]
 fn a_fenced_write_ends_the_epoch_and_answers_503() {
@@ -58,10 +58,10 @@
 fn a_terminal_write_rejected_for_its_size_is_retried_and_not_answered_before() {
     for cancelled_by_user in [true, false] {
         let (mut harness, reply) = harness_with_final_write_in_flight(cancelled_by_user);
-        let whole_size = json_size(&only_put(&harness));
+        let whole_size = max_json_size(&only_put(&harness));
         harness.fail_next_commit(KvError::Rejected);
         let verdict = only_put(&harness);
-        assert!(json_size(&verdict) < whole_size);
+        assert!(max_json_size(&verdict) < whole_size);
         let record = JobRecord::decode(&verdict).expect("readable");
         assert_eq!((record.cancelled, record.completed), (cancelled_by_user, !cancelled_by_user));
         harness.fail_next_commit(KvError::Rejected);
--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -52,7 +52,7 @@
     // It needs a whole machine and has the lowest priority.
     let mut large = sample("job-1", "red", 1, 8.0);
     large.priority = Priority::BestEffort;
-    let bound_s = harness.config.tuning.begin_within.as_secs_f64();
+    let bound_s = harness.config.tuning.start_within.as_secs_f64();
     let (mut sequence, mut n, mut running) = (5, 2, Vec::new());
     // Two small tasks are always running, their ends half a run apart.
     let begin = harness.now;
@@ -94,7 +94,7 @@
     urgent.deadline_s = Some(30.0);
     harness.accept(urgent);
     // It must start within 20 s; until then capacity may become free by itself.
-    let interval = harness.config.settings.cluster.workers.report_s;
+    let interval = harness.config.settings.cluster.workers.heartbeat_interval_s;
     for sequence in 7..9 {
         harness.advance(interval);
         harness.heartbeat("vm-1", sequence, EPOCH, vec![task_status(&low, TaskState::Running)]);
@@ -116,7 +116,7 @@
     let mut large = sample("job-2", "red", 1, 8.0);
     large.priority = Priority::BestEffort;
     harness.accept(large);
-    let half_bound = harness.config.tuning.begin_within.as_secs_f64() / 2.0;
+    let half_bound = harness.config.tuning.start_within.as_secs_f64() / 2.0;
     let mut sequence = 5;
     let mut heartbeat = |harness: &mut Harness, at: usize, tasks: &[StartedTask]| {
         sequence += 1;
@@ -197,7 +197,7 @@
     Objective {
         kind: "wait".into(),
         class: Some("build".into()),
-        within_s: Some(workers.report_s / 3.0),
+        within_s: Some(workers.heartbeat_interval_s / 3.0),
         share: Some(0.9),
         times: None,
     }
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -78,7 +78,7 @@
 
 impl tracing_subscriber::fmt::time::FormatTime for Clock {
     fn format_time(&self, w: &mut tracing_subscriber::fmt::format::Writer<'_>) -> std::fmt::Result {
-        let ms = crate::transport::scripted::wall_ms().unwrap_or_default();
+        let ms = crate::transport::simulated_network::time_of_day_ms().unwrap_or_default();
         write!(w, "{}.{:03}", ms / 1000, ms % 1000)
     }
 }
@@ -181,7 +181,7 @@
         simulation.force_start("job-1", 0, "z2", false);
     });
     assert_caught("quota", |simulation| {
-        submit_job(simulation, |spec| spec.tasks = 5);
+        submit_job(simulation, |spec| spec.task_count = 5);
         (0..5).for_each(|index| drop(simulation.force_start("job-1", index, "z1", false)));
     });
     assert_caught("wrong_place", |simulation| {
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -3,7 +3,7 @@
 use ciborium::value::Value;
 
 use super::*;
-use crate::protocol::cbor::{encode, json_size};
+use crate::protocol::cbor::{encode, max_json_size};
 use crate::protocol::kv::{decode_commit_revision, decode_entry, encode_compare_and_swap};
 use crate::storage::in_memory_kv::InMemoryKv;
 use crate::transport::codec::Request;
@@ -139,7 +139,7 @@
     harness.commits.clear();
     let records =
         |harness: &Harness| harness.commits.iter().filter(|(_, t)| t.class == RequestClass::Progress).count();
-    let allowance = harness.config.settings.cluster.state.write_rps;
+    let allowance = harness.config.settings.cluster.kv.write_rps;
     harness.advance(1.0);
     let first = records(&harness);
     assert!(first > 0 && first as f64 <= allowance, "{first} of {allowance} a second");
@@ -179,12 +179,12 @@
     let value = read(state, &format!("rec/{job}")).expect("a record");
     let mut record = JobRecord::decode(&value).expect("readable");
     let layout = record.layout(8.0);
-    for block in 0..layout.blocks(record.spec.tasks) {
+    for block in 0..layout.blocks(record.spec.task_count) {
         if let Some(value) = read(state, &layout.block_key(&record.spec.id, block)) {
             record.add_block(&value).expect("readable");
         }
     }
-    (0..record.spec.tasks).filter(|task| record.done.contains(*task)).collect()
+    (0..record.spec.task_count).filter(|task| record.done.contains(*task)).collect()
 }
 
 /// The limits fall while a job's done tasks fill blocks that are larger than a value may be
@@ -193,11 +193,12 @@
 #[test]
 fn done_tasks_move_to_smaller_blocks_without_loss() {
     let mut config = Config { settings: settings::tests::sample(), tuning: policy::tests::tuning() };
-    let next = settings::NextState { rps: None, write_rps: None, value_kb: Some(1.0), txn_ops: Some(4) };
-    config.settings.cluster.state.next = Some(next);
-    let limits = config.settings.cluster.state.announced();
+    let next =
+        settings::AnnouncedLimits { rps: None, write_rps: None, value_kb: Some(1.0), txn_ops: Some(4) };
+    config.settings.cluster.kv.next = Some(next);
+    let limits = config.settings.cluster.kv.announced();
     let size = |change: &Change| match change {
-        Change::Put { value, .. } => json_size(value),
+        Change::Put { value, .. } => max_json_size(value),
         Change::Delete { .. } => 0,
     };
     for tasks in [20_000, 60_000] {
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -8,7 +8,7 @@
     harness.accept(sample("job-1", "red", 1, 1.0));
     starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
     harness.cloud_calls.clear();
-    let silence = harness.config.tuning.silence.as_secs_f64();
+    let silence = harness.config.tuning.suspicion_timeout.as_secs_f64();
     let mut sequence = 5;
     for _ in 0..((silence / 2.0) as u64 + 2) {
         harness.advance(2.0);
@@ -122,13 +122,14 @@
     let list = |harness: &mut Harness, machines: Vec<ListedMachine>| {
         harness.cloud_calls.clear();
         harness.advance(4.2);
-        let found = harness.cloud_calls.iter().find(|(_, c)| matches!(c, CloudCall::List { .. })).cloned();
+        let found =
+            harness.cloud_calls.iter().find(|(_, c)| matches!(c, CloudCall::ListMachines { .. })).cloned();
         let (operation, _) = found.expect("the inventory is read repeatedly");
         harness.cloud_calls.clear();
         harness.leader.handle_cloud_result(
             harness.now,
             operation,
-            Ok(CloudReply::List(InventoryPage { machines, more: false })),
+            Ok(CloudReply::MachinesListed(InventoryPage { machines, more: false })),
         );
         harness.collect_effects();
         harness.requests_deletion()
@@ -202,7 +203,8 @@
         assert_eq!(starts(&harness.heartbeat(name, 5, EPOCH, vec![])).len(), 1);
     }
     harness.cloud_calls.clear();
-    let (silence, lease) = (harness.config.tuning.silence, harness.config.settings.cluster.workers.lease());
+    let (silence, lease) =
+        (harness.config.tuning.suspicion_timeout, harness.config.settings.cluster.workers.lease());
     let begin = harness.now;
     let mut sequence = 5;
     // No machine of the zone z2 sends heartbeats any more.
@@ -236,7 +238,7 @@
         assert_eq!(starts(&harness.heartbeat(name, 5, EPOCH, vec![])).len(), 1);
     }
     harness.cloud_calls.clear();
-    harness.advance(harness.config.tuning.silence.as_secs_f64() + 1.0);
+    harness.advance(harness.config.tuning.suspicion_timeout.as_secs_f64() + 1.0);
     for (sequence, name) in names.iter().take(8).enumerate() {
         harness.heartbeat(name, 6 + sequence as u64, EPOCH, vec![]);
         harness.advance(1.0);
@@ -278,7 +280,7 @@
             }
             assert!(harness.now < begin + workers.lease(), "never deleted");
         }
-        let early = harness.now < begin + harness.config.tuning.silence;
+        let early = harness.now < begin + harness.config.tuning.suspicion_timeout;
         assert_eq!(early, lost == 1, "{lost} lost: {:?}", harness.now - begin);
     }
 }
@@ -384,7 +386,7 @@
 
 /// Advances two minutes; returns which replica was stopped, if any.
 fn replica_stopped_within_two_minutes(harness: &mut Harness, replicas: &[StartedTask; 2]) -> Option<usize> {
-    let interval = harness.config.settings.cluster.workers.report_s;
+    let interval = harness.config.settings.cluster.workers.heartbeat_interval_s;
     for sequence in 3..43 {
         harness.advance(interval);
         for (name, replica) in ["vm-1", "vm-3"].into_iter().zip(replicas) {
--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -7,7 +7,7 @@
 
 impl Simulation {
     /// Handles a request of a controller.
-    pub(super) fn handle_cloud_request(&mut self, now: Instant, call: &Call) -> Response {
+    pub(super) fn handle_cloud_request(&mut self, now: Instant, call: &HttpCall) -> Response {
         if now < self.cloud_down_until {
             return answer(503, &MapBuilder::new().set("error", "trouble").build());
         }
@@ -45,7 +45,7 @@
             let names = (0..count).map(|_| self.provision(now, zone, spot)).collect();
             self.node_pools.insert(name.clone(), names);
         }
-        let names = texts(self.node_pools[&name].iter().map(String::as_str));
+        let names = text_array(self.node_pools[&name].iter().map(String::as_str));
         answer(200, &MapBuilder::new().set("benches", names).build())
     }
 
--- a/src/coordination/tests/simulation/cluster.rs
+++ b/src/coordination/tests/simulation/cluster.rs
@@ -184,7 +184,7 @@
 
     /// Not all of its tasks have been run to their end.
     pub(super) fn has_unfinished_tasks(&self) -> bool {
-        (self.done.len() as u32) < self.spec.tasks
+        (self.done.len() as u32) < self.spec.task_count
     }
 }
 
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -16,7 +16,7 @@
         let tuning = policy::Tuning::load(&cluster, None).expect("the default policy is sound");
         let ttl = tuning.lease;
         let (leads, leading) = watch::channel(false);
-        let store = kv::start(settings.services.state, &cluster.state, cluster.size, ttl / 6, leading);
+        let store = kv::start(settings.services.kv, &cluster.kv, cluster.size, ttl / 6, leading);
         let (term, until) = watch::channel(now);
         let cloud = cloud_client::start(settings.services.cloud, cluster.cloud.rps, seconds(4.0), until);
         let election = Election::new(&settings.name, &format!("{at}-{incarnation}"), ttl);
@@ -41,10 +41,8 @@
         let mut settings = self.settings.clone();
         settings.name = format!("c-{at}");
         settings.zone = if at == PARTITIONED_CONTROLLER { "z2".into() } else { "z1".into() };
-        settings.services = settings::Services {
-            cloud: address(network::CLOUD, 0),
-            state: address(network::STATE_SERVICE, 0),
-        };
+        settings.services =
+            settings::Services { cloud: address(network::CLOUD, 0), kv: address(network::STATE_SERVICE, 0) };
         settings.peers = (0..self.controllers.len())
             .filter(|other| *other != at)
             .map(|other| settings::Peer {
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -119,7 +119,7 @@
             Fault::CancelNow { count, hang } => self.cancel_running_jobs(now, count, until(hang)),
             Fault::Burst { jobs } => (0..jobs).for_each(|_| self.submit_random_job(now)),
             Fault::LimitsFall => {
-                let limits = self.settings.cluster.state.announced();
+                let limits = self.settings.cluster.kv.announced();
                 self.state.limit(limits);
                 self.allowance = Some(TokenBucket::new(limits.write_rps, limits.write_rps, now));
             }
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -48,18 +48,18 @@
 use crate::coordination::fleet::cloud as cloud_client;
 use crate::maps::HashMap;
 use crate::policy;
-use crate::protocol::cbor::{Fields, MapBuilder, decode, encode, texts};
+use crate::protocol::cbor::{Fields, MapBuilder, decode, encode, text_array};
 use crate::protocol::cloud::{MachineType, encode_catalog};
 use crate::protocol::jobs::{JobId, JobKind, JobSpec, Priority};
 use crate::settings::{self, Settings};
 use crate::storage::in_memory_kv;
 use crate::storage::kv;
 use crate::storage::rate_limit::TokenBucket;
-use crate::transport::client::{Call, ClientError};
+use crate::transport::client::{ClientError, HttpCall};
 use crate::transport::codec::{Request, Response};
 use crate::transport::peer::{PeerCall, PeerHandler, PeerReply};
-use crate::transport::scripted::{self, Ask};
 use crate::transport::server::Handler;
+use crate::transport::simulated_network::{self, SimulatedRequest};
 
 use cluster::{
     Job, RandomFault, RunState, RunningTask, SimulatedController, TaskKey, TerminalState, Watch, Worker,
@@ -98,11 +98,11 @@
 
     // The network.
     /// Messages that controllers have sent.
-    messages: mpsc::UnboundedReceiver<Ask>,
+    messages: mpsc::UnboundedReceiver<SimulatedRequest>,
     /// Ends of the tasks that the simulation has spawned.
     events: JoinSet<Event>,
     /// Messages of stalled controllers, each with when it is delivered.
-    held_messages: Vec<(Instant, Ask)>,
+    held_messages: Vec<(Instant, SimulatedRequest)>,
     slow_answers: RandomFault,
     /// Until then no controller reaches another.
     peers_refuse_until: Instant,
@@ -210,11 +210,11 @@
     let mut settings = settings::tests::sample();
     let cluster = &mut settings.cluster;
     cluster.size = shape.controllers as u32;
-    cluster.state.write_rps = shape.writes;
-    cluster.state.rps = (shape.writes * 2.5).max(200.0);
-    cluster.state.value_kb = shape.value_kb;
+    cluster.kv.write_rps = shape.writes;
+    cluster.kv.rps = (shape.writes * 2.5).max(200.0);
+    cluster.kv.value_kb = shape.value_kb;
     if shape.limits_fall {
-        cluster.state.next = Some(settings::NextState {
+        cluster.kv.next = Some(settings::AnnouncedLimits {
             rps: None,
             write_rps: Some(shape.writes * 0.6),
             value_kb: Some(shape.value_kb / 4.0),
@@ -238,7 +238,7 @@
 
     /// A cluster of this shape.
     pub fn shaped(seed: u64, shape: ClusterShape, mut faults: Vec<(f64, Fault)>, calm: f64) -> Self {
-        let messages = scripted::install();
+        let messages = simulated_network::install();
         let begin = Instant::now();
         faults.sort_by(|a, b| a.0.total_cmp(&b.0));
         Simulation {
--- a/src/coordination/tests/simulation/network.rs
+++ b/src/coordination/tests/simulation/network.rs
@@ -46,8 +46,8 @@
 
 impl Simulation {
     /// The controller that sent a message; none for commands to workers.
-    fn sender(&self, ask: &Ask) -> Option<usize> {
-        let (Ask::Peer { to, .. } | Ask::Http { to, .. }) = ask;
+    fn sender(&self, ask: &SimulatedRequest) -> Option<usize> {
+        let (SimulatedRequest::Peer { to, .. } | SimulatedRequest::Http { to, .. }) = ask;
         let destination = Destination::of(*to)?;
         (destination.service != WORKER).then_some(usize::from(destination.sender))
     }
@@ -59,18 +59,18 @@
     }
 
     /// Delivers a message of a controller, or holds it back while the controller is stalled.
-    pub(super) fn deliver(&mut self, ask: Ask) {
+    pub(super) fn deliver(&mut self, ask: SimulatedRequest) {
         let now = Instant::now();
         if let Some(until) = self.sender(&ask).map(|at| self.stalled_until(at)).filter(|until| now < *until) {
             return self.held_messages.push((until, ask));
         }
         self.trace_ask(self.sender(&ask), &ask);
         match ask {
-            Ask::Peer { to, call, relay, reply } => {
+            SimulatedRequest::Peer { to, call, relay, reply } => {
                 let Some(destination) = Destination::of(to) else { return };
                 self.deliver_peer_call(now, destination, call, relay, reply);
             }
-            Ask::Http { to, call, reply } => {
+            SimulatedRequest::Http { to, call, reply } => {
                 let Some(destination) = Destination::of(to) else { return };
                 self.deliver_http_call(now, destination, call, reply);
             }
@@ -120,7 +120,7 @@
         &mut self,
         now: Instant,
         destination: Destination,
-        call: Call,
+        call: HttpCall,
         reply: oneshot::Sender<Result<Response, ClientError>>,
     ) {
         if destination.service == WORKER {
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -55,7 +55,7 @@
         let is_wrong = (worker.spot && !spec.spot)
             || spec.zone.as_ref().is_some_and(|zone| zone != worker.zone)
             || (spec.one_zone && zones.iter().any(|zone| *zone != worker.zone))
-            || (spec.spread && in_zone > spec.tasks.div_ceil(2));
+            || (spec.spread && in_zone > spec.task_count.div_ceil(2));
         if is_wrong {
             let what = format!("{}/{} on {name}, zones {zones:?}", key.0, key.1);
             self.record_violation("wrong_place", what);
--- a/src/coordination/tests/simulation/shape.rs
+++ b/src/coordination/tests/simulation/shape.rs
@@ -39,7 +39,7 @@
             max_tasks: 6,
             extra_requests: 1.0,
             writes: 80.0,
-            value_kb: settings::tests::sample().cluster.state.value_kb,
+            value_kb: settings::tests::sample().cluster.kv.value_kb,
             memory_mb: settings::tests::sample().cluster.limits.memory_mb,
             page: 1000,
             dependent_share: 0.0,
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -10,7 +10,7 @@
         &mut self,
         now: Instant,
         at: usize,
-        call: Call,
+        call: HttpCall,
         reply: oneshot::Sender<Result<Response, ClientError>>,
     ) {
         let latency = Duration::from_millis(self.rng.random_range(2..6)) + self.slowness(now);
--- a/src/coordination/tests/simulation/trace.rs
+++ b/src/coordination/tests/simulation/trace.rs
@@ -72,15 +72,15 @@
 
     /// A request that a controller sends: to the state service, the cloud, a worker or
     /// another controller.
-    pub(super) fn trace_ask(&mut self, sender: Option<usize>, ask: &Ask) {
+    pub(super) fn trace_ask(&mut self, sender: Option<usize>, ask: &SimulatedRequest) {
         let elapsed = self.elapsed();
         let sender = sender.map_or_else(|| "?".to_owned(), |at| format!("c-{at}"));
         match ask {
-            Ask::Http { to, call, .. } => {
+            SimulatedRequest::Http { to, call, .. } => {
                 let what = format!("{} {}", call.method, call.target);
                 self.trace.record(elapsed, &sender, &to.ip().to_string(), &what, &[&call.body]);
             }
-            Ask::Peer { to, call, relay, .. } => {
+            SimulatedRequest::Peer { to, call, relay, .. } => {
                 let (what, body) = peer_call_parts(call);
                 let flags = [u8::from(*relay)];
                 self.trace.record(elapsed, &sender, &to.ip().to_string(), what, &[body, &flags]);
--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -280,7 +280,7 @@
             }
             // A service that does not fit the quota.
             2 => {
-                (spec.kind, spec.tasks, spec.cpus) = (JobKind::Service, 9, 2.0);
+                (spec.kind, spec.task_count, spec.cpus) = (JobKind::Service, 9, 2.0);
                 422
             }
             // A dependency that does not exist, or on itself.
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -112,7 +112,7 @@
 
     /// Sends a heartbeat to the worker's controller, and perhaps a copy later.
     fn send_heartbeat(&mut self, now: Instant, name: &str) {
-        let interval = self.settings.cluster.workers.report();
+        let interval = self.settings.cluster.workers.heartbeat_interval();
         let Some(worker) = self.machines.get_mut(name) else { return };
         worker.next_heartbeat = now + interval.mul_f64(self.rng.random_range(0.75..1.25));
         worker.changed = false;
@@ -208,7 +208,7 @@
     pub(super) fn deliver_pushed_commands(
         &mut self,
         number: usize,
-        call: &Call,
+        call: &HttpCall,
         reply: oneshot::Sender<Result<Response, ClientError>>,
     ) {
         let now = Instant::now();
--- a/src/coordination/workers/deferred_replies.rs
+++ b/src/coordination/workers/deferred_replies.rs
@@ -52,7 +52,7 @@
     pub fn new(config: &Config) -> Self {
         let workers = &config.settings.cluster.workers;
         let max_delay = workers
-            .report()
+            .heartbeat_interval()
             .mul_f64(HEARTBEAT_INTERVAL_RATIO)
             .min(HEARTBEAT_REPLY_TIMEOUT / REPLY_TIMEOUT_DIVISOR)
             .min(workers.lease() / LEASE_DIVISOR);
--- a/src/coordination/workers/deferred_replies/tests.rs
+++ b/src/coordination/workers/deferred_replies/tests.rs
@@ -27,7 +27,8 @@
 #[test]
 fn delays_are_bounded_by_the_settings() {
     for (report_s, lease_s) in [(3.0, 18.0), (60.0, 300.0), (0.5, 5.0), (30.0, 6.0)] {
-        let replies = deferred_replies(|workers| (workers.report_s, workers.lease_s) = (report_s, lease_s));
+        let replies =
+            deferred_replies(|workers| (workers.heartbeat_interval_s, workers.lease_s) = (report_s, lease_s));
         let max_delay_s = replies.max_delay.as_secs_f64();
         assert!(max_delay_s > 0.0 && max_delay_s < 0.75 * report_s && max_delay_s < lease_s / 3.0);
         assert!(replies.max_delay <= HEARTBEAT_REPLY_TIMEOUT / 2);
--- a/src/coordination/workers/failure_detector.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -78,8 +78,8 @@
 /// When the next heartbeat of a machine is surely overdue: between two thirds of the policy's
 /// timeout and all of it.
 fn heartbeat_timeout(config: &Config) -> Duration {
-    let silence = config.tuning.silence;
-    let interval = config.settings.cluster.workers.report();
+    let silence = config.tuning.suspicion_timeout;
+    let interval = config.settings.cluster.workers.heartbeat_interval();
     interval.mul_f64(OVERDUE_INTERVALS).max(silence * 2 / 3).min(silence)
 }
 
@@ -114,7 +114,7 @@
         let mut detector = FailureDetector {
             now,
             listening_since: self.listening_since,
-            suspicion_timeout: config.tuning.silence,
+            suspicion_timeout: config.tuning.suspicion_timeout,
             any_live: false,
             lease,
             zones: HashMap::default(),
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -182,7 +182,7 @@
     /// Whether replies seem to reach the machine; records the outcome on it.
     fn check_reply_delivery(&mut self, now: Instant, machine: &MachineId) -> ReplyDelivery {
         let workers = &self.config.settings.cluster.workers;
-        let (heartbeat_interval, probe_pause) = (workers.report(), workers.lease() / 2);
+        let (heartbeat_interval, probe_pause) = (workers.heartbeat_interval(), workers.lease() / 2);
         let Some(entry) = self.machines.get_mut(machine) else {
             return ReplyDelivery::Suspected { may_probe: false };
         };
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -71,7 +71,7 @@
             return;
         }
         let workers = &self.config.settings.cluster.workers;
-        let (push_interval, delete_after) = (workers.report(), workers.cancellation() / 2);
+        let (push_interval, delete_after) = (workers.heartbeat_interval(), workers.cancellation() / 2);
         let may_delete = self.holds_lease(now) && !self.cloud_health.is_down(now);
         let mut silent_machines = Vec::new();
         for machine in self.machines.values_mut().filter(|machine| !machine.slots.is_empty()) {
--- a/src/coordination/workers/task_failures.rs
+++ b/src/coordination/workers/task_failures.rs
@@ -24,7 +24,7 @@
     /// A job that fails everywhere is slowed down, never given up: for one heartbeat interval
     /// for each machine on which it has failed.
     fn back_off_failing_job(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
-        let heartbeat_interval = self.config.settings.cluster.workers.report();
+        let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         let Some(job) = self.jobs.get_mut(job) else { return };
         job.failures.machines.insert(machine.clone());
         let failed_machines = job.failures.machines.len();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -80,7 +80,7 @@
     /// Time to live of the leader's lease.
     pub lease: Duration,
     /// Machines that are scored for each placement (power-of-k sampling).
-    pub sample: usize,
+    pub sampled_machines: usize,
     /// Weight, in a machine's score, of the work that would be lost with a spot instance.
     pub spot_risk: f64,
     /// Most work that a task may lose when it is preempted for another team's guarantee, in
@@ -92,27 +92,27 @@
     /// Capacity to scale out to, as a multiple of the mean demand.
     pub mean_ratio: f64,
     /// The same multiple for work that may wait longer than machines take to boot.
-    pub patient_ratio: f64,
+    pub delay_tolerant_ratio: f64,
     /// Capacity kept beyond the mean, in standard deviations of demand.
     pub headroom: f64,
     /// How long demand is remembered, as a multiple of the longest boot time.
-    pub memory_ratio: f64,
+    pub demand_memory_boots: f64,
     /// Factor on spot prices when offers are compared; above 1, spot instances count as
     /// dearer than they are.
     pub spot_price_weight: f64,
     /// Idle time before a machine that is not needed is returned, in boot times.
-    pub idle_ratio: f64,
+    pub idle_boots: f64,
     /// Time after which a machine that has not come up is given up, in boot times.
-    pub boot_limit_ratio: f64,
+    pub boot_limit_boots: f64,
     /// Time without a heartbeat after which a machine is replaced.
-    pub silence: Duration,
+    pub suspicion_timeout: Duration,
     /// Time within which every job should start its first task, if there is capacity at
     /// all. From half of it on, a job that has not started goes before all others.
-    pub begin_within: Duration,
+    pub start_within: Duration,
     /// How long done tasks are gathered before they are written to records.
-    pub batch: Duration,
+    pub done_task_batch_delay: Duration,
     /// Interval of the reconciliation of rows with records.
-    pub reconcile: Duration,
+    pub reconcile_interval: Duration,
 }
 
 impl Tuning {
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -26,21 +26,29 @@
     // A shorter lease would be ended by a single slow answer; under a longer one workers
     // would give up before a new leader can reach them.
     time("lease", |w| w.lease_s * 0.08..=w.lease_s * 0.5, |t, value| t.lease = seconds(value)),
-    number("sample", |_| 1.0..=100.0, |t, value| t.sample = whole(value)),
+    number("sample", |_| 1.0..=100.0, |t, value| t.sampled_machines = whole(value)),
     number("spot_risk", |_| 0.0..=100.0, |t, value| t.spot_risk = value),
-    time("begin_within", |w| w.report_s * 4.0..=DAY_S, |t, value| t.begin_within = seconds(value)),
+    time(
+        "begin_within",
+        |w| w.heartbeat_interval_s * 4.0..=DAY_S,
+        |t, value| t.start_within = seconds(value),
+    ),
     time("preempt_loss", |_| 0.0..=DAY_S, |t, value| t.preempt_loss_s = value),
     time("preempt_lower_loss", |_| 0.0..=DAY_S, |t, value| t.preempt_lower_loss_s = value),
     number("mean_ratio", |_| 0.1..=10.0, |t, value| t.mean_ratio = value),
-    number("patient_ratio", |_| 0.1..=10.0, |t, value| t.patient_ratio = value),
+    number("patient_ratio", |_| 0.1..=10.0, |t, value| t.delay_tolerant_ratio = value),
     number("headroom", |_| 0.0..=10.0, |t, value| t.headroom = value),
-    number("memory_boots", |_| 0.1..=100.0, |t, value| t.memory_ratio = value),
+    number("memory_boots", |_| 0.1..=100.0, |t, value| t.demand_memory_boots = value),
     number("spot_price_weight", |_| 0.01..=100.0, |t, value| t.spot_price_weight = value),
-    number("idle_boots", |_| 0.0..=100.0, |t, value| t.idle_ratio = value),
-    number("boot_limit_boots", |_| 1.0..=100.0, |t, value| t.boot_limit_ratio = value),
-    time("silence", |w| w.report_s * 2.0..=w.lease_s * 2.0, |t, value| t.silence = seconds(value)),
-    time("batch", |w| 0.0..=w.report_s, |t, value| t.batch = seconds(value)),
-    time("reconcile", |_| 5.0..=DAY_S, |t, value| t.reconcile = seconds(value)),
+    number("idle_boots", |_| 0.0..=100.0, |t, value| t.idle_boots = value),
+    number("boot_limit_boots", |_| 1.0..=100.0, |t, value| t.boot_limit_boots = value),
+    time(
+        "silence",
+        |w| w.heartbeat_interval_s * 2.0..=w.lease_s * 2.0,
+        |t, value| t.suspicion_timeout = seconds(value),
+    ),
+    time("batch", |w| 0.0..=w.heartbeat_interval_s, |t, value| t.done_task_batch_delay = seconds(value)),
+    time("reconcile", |_| 5.0..=DAY_S, |t, value| t.reconcile_interval = seconds(value)),
 ];
 
 const fn time(
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -63,11 +63,11 @@
 #[test]
 fn expressions_have_types_units_and_choices() {
     let check = |text: &str| with(text).expect("sound");
-    assert_eq!(check("reconcile = 2 min").reconcile, Duration::from_secs(120));
-    assert_eq!(check("batch = 500 ms + 1 s").batch, Duration::from_millis(1500));
+    assert_eq!(check("reconcile = 2 min").reconcile_interval, Duration::from_secs(120));
+    assert_eq!(check("batch = 500 ms + 1 s").done_task_batch_delay, Duration::from_millis(1500));
     assert_eq!(check("headroom = workers.lease / workers.report / 5").headroom, 2.0);
     assert_eq!(check("mean_ratio = state.rps * 20 ms").mean_ratio, 2.0);
     let choice = "headroom = if cluster.size >= 3 and quota.cores < 0.5 then 1 else 2 * (1 + 1)";
     assert_eq!(check(choice).headroom, 4.0);
-    assert_eq!(check("sample = min(7, max(3, 5)) - 1 # comment").sample, 4);
+    assert_eq!(check("sample = min(7, max(3, 5)) - 1 # comment").sampled_machines, 4);
 }
--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -77,7 +77,7 @@
 }
 
 /// An array of texts.
-pub fn texts<'a>(items: impl IntoIterator<Item = &'a str>) -> Value {
+pub fn text_array<'a>(items: impl IntoIterator<Item = &'a str>) -> Value {
     Value::Array(items.into_iter().map(Value::from).collect())
 }
 
@@ -238,15 +238,18 @@
 
 /// An upper bound in bytes of a value's size as JSON, the form in which the platform counts
 /// its limits. Each byte that JSON may have to escape is counted as escaped.
-pub fn json_size(value: &Value) -> usize {
+pub fn max_json_size(value: &Value) -> usize {
     match value {
         Value::Text(text) => 2 + text.bytes().map(json_byte_size).sum::<usize>(),
         Value::Integer(number) => i128::from(*number).to_string().len(),
         Value::Float(_) => JSON_FLOAT_BYTES,
         Value::Bool(_) | Value::Null => JSON_LITERAL_BYTES,
-        Value::Array(items) => 2 + items.iter().map(|item| json_size(item) + 1).sum::<usize>(),
+        Value::Array(items) => 2 + items.iter().map(|item| max_json_size(item) + 1).sum::<usize>(),
         Value::Map(entries) => {
-            2 + entries.iter().map(|(key, value)| json_size(key) + json_size(value) + 2).sum::<usize>()
+            2 + entries
+                .iter()
+                .map(|(key, value)| max_json_size(key) + max_json_size(value) + 2)
+                .sum::<usize>()
         }
         _ => JSON_OTHER_BYTES,
     }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -2,7 +2,7 @@
 
 use ciborium::value::Value;
 
-use super::cbor::{Fields, Malformed, MapBuilder, texts};
+use super::cbor::{Fields, Malformed, MapBuilder, text_array};
 use super::wire_words::{field, value as word};
 use super::workers::MachineId;
 
@@ -11,7 +11,7 @@
 /// Most machines in one deletion request.
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
 /// Most machines on one page of the cloud's inventory.
-pub const INVENTORY_PAGE: usize = 500;
+pub const MAX_MACHINES_PER_INVENTORY_PAGE: usize = 500;
 
 /// An entry of the cloud's catalog: what a machine of this type offers and costs.
 #[derive(Debug, Clone, PartialEq)]
@@ -50,7 +50,7 @@
             .set(field::PRICE, self.price)
             .set(field::SPOT_PRICE, self.spot_price)
             .set(field::BOOT_S, self.boot_s)
-            .set(field::ZONES, texts(self.zones.iter().map(String::as_str)))
+            .set(field::ZONES, text_array(self.zones.iter().map(String::as_str)))
             .build()
     }
 
@@ -103,7 +103,7 @@
     /// Whether to rent spot machines in place of on-demand ones.
     pub spot: bool,
     /// Number of machines; at most [`MAX_MACHINES_PER_REQUEST`].
-    pub count: u32,
+    pub machine_count: u32,
 }
 
 impl NodePoolRequest {
@@ -114,7 +114,7 @@
             .set(field::MACHINE_TYPE, self.machine_type.as_str())
             .set(field::ZONE, self.zone.as_str())
             .set(field::SPOT, self.spot)
-            .set(field::MACHINE_COUNT, self.count)
+            .set(field::MACHINE_COUNT, self.machine_count)
             .build()
     }
 
@@ -130,7 +130,7 @@
             machine_type: fields.text(field::MACHINE_TYPE)?.to_owned(),
             zone: fields.text(field::ZONE)?.to_owned(),
             spot: fields.bool(field::SPOT)?,
-            count: u32::try_from(fields.count(field::MACHINE_COUNT)?)
+            machine_count: u32::try_from(fields.count(field::MACHINE_COUNT)?)
                 .map_err(|_| Malformed::Invalid(field::MACHINE_COUNT))?,
         })
     }
@@ -150,8 +150,8 @@
 }
 
 /// Writes a deletion request; at most [`MAX_MACHINES_PER_DELETION`] machines at once.
-pub fn encode_delete(machines: &[MachineId]) -> Value {
-    MapBuilder::new().set(field::MACHINES, texts(machines.iter().map(MachineId::as_str))).build()
+pub fn encode_deletion(machines: &[MachineId]) -> Value {
+    MapBuilder::new().set(field::MACHINES, text_array(machines.iter().map(MachineId::as_str))).build()
 }
 
 /// State of a machine in the cloud's inventory.
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -5,7 +5,7 @@
 
 use ciborium::value::Value;
 
-use super::cbor::{Fields, Malformed, MapBuilder, texts};
+use super::cbor::{Fields, Malformed, MapBuilder, text_array};
 use super::wire_words::{field, value as word};
 use crate::maps::HashSet;
 
@@ -145,7 +145,7 @@
     /// Priority against other jobs.
     pub priority: Priority,
     /// Number of tasks, or of replicas of a service; 1 to [`MAX_TASKS`].
-    pub tasks: u32,
+    pub task_count: u32,
     /// CPUs that one task needs; may be fractional.
     pub cpus: f64,
     /// GPUs that one task needs.
@@ -237,7 +237,7 @@
             team: decode_name(&fields, field::TEAM)?,
             kind: JobKind::decode(&fields)?,
             priority: Priority::decode(&fields)?,
-            tasks,
+            task_count: tasks,
             cpus: fields.amount(field::CPUS)?,
             gpus: fields.amount(field::GPUS)?,
             memory_gb: fields.amount(field::MEMORY_GB)?,
@@ -259,16 +259,17 @@
     /// Writes the same fields as in a submission. Stored records hold them, and controllers
     /// of other versions read them: neither the words nor their order may change.
     pub fn encode(&self) -> MapBuilder {
-        let machine_types = self.machine_types.as_ref().map(|types| texts(types.iter().map(String::as_str)));
+        let machine_types =
+            self.machine_types.as_ref().map(|types| text_array(types.iter().map(String::as_str)));
         let dependencies =
-            (!self.dependencies.is_empty()).then(|| texts(self.dependencies.iter().map(JobId::as_str)));
+            (!self.dependencies.is_empty()).then(|| text_array(self.dependencies.iter().map(JobId::as_str)));
         MapBuilder::new()
             .set(field::ID, self.id.as_str())
             .set(field::JOB_CLASS, self.class.as_str())
             .set(field::TEAM, self.team.as_str())
             .set(field::JOB_KIND, self.kind.as_str())
             .set(field::PRIORITY, self.priority.as_str())
-            .set(field::TASKS, self.tasks)
+            .set(field::TASKS, self.task_count)
             .set(field::CPUS, self.cpus)
             .set(field::GPUS, self.gpus)
             .set(field::MEMORY_GB, self.memory_gb)
@@ -332,9 +333,9 @@
     /// Its state.
     pub state: JobState,
     /// Number of tasks that are done.
-    pub done: u32,
+    pub done_tasks: u32,
     /// Number of tasks that run.
-    pub running: u32,
+    pub running_tasks: u32,
 }
 
 impl JobStatus {
@@ -349,8 +350,8 @@
         Ok(JobStatus {
             id: JobId::parse(fields.text(field::ID)?).ok_or(Malformed::Invalid(field::ID))?,
             state: JobState::parse(fields.text(field::STATE)?).ok_or(Malformed::Invalid(field::STATE))?,
-            done: count(field::DONE_TASKS)?,
-            running: count(field::RUNNING_TASKS)?,
+            done_tasks: count(field::DONE_TASKS)?,
+            running_tasks: count(field::RUNNING_TASKS)?,
         })
     }
 
@@ -359,8 +360,8 @@
         MapBuilder::new()
             .set(field::ID, self.id.as_str())
             .set(field::STATE, self.state.as_str())
-            .set(field::DONE_TASKS, self.done)
-            .set(field::RUNNING_TASKS, self.running)
+            .set(field::DONE_TASKS, self.done_tasks)
+            .set(field::RUNNING_TASKS, self.running_tasks)
             .build()
     }
 }
--- a/src/protocol/jobs/tests.rs
+++ b/src/protocol/jobs/tests.rs
@@ -8,7 +8,7 @@
         team: team.into(),
         kind: JobKind::Array,
         priority: Priority::High,
-        tasks,
+        task_count: tasks,
         cpus,
         gpus: 0.0,
         memory_gb: 1.0,
@@ -67,12 +67,12 @@
         ("ramGb", (-1.0).into(), "ramGb"),
         ("form", "ensemble".into(), "form"),
         ("awaits", "job-2".into(), "awaits"),
-        ("awaits", texts(["job-2", ""]), "awaits"),
+        ("awaits", text_array(["job-2", ""]), "awaits"),
         ("awaits", Value::Array(vec![2.into()]), "awaits"),
         ("awaits", MapBuilder::new().set("job-2", true).build(), "awaits"),
     ];
     for (key, bad, field) in cases {
-        let with_awaits = good.clone().set("awaits", texts(["job-2"]));
+        let with_awaits = good.clone().set("awaits", text_array(["job-2"]));
         let Value::Map(mut entries) = with_awaits.build() else { panic!("a map") };
         entries.iter_mut().filter(|(k, _)| k.as_text() == Some(key)).for_each(|(_, v)| *v = bad.clone());
         assert_eq!(JobSpec::decode(&Value::Map(entries)), Err(Malformed::Invalid(field)), "{key}");
@@ -87,8 +87,8 @@
         JobSpec::decode(&spec.encode().set("awaits", value).build()).expect("valid").dependencies
     };
     assert_eq!(awaits(Value::Null), []);
-    assert_eq!(awaits(texts([])), []);
-    let twice = awaits(texts(["job-3", "job-2", "job-3"]));
+    assert_eq!(awaits(text_array([])), []);
+    let twice = awaits(text_array(["job-3", "job-2", "job-3"]));
     assert_eq!(twice.iter().map(JobId::as_str).collect::<Vec<_>>(), ["job-3", "job-2"]);
 }
 
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -146,7 +146,7 @@
 }
 
 /// Writes the request for a lease that lives `ttl_ms` milliseconds unless it is renewed.
-pub fn encode_lease(ttl_ms: u64) -> Value {
+pub fn encode_lease_request(ttl_ms: u64) -> Value {
     MapBuilder::new().set(field::LEASE_TTL_MS, ttl_ms).build()
 }
 
@@ -155,7 +155,7 @@
 /// # Errors
 ///
 /// [`Malformed`] if the identifier is missing or no whole number.
-pub fn decode_lease(value: &Value) -> Result<u64, Malformed> {
+pub fn decode_lease_id(value: &Value) -> Result<u64, Malformed> {
     Fields::of(value)?.count(field::LEASE)
 }
 
@@ -165,6 +165,6 @@
 /// # Errors
 ///
 /// [`Malformed`] if the revision is missing or no whole number.
-pub fn decode_watch(value: &Value) -> Result<u64, Malformed> {
+pub fn decode_watch_revision(value: &Value) -> Result<u64, Malformed> {
     Fields::of(value)?.count(field::REVISION)
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -57,9 +57,9 @@
     /// It failed, or exited for a cause that this version does not know.
     Error,
     /// It was not started: the machine had too few free resources.
-    NoRoom,
+    InsufficientResources,
     /// It was not started: another attempt of it was still on the machine.
-    Busy,
+    AttemptPresent,
     /// It was not started: the worker could not find out what the task is.
     Unknown,
 }
@@ -71,8 +71,8 @@
             word::EXIT_STOPPED => {
                 ExitCause::Stopped { saved: fields.opt_bool(field::CHECKPOINT_SAVED)?.unwrap_or(false) }
             }
-            word::EXIT_NO_ROOM => ExitCause::NoRoom,
-            word::EXIT_BUSY => ExitCause::Busy,
+            word::EXIT_NO_ROOM => ExitCause::InsufficientResources,
+            word::EXIT_BUSY => ExitCause::AttemptPresent,
             word::EXIT_UNKNOWN => ExitCause::Unknown,
             // A cause that this version does not know is a failure of some kind.
             _ => ExitCause::Error,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -19,7 +19,8 @@
 use thiserror::Error;
 
 pub use schema::{
-    Cloud, Cluster, Limits, NextState, Objective, Peer, Services, Settings, State, StateLimits, Team, Workers,
+    AnnouncedLimits, CloudLimits, Cluster, KvLimits, KvSettings, Objective, Peer, ProcessLimits, Services,
+    Settings, Team, Workers,
 };
 
 /// Why a settings file cannot be used.
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -51,7 +51,8 @@
     /// The cloud provider's interface for renting machines.
     pub cloud: SocketAddr,
     /// The state service: the consensus-backed key-value store.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub kv: SocketAddr,
 }
 
 /// What all controllers of a cluster have in common.
@@ -72,12 +73,13 @@
     /// Intervals of the workers' protocol.
     pub workers: Workers,
     /// Limits of the state service.
-    pub state: State,
+    #[serde(rename = "state")]
+    pub kv: KvSettings,
     /// Limits of the cloud's interface.
-    pub cloud: Cloud,
+    pub cloud: CloudLimits,
     /// What the controller's process may use (`quota`).
     #[serde(rename = "quota")]
-    pub limits: Limits,
+    pub limits: ProcessLimits,
 }
 
 /// A team's quota: what it is guaranteed, and what it may use at most.
@@ -121,7 +123,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
     /// Time between two heartbeats of a worker, in seconds; above 0.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     /// A worker's lease, in seconds; longer than `report_s`. A worker that has had no answer
     /// for so long kills its tasks.
     pub lease_s: f64,
@@ -132,7 +135,7 @@
 
 /// Limits of the state service: those that hold at first, and those announced for later.
 #[derive(Debug, Clone, Deserialize)]
-pub struct State {
+pub struct KvSettings {
     /// Requests per second, of all controllers together; above 0.
     pub rps: f64,
     /// Puts and deletes per second, of all controllers together; above 0.
@@ -143,12 +146,12 @@
     pub txn_ops: usize,
     /// Limits that will hold from some moment on. When that is, nobody announces. Default:
     /// the limits do not change.
-    pub next: Option<NextState>,
+    pub next: Option<AnnouncedLimits>,
 }
 
 /// Limits that the state service will have. Those not named stay as in [`State`].
 #[derive(Debug, Clone, Deserialize)]
-pub struct NextState {
+pub struct AnnouncedLimits {
     /// Requests per second. Default: as now.
     pub rps: Option<f64>,
     /// Puts and deletes per second. Default: as now.
@@ -161,7 +164,7 @@
 
 /// One complete set of limits of the state service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct StateLimits {
+pub struct KvLimits {
     /// Requests per second, of all controllers together.
     pub rps: f64,
     /// Puts and deletes per second, of all controllers together.
@@ -172,18 +175,18 @@
     pub txn_ops: usize,
 }
 
-impl State {
+impl KvSettings {
     /// The limits that hold when the service begins.
-    pub fn present(&self) -> StateLimits {
-        let State { rps, write_rps, value_kb, txn_ops, .. } = *self;
-        StateLimits { rps, write_rps, value_kb, txn_ops }
+    pub fn in_force(&self) -> KvLimits {
+        let KvSettings { rps, write_rps, value_kb, txn_ops, .. } = *self;
+        KvLimits { rps, write_rps, value_kb, txn_ops }
     }
 
     /// The limits that hold once they have changed; the present ones if none are announced.
-    pub fn announced(&self) -> StateLimits {
-        let present = self.present();
+    pub fn announced(&self) -> KvLimits {
+        let present = self.in_force();
         let Some(next) = &self.next else { return present };
-        StateLimits {
+        KvLimits {
             rps: next.rps.unwrap_or(present.rps),
             write_rps: next.write_rps.unwrap_or(present.write_rps),
             value_kb: next.value_kb.unwrap_or(present.value_kb),
@@ -192,9 +195,9 @@
     }
 
     /// The smaller of both: what is allowed before and after the limits change.
-    pub fn within_both(&self) -> StateLimits {
-        let (present, announced) = (self.present(), self.announced());
-        StateLimits {
+    pub fn strictest(&self) -> KvLimits {
+        let (present, announced) = (self.in_force(), self.announced());
+        KvLimits {
             rps: present.rps.min(announced.rps),
             write_rps: present.write_rps.min(announced.write_rps),
             value_kb: present.value_kb.min(announced.value_kb),
@@ -203,7 +206,7 @@
     }
 }
 
-impl StateLimits {
+impl KvLimits {
     /// The largest value in bytes, rounded down.
     #[allow(
         clippy::cast_possible_truncation,
@@ -217,7 +220,7 @@
 
 /// Limits of the cloud's interface.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     /// Requests per second; above 0.
     pub rps: f64,
     /// How old the cloud's list of machines may be, in seconds; 0 or more.
@@ -226,7 +229,7 @@
 
 /// What the controller's process may use. Queues, caches and tables are sized from these.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Limits {
+pub struct ProcessLimits {
     /// CPU cores (`core_share`); above 0, and usually a fraction.
     #[serde(rename = "core_share")]
     pub cpu_share: f64,
@@ -238,7 +241,7 @@
     pub max_connections: usize,
 }
 
-impl Limits {
+impl ProcessLimits {
     /// Sockets kept for outgoing connections, besides [`Self::OUTGOING_RATIO`].
     const OUTGOING: usize = 16;
     /// One in so many sockets is kept for outgoing connections.
@@ -266,7 +269,7 @@
     }
 
     /// Time between two heartbeats of a worker (`report_s`).
-    pub fn report(&self) -> Duration {
-        Duration::from_secs_f64(self.report_s)
+    pub fn heartbeat_interval(&self) -> Duration {
+        Duration::from_secs_f64(self.heartbeat_interval_s)
     }
 }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -62,24 +62,24 @@
 /// Every machine of a large fleet holds a connection at the leader.
 #[test]
 fn most_sockets_are_for_workers_and_users() {
-    let incoming = |max_connections| Limits { max_connections, ..sample().cluster.limits }.incoming();
+    let incoming = |max_connections| ProcessLimits { max_connections, ..sample().cluster.limits }.incoming();
     assert_eq!([16, 100, 800, 3200].map(incoming), [8, 78, 734, 2984]);
 }
 
 /// What is announced replaces only what it names; without it, everything stays.
 #[test]
 fn announced_limits_stand_beside_the_present_ones() {
-    let parse = |text: &str| Settings::parse(text, Path::new("s.toml")).map(|s| s.cluster.state);
+    let parse = |text: &str| Settings::parse(text, Path::new("s.toml")).map(|s| s.cluster.kv);
     let present = parse(SAMPLE).expect("valid");
-    assert_eq!(present.announced(), present.present());
+    assert_eq!(present.announced(), present.in_force());
     let next = "txn_ops = 12\n[cluster.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\nlater = 1";
     let state = parse(&SAMPLE.replacen("txn_ops = 12", next, 1)).expect("valid");
-    assert_eq!(state.present(), present.present());
-    let announced = StateLimits { write_rps: 15.0, value_kb: 2.0, ..present.present() };
+    assert_eq!(state.in_force(), present.in_force());
+    let announced = KvLimits { write_rps: 15.0, value_kb: 2.0, ..present.in_force() };
     assert_eq!(state.announced(), announced);
-    assert_eq!(state.within_both(), announced);
+    assert_eq!(state.strictest(), announced);
     let more = SAMPLE.replacen("txn_ops = 12", "txn_ops = 12\nnext = { txn_ops = 40 }", 1);
-    assert_eq!(parse(&more).expect("valid").within_both().txn_ops, 12);
+    assert_eq!(parse(&more).expect("valid").strictest().txn_ops, 12);
     let wrong = SAMPLE.replacen("txn_ops = 12", "txn_ops = 12\nnext = { txn_ops = -1 }", 1);
     let refused = parse(&wrong).expect_err("refused").to_string();
     assert!(refused.starts_with("s.toml: line 42: field `next`"), "{refused}");
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -5,7 +5,7 @@
 
 use std::collections::HashSet;
 
-use super::{Cluster, Limits, Settings, State, Team, Workers};
+use super::{Cluster, KvSettings, ProcessLimits, Settings, Team, Workers};
 
 const POSITIVE: &str = "must be a number above 0";
 const NOT_NEGATIVE: &str = "must be a number of at least 0";
@@ -42,7 +42,7 @@
         check_positive_numbers(cluster)?;
         check_non_negative_numbers(cluster)?;
         check_workers(&cluster.workers)?;
-        check_state(&cluster.state)?;
+        check_state(&cluster.kv)?;
         check_cluster_size(cluster)?;
         check_limits(&cluster.limits)?;
         self.check_controller_names()?;
@@ -61,14 +61,14 @@
 
 /// Numbers of which 0 makes no sense: intervals, rates, sizes and shares.
 fn check_positive_numbers(cluster: &Cluster) -> Result<(), InvalidField> {
-    let announced = cluster.state.announced();
+    let announced = cluster.kv.announced();
     let numbers = [
-        ("cluster.workers.report_s", cluster.workers.report_s),
+        ("cluster.workers.report_s", cluster.workers.heartbeat_interval_s),
         ("cluster.workers.lease_s", cluster.workers.lease_s),
         ("cluster.workers.cancel_s", cluster.workers.cancel_s),
-        ("cluster.state.rps", cluster.state.rps),
-        ("cluster.state.write_rps", cluster.state.write_rps),
-        ("cluster.state.value_kb", cluster.state.value_kb),
+        ("cluster.state.rps", cluster.kv.rps),
+        ("cluster.state.write_rps", cluster.kv.write_rps),
+        ("cluster.state.value_kb", cluster.kv.value_kb),
         ("cluster.state.next.rps", announced.rps),
         ("cluster.state.next.write_rps", announced.write_rps),
         ("cluster.state.next.value_kb", announced.value_kb),
@@ -94,14 +94,14 @@
 
 /// A lease is extended by heartbeats, so one must fit into it.
 fn check_workers(workers: &Workers) -> Result<(), InvalidField> {
-    let lease_outlasts_heartbeat = workers.lease_s > workers.report_s;
+    let lease_outlasts_heartbeat = workers.lease_s > workers.heartbeat_interval_s;
     require(lease_outlasts_heartbeat, "cluster.workers.lease_s", "must be longer than report_s")
 }
 
 /// The size of transactions, before and after the limits change.
-fn check_state(state: &State) -> Result<(), InvalidField> {
+fn check_state(state: &KvSettings) -> Result<(), InvalidField> {
     const REASON: &str = "must be at least 4";
-    let (present, announced) = (state.present().txn_ops, state.announced().txn_ops);
+    let (present, announced) = (state.in_force().txn_ops, state.announced().txn_ops);
     require(present >= MIN_TRANSACTION_CHANGES, "cluster.state.txn_ops", REASON)?;
     require(announced >= MIN_TRANSACTION_CHANGES, "cluster.state.next.txn_ops", REASON)
 }
@@ -110,7 +110,7 @@
     require(cluster.size > 0, "cluster.size", "must be at least 1")
 }
 
-fn check_limits(limits: &Limits) -> Result<(), InvalidField> {
+fn check_limits(limits: &ProcessLimits) -> Result<(), InvalidField> {
     require(limits.max_connections >= MIN_CONNECTIONS, "cluster.quota.sockets", "must be at least 16")
 }
 
--- a/src/storage/in_memory_kv.rs
+++ b/src/storage/in_memory_kv.rs
@@ -15,7 +15,7 @@
 use super::kv::{self, KvClient, RequestClass, Transaction};
 use crate::protocol::cbor::{MapBuilder, decode, encode};
 use crate::protocol::kv::{Change, Compare};
-use crate::settings::{State, StateLimits};
+use crate::settings::{KvLimits, KvSettings};
 use crate::transport::codec::{Limits, Request, Response};
 use crate::transport::server::{Handler, ServerOptions, serve};
 // `store` finds these by way of its parent.
@@ -47,7 +47,7 @@
     Http(Request, oneshot::Sender<Response>),
     Seed(String, Value, u64),
     CommitSizes(oneshot::Sender<Vec<usize>>),
-    Limit(StateLimits),
+    Limit(KvLimits),
 }
 
 /// The store served over HTTP. It ends with the test's runtime.
@@ -80,7 +80,8 @@
         let address = listener.local_addr().expect("bound");
         let patience = Duration::from_secs(30);
         let limits = Limits { head: 8192, body: 1 << 20 };
-        let options = ServerOptions { limits, connections: 16, idle: patience, patience };
+        let options =
+            ServerOptions { limits, max_connections: 16, idle_timeout: patience, io_timeout: patience };
         let server = FakeKvServer { messages, address };
         tokio::spawn(serve(listener, options, server.clone()));
         server
@@ -97,7 +98,7 @@
     }
 
     /// From now on values and transactions beyond these limits are rejected.
-    pub async fn limit(&self, limits: StateLimits) {
+    pub async fn limit(&self, limits: KvLimits) {
         assert!(self.messages.send(Message::Limit(limits)).await.is_ok());
     }
 
@@ -136,7 +137,7 @@
     }
 
     /// From now on values and transactions beyond these limits are rejected.
-    pub fn limit(&mut self, limits: StateLimits) {
+    pub fn limit(&mut self, limits: KvLimits) {
         self.store.limits = Some(limits);
     }
 
@@ -221,12 +222,12 @@
 }
 
 /// Limits of which tests reach only the size of transactions.
-pub fn limits(txn_ops: usize) -> State {
-    State { rps: 10_000.0, write_rps: 10_000.0, value_kb: 8.0, txn_ops, next: None }
+pub fn limits(txn_ops: usize) -> KvSettings {
+    KvSettings { rps: 10_000.0, write_rps: 10_000.0, value_kb: 8.0, txn_ops, next: None }
 }
 
 /// A client with the real actor under these limits, for the test double at this address.
-pub fn store_within(address: SocketAddr, limits: State) -> KvClient {
+pub fn store_within(address: SocketAddr, limits: KvSettings) -> KvClient {
     let (leads, leading) = tokio::sync::watch::channel(true);
     // The actor would stop if this end were dropped.
     std::mem::forget(leads);
--- a/src/storage/in_memory_kv/store.rs
+++ b/src/storage/in_memory_kv/store.rs
@@ -10,9 +10,9 @@
 
 use ciborium::value::Value;
 
-use super::protocol::cbor::{Fields, Malformed, MapBuilder, decode, json_size, texts};
+use super::protocol::cbor::{Fields, Malformed, MapBuilder, decode, max_json_size, text_array};
 use super::protocol::kv::{Change, Compare};
-use super::settings::StateLimits;
+use super::settings::KvLimits;
 
 /// Most keys that a page may be asked for.
 pub const MAX_PAGE: usize = 1000;
@@ -64,7 +64,7 @@
     /// owner of the store to decide.
     pub leases: BTreeMap<u64, u64>,
     /// Limits on values and transactions, if any are enforced.
-    pub limits: Option<StateLimits>,
+    pub limits: Option<KvLimits>,
     /// Most keys in one page, whatever is asked for.
     pub max_page: usize,
     leases_granted: u64,
@@ -74,7 +74,7 @@
 
 impl KvStore {
     /// An empty store at this revision, with pages of at most `max_page` keys.
-    pub fn new(revision: u64, limits: Option<StateLimits>, max_page: usize) -> Self {
+    pub fn new(revision: u64, limits: Option<KvLimits>, max_page: usize) -> Self {
         KvStore {
             entries: BTreeMap::new(),
             revision,
@@ -191,7 +191,7 @@
     fn exceeds_limits(&self, changes: &[Change]) -> bool {
         let Some(limits) = &self.limits else { return false };
         let is_too_large = |change: &Change| match change {
-            Change::Put { value, .. } => json_size(value) > limits.value_bytes(),
+            Change::Put { value, .. } => max_json_size(value) > limits.value_bytes(),
             Change::Delete { .. } => false,
         };
         changes.len() > limits.txn_ops || changes.iter().any(is_too_large)
@@ -212,7 +212,7 @@
         match outcome {
             CommitOutcome::Committed => (200, self.revision_body()),
             CommitOutcome::Conflict(failed) => {
-                let failed = texts(failed.iter().map(String::as_str));
+                let failed = text_array(failed.iter().map(String::as_str));
                 (409, MapBuilder::new().set("failed", failed).set("ledger", self.revision).build())
             }
             CommitOutcome::TooLarge => error_response("too large"),
--- a/src/storage/kv.rs
+++ b/src/storage/kv.rs
@@ -21,10 +21,10 @@
 pub use actor::start;
 use queue::{PendingTransaction, Request};
 
-use crate::protocol::cbor::{MapBuilder, decode, json_size};
+use crate::protocol::cbor::{MapBuilder, decode, max_json_size};
 use crate::protocol::kv::{Change, Compare, Entry, Page, decode_entry, decode_page};
-use crate::settings::StateLimits;
-use crate::transport::client::{Call, ClientError};
+use crate::settings::KvLimits;
+use crate::transport::client::{ClientError, HttpCall};
 use crate::transport::codec::Response;
 
 /// Field of a stored value that identifies the write it came from.
@@ -93,12 +93,12 @@
 pub struct KvClient {
     requests: mpsc::Sender<Request>,
     deadline: Duration,
-    limits: watch::Receiver<StateLimits>,
+    limits: watch::Receiver<KvLimits>,
 }
 
 impl KvClient {
     /// The store's limits in force, as far as is known.
-    pub fn limits(&self) -> StateLimits {
+    pub fn limits(&self) -> KvLimits {
         *self.limits.borrow()
     }
 
@@ -108,7 +108,7 @@
     ///
     /// [`ClientError`] if there was no usable response. Only [`ClientError::NotSent`] proves
     /// that the request was not carried out.
-    pub async fn send_raw(&self, class: RequestClass, call: Call) -> HttpResult {
+    pub async fn send_raw(&self, class: RequestClass, call: HttpCall) -> HttpResult {
         let (reply, response) = oneshot::channel();
         if self.requests.send(Request::Raw { class, call, reply }).await.is_err() {
             return Err(ClientError::NotSent);
@@ -123,7 +123,7 @@
 
     /// Reads what the target names; `None` if it does not exist.
     async fn read(&self, class: RequestClass, target: String) -> Result<Option<Value>, KvError> {
-        let call = Call { method: "GET", target, body: Vec::new(), deadline: self.deadline };
+        let call = HttpCall { method: "GET", target, body: Vec::new(), timeout: self.deadline };
         match self.send_raw(class, call).await {
             Ok(response) if response.status == 200 => {
                 decode(&response.body).map(Some).map_err(|_| KvError::Unavailable)
@@ -213,7 +213,7 @@
 /// simulation's seed.
 fn new_write_marker() -> u64 {
     #[cfg(test)]
-    if let Some(marker) = crate::transport::scripted::next_mark() {
+    if let Some(marker) = crate::transport::simulated_network::next_write_marker() {
         return marker;
     }
     rand::random()
@@ -229,7 +229,7 @@
 /// Upper estimate of the bytes that a change takes in a request.
 fn change_size(change: &Change) -> usize {
     let value = match change {
-        Change::Put { value, .. } => json_size(value),
+        Change::Put { value, .. } => max_json_size(value),
         Change::Delete { .. } => 0,
     };
     change.key().len() + CHANGE_OVERHEAD_BYTES + value
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -13,9 +13,9 @@
 use super::{HttpResult, KvClient, RequestClass};
 use crate::protocol::cbor::encode;
 use crate::protocol::kv::Change;
-use crate::settings::{State, StateLimits};
+use crate::settings::{KvLimits, KvSettings};
 use crate::storage::rate_limit::LogThrottle;
-use crate::transport::client::{Call, Connection, Pool, PreparedCall};
+use crate::transport::client::{Connection, ConnectionPool, HttpCall, PreparedCall};
 use crate::transport::codec::Limits;
 
 /// Largest response accepted: a page of 512 KiB and its framing.
@@ -68,7 +68,7 @@
 
 /// State of the actor.
 pub(super) struct Actor {
-    pool: Pool,
+    pool: ConnectionPool,
     /// Requests that wait to be sent.
     pub(super) queues: RequestQueues,
     rates: RateLimits,
@@ -77,9 +77,9 @@
     /// ones.
     max_changes: usize,
     /// The limits that will be in force at some time.
-    announced: StateLimits,
+    announced: KvLimits,
     /// The limits in force as far as is known.
-    limits_in_force: watch::Sender<StateLimits>,
+    limits_in_force: watch::Sender<KvLimits>,
     deadline: Duration,
     /// After a failed commit nothing but renewals is sent until then.
     pause_until: Instant,
@@ -96,21 +96,21 @@
 /// * `leads`: whether this controller leads. The actor stops when its sender is dropped.
 pub fn start(
     address: SocketAddr,
-    state: &State,
+    state: &KvSettings,
     controllers: u32,
     deadline: Duration,
     leads: watch::Receiver<bool>,
 ) -> KvClient {
     let (requests, inbox) = mpsc::channel(REQUEST_CHANNEL);
     let (finished, responses) = mpsc::channel(RESPONSE_CHANNEL);
-    let in_force = state.present();
+    let in_force = state.in_force();
     let (limits_in_force, limits) = watch::channel(in_force);
     let actor = Actor {
-        pool: Pool::new(address, RESPONSE_LIMITS, MAX_IN_FLIGHT),
+        pool: ConnectionPool::new(address, RESPONSE_LIMITS, MAX_IN_FLIGHT),
         queues: RequestQueues::default(),
         rates: RateLimits::new(RateShare { controllers, leading: false }, in_force),
         in_flight: 0,
-        max_changes: state.within_both().txn_ops,
+        max_changes: state.strictest().txn_ops,
         announced: state.announced(),
         limits_in_force,
         deadline,
@@ -197,8 +197,8 @@
         Some(())
     }
 
-    fn send_raw(&mut self, call: Call, reply: oneshot::Sender<HttpResult>) {
-        let is_long_poll = call.deadline > self.deadline * LONG_POLL_DEADLINES;
+    fn send_raw(&mut self, call: HttpCall, reply: oneshot::Sender<HttpResult>) {
+        let is_long_poll = call.timeout > self.deadline * LONG_POLL_DEADLINES;
         let slot = if is_long_poll { Slot::LongPoll } else { Slot::Taken };
         self.in_flight += usize::from(slot == Slot::Taken);
         let prepared = self.pool.prepare(call);
@@ -212,7 +212,7 @@
         self.rates.spend_writes(batch.changes());
         self.in_flight += 1;
         let body = encode(&batch.encode());
-        let call = Call { method: "POST", target: "/commit".into(), body, deadline: self.deadline };
+        let call = HttpCall { method: "POST", target: "/commit".into(), body, timeout: self.deadline };
         let prepared = self.pool.prepare(call);
         let batch = batch.into_transactions();
         self.spawn(prepared, move |result, connection| Finished::Commit { batch, result, connection });
@@ -224,7 +224,7 @@
         self.in_flight += 1;
         let key = pending.transaction.changes.first().map(Change::key).unwrap_or_default();
         let target = format!("/keys/{key}");
-        let call = Call { method: "GET", target, body: Vec::new(), deadline: self.deadline };
+        let call = HttpCall { method: "GET", target, body: Vec::new(), timeout: self.deadline };
         let prepared = self.pool.prepare(call);
         self.spawn(prepared, move |result, connection| Finished::ReadBack { pending, result, connection });
     }
--- a/src/storage/kv/queue.rs
+++ b/src/storage/kv/queue.rs
@@ -5,7 +5,7 @@
 use tokio::sync::oneshot;
 
 use super::{HttpResult, KvError, RequestClass, Transaction};
-use crate::transport::client::Call;
+use crate::transport::client::HttpCall;
 
 /// All request classes, the highest priority first.
 const CLASSES: [RequestClass; 6] = [
@@ -24,7 +24,7 @@
         /// Priority of the request.
         class: RequestClass,
         /// The HTTP request.
-        call: Call,
+        call: HttpCall,
         /// Where its result goes.
         reply: oneshot::Sender<HttpResult>,
     },
--- a/src/storage/kv/rates.rs
+++ b/src/storage/kv/rates.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::RequestClass;
-use crate::settings::StateLimits;
+use crate::settings::KvLimits;
 use crate::storage::rate_limit::TokenBucket;
 
 /// Part of the store's rates that is left to each controller that does not lead.
@@ -77,20 +77,20 @@
 
 impl RateLimits {
     /// Full buckets for this part of the limits.
-    pub(super) fn new(share: RateShare, limits: StateLimits) -> Self {
+    pub(super) fn new(share: RateShare, limits: KvLimits) -> Self {
         let requests = share.token_bucket(limits.rps);
         let writes = share.token_bucket(limits.write_rps);
         RateLimits { share, requests, writes }
     }
 
     /// Starts anew with another part of the limits, with full buckets.
-    pub(super) fn set_share(&mut self, share: RateShare, limits: StateLimits) {
+    pub(super) fn set_share(&mut self, share: RateShare, limits: KvLimits) {
         *self = RateLimits::new(share, limits);
     }
 
     /// Starts anew under other limits, with empty buckets: what the former limits allowed may
     /// have been spent already.
-    pub(super) fn set_limits(&mut self, limits: StateLimits) {
+    pub(super) fn set_limits(&mut self, limits: KvLimits) {
         *self = RateLimits::new(self.share, limits);
         self.requests.drain();
         self.writes.drain();
--- a/src/storage/kv/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -4,7 +4,7 @@
 
 use super::rates::write_reserve;
 use super::*;
-use crate::settings::{NextState, State};
+use crate::settings::{AnnouncedLimits, KvSettings};
 use crate::storage::in_memory_kv::{FakeKvServer, Script, limits, put, store, store_within};
 use crate::storage::rate_limit::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
@@ -79,8 +79,8 @@
 #[tokio::test]
 async fn a_refusal_puts_the_announced_limits_into_force() {
     let (_, server) = client_and_server(&[]).await;
-    let next = NextState { rps: None, write_rps: Some(9_000.0), value_kb: Some(1.0), txn_ops: Some(2) };
-    let state = State { next: Some(next), ..limits(4) };
+    let next = AnnouncedLimits { rps: None, write_rps: Some(9_000.0), value_kb: Some(1.0), txn_ops: Some(2) };
+    let state = KvSettings { next: Some(next), ..limits(4) };
     let store = store_within(server.address(), state.clone());
     let large = |key: &str| {
         let value = MapBuilder::new().set("text", "x".repeat(2000)).build();
@@ -88,7 +88,7 @@
         Transaction { changes, ..put(7, key, 0) }
     };
     assert!(store.compare_and_swap(large("a")).await.is_ok());
-    assert_eq!(store.limits(), state.present());
+    assert_eq!(store.limits(), state.in_force());
     server.limit(state.announced()).await;
     assert!(
         store.get(RequestClass::Admission, "a").await.is_ok_and(|entry| entry.is_some()),
--- a/src/storage/records/job_record.rs
+++ b/src/storage/records/job_record.rs
@@ -49,7 +49,7 @@
     /// The record of a job that was just submitted, at this time of day in milliseconds
     /// since the Unix epoch.
     pub fn new(spec: JobSpec, submitted_ms: u64) -> Self {
-        let done = DoneSet::new(spec.tasks);
+        let done = DoneSet::new(spec.task_count);
         JobRecord {
             spec,
             submitted_ms,
@@ -65,14 +65,14 @@
 
     /// How the job's done tasks are stored where no value may exceed `value_kb` KiB.
     pub fn layout(&self, value_kb: f64) -> Layout {
-        self.block_tasks.map_or_else(|| Layout::derived(self.spec.tasks, value_kb), Layout::NamedBlocks)
+        self.block_tasks.map_or_else(|| Layout::derived(self.spec.task_count, value_kb), Layout::NamedBlocks)
     }
 
     /// Encodes the record where no value may exceed `value_kb` KiB. Done tasks are included
     /// if the layout keeps them in the record.
     pub fn encode(&self, value_kb: f64) -> Value {
         let inline = self.layout(value_kb) == Layout::Inline;
-        let done = inline.then(|| self.done.encode(0, self.spec.tasks));
+        let done = inline.then(|| self.done.encode(0, self.spec.task_count));
         self.encode_fields().set_some("done", done).build()
     }
 
@@ -109,7 +109,7 @@
     pub fn decode(value: &Value) -> Result<Self, RecordError> {
         let fields = Fields::of(value)?;
         let spec = JobSpec::decode(fields.get("spec").ok_or(Malformed::Missing("spec"))?)?;
-        let mut done = DoneSet::new(spec.tasks);
+        let mut done = DoneSet::new(spec.task_count);
         let started_high_water = decode_started_high_water(&fields, &spec)?;
         let block_tasks = decode_block_tasks(&fields)?;
         if let Some(text) = fields.opt_text("done")? {
@@ -159,8 +159,8 @@
     /// The status that a user may be given from the record alone.
     pub fn status(&self) -> JobStatus {
         let state = self.terminal_state().unwrap_or(JobState::Queued);
-        let done = if self.completed { self.spec.tasks } else { self.done.len() };
-        JobStatus { id: self.spec.id.clone(), state, done, running: 0 }
+        let done = if self.completed { self.spec.task_count } else { self.done.len() };
+        JobStatus { id: self.spec.id.clone(), state, done_tasks: done, running_tasks: 0 }
     }
 
     /// Whether every task is done. Services never complete.
@@ -173,7 +173,7 @@
 /// nothing about starts: any task of them may have started.
 fn decode_started_high_water(fields: &Fields<'_>, spec: &JobSpec) -> Result<u32, Malformed> {
     let mark = fields.opt_count("begun")?;
-    Ok(mark.and_then(|mark| u32::try_from(mark).ok()).unwrap_or(spec.tasks))
+    Ok(mark.and_then(|mark| u32::try_from(mark).ok()).unwrap_or(spec.task_count))
 }
 
 /// The block size that a record names, if it does.
--- a/src/storage/records/learned_statistics.rs
+++ b/src/storage/records/learned_statistics.rs
@@ -2,7 +2,7 @@
 
 use ciborium::value::Value;
 
-use crate::protocol::cbor::{Fields, Malformed, MapBuilder, texts};
+use crate::protocol::cbor::{Fields, Malformed, MapBuilder, text_array};
 
 /// Demand of jobs that may use the same machines. Amounts of work are in CPUs, or in GPUs
 /// for jobs that need GPUs.
@@ -33,7 +33,7 @@
 impl DemandStatistics {
     fn encode(&self) -> Value {
         MapBuilder::new()
-            .set("types", texts(self.types.iter().map(String::as_str)))
+            .set("types", text_array(self.types.iter().map(String::as_str)))
             .set_some("zone", self.zone.as_deref())
             .set("spot", self.spot)
             .set("gpus", self.gpus)
--- a/src/storage/records/node_pool.rs
+++ b/src/storage/records/node_pool.rs
@@ -4,7 +4,7 @@
 
 use ciborium::value::Value;
 
-use crate::protocol::cbor::{Fields, Malformed, MapBuilder, texts};
+use crate::protocol::cbor::{Fields, Malformed, MapBuilder, text_array};
 use crate::protocol::cloud::NodePoolRequest;
 use crate::protocol::workers::MachineId;
 
@@ -26,11 +26,12 @@
 impl NodePoolRecord {
     /// Encodes the record.
     pub fn encode(&self) -> Value {
-        let machines = self.machines.as_ref().map(|machines| texts(machines.iter().map(MachineId::as_str)));
+        let machines =
+            self.machines.as_ref().map(|machines| text_array(machines.iter().map(MachineId::as_str)));
         MapBuilder::new()
             .set("request", self.request.encode())
             .set_some("machines", machines)
-            .set("used", texts(self.machines_used.iter().map(MachineId::as_str)))
+            .set("used", text_array(self.machines_used.iter().map(MachineId::as_str)))
             .build()
     }
 
--- a/src/storage/records/production_tests.rs
+++ b/src/storage/records/production_tests.rs
@@ -84,7 +84,7 @@
     assert_eq!(decode_row(&stored!("row-live")), Ok(JobState::Queued));
     assert_eq!(decode_row(&stored!("row-over")), Ok(JobState::Done));
     let pool = NodePoolRecord::decode(&stored!("rental")).expect("readable");
-    assert_eq!((pool.request.count, pool.machines_used.len()), (2, 1));
+    assert_eq!((pool.request.machine_count, pool.machines_used.len()), (2, 1));
     assert_eq!(pool.machines.map(|machines| machines.len()), Some(2));
     let unanswered = NodePoolRecord::decode(&stored!("rental-unanswered")).expect("readable");
     assert_eq!(unanswered.machines, None);
@@ -93,7 +93,7 @@
     let statistics = LearnedStatistics::decode(&stored!("experience")).expect("readable");
     assert_eq!((statistics.groups[0].mean, statistics.runtime_ratios[0].1), (2.5, 1.25));
     let status = JobStatus::decode(&stored!("status")).expect("readable");
-    assert_eq!((status.state, status.done, status.running), (JobState::Running, 3, 13));
+    assert_eq!((status.state, status.done_tasks, status.running_tasks), (JobState::Running, 3, 13));
     let leader = crate::protocol::kv::Entry {
         key: LEADER.into(),
         value: stored!("leader"),
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::*;
-use crate::protocol::cbor::{MapBuilder, json_size};
+use crate::protocol::cbor::{MapBuilder, max_json_size};
 use crate::protocol::cloud::NodePoolRequest;
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::workers::MachineId;
@@ -19,7 +19,7 @@
     let count = record.layout(value_kb).blocks(100_000);
     for block in 0..count {
         let value = record.encode_block(block, value_kb);
-        assert!(json_size(&value) < 8 * 1024, "block {block} takes {}", json_size(&value));
+        assert!(max_json_size(&value) < 8 * 1024, "block {block} takes {}", max_json_size(&value));
         back.add_block(&value).expect("readable");
     }
     assert!(count >= 2);
@@ -35,7 +35,7 @@
     let mut record = JobRecord::new(spec, u64::MAX);
     (0..tasks).step_by(2).for_each(|n| assert!(record.done.insert(n)));
     let value = record.encode(8.0);
-    assert!(json_size(&value) < 8 * 1024, "{}", json_size(&value));
+    assert!(max_json_size(&value) < 8 * 1024, "{}", max_json_size(&value));
     assert_eq!(JobRecord::decode(&value).expect("readable"), record);
 }
 
@@ -76,7 +76,7 @@
         machine_type: "t".into(),
         zone: "z".into(),
         spot: true,
-        count: 2,
+        machine_count: 2,
     };
     for machines in [None, Some(vec![]), MachineId::parse("vm-1").map(|m| vec![m])] {
         let record = NodePoolRecord { request: request.clone(), machines, machines_used: BTreeSet::new() };
--- a/src/transport/call.rs
+++ b/src/transport/call.rs
@@ -8,7 +8,7 @@
 
 /// A request to an outside system.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct HttpCall {
     /// HTTP method.
     pub method: &'static str,
     /// Path and query.
@@ -16,7 +16,7 @@
     /// Body; may be empty.
     pub body: Vec<u8>,
     /// Timeout of the whole exchange: connecting, sending and receiving the response.
-    pub deadline: Duration,
+    pub timeout: Duration,
 }
 
 /// How a request failed. Only [`ClientError::NotSent`] proves that it was not carried out;
@@ -31,8 +31,8 @@
     TimedOut,
     /// The connection failed or was closed before the whole response had arrived.
     #[error("connection lost: {0}")]
-    Lost(std::io::Error),
+    ConnectionLost(std::io::Error),
     /// The response is no valid HTTP, or larger than the limits allow.
     #[error("unreadable answer: {0}")]
-    Unreadable(#[from] CodecError),
+    InvalidResponse(#[from] CodecError),
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-pub use super::call::{Call, ClientError};
+pub use super::call::{ClientError, HttpCall};
 use super::codec::{Decoder, Limits, Response, encode_request};
 
 /// Bytes read from a connection at once.
@@ -29,7 +29,7 @@
 
 /// Idle connections to one address.
 #[derive(Debug)]
-pub struct Pool {
+pub struct ConnectionPool {
     address: SocketAddr,
     limits: Limits,
     idle: Vec<Connection>,
@@ -43,18 +43,18 @@
     limits: Limits,
     /// An idle connection of the pool; `None` to open a new one.
     connection: Option<Connection>,
-    call: Call,
+    call: HttpCall,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An empty pool that keeps at most `max_idle` idle connections. `limits` bound the
     /// responses that are accepted.
     pub fn new(address: SocketAddr, limits: Limits, max_idle: usize) -> Self {
-        Pool { address, limits, idle: Vec::new(), max_idle }
+        ConnectionPool { address, limits, idle: Vec::new(), max_idle }
     }
 
     /// Prepares a request on an idle connection, or on a new one if none is idle.
-    pub fn prepare(&mut self, call: Call) -> PreparedCall {
+    pub fn prepare(&mut self, call: HttpCall) -> PreparedCall {
         PreparedCall { address: self.address, limits: self.limits, connection: self.idle.pop(), call }
     }
 
@@ -71,7 +71,7 @@
 
 impl PreparedCall {
     /// A request outside any pool, on a connection of its own.
-    pub fn without_pool(address: SocketAddr, limits: Limits, call: Call) -> Self {
+    pub fn without_pool(address: SocketAddr, limits: Limits, call: HttpCall) -> Self {
         PreparedCall { address, limits, connection: None, call }
     }
 
@@ -83,7 +83,7 @@
     ///
     /// The first part is a [`ClientError`] if no response arrived within the call's timeout.
     pub async fn run(self) -> (Result<Response, ClientError>, Option<Connection>) {
-        let deadline = self.call.deadline;
+        let deadline = self.call.timeout;
         match timeout(deadline, self.exchange()).await {
             Ok(outcome) => outcome,
             Err(_) => (Err(ClientError::TimedOut), None),
@@ -93,7 +93,7 @@
     async fn exchange(self) -> Outcome {
         let PreparedCall { address, limits, connection, call } = self;
         #[cfg(test)]
-        if let Some(result) = super::scripted::http(address, &call).await {
+        if let Some(result) = super::simulated_network::http(address, &call).await {
             return (result, None);
         }
         let bytes = encode_request(call.method, &call.target, &address.to_string(), &call.body);
@@ -102,7 +102,7 @@
                 // The server may have closed an idle connection meanwhile. A GET changes
                 // nothing and is sent again on a new connection. For other methods the
                 // outcome is unknown, and the caller has to find it out.
-                Err(ClientError::Lost(_)) if call.method == "GET" => {}
+                Err(ClientError::ConnectionLost(_)) if call.method == "GET" => {}
                 result => return idle.into_outcome(result),
             }
         }
@@ -131,14 +131,14 @@
 
     /// Sends an encoded request and reads the response.
     async fn exchange(&mut self, request: &[u8]) -> Result<Response, ClientError> {
-        self.stream.write_all(request).await.map_err(ClientError::Lost)?;
+        self.stream.write_all(request).await.map_err(ClientError::ConnectionLost)?;
         let mut chunk = [0u8; READ_BYTES];
         loop {
             if let Some(response) = self.decoder.next_response()? {
                 return Ok(response);
             }
-            match self.stream.read(&mut chunk).await.map_err(ClientError::Lost)? {
-                0 => return Err(ClientError::Lost(ErrorKind::UnexpectedEof.into())),
+            match self.stream.read(&mut chunk).await.map_err(ClientError::ConnectionLost)? {
+                0 => return Err(ClientError::ConnectionLost(ErrorKind::UnexpectedEof.into())),
                 read => self.decoder.push(&chunk[..read]),
             }
         }
--- a/src/transport/client/tests.rs
+++ b/src/transport/client/tests.rs
@@ -6,8 +6,8 @@
 
 const LIMITS: Limits = Limits { head: 1024, body: 1024 };
 
-fn call(target: &str, deadline: Duration) -> Call {
-    Call { method: "POST", target: target.into(), body: Vec::new(), deadline }
+fn call(target: &str, deadline: Duration) -> HttpCall {
+    HttpCall { method: "POST", target: target.into(), body: Vec::new(), timeout: deadline }
 }
 
 /// Reads one request and returns its target; empty if the connection was closed.
@@ -29,7 +29,7 @@
     format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n").into_bytes()
 }
 
-async fn run(pool: &mut Pool, call: Call) -> Result<u16, ClientError> {
+async fn run(pool: &mut ConnectionPool, call: HttpCall) -> Result<u16, ClientError> {
     let (result, connection) = pool.prepare(call).run().await;
     pool.put_back(connection);
     result.map(|response| response.status)
@@ -40,7 +40,7 @@
 #[tokio::test]
 async fn a_duplicated_response_is_not_taken_for_the_next_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let mut pool = Pool::new(listener.local_addr().expect("bound"), LIMITS, 4);
+    let mut pool = ConnectionPool::new(listener.local_addr().expect("bound"), LIMITS, 4);
     let long = Duration::from_secs(30);
     let first = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
@@ -66,7 +66,7 @@
 #[tokio::test]
 async fn a_response_after_the_timeout_is_not_taken_for_the_next_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let mut pool = Pool::new(listener.local_addr().expect("bound"), LIMITS, 4);
+    let mut pool = ConnectionPool::new(listener.local_addr().expect("bound"), LIMITS, 4);
     let serving = tokio::spawn(async move {
         let (mut slow, _) = listener.accept().await.expect("a connection");
         assert_eq!(read_target(&mut slow).await, "/slow");
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -13,4 +13,4 @@
 pub mod server;
 
 #[cfg(test)]
-pub mod scripted;
+pub mod simulated_network;
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -143,7 +143,8 @@
     /// malformed, or gave no valid reply within the timeout. The outcome is unknown then.
     pub async fn call(&self, call: PeerCall, relay: bool, timeout: Duration) -> Option<PeerReply> {
         #[cfg(test)]
-        match tokio::time::timeout(timeout, super::scripted::peer(self.address, &call, relay)).await {
+        match tokio::time::timeout(timeout, super::simulated_network::peer(self.address, &call, relay)).await
+        {
             Ok(None) => {}
             reply => return reply.ok().flatten(),
         }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -28,12 +28,12 @@
     pub limits: Limits,
     /// Most connections at once; further ones are refused with status 503. At least one
     /// connection is served whatever the number.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long a connection may be idle between two requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Timeout for a whole request to arrive after its first byte, and for a response to be
     /// sent.
-    pub patience: Duration,
+    pub io_timeout: Duration,
 }
 
 /// Answers requests. Cloned once for every connection.
@@ -46,7 +46,7 @@
 pub async fn serve<H: Handler>(listener: TcpListener, options: ServerOptions, handler: H) {
     // A counting semaphore: each message is one free connection. A connection that is
     // accepted takes one, and its task puts it back at the end.
-    let max_connections = options.connections.max(1);
+    let max_connections = options.max_connections.max(1);
     let (release, mut free) = mpsc::channel::<()>(max_connections);
     for _ in 0..max_connections {
         let _ = release.try_send(());
@@ -58,13 +58,13 @@
                 // Mostly the process is out of file descriptors: wait until some
                 // connections have ended.
                 tracing::error!(%error, "connection not accepted");
-                tokio::time::sleep(options.patience / ACCEPT_RETRY_DIVISOR).await;
+                tokio::time::sleep(options.io_timeout / ACCEPT_RETRY_DIVISOR).await;
                 continue;
             }
         };
         let _ = stream.set_nodelay(true);
         if free.try_recv().is_err() {
-            tokio::spawn(refuse_connection(stream, options.patience));
+            tokio::spawn(refuse_connection(stream, options.io_timeout));
             continue;
         }
         let (release, handler) = (release.clone(), handler.clone());
@@ -96,7 +96,7 @@
             }
             Received::Disconnected => return,
         };
-        let sent = timeout(options.patience, stream.write_all(&encode_response(&response))).await;
+        let sent = timeout(options.io_timeout, stream.write_all(&encode_response(&response))).await;
         if response.close || !matches!(sent, Ok(Ok(()))) {
             return;
         }
@@ -125,7 +125,7 @@
             Err(error) => return Received::Unreadable { status: error.status() },
         }
         if !decoder.is_empty() && request_deadline.is_none() {
-            request_deadline = Some(Instant::now() + options.patience);
+            request_deadline = Some(Instant::now() + options.io_timeout);
         }
         if !sent_continue && decoder.wants_continue() {
             sent_continue = true;
@@ -133,7 +133,7 @@
                 return Received::Disconnected;
             }
         }
-        let deadline = request_deadline.unwrap_or_else(|| Instant::now() + options.idle);
+        let deadline = request_deadline.unwrap_or_else(|| Instant::now() + options.idle_timeout);
         match timeout_at(deadline, stream.read(&mut chunk)).await {
             Ok(Ok(0) | Err(_)) => return Received::Disconnected,
             Ok(Ok(read)) => decoder.push(&chunk[..read]),
--- a/src/transport/server/tests.rs
+++ b/src/transport/server/tests.rs
@@ -14,7 +14,11 @@
     let address = listener.local_addr().expect("bound");
     let long = Duration::from_secs(30);
     let limits = Limits { head: 1024, body: 64 };
-    tokio::spawn(serve(listener, ServerOptions { limits, connections, idle: long, patience: long }, Echo));
+    tokio::spawn(serve(
+        listener,
+        ServerOptions { limits, max_connections: connections, idle_timeout: long, io_timeout: long },
+        Echo,
+    ));
     address
 }
 
--- a/src/transport/scripted.rs
+++ b/src/transport/simulated_network.rs
@@ -8,20 +8,20 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::call::{Call, ClientError};
+use super::call::{ClientError, HttpCall};
 use super::codec::Response;
 use super::peer_message::{PeerCall, PeerReply};
 
 /// A request on the simulated network. If `reply` is dropped the request is lost: its sender
 /// waits until its own timeout.
 #[derive(Debug)]
-pub enum Ask {
+pub enum SimulatedRequest {
     /// An HTTP request to an outside system.
     Http {
         /// The address it is sent to.
         to: SocketAddr,
         /// The request.
-        call: Call,
+        call: HttpCall,
         /// Takes the response or the failure.
         reply: oneshot::Sender<Result<Response, ClientError>>,
     },
@@ -41,7 +41,7 @@
 /// A network that a test has installed.
 struct SimulatedNetwork {
     /// To the test. Closed once the test is over; the network counts as removed then.
-    requests: mpsc::UnboundedSender<Ask>,
+    requests: mpsc::UnboundedSender<SimulatedRequest>,
     installed_at: tokio::time::Instant,
     /// Number of write markers given out.
     write_markers: u64,
@@ -59,7 +59,7 @@
 
 /// Simulated time of day: milliseconds on the runtime's clock since the network was
 /// installed. `None` without a network, where the machine's time of day applies.
-pub fn wall_ms() -> Option<u64> {
+pub fn time_of_day_ms() -> Option<u64> {
     let installed_at = NETWORK.with(|network| {
         let network = network.borrow();
         network.as_ref().filter(|network| network.is_open()).map(|network| network.installed_at)
@@ -69,7 +69,7 @@
 
 /// A marker for a write: the same in each run of a test, different for each write. `None`
 /// without a network, where random markers apply.
-pub fn next_mark() -> Option<u64> {
+pub fn next_write_marker() -> Option<u64> {
     NETWORK.with(|network| {
         let mut network = network.borrow_mut();
         let network = network.as_mut().filter(|network| network.is_open())?;
@@ -81,7 +81,7 @@
 
 /// Installs a network on this thread, in place of an earlier one. What is sent from this
 /// thread from now on arrives at the receiver, until that is dropped.
-pub fn install() -> mpsc::UnboundedReceiver<Ask> {
+pub fn install() -> mpsc::UnboundedReceiver<SimulatedRequest> {
     let (requests, received) = mpsc::unbounded_channel();
     let installed_at = tokio::time::Instant::now();
     NETWORK.with(|network| {
@@ -91,7 +91,7 @@
 }
 
 /// Sends a request on the simulated network; `false` without a network.
-fn send(request: Ask) -> bool {
+fn send(request: SimulatedRequest) -> bool {
     NETWORK.with(|network| {
         network.borrow().as_ref().is_some_and(|network| network.requests.send(request).is_ok())
     })
@@ -107,9 +107,9 @@
 
 /// Sends an HTTP request on the simulated network; `None` without a network, where the
 /// caller uses a socket.
-pub(super) async fn http(to: SocketAddr, call: &Call) -> Option<Result<Response, ClientError>> {
+pub(super) async fn http(to: SocketAddr, call: &HttpCall) -> Option<Result<Response, ClientError>> {
     let (reply, received) = oneshot::channel();
-    let sent = send(Ask::Http { to, call: call.clone(), reply });
+    let sent = send(SimulatedRequest::Http { to, call: call.clone(), reply });
     if sent { Some(reply_to(received).await) } else { None }
 }
 
@@ -117,6 +117,6 @@
 /// where the caller uses gRPC.
 pub(super) async fn peer(to: SocketAddr, call: &PeerCall, relay: bool) -> Option<PeerReply> {
     let (reply, received) = oneshot::channel();
-    let sent = send(Ask::Peer { to, call: call.clone(), relay, reply });
+    let sent = send(SimulatedRequest::Peer { to, call: call.clone(), relay, reply });
     if sent { Some(reply_to(received).await) } else { None }
 }
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -8,7 +8,7 @@
 use ciborium::value::Value;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use shedtally::protocol::cbor::{Fields, Malformed, MapBuilder, decode, texts};
+use shedtally::protocol::cbor::{Fields, Malformed, MapBuilder, decode, text_array};
 use shedtally::transport::codec::{Request, Response};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -145,7 +145,7 @@
         .set("price", 1.0)
         .set("spotPrice", 0.4)
         .set("startupS", BOOT_S)
-        .set("halls", texts(ZONES));
+        .set("halls", text_array(ZONES));
     MapBuilder::new().set("builds", Value::Array(vec![machine_type.build()])).build()
 }
 
@@ -246,7 +246,7 @@
             }
             self.node_pools.insert(name.clone(), names);
         }
-        let names = texts(self.node_pools[&name].iter().map(String::as_str));
+        let names = text_array(self.node_pools[&name].iter().map(String::as_str));
         response(200, &MapBuilder::new().set("benches", names).build())
     }
 
--- a/tests/soak/http.rs
+++ b/tests/soak/http.rs
@@ -6,7 +6,7 @@
 
 use ciborium::value::Value;
 use shedtally::protocol::cbor::encode;
-use shedtally::transport::client::{Call, PreparedCall};
+use shedtally::transport::client::{HttpCall, PreparedCall};
 use shedtally::transport::codec::{Limits, Request, Response};
 use shedtally::transport::server::{Handler, ServerOptions, serve};
 use tokio::net::TcpListener;
@@ -61,7 +61,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let limits = Limits { head: MAX_HEAD, body: max_body };
-    let options = ServerOptions { limits, connections, idle: SERVER_TIMEOUT, patience: SERVER_TIMEOUT };
+    let options = ServerOptions {
+        limits,
+        max_connections: connections,
+        idle_timeout: SERVER_TIMEOUT,
+        io_timeout: SERVER_TIMEOUT,
+    };
     let serving = tokio::spawn(serve(listener, options, ToActor(pass_on))).abort_handle();
     Ok(Listening { address, serving })
 }
@@ -72,7 +77,7 @@
 }
 
 /// Sends a request on a connection of its own; `None` if there was no usable response.
-pub async fn send(to: SocketAddr, call: Call) -> Option<Response> {
+pub async fn send(to: SocketAddr, call: HttpCall) -> Option<Response> {
     let limits = Limits { head: MAX_HEAD, body: MAX_BODY };
     PreparedCall::without_pool(to, limits, call).run().await.0.ok()
 }
--- a/tests/soak/jobs.rs
+++ b/tests/soak/jobs.rs
@@ -5,7 +5,7 @@
 use ciborium::value::Value;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use shedtally::protocol::cbor::{MapBuilder, texts};
+use shedtally::protocol::cbor::{MapBuilder, text_array};
 
 /// CPUs of every machine.
 pub const MACHINE_CPUS: f64 = 8.0;
@@ -76,7 +76,7 @@
             .set("reckonS", run)
             .set("bookmarkS", 0.0)
             .set("stashS", 0.0)
-            .set("awaits", texts(dependencies))
+            .set("awaits", text_array(dependencies))
             .build()
     }
 }
--- a/tests/soak/kv_server.rs
+++ b/tests/soak/kv_server.rs
@@ -15,7 +15,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shedtally::protocol::cbor::{Fields, Malformed, MapBuilder, decode};
-use shedtally::settings::StateLimits;
+use shedtally::settings::KvLimits;
 use shedtally::transport::codec::{Request, Response};
 // `store` finds these by way of its parent.
 use shedtally::{protocol, settings};
@@ -174,12 +174,8 @@
     ) -> Self {
         let now = Instant::now();
         let no_fault = PartialFault { share: 0.0, until: now };
-        let limits = StateLimits {
-            rps: f64::INFINITY,
-            write_rps: f64::INFINITY,
-            value_kb: VALUE_KB,
-            txn_ops: TXN_OPS,
-        };
+        let limits =
+            KvLimits { rps: f64::INFINITY, write_rps: f64::INFINITY, value_kb: VALUE_KB, txn_ops: TXN_OPS };
         KvActor {
             store: KvStore::new(1, Some(limits), MAX_PAGE),
             leases_renewed: BTreeMap::new(),
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use shedtally::protocol::cbor::{Fields, decode};
-use shedtally::transport::client::Call;
+use shedtally::transport::client::HttpCall;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
@@ -307,7 +307,7 @@
         loop {
             for (controller, address) in controllers.iter().enumerate() {
                 let (target, deadline) = ("/status".into(), STATUS_INTERVAL);
-                let call = Call { method: "GET", target, body: Vec::new(), deadline };
+                let call = HttpCall { method: "GET", target, body: Vec::new(), timeout: deadline };
                 let Some(response) = http::send(*address, call).await else { continue };
                 let Ok(body) = decode(&response.body) else { continue };
                 let Ok(fields) = Fields::of(&body) else { continue };
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shedtally::protocol::cbor::{Fields, MapBuilder, decode, encode};
-use shedtally::transport::client::Call;
+use shedtally::transport::client::HttpCall;
 use shedtally::transport::codec::Response;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -179,7 +179,7 @@
             UserRequest::Cancel => ("POST", format!("/api/jobs/{id}/withdraw"), Vec::new()),
         };
         let deadline = if request == UserRequest::Poll { POLL_TIMEOUT } else { CHANGE_TIMEOUT };
-        let call = Call { method, target, body, deadline };
+        let call = HttpCall { method, target, body, timeout: deadline };
         let Some(response) = send(self.users.controllers[controller], call).await else { return (0, None) };
         let (status, job) = (response.status, self.job);
         let state = state_in(&response);
@@ -209,7 +209,7 @@
             _ => ("POST", "/api/jobs", with_field(&valid, "cores", Value::from(999.0)), 422),
         };
         let deadline = CHANGE_TIMEOUT;
-        let call = Call { method, target: target.into(), body, deadline };
+        let call = HttpCall { method, target: target.into(), body, timeout: deadline };
         let controller = users.controllers[rng.random_range(0..users.controllers.len())];
         if let Some(response) = send(controller, call).await {
             users.recorder.record(Event::InvalidRequest { expected, status: response.status });
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use shedtally::protocol::cbor::{Fields, MapBuilder, decode, encode};
-use shedtally::transport::client::Call;
+use shedtally::transport::client::HttpCall;
 use shedtally::transport::codec::{Request, Response};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -533,6 +533,6 @@
 }
 
 async fn send_heartbeat(to: SocketAddr, body: Vec<u8>) -> Option<Response> {
-    let call = Call { method: "POST", target: "/agent/beat".into(), body, deadline: RESPONSE_TIMEOUT };
+    let call = HttpCall { method: "POST", target: "/agent/beat".into(), body, timeout: RESPONSE_TIMEOUT };
     http::send(to, call).await
 }
