--- a/src/coordination/tests/simulation/answers.rs
+++ b/src/coordination/tests/simulation/answers.rs
@@ -5,7 +5,9 @@
 
 /// An answer to a user that names the state of a job, as the checker takes it.
 struct UserAnswer<'a> {
+    /// When it arrived.
     now: Instant,
+    /// The job that it is about.
     id: &'a str,
     origin: Origin,
     /// The request was a cancellation.
@@ -108,6 +110,7 @@
     }
 
     /// After a terminal state no other may follow, unless its sender could not know of it.
+    /// `docs/incidents/inc-went-back.md` quotes what this says.
     fn check_monotonic(&mut self, answer: &UserAnswer<'_>, standing: &str) -> Option<Violation> {
         let terminal = self.jobs.get(answer.id)?.terminal.as_ref()?;
         self.repeated_answers += 1;
@@ -136,14 +139,12 @@
             ancestors.iter().any(|job| job.cancelled.is_some_and(|at| answer.origin.sent > at + within));
         match standing {
             "done" if job.has_unfinished_tasks() => Some(("not_done", "tasks are left")),
-            "queued" | "running" if is_orphaned => {
-                Some(("orphaned", "a job before it was cancelled long ago"))
-            }
+            "queued" | "running" if is_orphaned => Some(("orphaned", "a dependency was cancelled long ago")),
             "cancelled" if !wants_cancelled(job) && !is_ancestor_cancelled => {
                 Some(("went_back", "its user did not cancel it"))
             }
             "done" | "cancelled" => None,
-            _ if answer.is_cancellation => Some(("withdrawn", "200 with no final standing")),
+            _ if answer.is_cancellation => Some(("withdrawn", "200 without a terminal state")),
             _ => None,
         }
     }
--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -21,6 +21,7 @@
         }
     }
 
+    /// Deletes machines; those that are gone already, too.
     fn delete_machines(&mut self, now: Instant, body: &Value) -> Response {
         let fields = Fields::of(body).expect("a map");
         for name in fields.opt_texts("benches").expect("names").unwrap_or_default() {
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -131,6 +131,7 @@
         }
     }
 
+    /// Cuts a controller off from the others until then, if the fault includes that.
     fn isolate_if(&mut self, isolates: bool, at: usize, until: Instant) {
         if isolates {
             self.controllers[at].isolated_until = until;
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -339,6 +339,7 @@
         }
     }
 
+    /// Injects the faults whose time has come.
     fn inject_due_faults(&mut self, now: Instant) {
         while self.faults.first().is_some_and(|(at, _)| now >= self.begin + seconds(*at)) {
             let (_, fault) = self.faults.remove(0);
@@ -346,6 +347,7 @@
         }
     }
 
+    /// Starts the controllers that are due, at the begin and after crashes.
     fn restart_due_controllers(&mut self, now: Instant) {
         for at in 0..self.controllers.len() {
             if self.controllers[at].restart_at.is_some_and(|restart| now >= restart) {
@@ -354,7 +356,7 @@
         }
     }
 
-    /// A new job, and an invalid request, each at random intervals.
+    /// Submits a new job and sends an invalid request, each at random intervals.
     fn submit_due_requests(&mut self, now: Instant) {
         if now >= self.next_arrival && now < self.arrivals_until {
             let pause = self.rng.random_range(0.2..2.0) * self.shape.mean_submit_interval_s;
@@ -368,10 +370,12 @@
     }
 }
 
+/// A POST request to a controller.
 fn post(target: &str, body: Vec<u8>) -> Request {
     Request { method: "POST".into(), target: target.into(), body, close: false }
 }
 
+/// A GET request to a controller.
 fn get(target: &str) -> Request {
     Request { method: "GET".into(), target: target.into(), body: Vec::new(), close: false }
 }
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -35,6 +35,7 @@
         self.check_limits();
     }
 
+    /// No task runs on two machines at once.
     fn check_runs_once(&mut self, name: &str, key: &TaskKey) {
         let others: Vec<String> = self
             .on_machines()
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Zone, spot instance, one zone and spread.
+    /// Each task runs where its job may: zone, spot instances, one zone for all, and spread.
     fn check_place(&mut self, name: &str, key: &TaskKey, spec: &JobSpec) {
         let Some(worker) = self.machines.get(name) else { return };
         let same_job = self.on_machines().filter(|(_, _, running)| running.0 == key.0);
@@ -62,6 +63,7 @@
         }
     }
 
+    /// All dependencies are done before a task starts.
     fn check_dependencies(&mut self, key: &TaskKey, spec: &JobSpec) {
         let is_unfinished = |job: &&JobId| self.jobs.get(job.as_str()).is_none_or(Job::has_unfinished_tasks);
         if let Some(dependency) = spec.dependencies.iter().find(is_unfinished) {
@@ -124,7 +126,7 @@
             }
             job.passed_over = passed_over.contains(id).then(|| job.passed_over.unwrap_or(now));
             if job.passed_over.is_some_and(|since| now > since.max(calm_at) + STARTED_WITHIN) {
-                violations.push(("neglected", format!("waits beside room: {:?}", job.spec)));
+                violations.push(("neglected", format!("waits beside free capacity: {:?}", job.spec)));
             }
         }
         for (rule, what) in violations {
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -130,6 +130,7 @@
         self.answer_watches(now);
     }
 
+    /// Carries out the late transactions that are due, in the order of their times.
     fn carry_out_late_transactions(&mut self, now: Instant) {
         let (mut due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.late).into_iter().partition(|(at, _)| now >= *at);
@@ -141,6 +142,7 @@
         }
     }
 
+    /// Ends the leases that were not extended in time, with their keys.
     fn expire_leases(&mut self, now: Instant) {
         let has_expired = |id: &u64, ttl_ms: u64| {
             now >= self.renewed.get(id).copied().unwrap_or(now) + Duration::from_millis(ttl_ms)
@@ -153,6 +155,7 @@
         }
     }
 
+    /// Answers the watches whose keys have changed or whose time is over.
     fn answer_watches(&mut self, now: Instant) {
         for watch in std::mem::take(&mut self.watches) {
             let controller = &self.controllers[watch.controller];
--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -33,6 +33,7 @@
         self.submit(now, spec, run_s, cancel_from);
     }
 
+    /// A description with random tasks, priority and placement.
     fn random_spec(&mut self, number: usize) -> JobSpec {
         let rng = &mut self.rng;
         let largest = self.shape.max_tasks;
