--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -213,7 +213,7 @@
 /// One page of the cloud's inventory.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InventoryPage {
-    /// The machines on this page; at most [`INVENTORY_PAGE`].
+    /// The machines on this page; at most [`MAX_MACHINES_PER_INVENTORY_PAGE`].
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
     pub more: bool,
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -149,7 +149,7 @@
     pub next: Option<AnnouncedLimits>,
 }
 
-/// Limits that the state service will have. Those not named stay as in [`State`].
+/// Limits that the state service will have. Those not named stay as in [`KvSettings`].
 #[derive(Debug, Clone, Deserialize)]
 pub struct AnnouncedLimits {
     /// Requests per second. Default: as now.
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,6 +1,6 @@
 //! HTTP client for outside systems; each request has a timeout.
 //!
-//! A [`Pool`] is owned by one actor. The actor prepares a request, which takes an idle
+//! A [`ConnectionPool`] is owned by one actor. The actor prepares a request, which takes an idle
 //! connection along if there is one, runs it in a task of its own, and is given the
 //! connection back with the outcome. So no state is shared between tasks.
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -16,7 +16,7 @@
 
 /// Bytes read from a connection at once.
 const READ_BYTES: usize = 4096;
-/// After a failure to accept, the server waits for this part of [`ServerOptions::patience`].
+/// After a failure to accept, the server waits for this part of [`ServerOptions::io_timeout`].
 const ACCEPT_RETRY_DIVISOR: u32 = 50;
 /// Seconds after which a client that was refused for lack of a free connection may retry.
 const REFUSED_RETRY_AFTER_S: u32 = 1;
