--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -2,6 +2,7 @@
 //! in.
 
 pub mod autoscaler;
+pub mod autoscaling;
 pub mod catalog;
 pub mod cloud;
 pub mod cloud_health;
