--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -8,7 +8,7 @@
 use crate::coordination::jobs::job::ReplyId;
 use crate::coordination::leader::effects::Effect;
 use crate::coordination::recovery::snapshot::{JobSnapshot, Snapshot};
-use crate::coordination::tests::{catalog, loaded_job, rented};
+use crate::coordination::tests::{catalog, heartbeat_message, loaded_job, rented};
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode};
 use crate::protocol::jobs::{JobId, JobSpec, JobState, JobStatus};
 use crate::protocol::workers::{HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId};
@@ -54,19 +54,9 @@
     Request { method: method.into(), target: target.into(), body: body.to_vec(), close: false }
 }
 
+/// A heartbeat of `vm-1` under this fencing token.
 fn heartbeat(fencing_token: u64) -> Heartbeat {
-    Heartbeat {
-        machine: MachineId::parse("vm-1").expect("valid"),
-        address: String::new(),
-        machine_type: "m8".into(),
-        zone: "z1".into(),
-        spot: false,
-        incarnation: 1,
-        sequence: 1,
-        fencing_token,
-        preemption_notice_s: None,
-        tasks: Vec::new(),
-    }
+    Heartbeat { fencing_token, ..heartbeat_message("vm-1", 1, Vec::new()) }
 }
 
 /// Requests are refused at once, rather than kept waiting, while the actor's queue is full.
--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -74,7 +74,11 @@
 }
 
 /// A heartbeat of a machine's first incarnation under this epoch's fencing token.
-pub(super) fn heartbeat_message(name: &str, sequence: u64, tasks: Vec<TaskStatus>) -> Heartbeat {
+pub(in crate::coordination) fn heartbeat_message(
+    name: &str,
+    sequence: u64,
+    tasks: Vec<TaskStatus>,
+) -> Heartbeat {
     Heartbeat {
         machine: machine(name),
         address: "127.0.0.1:9".into(),
--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -53,8 +53,8 @@
 };
 
 use fixtures::{
-    DONE, EPOCH, NOW_MS, StartedTask, answered_state, heartbeat_message, id, inventory_entry, job_ids,
-    machine, running_statuses, starts, stop, task_status, unstarted_job,
+    DONE, EPOCH, NOW_MS, StartedTask, answered_state, id, inventory_entry, job_ids, machine,
+    running_statuses, starts, stop, task_status, unstarted_job,
 };
-pub(super) use fixtures::{catalog, loaded_job, rented};
+pub(super) use fixtures::{catalog, heartbeat_message, loaded_job, rented};
 use harness::Harness;
--- a/src/coordination/workers/deferred_replies/tests.rs
+++ b/src/coordination/workers/deferred_replies/tests.rs
@@ -1,21 +1,7 @@
 use super::*;
+use crate::coordination::tests::heartbeat_message;
 use crate::{policy, settings};
 
-fn heartbeat(sequence: u64) -> Heartbeat {
-    Heartbeat {
-        machine: MachineId::parse("vm-1").expect("valid"),
-        address: String::new(),
-        machine_type: "m8".into(),
-        zone: "z1".into(),
-        spot: false,
-        incarnation: 1,
-        sequence,
-        fencing_token: 1,
-        preemption_notice_s: None,
-        tasks: Vec::new(),
-    }
-}
-
 fn deferred_replies(change: impl FnOnce(&mut settings::Workers)) -> DeferredReplies<u32> {
     let mut settings = settings::tests::sample();
     change(&mut settings.cluster.workers);
@@ -40,8 +26,8 @@
 fn one_reply_is_deferred_for_each_machine_until_its_deadline() {
     let mut replies = deferred_replies(|_| {});
     let now = Instant::now();
-    assert!(replies.defer(now, heartbeat(1), 1).is_none());
-    let earlier = replies.defer(now, heartbeat(2), 2).expect("given up");
+    assert!(replies.defer(now, heartbeat_message("vm-1", 1, Vec::new()), 1).is_none());
+    let earlier = replies.defer(now, heartbeat_message("vm-1", 2, Vec::new()), 2).expect("given up");
     assert_eq!((earlier.heartbeat.sequence, earlier.reply), (1, 1));
     assert!(replies.expired(now).is_empty());
     let expired = replies.expired(now + replies.max_delay);
