--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -57,7 +57,7 @@
     // The client stops once this sender is dropped: kept to the end of the audit. An audit
     // never takes the leader's share of the request rate.
     let (_is_leader, is_leader_seen) = watch::channel(false);
-    let store = kv::start(
+    let kv = kv::start(
         config.settings.services.kv,
         &cluster.kv,
         cluster.size,
@@ -65,12 +65,12 @@
         is_leader_seen,
     );
 
-    let epoch = if repair { Some(acquire_leadership(&store, lease_ttl).await?) } else { None };
+    let epoch = if repair { Some(acquire_leadership(&kv, lease_ttl).await?) } else { None };
     let mut counts = AuditCounts::default();
-    audit_jobs(&store, epoch, &mut counts, out).await?;
-    audit_node_pools(&store, &mut counts, out).await?;
+    audit_jobs(&kv, epoch, &mut counts, out).await?;
+    audit_node_pools(&kv, &mut counts, out).await?;
     if epoch.is_some() {
-        release_leadership(&store).await;
+        release_leadership(&kv).await;
     }
     write_summary(&counts, out).map_err(CliError::Output)?;
     Ok(if counts.inconsistent == 0 { ExitStatus::Success } else { ExitStatus::Failure })
@@ -82,14 +82,14 @@
 /// The election's channels end with this function, so its task ends when it reports the next
 /// change, at the latest the first renewal. From then on the lease runs out by itself unless
 /// it is released before, and the store refuses writes of a lapsed epoch.
-async fn acquire_leadership(store: &KvClient, lease_ttl: Duration) -> Result<u64, CliError> {
+async fn acquire_leadership(kv: &KvClient, lease_ttl: Duration) -> Result<u64, CliError> {
     let name = format!("audit-{:08x}", rand::random::<u32>());
     let (role_sender, mut roles) = mpsc::channel(4);
     let (_resigned_epoch, resigned_epoch_seen) = watch::channel(0);
     let election = Election::new(&name, &name, lease_ttl);
     // An audit serves no other controllers.
     let address = String::new();
-    tokio::spawn(election::run(election, store.clone(), address, role_sender, resigned_epoch_seen));
+    tokio::spawn(election::run(election, kv.clone(), address, role_sender, resigned_epoch_seen));
     match tokio::time::timeout(lease_ttl, roles.recv()).await {
         Ok(Some(Role::Leader { epoch, .. })) => Ok(epoch),
         Ok(Some(Role::Follower { leader, .. })) => Err(CliError::ControllerLeads { leader }),
@@ -98,31 +98,31 @@
 }
 
 /// Gives the audit's lease back, so that controllers need not wait for its expiry.
-async fn release_leadership(store: &KvClient) {
-    if let Ok(Some(entry)) = store.get(kv::RequestClass::Renewal, LEADER).await
+async fn release_leadership(kv: &KvClient) {
+    if let Ok(Some(entry)) = kv.get(kv::RequestClass::Renewal, LEADER).await
         && let Some(lease) = entry.lease
     {
         let target = format!("/leases/{lease}");
-        let call = HttpCall { method: "DELETE", target, body: Vec::new(), timeout: store.deadline() };
+        let call = HttpCall { method: "DELETE", target, body: Vec::new(), timeout: kv.deadline() };
         // If it fails the lease expires by itself.
-        let _ = store.send_raw(kv::RequestClass::Renewal, call).await;
+        let _ = kv.send_raw(kv::RequestClass::Renewal, call).await;
     }
 }
 
 /// Examines every job that a record or a row names; repairs under `epoch` if there is one.
 async fn audit_jobs(
-    store: &KvClient,
+    kv: &KvClient,
     epoch: Option<u64>,
     counts: &mut AuditCounts,
     out: &mut impl Write,
 ) -> Result<(), CliError> {
-    for job in reconciler::all_jobs(store).await.map_err(unavailable)? {
-        let examined = reconciler::examine(store, &job).await.map_err(unavailable)?;
+    for job in reconciler::all_jobs(kv).await.map_err(unavailable)? {
+        let examined = reconciler::examine(kv, &job).await.map_err(unavailable)?;
         counts.jobs += 1;
         counts.waiting_for_dependencies += u32::from(examined.waits_for_dependencies);
         counts.naming_blocks += u32::from(examined.names_blocks);
         let Some(problem) = describe_finding(&examined.finding) else { continue };
-        let repaired = repair_job(store, epoch, &examined).await;
+        let repaired = repair_job(kv, epoch, &examined).await;
         counts.inconsistent += u32::from(!repaired);
         write_finding(out, &job, &problem, repaired).map_err(CliError::Output)?;
     }
@@ -143,9 +143,9 @@
 
 /// Whether the job was repaired. Without an epoch, for ambiguous findings, and if record
 /// and rows have changed since they were read, nothing is written.
-async fn repair_job(store: &KvClient, epoch: Option<u64>, examined: &Examined) -> bool {
+async fn repair_job(kv: &KvClient, epoch: Option<u64>, examined: &Examined) -> bool {
     match epoch.and_then(|epoch| examined.repair(epoch)) {
-        Some(transaction) => store.compare_and_swap(transaction).await.is_ok(),
+        Some(transaction) => kv.compare_and_swap(transaction).await.is_ok(),
         None => false,
     }
 }
@@ -157,11 +157,11 @@
 /// Reports the records of node pools that cannot be decoded. They are never repaired: which
 /// machines they stand for is not known.
 async fn audit_node_pools(
-    store: &KvClient,
+    kv: &KvClient,
     counts: &mut AuditCounts,
     out: &mut impl Write,
 ) -> Result<(), CliError> {
-    for key in reconciler::unreadable_node_pools(store).await.map_err(unavailable)? {
+    for key in reconciler::unreadable_node_pools(kv).await.map_err(unavailable)? {
         counts.inconsistent += 1;
         writeln!(out, "{key}: an unreadable fleet record; left alone").map_err(CliError::Output)?;
     }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -72,13 +72,13 @@
     let (lease_expiry, lease_expiry_seen) = watch::channel(Instant::now());
     let (resigned_epoch, resigned_epoch_seen) = watch::channel(0);
 
-    let store = start_kv_client(&config, is_leader_seen);
+    let kv = start_kv_client(&config, is_leader_seen);
     let cloud = start_cloud_client(settings, lease_expiry_seen);
     let incarnation = new_incarnation();
     log_start(settings, &incarnation);
-    start_election(&config, &incarnation, store.clone(), role_sender, resigned_epoch_seen);
+    start_election(&config, &incarnation, kv.clone(), role_sender, resigned_epoch_seen);
     let (controller, inputs, handle) =
-        Controller::new(config.clone(), store, cloud, is_leader, lease_expiry, resigned_epoch, roles);
+        Controller::new(config.clone(), kv, cloud, is_leader, lease_expiry, resigned_epoch, roles);
     start_peer_server(settings.peer_listen, handle.clone());
     start_http_server(listener, &settings.cluster, handle);
 
@@ -116,14 +116,14 @@
 fn start_election(
     config: &Config,
     incarnation: &str,
-    store: KvClient,
+    kv: KvClient,
     roles: mpsc::Sender<Role>,
     resigned_epoch: watch::Receiver<u64>,
 ) {
     let settings = &config.settings;
     let election = Election::new(&settings.name, incarnation, config.tuning.lease);
     let address = settings.peer_listen.to_string();
-    tokio::spawn(election::run(election, store, address, roles, resigned_epoch));
+    tokio::spawn(election::run(election, kv, address, roles, resigned_epoch));
 }
 
 /// Serves other controllers. Without this server a controller goes on: its workers and users
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -4,7 +4,7 @@
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::jobs::{JobId, JobState};
 use crate::settings::AnnouncedLimits;
-use crate::storage::in_memory_kv::{FakeKvServer, store};
+use crate::storage::in_memory_kv::{FakeKvServer, kv_client};
 use crate::storage::kv;
 use crate::storage::records::{
     JobRecord, LEADER, archived_row_key, encode_row, job_record_key, live_row_key,
@@ -67,8 +67,8 @@
     let (out, result) = audited(&world, false).await;
     assert!(succeeded(&result), "{out}");
     assert_eq!(out, "3 jobs, 0 inconsistent\n");
-    let store = store(world.address(), 12);
-    assert_eq!(store.get(kv::RequestClass::Background, LEADER).await, Ok(None), "the lease is given back");
+    let kv = kv_client(world.address(), 12);
+    assert_eq!(kv.get(kv::RequestClass::Background, LEADER).await, Ok(None), "the lease is given back");
 }
 
 #[tokio::test]
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -12,7 +12,7 @@
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode};
 use crate::protocol::jobs::{JobId, JobSpec, JobState, JobStatus};
 use crate::protocol::workers::{HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId};
-use crate::storage::in_memory_kv::{FakeKvServer, store};
+use crate::storage::in_memory_kv::{FakeKvServer, kv_client};
 use crate::storage::records::{JobRecord, job_record_key};
 use crate::transport::codec::Request;
 use crate::transport::peer::{PeerCall, PeerHandler, PeerReply, RemainingLease};
@@ -39,7 +39,7 @@
         let (is_leader, _) = watch::channel(false);
         let (_role_sender, roles) = mpsc::channel(1);
         let (resigned, resigned_epoch) = watch::channel(0);
-        let kv = store(kv_server.address(), 12);
+        let kv = kv_client(kv_server.address(), 12);
         let (controller, inputs, handle) =
             Controller::new(config, kv, cloud, is_leader, term, resigned, roles);
         TestHarness { controller, inputs, handle, resigned_epoch }
--- a/src/coordination/recovery/reconciler.rs
+++ b/src/coordination/recovery/reconciler.rs
@@ -125,10 +125,10 @@
 ///
 /// If the store cannot be read. A record or row that cannot be decoded is no error but a
 /// [`Finding::Suspect`].
-pub async fn examine(store: &KvClient, job: &JobId) -> Result<Examined, KvError> {
-    let archived = store.get(RequestClass::Background, &archived_row_key(job)).await?;
-    let live = store.get(RequestClass::Background, &live_row_key(job)).await?;
-    let record = store.get(RequestClass::Background, &job_record_key(job)).await?;
+pub async fn examine(kv: &KvClient, job: &JobId) -> Result<Examined, KvError> {
+    let archived = kv.get(RequestClass::Background, &archived_row_key(job)).await?;
+    let live = kv.get(RequestClass::Background, &live_row_key(job)).await?;
+    let record = kv.get(RequestClass::Background, &job_record_key(job)).await?;
     let archived_row = archived.as_ref().map(|entry| decode_row(&entry.value)).transpose();
     let decoded = record.as_ref().map(|entry| JobRecord::decode(&entry.value)).transpose();
     let readable = decoded.as_ref().ok().and_then(Option::as_ref);
@@ -136,7 +136,7 @@
     let waits_for_dependencies = waiting.is_some();
     let names_blocks = readable.is_some_and(|record| record.block_tasks.is_some());
     let has_missing_dependency = match waiting {
-        Some(record) => has_missing_dependency(store, record).await?,
+        Some(record) => has_missing_dependency(kv, record).await?,
         None => false,
     };
     let finding = match (archived_row, decoded) {
@@ -161,9 +161,9 @@
 }
 
 /// Whether a job depends on one that has no record, and so would wait for ever.
-async fn has_missing_dependency(store: &KvClient, record: &JobRecord) -> Result<bool, KvError> {
+async fn has_missing_dependency(kv: &KvClient, record: &JobRecord) -> Result<bool, KvError> {
     for dependency in &record.spec.dependencies {
-        if store.get(RequestClass::Background, &job_record_key(dependency)).await?.is_none() {
+        if kv.get(RequestClass::Background, &job_record_key(dependency)).await?.is_none() {
             return Ok(true);
         }
     }
@@ -185,12 +185,12 @@
 ///
 /// If the store cannot be read.
 pub async fn page_of_jobs(
-    store: &KvClient,
+    kv: &KvClient,
     prefix: &str,
     from: &str,
     max_keys: usize,
 ) -> Result<JobPage, KvError> {
-    let page = store.read_page(prefix, from, max_keys).await?;
+    let page = kv.read_page(prefix, from, max_keys).await?;
     let next = page.more.then(|| page.entries.last().map(|entry| entry.key.clone())).flatten();
     let job_of = |entry: &Entry| JobId::parse(entry.key.strip_prefix(prefix)?);
     let jobs = page.entries.iter().filter_map(job_of).collect();
@@ -203,8 +203,8 @@
 /// # Errors
 ///
 /// If the store cannot be read.
-pub async fn unreadable_node_pools(store: &KvClient) -> Result<Vec<String>, KvError> {
-    let entries = store.scan(NODE_POOLS).await?;
+pub async fn unreadable_node_pools(kv: &KvClient) -> Result<Vec<String>, KvError> {
+    let entries = kv.scan(NODE_POOLS).await?;
     let unreadable = entries.into_iter().filter(|entry| NodePoolRecord::decode(&entry.value).is_err());
     Ok(unreadable.map(|entry| entry.key).collect())
 }
@@ -214,12 +214,12 @@
 /// # Errors
 ///
 /// If the store cannot be read.
-pub async fn all_jobs(store: &KvClient) -> Result<BTreeSet<JobId>, KvError> {
+pub async fn all_jobs(kv: &KvClient) -> Result<BTreeSet<JobId>, KvError> {
     let mut all = BTreeSet::new();
     for prefix in [JOB_RECORDS, LIVE_ROWS, ARCHIVED_ROWS] {
         let mut from = String::new();
         loop {
-            let page = page_of_jobs(store, prefix, &from, KEYS_PER_PAGE).await?;
+            let page = page_of_jobs(kv, prefix, &from, KEYS_PER_PAGE).await?;
             all.extend(page.jobs);
             match page.next {
                 Some(next) => from = next,
--- a/src/coordination/recovery/snapshot.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -92,27 +92,27 @@
 /// If the store cannot be read or a repair is not committed; the round is then to be run
 /// again from the same key.
 pub async fn reconcile_page(
-    store: &KvClient,
+    kv: &KvClient,
     epoch: u64,
     from: &str,
     value_kb: f64,
 ) -> Result<ReconciledPage, KvError> {
-    let JobPage { jobs, next } = reconciler::page_of_jobs(store, ARCHIVED_ROWS, from, ROWS_PER_ROUND).await?;
+    let JobPage { jobs, next } = reconciler::page_of_jobs(kv, ARCHIVED_ROWS, from, ROWS_PER_ROUND).await?;
     let mut restored = Snapshot::default();
     for job in &jobs {
-        let examined = reconciler::examine(store, job).await?;
+        let examined = reconciler::examine(kv, job).await?;
         if let Finding::Suspect(reason) = examined.finding {
             tracing::error!(%job, reason, "inconsistent job not repaired; run `audit` for details");
         }
         if let Some(repair) = examined.repair(epoch) {
             tracing::error!(%job, finding = ?examined.finding, "row differs from its record; repair started");
-            let live_row_version = store.compare_and_swap(repair).await?;
+            let live_row_version = kv.compare_and_swap(repair).await?;
             if examined.finding == Finding::Stranded {
-                restored.add_job(job, read_job(store, job, live_row_version, value_kb).await?);
+                restored.add_job(job, read_job(kv, job, live_row_version, value_kb).await?);
             }
         }
     }
-    restored.dependency_states = read_dependencies_of(store, &restored.jobs).await?;
+    restored.dependency_states = read_dependencies_of(kv, &restored.jobs).await?;
     Ok(ReconciledPage { next: next.unwrap_or_default(), restored })
 }
 
@@ -122,26 +122,22 @@
 /// # Errors
 ///
 /// If the store cannot be read.
-pub async fn reread_unreadable(
-    store: &KvClient,
-    keys: Vec<String>,
-    value_kb: f64,
-) -> Result<Snapshot, KvError> {
+pub async fn reread_unreadable(kv: &KvClient, keys: Vec<String>, value_kb: f64) -> Result<Snapshot, KvError> {
     let mut reread = Snapshot::default();
     for key in keys {
         if key.starts_with(NODE_POOLS) {
-            match store.get(RequestClass::Background, &key).await? {
+            match kv.get(RequestClass::Background, &key).await? {
                 Some(entry) => reread.add_node_pool(&key, &entry.value, entry.version),
                 None => reread.deleted_keys.push(key),
             }
         } else if let Some(job) = UnreadableRecords::job_of(&key) {
-            match store.get(RequestClass::Background, &live_row_key(&job)).await? {
-                Some(row) => reread.add_job(&job, read_job(store, &job, row.version, value_kb).await?),
+            match kv.get(RequestClass::Background, &live_row_key(&job)).await? {
+                Some(row) => reread.add_job(&job, read_job(kv, &job, row.version, value_kb).await?),
                 None => reread.deleted_keys.push(key),
             }
         }
     }
-    reread.dependency_states = read_dependencies_of(store, &reread.jobs).await?;
+    reread.dependency_states = read_dependencies_of(kv, &reread.jobs).await?;
     Ok(reread)
 }
 
@@ -152,38 +148,38 @@
 ///
 /// If the store cannot be read. A record that cannot be used is no error: it is listed in
 /// [`Snapshot::unreadable`].
-pub async fn read_snapshot(store: &KvClient, value_kb: f64) -> Result<Snapshot, KvError> {
+pub async fn read_snapshot(kv: &KvClient, value_kb: f64) -> Result<Snapshot, KvError> {
     let mut snapshot = Snapshot::default();
-    for entry in store.scan(NODE_POOLS).await? {
+    for entry in kv.scan(NODE_POOLS).await? {
         snapshot.add_node_pool(&entry.key, &entry.value, entry.version);
     }
-    if let Some(entry) = store.get(RequestClass::Background, CATALOG).await?
+    if let Some(entry) = kv.get(RequestClass::Background, CATALOG).await?
         && let Ok(types) = decode_catalog(&entry.value)
     {
         snapshot.catalog = Some((types, entry.version));
     }
-    if let Some(entry) = store.get(RequestClass::Background, LEARNED_STATISTICS).await? {
+    if let Some(entry) = kv.get(RequestClass::Background, LEARNED_STATISTICS).await? {
         // Statistics that cannot be decoded are replaced by the next write, which needs the
         // version of the key.
         let statistics = LearnedStatistics::decode(&entry.value).unwrap_or_default();
         snapshot.statistics = Some((statistics, entry.version));
     }
-    read_live_jobs(store, value_kb, &mut snapshot).await?;
-    snapshot.dependency_states = read_dependencies_of(store, &snapshot.jobs).await?;
+    read_live_jobs(kv, value_kb, &mut snapshot).await?;
+    snapshot.dependency_states = read_dependencies_of(kv, &snapshot.jobs).await?;
     Ok(snapshot)
 }
 
 /// Adds all jobs with a live row to the snapshot; their records are read concurrently.
-async fn read_live_jobs(store: &KvClient, value_kb: f64, snapshot: &mut Snapshot) -> Result<(), KvError> {
+async fn read_live_jobs(kv: &KvClient, value_kb: f64, snapshot: &mut Snapshot) -> Result<(), KvError> {
     let mut reads = JoinSet::new();
-    for row in store.scan(LIVE_ROWS).await? {
+    for row in kv.scan(LIVE_ROWS).await? {
         let Some(job) = row.key.strip_prefix(LIVE_ROWS).and_then(JobId::parse) else {
             tracing::error!(key = %row.key, "live row without a valid job id ignored");
             continue;
         };
-        let store = store.clone();
+        let kv = kv.clone();
         reads.spawn(async move {
-            let outcome = read_job(&store, &job, row.version, value_kb).await?;
+            let outcome = read_job(&kv, &job, row.version, value_kb).await?;
             Ok::<_, KvError>((job, outcome))
         });
     }
@@ -195,7 +191,7 @@
 }
 
 /// Reads the states of the dependencies of these jobs that are not among the jobs themselves.
-async fn read_dependencies_of(store: &KvClient, jobs: &[JobSnapshot]) -> Result<DependencyStates, KvError> {
+async fn read_dependencies_of(kv: &KvClient, jobs: &[JobSnapshot]) -> Result<DependencyStates, KvError> {
     let own_ids: HashSet<&JobId> = jobs.iter().map(|job| &job.record.spec.id).collect();
     let waiting = jobs.iter().map(|job| &job.record).filter(|record| record.may_wait_for_dependencies());
     let dependencies: HashSet<JobId> = waiting
@@ -203,7 +199,7 @@
         .filter(|dependency| !own_ids.contains(dependency))
         .cloned()
         .collect();
-    read_dependency_states(store, dependencies.into_iter().collect()).await
+    read_dependency_states(kv, dependencies.into_iter().collect()).await
 }
 
 /// Reads the states of jobs on which others depend. An unusable record gives
@@ -212,12 +208,12 @@
 /// # Errors
 ///
 /// If the store cannot be read.
-pub async fn read_dependency_states(store: &KvClient, jobs: Vec<JobId>) -> Result<DependencyStates, KvError> {
+pub async fn read_dependency_states(kv: &KvClient, jobs: Vec<JobId>) -> Result<DependencyStates, KvError> {
     let mut reads = JoinSet::new();
     for job in jobs {
-        let store = store.clone();
+        let kv = kv.clone();
         reads.spawn(async move {
-            let state = match read_record(&store, RequestClass::Admission, &job).await {
+            let state = match read_record(&kv, RequestClass::Admission, &job).await {
                 Ok(record) => DependencyState::of(record.as_ref()),
                 Err(KvError::Rejected) => DependencyState::Unreadable,
                 Err(error) => return Err(error),
@@ -241,11 +237,11 @@
 /// it. It is only logged at debug level here, because the leader logs each such record once.
 /// Any other error if the store cannot be read.
 pub async fn read_record(
-    store: &KvClient,
+    kv: &KvClient,
     class: RequestClass,
     job: &JobId,
 ) -> Result<Option<JobRecord>, KvError> {
-    let Some(entry) = store.get(class, &job_record_key(job)).await? else { return Ok(None) };
+    let Some(entry) = kv.get(class, &job_record_key(job)).await? else { return Ok(None) };
     decode_record(job, &entry.value).map(Some).map_err(|reason| {
         tracing::debug!(%job, reason = reason.to_string(), "job record unreadable");
         KvError::Rejected
@@ -269,7 +265,7 @@
 /// [`KvError::Unavailable`] if that would take reading more than `max_reads` records, and the
 /// errors of [`read_record`].
 pub async fn is_cancelled_by_dependencies(
-    store: &KvClient,
+    kv: &KvClient,
     class: RequestClass,
     record: &JobRecord,
     max_reads: usize,
@@ -284,7 +280,7 @@
         if seen.len() > max_reads {
             return Err(KvError::Unavailable);
         }
-        let Some(record) = read_record(store, class, &dependency).await? else { continue };
+        let Some(record) = read_record(kv, class, &dependency).await? else { continue };
         if record.terminal_state() == Some(JobState::Cancelled) {
             return Ok(true);
         }
@@ -322,12 +318,12 @@
 
 /// Reads one unfinished job: its record and the blocks of its done tasks.
 async fn read_job(
-    store: &KvClient,
+    kv: &KvClient,
     job: &JobId,
     live_row_version: u64,
     value_kb: f64,
 ) -> Result<JobReadOutcome, KvError> {
-    let Some(entry) = store.get(RequestClass::Admission, &job_record_key(job)).await? else {
+    let Some(entry) = kv.get(RequestClass::Admission, &job_record_key(job)).await? else {
         return Ok(Err(UnusableJob::NoRecord));
     };
     let mut record = match decode_record(job, &entry.value) {
@@ -337,7 +333,7 @@
     let mut block_versions = Vec::new();
     let layout = record.layout(value_kb);
     for block in 0..layout.blocks(record.spec.task_count) {
-        let stored = store.get(RequestClass::Admission, &layout.block_key(&record.spec.id, block)).await?;
+        let stored = kv.get(RequestClass::Admission, &layout.block_key(&record.spec.id, block)).await?;
         block_versions.push(stored.as_ref().map_or(0, |entry| entry.version));
         if let Some(Err(source)) = stored.map(|entry| record.add_block(&entry.value)) {
             // It is unknown which of its tasks are done, and a done task must not start
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -7,7 +7,7 @@
 use crate::coordination::recovery::snapshot;
 use crate::protocol::cbor::MapBuilder;
 use crate::protocol::cloud::encode_catalog;
-use crate::storage::in_memory_kv::{FakeKvServer, store};
+use crate::storage::in_memory_kv::{FakeKvServer, kv_client};
 use crate::storage::records::{CATALOG, encode_row, node_pool_key};
 
 /// A value that no build writes.
@@ -22,7 +22,7 @@
     for (key, value) in entries {
         server.seed(&key, value, 5).await;
     }
-    snapshot::read_snapshot(&store(server.address(), 12), 8.0).await.expect("the state service answers")
+    snapshot::read_snapshot(&kv_client(server.address(), 12), 8.0).await.expect("the state service answers")
 }
 
 /// A new leader that has read this snapshot.
@@ -205,7 +205,7 @@
 #[tokio::test]
 async fn records_that_become_readable_are_restored() {
     let server = FakeKvServer::start(&[]).await;
-    let store = store(server.address(), 12);
+    let kv = kv_client(server.address(), 12);
     let record = JobRecord::new(sample("job-1", "red", 1, 1.0), NOW_MS);
     let (node_pool, _) = rented("vm-2", true);
     let keys = vec![job_record_key(&id("job-1")), node_pool_key(&node_pool.request.name)];
@@ -213,13 +213,13 @@
     for key in &keys {
         server.seed(key, damaged_value(), 5).await;
     }
-    let unread = snapshot::reread_unreadable(&store, keys.clone(), 8.0).await.expect("served");
+    let unread = snapshot::reread_unreadable(&kv, keys.clone(), 8.0).await.expect("served");
     assert_eq!((unread.jobs.len(), unread.node_pools.len(), unread.unreadable.len()), (0, 0, 2));
-    let mut harness = harness_after_failover(snapshot::read_snapshot(&store, 8.0).await.expect("served"));
+    let mut harness = harness_after_failover(snapshot::read_snapshot(&kv, 8.0).await.expect("served"));
     assert_eq!(harness.leader.unreadable_after("", 8).len(), 2);
     server.seed(&keys[0], record.encode(8.0), 6).await;
     server.seed(&keys[1], node_pool.encode(), 7).await;
-    let reread = snapshot::reread_unreadable(&store, keys, 8.0).await.expect("served");
+    let reread = snapshot::reread_unreadable(&kv, keys, 8.0).await.expect("served");
     harness.leader.restore_snapshot(harness.now, NOW_MS, reread);
     assert!(harness.leader.failover.unreadable().is_empty());
     assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
--- a/src/storage/in_memory_kv.rs
+++ b/src/storage/in_memory_kv.rs
@@ -217,8 +217,8 @@
 }
 
 /// A client with the real actor, for the test double at this address.
-pub fn store(address: SocketAddr, txn_ops: usize) -> KvClient {
-    store_within(address, limits(txn_ops))
+pub fn kv_client(address: SocketAddr, txn_ops: usize) -> KvClient {
+    kv_client_within(address, limits(txn_ops))
 }
 
 /// Limits of which tests reach only the size of transactions.
@@ -227,7 +227,7 @@
 }
 
 /// A client with the real actor under these limits, for the test double at this address.
-pub fn store_within(address: SocketAddr, limits: KvSettings) -> KvClient {
+pub fn kv_client_within(address: SocketAddr, limits: KvSettings) -> KvClient {
     let (leads, leading) = tokio::sync::watch::channel(true);
     // The actor would stop if this end were dropped.
     std::mem::forget(leads);
--- a/src/storage/kv/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -5,7 +5,7 @@
 use super::rates::write_reserve;
 use super::*;
 use crate::settings::{AnnouncedLimits, KvSettings};
-use crate::storage::in_memory_kv::{FakeKvServer, Script, limits, put, store, store_within};
+use crate::storage::in_memory_kv::{FakeKvServer, Script, kv_client, kv_client_within, limits, put};
 use crate::storage::rate_limit::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
 
@@ -13,16 +13,16 @@
 async fn client_and_server(script: &[Script]) -> (KvClient, FakeKvServer) {
     let server = FakeKvServer::start(script).await;
     server.seed(LEADER, Value::Null, 7).await;
-    (store(server.address(), 4), server)
+    (kv_client(server.address(), 4), server)
 }
 
 #[tokio::test]
 async fn a_transaction_with_a_stale_epoch_is_fenced() {
-    let (store, _server) = client_and_server(&[]).await;
-    assert_eq!(store.compare_and_swap(put(6, "a", 0)).await, Err(KvError::Fenced));
-    assert_eq!(store.get(RequestClass::Admission, "a").await, Ok(None));
-    assert_eq!(store.compare_and_swap(put(7, "a", 0)).await, Ok(8));
-    assert_eq!(store.compare_and_swap(put(7, "a", 0)).await, Err(KvError::Conflict));
+    let (kv, _server) = client_and_server(&[]).await;
+    assert_eq!(kv.compare_and_swap(put(6, "a", 0)).await, Err(KvError::Fenced));
+    assert_eq!(kv.get(RequestClass::Admission, "a").await, Ok(None));
+    assert_eq!(kv.compare_and_swap(put(7, "a", 0)).await, Ok(8));
+    assert_eq!(kv.compare_and_swap(put(7, "a", 0)).await, Err(KvError::Conflict));
 }
 
 /// The client does not know the outcome of its first attempt. The retry must neither fail nor
@@ -30,9 +30,9 @@
 #[tokio::test]
 async fn a_commit_with_unknown_outcome_is_resolved_before_it_is_reported() {
     for script in [Script::LoseAnswer, Script::Delay, Script::Refuse] {
-        let (store, _server) = client_and_server(&[script]).await;
-        let version = store.compare_and_swap(put(7, "a", 0)).await.expect("carried out");
-        let entry = store.get(RequestClass::Admission, "a").await.expect("served").expect("there");
+        let (kv, _server) = client_and_server(&[script]).await;
+        let version = kv.compare_and_swap(put(7, "a", 0)).await.expect("carried out");
+        let entry = kv.get(RequestClass::Admission, "a").await.expect("served").expect("there");
         assert_eq!(entry.version, version, "{script:?}");
         assert_eq!(version, 8, "written once: {script:?}");
     }
@@ -40,11 +40,11 @@
 
 #[tokio::test]
 async fn transactions_of_several_callers_are_batched_up_to_the_limit() {
-    let (store, server) = client_and_server(&[]).await;
+    let (kv, server) = client_and_server(&[]).await;
     let mut tasks = tokio::task::JoinSet::new();
     for n in 0..10 {
-        let store = store.clone();
-        tasks.spawn(async move { store.compare_and_swap(put(7, &format!("k{n}"), 0)).await });
+        let kv = kv.clone();
+        tasks.spawn(async move { kv.compare_and_swap(put(7, &format!("k{n}"), 0)).await });
     }
     while let Some(result) = tasks.join_next().await {
         assert!(result.expect("no panic").is_ok());
@@ -81,41 +81,38 @@
     let (_, server) = client_and_server(&[]).await;
     let next = AnnouncedLimits { rps: None, write_rps: Some(9_000.0), value_kb: Some(1.0), txn_ops: Some(2) };
     let state = KvSettings { next: Some(next), ..limits(4) };
-    let store = store_within(server.address(), state.clone());
+    let kv = kv_client_within(server.address(), state.clone());
     let large = |key: &str| {
         let value = MapBuilder::new().set("text", "x".repeat(2000)).build();
         let changes = vec![Change::Put { key: key.into(), value, lease: None }];
         Transaction { changes, ..put(7, key, 0) }
     };
-    assert!(store.compare_and_swap(large("a")).await.is_ok());
-    assert_eq!(store.limits(), state.in_force());
+    assert!(kv.compare_and_swap(large("a")).await.is_ok());
+    assert_eq!(kv.limits(), state.in_force());
     server.limit(state.announced()).await;
-    assert!(
-        store.get(RequestClass::Admission, "a").await.is_ok_and(|entry| entry.is_some()),
-        "still readable"
-    );
+    assert!(kv.get(RequestClass::Admission, "a").await.is_ok_and(|entry| entry.is_some()), "still readable");
     let mut tasks = tokio::task::JoinSet::new();
     for n in 0..6 {
-        let (store, large) = (store.clone(), large(&format!("k{n}")));
+        let (kv, large) = (kv.clone(), large(&format!("k{n}")));
         let transaction = if n == 3 { large } else { put(7, &format!("k{n}"), 0) };
-        tasks.spawn(async move { (n, store.compare_and_swap(transaction).await) });
+        tasks.spawn(async move { (n, kv.compare_and_swap(transaction).await) });
     }
     while let Some(result) = tasks.join_next().await {
         let (n, result) = result.expect("no panic");
         assert_eq!(result.is_err(), n == 3, "only what is too large itself is refused: {n} {result:?}");
     }
-    assert_eq!(store.limits(), state.announced());
+    assert_eq!(kv.limits(), state.announced());
     assert!(server.commit_sizes().await.iter().all(|&changes| changes <= 2));
 }
 
 #[tokio::test]
 async fn a_scan_reads_all_pages() {
-    let (store, server) = client_and_server(&[]).await;
+    let (kv, server) = client_and_server(&[]).await;
     for n in 0..1203 {
         server.seed(&format!("k/{n:04}"), Value::Null, n + 8).await;
     }
     server.seed("l/1", Value::Null, 9000).await;
-    assert_eq!(store.scan("k/").await.expect("served").len(), 1203);
+    assert_eq!(kv.scan("k/").await.expect("served").len(), 1203);
 }
 
 #[test]
