--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -81,7 +81,7 @@
 ///
 /// The election's channels end with this function, so its task ends when it reports the next
 /// change, at the latest the first renewal. From then on the lease runs out by itself unless
-/// it is released before, and the store refuses writes of a lapsed epoch.
+/// it is released before, and the store refuses writes of an epoch whose lease has expired.
 async fn acquire_leadership(kv: &KvClient, lease_ttl: Duration) -> Result<u64, CliError> {
     let name = format!("audit-{:08x}", rand::random::<u32>());
     let (role_sender, mut roles) = mpsc::channel(4);
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -283,7 +283,7 @@
         self.flush_dirty_records(now);
         self.register_unregistered(now);
         self.expire_silent_machines(now);
-        self.expire_unlisted_machines(now);
+        self.expire_unrecorded_machines(now);
         if is_slow_tick {
             self.record_upcoming_starts(now);
             self.autoscale(now);
--- a/src/coordination/recovery/failover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -52,7 +52,7 @@
     /// archives the terminal jobs that waited for that.
     pub(crate) fn check_failover_complete(&mut self) {
         if self.failover.is_complete()
-            || self.failover.unlisted_machines_possible()
+            || self.failover.unrecorded_machines_possible()
             || self.catalog.is_empty()
             || !self.failover.all_machines_reconciled(&self.machines)
         {
@@ -147,10 +147,10 @@
         self.jobs.insert(job.id().clone(), job);
     }
 
-    /// Once the leases of unlisted machines have expired (machines of unreadable node pool
+    /// Once the leases of unrecorded machines have expired (machines of unreadable node pool
     /// records, which may have sent no heartbeat), stops waiting for them.
-    pub(crate) fn expire_unlisted_machines(&mut self, now: Instant) {
-        if !self.failover.expire_unlisted(now, &self.config) {
+    pub(crate) fn expire_unrecorded_machines(&mut self, now: Instant) {
+        if !self.failover.expire_unrecorded(now, &self.config) {
             return;
         }
         tracing::info!(epoch = self.epoch(), "leases of machines in unreadable node pool records expired");
--- a/src/coordination/recovery/progress.rs
+++ b/src/coordination/recovery/progress.rs
@@ -25,10 +25,10 @@
     is_complete: bool,
     /// Records that exist and cannot be used.
     unreadable: UnreadableRecords,
-    /// Unlisted machines, which no readable record names, may hold tasks.
-    unlisted_machines_possible: bool,
-    /// When an unlisted machine was last replied to while such machines may have held tasks.
-    unlisted_replied_at: Option<Instant>,
+    /// Unrecorded machines, which no readable record names, may hold tasks.
+    unrecorded_machines_possible: bool,
+    /// When an unrecorded machine was last replied to while such machines may have held tasks.
+    unrecorded_replied_at: Option<Instant>,
     /// A machine that was not reconciled at the last check: as long as it is not, the next
     /// check need not look at the others.
     unreconciled_machine: Option<MachineId>,
@@ -42,9 +42,9 @@
             snapshot_at: now,
             post_lease_graces_over_at: None,
             is_complete: false,
-            unlisted_machines_possible: unreadable.may_hide_machines(),
+            unrecorded_machines_possible: unreadable.may_hide_machines(),
             unreadable: UnreadableRecords::default(),
-            unlisted_replied_at: None,
+            unrecorded_replied_at: None,
             unreconciled_machine: None,
         };
         // Added one by one, since that logs each of them.
@@ -77,9 +77,9 @@
         &mut self.unreadable
     }
 
-    /// Whether unlisted machines, which no readable record names, may hold tasks.
-    pub(crate) fn unlisted_machines_possible(&self) -> bool {
-        self.unlisted_machines_possible
+    /// Whether unrecorded machines, which no readable record names, may hold tasks.
+    pub(crate) fn unrecorded_machines_possible(&self) -> bool {
+        self.unrecorded_machines_possible
     }
 
     /// Whether a confirmation that no earlier leader is in its post-lease grace would shorten
@@ -102,28 +102,28 @@
             .map_or(after_graces, |at| after_graces.min(at + config.worker_lease_timeout()))
     }
 
-    /// Whether an unlisted machine may be replied to while a node pool's record cannot be read.
+    /// Whether an unrecorded machine may be replied to while a node pool's record cannot be read.
     ///
     /// Each reply renews the lease of an agent whose tasks are counted nowhere. So replies are
     /// only given for the time of one `lease` after the snapshot: by then a live machine has
     /// been registered.
-    pub(crate) fn may_reply_to_unlisted(&mut self, now: Instant, lease: Duration) -> bool {
+    pub(crate) fn may_reply_to_unrecorded(&mut self, now: Instant, lease: Duration) -> bool {
         let may_reply = now < self.snapshot_at + lease;
         if may_reply {
-            self.unlisted_replied_at = Some(now);
+            self.unrecorded_replied_at = Some(now);
         }
         may_reply
     }
 
-    /// Whether the leases of unlisted machines have just expired: from now on none of them can
+    /// Whether the leases of unrecorded machines have just expired: from now on none of them can
     /// hold tasks. True at most once.
-    pub(crate) fn expire_unlisted(&mut self, now: Instant, config: &Config) -> bool {
-        let replied_expiry = self.unlisted_replied_at.map(|at| at + config.worker_lease_timeout());
-        let has_expired = self.unlisted_machines_possible
+    pub(crate) fn expire_unrecorded(&mut self, now: Instant, config: &Config) -> bool {
+        let replied_expiry = self.unrecorded_replied_at.map(|at| at + config.worker_lease_timeout());
+        let has_expired = self.unrecorded_machines_possible
             && now >= self.unreplied_lease_expiry(config)
             && replied_expiry.is_none_or(|expiry| now >= expiry);
         if has_expired {
-            self.unlisted_machines_possible = false;
+            self.unrecorded_machines_possible = false;
         }
         has_expired
     }
--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -47,7 +47,7 @@
     /// All the capacity of machines that may hold unknown tasks. Machines are reconciled one
     /// after the other and stay so: what was counted last is never too little.
     fn unreconciled_capacity(&self) -> Resources {
-        if self.failover.unlisted_machines_possible() {
+        if self.failover.unrecorded_machines_possible() {
             return Resources::UNBOUNDED;
         }
         let failing_over = !self.failover.is_complete();
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -208,7 +208,7 @@
         &[
             (20.0, LateHeartbeats { share: 0.5, lasts: 100.0 }),
             (40.0, Hung { share: 0.4, lasts: 25.0 }),
-            (70.0, Deaf { share: 0.4, lasts: 25.0 }),
+            (70.0, OneWayPartition { share: 0.4, lasts: 25.0 }),
         ],
         |simulation| simulation.late_copies > 50,
     );
@@ -237,7 +237,7 @@
     run_concurrent_faults(
         &[
             (30.0, Burst { jobs: 20 }),
-            (50.0, Mute { share: 0.5, lasts: 30.0 }),
+            (50.0, HeartbeatsLost { share: 0.5, lasts: 30.0 }),
             (51.0, Crash { controller: None, back: 5.0 }),
             (54.0, CancelNow { count: 4, hang: 0.0 }),
             (80.0, Hung { share: 0.5, lasts: 17.0 }),
@@ -253,9 +253,9 @@
     let crash = Crash { controller: None, back: 5.0 };
     run_concurrent_faults(
         &[
-            (40.0, Deaf { share: 0.5, lasts: 40.0 }),
+            (40.0, OneWayPartition { share: 0.5, lasts: 40.0 }),
             (42.0, crash),
-            (85.0, Mute { share: 0.5, lasts: 15.0 }),
+            (85.0, HeartbeatsLost { share: 0.5, lasts: 15.0 }),
             (86.0, crash),
         ],
         |simulation| simulation.leaders.len() >= 3,
@@ -272,8 +272,8 @@
 
 #[test]
 fn machines_without_heartbeat_replies_receive_pushed_commands() {
-    let mute = Mute { share: 0.7, lasts: 30.0 };
-    run_concurrent_faults(&[(40.0, mute), (44.0, CancelNow { count: 4, hang: 0.0 })], |simulation| {
+    let lost = HeartbeatsLost { share: 0.7, lasts: 30.0 };
+    run_concurrent_faults(&[(40.0, lost), (44.0, CancelNow { count: 4, hang: 0.0 })], |simulation| {
         simulation.cancellations >= 2
     });
 }
--- a/src/coordination/tests/simulation/cluster.rs
+++ b/src/coordination/tests/simulation/cluster.rs
@@ -96,9 +96,9 @@
     /// is due soon.
     pub(super) changed: bool,
     /// Until then it receives no replies and no pushed commands.
-    pub(super) deaf_until: Instant,
+    pub(super) one_way_partitioned_until: Instant,
     /// Until then its heartbeats are lost, and their replies.
-    pub(super) mute_until: Instant,
+    pub(super) heartbeats_lost_until: Instant,
     /// Until then it is stalled, with what it runs.
     pub(super) hung_until: Instant,
     /// Pushed commands that arrived while it was stalled.
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -18,9 +18,9 @@
     /// The same, but its requests hang.
     Cut { lasts: f64, peers: bool },
     /// Machines receive neither replies nor pushed commands.
-    Deaf { share: f64, lasts: f64 },
+    OneWayPartition { share: f64, lasts: f64 },
     /// Heartbeats of machines are lost; pushed commands arrive.
-    Mute { share: f64, lasts: f64 },
+    HeartbeatsLost { share: f64, lasts: f64 },
     /// Machines are stalled, with what they run.
     Hung { share: f64, lasts: f64 },
     /// Machines end, as by a preemption without notice.
@@ -87,11 +87,11 @@
                 self.controllers[leader].cut_until = until(lasts);
                 self.isolate_if(peers, leader, until(lasts));
             }
-            Fault::Deaf { share, lasts } => {
-                self.strike_machines(now, share, |worker| worker.deaf_until = until(lasts));
+            Fault::OneWayPartition { share, lasts } => {
+                self.strike_machines(now, share, |worker| worker.one_way_partitioned_until = until(lasts));
             }
-            Fault::Mute { share, lasts } => {
-                self.strike_machines(now, share, |worker| worker.mute_until = until(lasts));
+            Fault::HeartbeatsLost { share, lasts } => {
+                self.strike_machines(now, share, |worker| worker.heartbeats_lost_until = until(lasts));
             }
             Fault::Hung { share, lasts } => {
                 self.strike_machines(now, share, |worker| worker.hung_until = until(lasts));
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -122,7 +122,7 @@
         let (target, incarnation) = (worker.target, worker.incarnation);
         let is_partitioned =
             now < self.zone_cut_until && (worker.zone == "z2") != (target == PARTITIONED_CONTROLLER);
-        let is_received = now >= worker.mute_until && !is_partitioned;
+        let is_received = now >= worker.heartbeats_lost_until && !is_partitioned;
         let handle = self.controllers[target].handle.clone().filter(|_| is_received);
         if self.late_heartbeats.strikes(now, &mut self.rng) {
             self.send_late_copy_of_heartbeat(&body);
@@ -166,7 +166,9 @@
         let (now, controllers) = (Instant::now(), self.controllers.len());
         let Some(worker) = self.machines.get_mut(machine).filter(|m| m.gone_at.is_none()) else { return };
         worker.in_flight = false;
-        let is_lost = now < worker.deaf_until || now < worker.hung_until || now < worker.mute_until;
+        let is_lost = now < worker.one_way_partitioned_until
+            || now < worker.hung_until
+            || now < worker.heartbeats_lost_until;
         let answer = answer.filter(|_| !is_lost && now < sent + REPLY_TIMEOUT);
         let next = (worker.target + 1) % controllers;
         match answer.map(|a| (a.status, decode(&a.body).unwrap_or(Value::Null))) {
@@ -217,7 +219,7 @@
         else {
             return;
         };
-        if now < worker.deaf_until || (now < self.zone_cut_until && worker.zone == "z2") {
+        if now < worker.one_way_partitioned_until || (now < self.zone_cut_until && worker.zone == "z2") {
             return;
         }
         if now < worker.hung_until {
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -82,7 +82,7 @@
             return HeartbeatReply::Redirect;
         }
         let Some(machine) = self.machines.get(&heartbeat.machine) else {
-            return self.handle_unlisted_heartbeat(now, heartbeat);
+            return self.handle_unregistered_heartbeat(now, heartbeat);
         };
         if is_outdated(machine, heartbeat) {
             return HeartbeatReply::Redirect;
@@ -108,10 +108,10 @@
     /// machine shows our token with its next heartbeat, and only then it is registered. No
     /// machine that no record names was ever given a start, so the reply keeps no task
     /// alive; unless a record cannot be read.
-    fn handle_unlisted_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
+    fn handle_unregistered_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
         let worker_lease = self.config.settings.cluster.workers.lease();
-        if self.failover.unlisted_machines_possible()
-            && !self.failover.may_reply_to_unlisted(now, worker_lease)
+        if self.failover.unrecorded_machines_possible()
+            && !self.failover.may_reply_to_unrecorded(now, worker_lease)
         {
             return HeartbeatReply::Redirect;
         }
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -2,7 +2,7 @@
 //! which of them are alive.
 //!
 //! A heartbeat passes through [`heartbeats`], which decides whether it counts, then through
-//! `task_reconciliation`, which squares the tasks that it lists with the leader's slots, then
+//! `task_reconciliation`, which reconciles the tasks that it lists with the leader's slots, then
 //! through `reply_commands`, which collects the commands of the reply. Starts are added to
 //! the reply by [`crate::coordination::scheduling`].
 
--- a/src/coordination/workers/task_reconciliation.rs
+++ b/src/coordination/workers/task_reconciliation.rs
@@ -10,7 +10,7 @@
 use crate::protocol::workers::{ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
 
 impl Leader {
-    /// Squares the machine's slots with the tasks that a heartbeat under this epoch's token
+    /// Reconciles the machine's slots with the tasks that a heartbeat under this epoch's token
     /// lists.
     pub(super) fn reconcile_tasks(&mut self, now: Instant, heartbeat: &Heartbeat) {
         let machine = &heartbeat.machine;
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -93,13 +93,13 @@
 /// * `state`: the store's limits, in force and announced.
 /// * `controllers`: number of controllers in the cluster, which share the store's rates.
 /// * `deadline`: how long each request may take.
-/// * `leads`: whether this controller leads. The actor stops when its sender is dropped.
+/// * `is_leader`: whether this controller leads. The actor stops when its sender is dropped.
 pub fn start(
     address: SocketAddr,
     state: &KvSettings,
     controllers: u32,
     deadline: Duration,
-    leads: watch::Receiver<bool>,
+    is_leader: watch::Receiver<bool>,
 ) -> KvClient {
     let (requests, inbox) = mpsc::channel(REQUEST_CHANNEL);
     let (finished, responses) = mpsc::channel(RESPONSE_CHANNEL);
@@ -118,27 +118,27 @@
         log_throttle: LogThrottle::default(),
         finished,
     };
-    tokio::spawn(actor.run(controllers, inbox, responses, leads));
+    tokio::spawn(actor.run(controllers, inbox, responses, is_leader));
     KvClient { requests, deadline, limits }
 }
 
 impl Actor {
-    /// Runs until all clients, or the sender of `leads`, are dropped.
+    /// Runs until all clients, or the sender of `is_leader`, are dropped.
     async fn run(
         mut self,
         controllers: u32,
         mut inbox: mpsc::Receiver<Request>,
         mut responses: mpsc::Receiver<Finished>,
-        mut leads: watch::Receiver<bool>,
+        mut is_leader: watch::Receiver<bool>,
     ) {
         loop {
             let wait = self.dispatch(Instant::now());
             let sleep = tokio::time::sleep(wait.unwrap_or(IDLE_SLEEP));
             tokio::select! {
                 biased;
-                changed = leads.changed() => {
+                changed = is_leader.changed() => {
                     if changed.is_err() { return }
-                    let leading = *leads.borrow_and_update();
+                    let leading = *is_leader.borrow_and_update();
                     let limits = *self.limits_in_force.borrow();
                     self.rates.set_share(RateShare { controllers, leading }, limits);
                 }
