--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -11,6 +11,14 @@
 
 use tokio::time::Instant;
 
+use crate::coordination::authority::answers::Answer;
+use crate::protocol::cbor::{Fields, MapBuilder, decode};
+use crate::transport::peer::PeerReply;
+
+/// Field of the answer to a leader query: the epoch of a controller that leads.
+const EPOCH: &str = "epoch";
+/// Field of the same answer: whether a controller that does not lead is idle.
+const IDLE: &str = "free";
 /// Part of the leader's lease between two queries to one peer.
 const QUERY_LEASE_DIVISOR: u32 = 8;
 /// Part of the leader's lease for which a reply, or a timeout, is relied on.
@@ -47,6 +55,29 @@
     Idle,
 }
 
+impl PeerState {
+    /// The answer to [`PeerCall::LeaderQuery`](crate::transport::peer::PeerCall::LeaderQuery).
+    pub(super) fn to_answer(self) -> Answer {
+        let fields = MapBuilder::new();
+        match self {
+            PeerState::Leading(epoch) => Answer::new(200, &fields.set(EPOCH, epoch).build()),
+            PeerState::LeaseExpired => Answer::new(421, &fields.set(IDLE, false).build()),
+            PeerState::Idle => Answer::new(421, &fields.set(IDLE, true).build()),
+        }
+    }
+
+    /// Reads such an answer; `None` if it cannot be decoded.
+    pub(super) fn decode(reply: &PeerReply) -> Option<Self> {
+        let body = decode(&reply.body).ok()?;
+        let fields = Fields::of(&body).ok()?;
+        match reply.status {
+            200 => fields.count(EPOCH).ok().map(PeerState::Leading),
+            _ if fields.bool(IDLE).ok()? => Some(PeerState::Idle),
+            _ => Some(PeerState::LeaseExpired),
+        }
+    }
+}
+
 /// The controller that leads, as far as this one knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct KnownLeader<'a> {
--- a/src/coordination/controller/requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -8,14 +8,14 @@
 use crate::coordination::controller::events::{
     ForwardedReply, JobLookUp, RecordRead, ReplySender, RequestOrigin, UserRequest,
 };
+use crate::coordination::controller::peers::PeerState;
 use crate::coordination::controller::user_replies::PendingReply;
 use crate::coordination::controller::wall_clock::wall_ms;
 use crate::coordination::controller::{Controller, POLL_TIMEOUT, REQUEST_TIMEOUT, RETRY_AFTER_S};
 use crate::coordination::jobs::cancellation::CancelOutcome;
 use crate::coordination::jobs::dependency_state::DependencyStates;
-use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::UncheckedSubmission;
-use crate::protocol::cbor::{MapBuilder, decode};
+use crate::protocol::cbor::decode;
 use crate::protocol::jobs::{JobId, JobSpec, JobStatus};
 use crate::transport::peer::PeerCall;
 
@@ -36,7 +36,7 @@
                 Ok(spec) => (spec.id.clone(), Some(spec)),
                 Err(error) => return drop(reply.send(Answer::error(400, &error.to_string()))),
             },
-            PeerCall::LeaderQuery => return drop(reply.send(self.answer_leader_query(now))),
+            PeerCall::LeaderQuery => return drop(reply.send(self.peer_state(now).to_answer())),
             // Heartbeats have a queue of their own.
             PeerCall::Heartbeat(_) => return drop(reply.send(Answer::error(400, "a report"))),
         };
@@ -62,13 +62,14 @@
         }
     }
 
-    /// Tells another controller whether this one leads.
-    fn answer_leader_query(&self, now: Instant) -> Answer {
-        match self.leader.as_ref().filter(|leader| leader.holds_lease(now)).map(Leader::epoch) {
-            Some(epoch) => Answer::new(200, &MapBuilder::new().set("epoch", epoch).build()),
+    /// Whether this controller leads, as it tells the others.
+    fn peer_state(&self, now: Instant) -> PeerState {
+        match &self.leader {
+            Some(leader) if leader.holds_lease(now) => PeerState::Leading(leader.epoch()),
+            Some(_) => PeerState::LeaseExpired,
             // Without a leader's state machine no worker gets a 200 from here, and one begins
             // only with a new epoch.
-            None => Answer::new(421, &MapBuilder::new().set("free", self.leader.is_none()).build()),
+            None => PeerState::Idle,
         }
     }
 
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -16,9 +16,8 @@
 use crate::coordination::controller::worker_redirects::{RedirectDecision, WorkerRedirects};
 use crate::coordination::election::Role;
 use crate::maps::HashMap;
-use crate::protocol::cbor::{Fields, decode};
 use crate::protocol::workers::Heartbeat;
-use crate::transport::peer::{PeerCall, PeerLink, PeerReply};
+use crate::transport::peer::{PeerCall, PeerLink};
 
 /// Routes that are tried for one request at most.
 const MAX_ROUTES: usize = 2;
@@ -170,7 +169,7 @@
             let events = self.events.clone();
             tokio::spawn(async move {
                 let reply = link.call(PeerCall::LeaderQuery, false, timeout).await;
-                let peer_state = reply.and_then(|reply| decode_peer_state(&reply));
+                let peer_state = reply.and_then(|reply| PeerState::decode(&reply));
                 let _ = events.send(InternalEvent::PeerQueried { peer, peer_state }).await;
             });
         }
@@ -273,14 +272,3 @@
     }
     links
 }
-
-/// Decodes a reply to [`PeerCall::LeaderQuery`]; `None` if it cannot be decoded.
-fn decode_peer_state(reply: &PeerReply) -> Option<PeerState> {
-    let body = decode(&reply.body).ok()?;
-    let fields = Fields::of(&body).ok()?;
-    match reply.status {
-        200 => fields.count("epoch").ok().map(PeerState::Leading),
-        _ if fields.bool("free").ok()? => Some(PeerState::Idle),
-        _ => Some(PeerState::LeaseExpired),
-    }
-}
