--- a/src/coordination/fleet/autoscaling.rs
+++ b/src/coordination/fleet/autoscaling.rs
@@ -36,7 +36,7 @@
         let needed = self.scale_out(now);
         self.record_needed_machines(now, &needed);
         self.rebalance(now);
-        self.scale_in(now, &needed);
+        self.scale_in(now);
     }
 
     /// Reads the catalog from the cloud if it is old.
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -9,7 +9,6 @@
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::PendingOperation;
 use crate::coordination::workers::failure_detector::FailureDetector;
-use crate::maps::HashSet;
 use crate::protocol::cloud::MAX_MACHINES_PER_DELETION;
 use crate::protocol::workers::MachineId;
 
@@ -43,7 +42,8 @@
 
 impl Leader {
     /// Deletes machines that are idle and not needed, and those that are of no use any more.
-    pub(crate) fn scale_in(&mut self, now: Instant, needed: &HashSet<MachineId>) {
+    /// What is needed is what the tick has just recorded on each machine.
+    pub(crate) fn scale_in(&mut self, now: Instant) {
         let detector = self.liveness.detector(now, &self.config, &self.machines);
         let mut to_delete = Vec::new();
         for machine in self.machines.values() {
@@ -55,7 +55,7 @@
                 }
                 continue;
             }
-            let Some(reason) = self.scale_in_reason(now, machine, &detector, needed) else { continue };
+            let Some(reason) = self.scale_in_reason(now, machine, &detector) else { continue };
             let is_lost = reason == ScaleInReason::Dead || machine.preempted_at.is_some();
             if machine.spot && is_lost && machine.phase == Phase::Up {
                 self.autoscaler.spot_losses.record_loss();
@@ -75,7 +75,6 @@
         now: Instant,
         machine: &Machine,
         detector: &FailureDetector,
-        needed: &HashSet<MachineId>,
     ) -> Option<ScaleInReason> {
         let tuning = &self.config.tuning;
         let boot = Duration::from_secs_f64(self.catalog.boot_s(machine.machine_type));
@@ -94,7 +93,7 @@
                 let is_long_idle = now > machine.idle_since + boot.mul_f64(tuning.idle_boots);
                 let is_billed = now > machine.requested_at + MIN_BILLED;
                 let is_cloud_up = !self.cloud_health.is_down(now);
-                let is_unneeded = !needed.contains(&machine.id);
+                let is_unneeded = !machine.need.is_needed;
                 (is_empty && is_long_idle && is_billed && is_cloud_up && is_unneeded)
                     .then_some(ScaleInReason::Idle)
             }
