--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -178,26 +178,24 @@
         let Some(PendingAdmission { record, waiters }) = self.admissions.end(job) else { return };
         match result {
             Ok(version) => self.admit(now, job, record, version, waiters),
-            // It was admitted earlier and is terminal: the record tells.
-            Err(KvError::Conflict) => {
-                self.retract_admission(job);
-                for reply in waiters {
-                    self.answer_from_record(reply, job.clone());
-                }
-            }
-            Err(KvError::Rejected) => {
+            Err(error) => {
                 self.retract_admission(job);
                 for reply in waiters {
-                    let reason = "its description is too large for a record";
-                    self.reject_unless_admitted(reply, job.clone(), reason);
+                    self.answer_not_admitted(reply, job.clone(), error);
                 }
             }
-            Err(_) => {
-                self.retract_admission(job);
-                for reply in waiters {
-                    self.reply(reply, Answer::retry_later(503, "could not be recorded", 1));
-                }
+        }
+    }
+
+    /// Answers a submission whose first write was not carried out.
+    fn answer_not_admitted(&mut self, reply: ReplyId, job: JobId, error: KvError) {
+        match error {
+            // It was admitted earlier and is terminal: the record tells.
+            KvError::Conflict => self.answer_from_record(reply, job),
+            KvError::Rejected => {
+                self.reject_unless_admitted(reply, job, "its description is too large for a record");
             }
+            _ => self.reply(reply, Answer::retry_later(503, "could not be recorded", 1)),
         }
     }
 
