--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::coordination::leader::Leader;
 use crate::coordination::workers::reply_commands::MAX_COMMANDS;
 use crate::protocol::jobs::JobId;
-use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
+use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
 /// Longest time to a preemption that is taken from a heartbeat, in seconds. Keeps the sum
 /// with the clock in range, whatever a worker sends.
@@ -276,7 +276,7 @@
         let commands = heartbeat
             .tasks
             .iter()
-            .filter(|status| !matches!(status.state, TaskState::Exited(_)) && has_ended(&status.task.job))
+            .filter(|status| !status.state.has_exited() && has_ended(&status.task.job))
             .map(|status| Command::Stop { task: status.task.clone(), attempt: status.attempt, grace_s: 0.0 })
             .take(MAX_COMMANDS)
             .collect();
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -10,7 +10,7 @@
 use crate::coordination::workers::slot::{Slot, SlotState};
 use crate::maps::HashMap;
 use crate::protocol::jobs::{JobId, TaskId};
-use crate::protocol::workers::{Command, Heartbeat, MachineId, TaskState};
+use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
 /// The stop of a cancelled job's task.
 struct CancellationStop {
@@ -109,7 +109,7 @@
         let reply_window = self.config.cancelled_task_reply_window();
         let cancelled_at = |job: &JobId| self.jobs.get(job).and_then(|job| job.cancellation.committed_at);
         heartbeat.tasks.iter().any(|status| {
-            !matches!(status.state, TaskState::Exited(_))
+            !status.state.has_exited()
                 && cancelled_at(&status.task.job).is_some_and(|at| now >= at + reply_window)
         })
     }
--- a/src/coordination/workers/task_reconciliation.rs
+++ b/src/coordination/workers/task_reconciliation.rs
@@ -46,12 +46,10 @@
     /// A machine has begun to show orphan tasks: they are stopped, and its capacity counts as
     /// used, against every limit, until they are gone.
     fn record_orphan_tasks(&mut self, heartbeat: &Heartbeat) {
-        let is_present = |status: &&TaskStatus| !matches!(status.state, TaskState::Exited(_));
         let mut orphans = heartbeat
             .tasks
             .iter()
-            .filter(is_present)
-            .filter(|status| !self.jobs.contains_key(&status.task.job));
+            .filter(|status| !status.state.has_exited() && !self.jobs.contains_key(&status.task.job));
         let count = orphans.clone().count();
         if let Some(first) = orphans.next() {
             tracing::error!(
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -94,6 +94,11 @@
 }
 
 impl TaskState {
+    /// Whether the attempt has ended; the worker lists it until it is reaped.
+    pub fn has_exited(self) -> bool {
+        matches!(self, TaskState::Exited(_))
+    }
+
     fn decode(fields: &Fields<'_>) -> Result<Self, Malformed> {
         match fields.text(field::STATE)? {
             word::TASK_FETCHING => Ok(TaskState::Fetching),
