--- a/src/coordination/controller/forwarding.rs
+++ b/src/coordination/controller/forwarding.rs
@@ -9,6 +9,7 @@
 use crate::coordination::controller::POLL_TIMEOUT;
 use crate::coordination::controller::events::{ForwardedReply, InternalEvent, ReplySender, UserRequest};
 use crate::coordination::controller::heartbeat_answers::{redirect_answer, relayed_answer};
+use crate::numeric::count_u32;
 use crate::transport::peer::{PeerCall, PeerLink};
 
 /// One way for a call to the leader.
@@ -38,7 +39,7 @@
         leader_was_unreachable: bool,
         events: mpsc::Sender<InternalEvent>,
     ) -> Self {
-        let route_count = u32::try_from(routes.len()).unwrap_or(u32::MAX);
+        let route_count = count_u32(routes.len());
         Forwarding { routes, leader_was_unreachable, events, timeout: POLL_TIMEOUT / route_count }
     }
 
--- a/src/coordination/controller/leader_lifecycle.rs
+++ b/src/coordination/controller/leader_lifecycle.rs
@@ -5,12 +5,13 @@
 use crate::coordination::controller::Controller;
 use crate::coordination::controller::heartbeat_answers::redirect_answer;
 use crate::coordination::controller::peers::PeerState;
-use crate::coordination::controller::wall_clock::{wall_ms, whole_ms};
+use crate::coordination::controller::wall_clock::wall_ms;
 use crate::coordination::election::Role;
 use crate::coordination::fleet::cloud::CloudResult;
 use crate::coordination::leader::Leader;
 use crate::coordination::leader::effects::OperationId;
 use crate::coordination::recovery::snapshot::Snapshot;
+use crate::numeric::whole_ms;
 use crate::storage::kv::KvError;
 
 impl Controller {
--- a/src/coordination/controller/wall_clock.rs
+++ b/src/coordination/controller/wall_clock.rs
@@ -1,6 +1,8 @@
 //! The time of day, which records carry.
 
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use crate::numeric::whole_ms;
 
 /// Milliseconds since 1970; in tests, those of the simulation if there is one.
 pub(super) fn wall_ms() -> u64 {
@@ -11,8 +13,3 @@
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     whole_ms(since_1970)
 }
-
-/// A duration in whole milliseconds.
-pub(super) fn whole_ms(duration: Duration) -> u64 {
-    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
-}
--- a/src/coordination/election/runner.rs
+++ b/src/coordination/election/runner.rs
@@ -6,6 +6,7 @@
 use crate::coordination::election::{
     AcquireOutcome, Election, LeaderRead, RenewOutcome, Role, Step, WatchOutcome, decode_leader_record,
 };
+use crate::numeric::whole_ms;
 use crate::protocol::cbor::{MapBuilder, decode, encode};
 use crate::protocol::kv::{
     Change, Compare, decode_commit_revision, decode_lease_id, decode_watch_revision, encode_compare_and_swap,
@@ -88,7 +89,7 @@
 
     async fn grant_lease(&mut self) {
         let sent = Instant::now();
-        let ttl_ms = u64::try_from(self.election.ttl().as_millis()).unwrap_or(u64::MAX);
+        let ttl_ms = whole_ms(self.election.ttl());
         let body = encode(&encode_lease_request(ttl_ms));
         let lease = match self.send("POST", "/leases".to_owned(), body).await {
             Ok(response) if response.status == 200 => {
--- a/src/coordination/fleet/registry.rs
+++ b/src/coordination/fleet/registry.rs
@@ -8,6 +8,7 @@
 use crate::coordination::fleet::scale_in::MIN_BILLED;
 use crate::coordination::fleet::unregistered::PoolShape;
 use crate::coordination::leader::Leader;
+use crate::numeric::count_u32;
 use crate::protocol::cloud::{MAX_MACHINES_PER_REQUEST, NodePoolRequest};
 use crate::protocol::workers::MachineId;
 use crate::storage::records::NodePoolRecord;
@@ -110,7 +111,7 @@
             zone: zone.clone(),
             spot: *spot,
             // At most `MAX_MACHINES_PER_REQUEST`.
-            machine_count: u32::try_from(ids.len()).unwrap_or(u32::MAX),
+            machine_count: count_u32(ids.len()),
         };
         let record =
             NodePoolRecord { request, machines: Some(ids.to_vec()), machines_used: Default::default() };
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -11,7 +11,7 @@
 use crate::coordination::fleet::machine::{Machine, Phase};
 use crate::coordination::leader::Leader;
 use crate::maps::HashSet;
-use crate::numeric::whole_u32;
+use crate::numeric::{count_u32, whole_u32};
 use crate::protocol::workers::MachineId;
 
 /// A number of machines to be requested from the cloud.
@@ -215,7 +215,7 @@
     fn request_missing(&self, now: Instant, mut need: UnmetNeed<'_>, requests: &mut Vec<ScaleOutRequest>) {
         if need.units > 0.0 {
             let per_second = whole_u32(self.config.settings.cluster.cloud.rps.max(1.0));
-            let already = u32::try_from(requests.len()).unwrap_or(u32::MAX);
+            let already = count_u32(requests.len());
             for _ in 0..per_second.saturating_sub(already).max(1) {
                 let Some(request) = self.choose_offer(now, &need, need.units, requests) else { break };
                 let units_per_machine = self.units_per_machine(request.offer.machine_type, &need);
--- a/src/coordination/leader/wall_clock.rs
+++ b/src/coordination/leader/wall_clock.rs
@@ -2,6 +2,8 @@
 
 use tokio::time::Instant;
 
+use crate::numeric::whole_ms;
+
 /// Translates moments of the monotonic clock into the time of day, from one pair of both.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WallClock {
@@ -17,7 +19,7 @@
 
     /// The time of day in milliseconds since the epoch of Unix.
     pub(crate) fn at_ms(&self, now: Instant) -> u64 {
-        let passed = now.saturating_duration_since(self.reference).as_millis();
-        self.reference_ms.saturating_add(u64::try_from(passed).unwrap_or(u64::MAX))
+        let passed = now.saturating_duration_since(self.reference);
+        self.reference_ms.saturating_add(whole_ms(passed))
     }
 }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -13,6 +13,7 @@
 use crate::coordination::scheduling::queue::QueuedJob;
 use crate::coordination::scheduling::start_decision::first_startable_task;
 use crate::coordination::workers::slot::SlotState;
+use crate::numeric::whole_ms;
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::{Command, MachineId};
 
@@ -114,7 +115,7 @@
         let lease_left = self.term.lease_expiry().saturating_duration_since(now);
         tracing::debug!(
             epoch = self.term.epoch(),
-            lease_left_ms = u64::try_from(lease_left.as_millis()).unwrap_or(u64::MAX),
+            lease_left_ms = whole_ms(lease_left),
             %machine,
             job = %task.job,
             task = task.index,
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -11,6 +11,7 @@
 use crate::coordination::scheduling::queue::QueuedJob;
 use crate::coordination::workers::slot::{Slot, SlotState};
 use crate::maps::{HashMap, HashSet};
+use crate::numeric::count_u32;
 use crate::protocol::jobs::{Priority, TaskId};
 use crate::protocol::workers::MachineId;
 
@@ -168,8 +169,7 @@
         let free = usable.map(|machine| task.times_in(&machine.free)).fold(0, u32::saturating_add);
         let slots = self.machines.values().flat_map(|machine| machine.slots.values());
         let stopping = slots.filter(|slot| slot.stop_grace_s.is_some()).count();
-        let stopping = u32::try_from(stopping).unwrap_or(u32::MAX);
-        job.pending().saturating_sub(free).saturating_sub(stopping)
+        job.pending().saturating_sub(free).saturating_sub(count_u32(stopping))
     }
 
     /// Whether the victim may be stopped for this reason, and loses little enough work.
--- a/src/coordination/workers/task_failures.rs
+++ b/src/coordination/workers/task_failures.rs
@@ -4,6 +4,7 @@
 use tokio::time::Instant;
 
 use crate::coordination::leader::Leader;
+use crate::numeric::count_u32;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
 
@@ -29,7 +30,7 @@
         job.failures.machines.insert(machine.clone());
         let failed_machines = job.failures.machines.len();
         if failed_machines >= FAILED_MACHINES_TO_BACK_OFF {
-            let intervals = u32::try_from(failed_machines).unwrap_or(u32::MAX).min(MAX_BACKOFF_INTERVALS);
+            let intervals = count_u32(failed_machines).min(MAX_BACKOFF_INTERVALS);
             job.failures.backoff_until = Some(now + heartbeat_interval * intervals);
         }
     }
--- a/src/transport/simulated_network.rs
+++ b/src/transport/simulated_network.rs
@@ -11,6 +11,7 @@
 use super::call::{ClientError, HttpCall};
 use super::codec::Response;
 use super::peer_message::{PeerCall, PeerReply};
+use crate::numeric::whole_ms;
 
 /// A request on the simulated network. If `reply` is dropped the request is lost: its sender
 /// waits until its own timeout.
@@ -64,7 +65,7 @@
         let network = network.borrow();
         network.as_ref().filter(|network| network.is_open()).map(|network| network.installed_at)
     })?;
-    Some(u64::try_from(installed_at.elapsed().as_millis()).unwrap_or(u64::MAX))
+    Some(whole_ms(installed_at.elapsed()))
 }
 
 /// A marker for a write: the same in each run of a test, different for each write. `None`
