--- a/src/coordination/authority/answers.rs
+++ b/src/coordination/authority/answers.rs
@@ -1,10 +1,10 @@
 //! Answers to users, how long each is valid, and the terminal states that were served.
 //!
-//! A state that is not terminal is true when it is decided; before it is sent another
-//! controller may have become leader and served the terminal one. Such an answer therefore
-//! carries the time until which it may leave. A terminal state stays true, and replaces every
-//! other answer about its job. Every answer about a job passes through
-//! [`TerminalStates::resolve`], whatever way it came: this gives monotonic reads.
+//! A non-terminal state is correct when it is decided, but before it is sent, another
+//! controller may have become leader and served a terminal state. Such an answer therefore
+//! carries the time until which it may be sent. A terminal state never changes, and replaces
+//! every other answer about its job. Every answer about a job passes through
+//! [`TerminalStates::resolve`], whatever its source: this makes reads monotonic.
 
 use thiserror::Error;
 use tokio::time::Instant;
@@ -14,7 +14,7 @@
 use crate::protocol::jobs::{JobId, JobStatus, encode_error};
 use crate::transport::peer::{PeerReply, RemainingLease};
 
-/// Bounds of the advice to come back, in seconds.
+/// Smallest and largest number of seconds that a client is told to wait before a retry.
 const RETRY_AFTER_BOUNDS_S: (u32, u32) = (1, 30);
 
 /// An answer to a user or a worker.
@@ -24,21 +24,21 @@
     pub status: u16,
     /// The body: CBOR, or empty.
     pub body: Vec<u8>,
-    /// Seconds after which to come back, if that is of use.
+    /// Seconds after which the client should retry; `None` if a retry does not help.
     pub retry_after_s: Option<u32>,
-    /// The job's state in the body, if the answer is about one.
+    /// The job status that the body holds, if any.
     pub job_status: Option<JobStatus>,
-    /// Until when it may be sent; `None`: for good.
+    /// Until when the answer may be sent; `None` if it stays valid.
     pub validity: Option<Validity>,
 }
 
-/// Until when an answer that is not terminal may leave this controller.
+/// Until when a non-terminal answer may be sent by this controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Validity {
-    /// The epoch under which it was decided; 0 where it was read from a record.
+    /// The epoch under which the answer was decided; 0 if it was read from a record.
     pub epoch: u64,
-    /// The end of that epoch's lease, as far as it was known then; or the end of the time for
-    /// which a read of a record counts as fresh.
+    /// When that epoch's lease expires, as known when the answer was decided. For an answer
+    /// read from a record: until when the read counts as fresh.
     pub valid_until: Instant,
 }
 
@@ -48,31 +48,33 @@
         Answer { status, body: encode(body), retry_after_s: None, job_status: None, validity: None }
     }
 
-    /// A refusal with its reason.
+    /// An error with its reason.
     pub fn error(status: u16, reason: &str) -> Self {
         Answer::new(status, &encode_error(reason))
     }
 
-    /// A request that cannot be taken now: refused at once, with a time to come back.
+    /// Refuses a request that cannot be handled now, and tells the client when to retry.
     pub fn retry_later(status: u16, reason: &str, after_s: u32) -> Self {
-        let (least, most) = RETRY_AFTER_BOUNDS_S;
-        Answer { retry_after_s: Some(after_s.clamp(least, most)), ..Answer::error(status, reason) }
+        let (min, max) = RETRY_AFTER_BOUNDS_S;
+        Answer { retry_after_s: Some(after_s.clamp(min, max)), ..Answer::error(status, reason) }
     }
 
-    /// A job's state. One that is not terminal is valid for a bounded time.
+    /// A job's state. A terminal state stays valid; any other is valid as `validity` says.
     pub fn job_state(status: u16, job: JobStatus, validity: Validity) -> Self {
         let validity = (!job.state.is_terminal()).then_some(validity);
         let answer = Answer::new(status, &job.encode());
         Answer { job_status: Some(job), validity, ..answer }
     }
 
-    /// A job's terminal state: true whoever leads, and whenever it is sent.
+    /// A job's terminal state, which is correct whichever controller leads and whenever it is
+    /// sent.
     pub fn terminal_state(job: JobStatus) -> Self {
         let answer = Answer::new(200, &job.encode());
         Answer { job_status: Some(job), ..answer }
     }
 
-    /// The last step before it is sent: an answer that is not valid any more is replaced.
+    /// The last step before the answer is sent: replaces an answer that is no longer valid by
+    /// one that asks the client to retry.
     #[must_use]
     pub fn checked_at_sending(self, now: Instant) -> Self {
         match self.validity {
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The answer as another controller gets it, which learns how long it is valid.
+    /// The answer as a reply to another controller, with the time for which it stays valid.
     pub fn into_reply(self, now: Instant) -> PeerReply {
         let Answer { status, body, retry_after_s, validity, .. } = self.checked_at_sending(now);
         let lease = validity
@@ -96,37 +98,38 @@
 /// Why another controller's reply is not forwarded to the user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum UnusableReply {
-    /// A status that no answer to a user has.
-    #[error("no status that a user's request can have")]
+    /// The status is not one that answers to users have.
+    #[error("unexpected status for an answer to a user")]
     Status,
-    /// The body is no job's state.
+    /// The body cannot be decoded as a job status.
     #[error("no readable state of a job")]
     Malformed,
-    /// The body is about a job that was not asked about.
+    /// The body is about another job than the request.
     #[error("it is about another job")]
     OtherJob,
-    /// A cancellation was answered with a state that is not terminal.
+    /// A cancellation was terminal with a state that is not terminal.
     #[error("it answers a cancellation with a state that is not terminal")]
     NotTerminal,
-    /// A newer epoch is known than the one under which it was decided.
+    /// The reply was decided under an older epoch than the newest one known.
     #[error("it was decided in an epoch that is over")]
     Stale,
 }
 
-/// The answer in another controller's reply about a job.
+/// Decodes another controller's reply about a job into the answer for the user.
 ///
-/// `asked`: when the request was forwarded. The lease behind the reply had the remaining time
-/// that the reply names when it was sent, which was later, so counting from `asked` never
-/// makes it longer. A reply that names none is of a build before leases were named, or rests
-/// on a record; it is valid until `fresh_until`.
+/// `forwarded_at` is when the request was forwarded. The reply states how long its lease
+/// remained valid when the reply was sent. That was after `forwarded_at`, so counting the
+/// remaining time from `forwarded_at` never makes the lease longer. A reply that states no lease
+/// comes from a build that did not send it yet, or is based on a record; it is valid until
+/// `fresh_until`.
 ///
 /// # Errors
 ///
-/// The reply must not be forwarded, for the reason given.
+/// The reason why the reply must not be forwarded to the user.
 pub fn from_peer_reply(
     reply: PeerReply,
     job: &JobId,
-    asked: Instant,
+    forwarded_at: Instant,
     fresh_until: Instant,
     newest_epoch: u64,
 ) -> Result<Answer, UnusableReply> {
@@ -147,7 +150,7 @@
         return Ok(Answer { status, ..Answer::terminal_state(job_status) });
     }
     let validity = match lease {
-        Some(lease) => Validity { epoch: lease.epoch, valid_until: asked + lease.remaining },
+        Some(lease) => Validity { epoch: lease.epoch, valid_until: forwarded_at + lease.remaining },
         None => Validity { epoch: 0, valid_until: fresh_until },
     };
     if validity.epoch > 0 && validity.epoch < newest_epoch {
@@ -156,8 +159,9 @@
     Ok(Answer::job_state(status, job_status, validity))
 }
 
-/// Terminal states that were served, or learned from records. Bounded: two generations, the
-/// older dropped when the younger is full. What is dropped is in the records.
+/// A bounded cache of terminal states that were served or read from records. It has two
+/// generations; when the recent one is full, the older one is dropped. Dropped states can be
+/// read from the records again.
 #[derive(Debug)]
 pub struct TerminalStates {
     recent: HashMap<JobId, JobStatus>,
@@ -166,12 +170,12 @@
 }
 
 impl TerminalStates {
-    /// `capacity`: how many are remembered at most.
+    /// An empty cache of at most `capacity` states.
     pub fn new(capacity: usize) -> Self {
         TerminalStates { recent: HashMap::default(), older: HashMap::default(), capacity }
     }
 
-    /// Remembers a terminal state, unless one is known for the job already.
+    /// Caches a terminal state, unless one is cached for the job already.
     pub fn insert(&mut self, status: JobStatus) {
         if self.get(&status.id).is_some() {
             return;
@@ -182,23 +186,23 @@
         self.recent.insert(status.id.clone(), status);
     }
 
-    /// The terminal state of a job, if it is remembered.
+    /// The terminal state of a job, if it is cached.
     pub fn get(&self, job: &JobId) -> Option<&JobStatus> {
         self.recent.get(job).or_else(|| self.older.get(job))
     }
 
-    /// The answer that a user gets: the job's terminal state if one is known, else the answer
-    /// itself, whose state is remembered if it is terminal.
+    /// The answer to send to the user: the job's terminal state if one is cached, else the
+    /// given answer. If the state in that answer is terminal, it is cached.
     #[must_use]
     pub fn resolve(&mut self, job: &JobId, answer: Answer) -> Answer {
-        let answered = answer.job_status.as_ref().filter(|status| status.state.is_terminal());
+        let terminal = answer.job_status.as_ref().filter(|status| status.state.is_terminal());
         if let Some(known) = self.get(job) {
-            if answered.is_some_and(|status| status.state != known.state) {
+            if terminal.is_some_and(|status| status.state != known.state) {
                 tracing::error!(%job, known = known.state.as_str(), "conflicting terminal states; the first is served");
             }
             return Answer::terminal_state(known.clone());
         }
-        if let Some(status) = answered {
+        if let Some(status) = terminal {
             self.insert(status.clone());
         }
         answer
--- a/src/coordination/authority/attempts.rs
+++ b/src/coordination/authority/attempts.rs
@@ -1,7 +1,7 @@
 //! Numbers of task attempts.
 
-/// Numbers attempts so that none is ever used twice: the epoch in the upper half, a counter
-/// of this epoch in the lower.
+/// Assigns attempt numbers that are never used twice: the upper half is the epoch, the lower
+/// half is a counter within the epoch.
 #[derive(Debug)]
 pub(crate) struct AttemptCounter {
     epoch: u64,
@@ -9,7 +9,7 @@
 }
 
 impl AttemptCounter {
-    /// No attempt of the epoch has been made yet.
+    /// A counter for an epoch in which no attempt has been made yet.
     pub(crate) fn new(epoch: u64) -> Self {
         AttemptCounter { epoch, last: 0 }
     }
@@ -19,13 +19,13 @@
         self.number(self.last)
     }
 
-    /// The number of the next attempt, which is not used up by asking; `None` once all
-    /// numbers of the epoch are.
+    /// The number of the next attempt, without consuming it; `None` once all numbers of the
+    /// epoch are used.
     pub(crate) fn next(&self) -> Option<u64> {
         self.last.checked_add(1).map(|counter| self.number(counter))
     }
 
-    /// Uses up the next number.
+    /// Consumes the next number.
     pub(crate) fn advance(&mut self) {
         self.last = self.last.saturating_add(1);
     }
--- a/src/coordination/authority/mod.rs
+++ b/src/coordination/authority/mod.rs
@@ -1,13 +1,14 @@
-//! The right to act in an epoch's name.
+//! Authorization of everything that is done under an epoch.
 //!
-//! One place decides it, from the leadership at that moment and the evidence for the act.
-//! What it returns nothing else can make: a start command comes from a [`StartPermit`], a
-//! request to the cloud that changes anything takes a [`LeaderPermit`], and an answer carries
-//! the [`Validity`] that is checked once more as it leaves
-//! ([`answers::Answer::checked_at_sending`]). A path without the check does not compile.
+//! [`LeadershipTerm`] decides it in one place, from the current state of the leadership and
+//! the evidence for the action. Only this module can construct the permits that it returns: a
+//! start command is made from a [`StartPermit`], a request that changes anything in the cloud
+//! takes a [`LeaderPermit`], and an answer carries a [`Validity`] that is checked again when
+//! the answer is sent ([`answers::Answer::checked_at_sending`]). A code path that skips the
+//! check does not compile.
 //!
-//! Writes to the store take no permit: each carries the epoch as a condition, which the
-//! key-value store itself compares.
+//! Writes to the key-value store take no permit: each carries the epoch as a condition, which
+//! the store itself checks.
 
 pub mod answers;
 pub(crate) mod attempts;
@@ -21,41 +22,43 @@
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::Command;
 
-/// A controller's leadership in one epoch: the one owner of what may be done in its name.
+/// A controller's leadership for one epoch. It alone decides what the controller may do under
+/// that epoch.
 #[derive(Debug, Clone, Copy)]
 pub struct LeadershipTerm {
     epoch: u64,
-    /// The end of the lease, by the local clock and from the sending of the renewal.
+    /// When the lease expires by the local clock, counted from when the renewal was sent.
     lease_expiry: Instant,
-    /// How long after the lease workers may be answered with nothing but stops.
+    /// How long after the lease expires workers may still be answered, with stop commands only.
     post_lease_grace: Duration,
-    /// Another controller leads, or will: nothing of this epoch may be used any more.
+    /// Another controller leads or is about to: no state of this epoch may be used any more.
     is_fenced: bool,
 }
 
-/// What is known for and against starting a task.
+/// The facts that decide whether a task may be started.
 #[derive(Debug, Clone, Copy)]
 pub struct StartEvidence {
-    /// The job is neither cancelled nor completed, and no cancellation is under way.
+    /// The job is neither cancelled nor completed, and is not being cancelled.
     pub job_is_live: bool,
-    /// It depends on nothing, or all its dependencies are known to be done by commits.
+    /// The job has no dependencies, or commits have shown that all of them are done.
     pub dependencies_are_done: bool,
-    /// The committed record says that this task may have started.
+    /// The committed record of the job says that the task may have started.
     pub start_is_recorded: bool,
-    /// The task is done by its record.
+    /// The record of the job says that the task is done.
     pub task_is_done: bool,
-    /// The task has a slot on no machine, and cannot be on one that is not reconciled.
+    /// No machine has a slot for the task, and the task cannot be on a machine that is not
+    /// reconciled yet.
     pub is_on_no_machine: bool,
     /// The committed record of the node pool says that the machine may hold tasks.
     pub machine_use_is_recorded: bool,
-    /// The last attempt number that was given out in this epoch.
+    /// The last attempt number assigned in this epoch.
     pub last_attempt: u64,
 }
 
-/// Why an act is not allowed.
+/// Why an action is not allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// Another controller leads, or will.
+    /// Another controller leads or is about to.
     #[error("the epoch is over")]
     Fenced,
     /// The lease was not renewed in time.
@@ -84,19 +87,19 @@
     AttemptReused,
 }
 
-/// The right to start one task once.
+/// Permission to start one attempt of a task.
 #[derive(Debug)]
 pub struct StartPermit {
     task: TaskId,
     attempt: u64,
 }
 
-/// The right to have something done that only a leader under a valid lease may decide.
+/// Permission for an action that only a leader with a valid lease may take.
 #[derive(Debug, Clone, Copy)]
 pub struct LeaderPermit(());
 
 impl LeadershipTerm {
-    /// A term whose lease has not been extended yet: nothing may be done in it.
+    /// A term whose lease has not been extended yet: it permits nothing.
     pub fn new(epoch: u64, now: Instant, post_lease_grace: Duration) -> Self {
         LeadershipTerm { epoch, lease_expiry: now, post_lease_grace, is_fenced: false }
     }
@@ -106,47 +109,48 @@
         self.epoch
     }
 
-    /// The end of the lease as far as is known.
+    /// When the lease expires, unless it is extended.
     pub fn lease_expiry(&self) -> Instant {
         self.lease_expiry
     }
 
-    /// The end of the time after the lease in which workers may be answered with nothing
-    /// but stops of terminal jobs.
+    /// When the post-lease grace period ends, in which workers may still be answered, but only
+    /// with stops of terminal jobs.
     pub fn grace_expiry(&self) -> Instant {
         self.lease_expiry + self.post_lease_grace
     }
 
-    /// Whether the epoch is over for certain.
+    /// Whether the epoch is known to be over.
     pub fn is_fenced(&self) -> bool {
         self.is_fenced
     }
 
-    /// Ends the term for good.
+    /// Ends the term permanently.
     pub fn fence(&mut self) {
         self.is_fenced = true;
     }
 
-    /// The lease was renewed.
+    /// Sets the new expiry of the lease after a renewal.
     pub fn extend(&mut self, lease_expiry: Instant) {
         self.lease_expiry = lease_expiry;
     }
 
-    /// Whether anything may be decided in the epoch's name now.
+    /// Whether the controller may make decisions under this epoch now.
     pub fn holds_lease(&self, now: Instant) -> bool {
         self.leader_permit(now).is_ok()
     }
 
-    /// Until when an answer to a user that is not terminal may leave.
+    /// Until when a non-terminal answer to a user may be sent.
     pub fn validity(&self) -> Validity {
         Validity { epoch: self.epoch, valid_until: self.lease_expiry }
     }
 
-    /// The right to decide in the epoch's name.
+    /// Permission to make decisions under this epoch.
     ///
     /// # Errors
     ///
-    /// The epoch is over, or its lease has expired.
+    /// [`Refusal::Fenced`] if the epoch is over, [`Refusal::LeaseExpired`] if its lease has
+    /// expired.
     pub fn leader_permit(&self, now: Instant) -> Result<LeaderPermit, Refusal> {
         if self.is_fenced {
             return Err(Refusal::Fenced);
@@ -157,11 +161,12 @@
         Ok(LeaderPermit(()))
     }
 
-    /// The right to start a task as this attempt.
+    /// Permission to start a task with this attempt number.
     ///
     /// # Errors
     ///
-    /// There is no right to decide, or the first piece of evidence that speaks against it.
+    /// The refusal of [`Self::leader_permit`], or the first condition that the evidence does
+    /// not meet.
     pub fn start_permit(
         &self,
         now: Instant,
@@ -185,9 +190,9 @@
         }
     }
 
-    /// Until when the reply to a heartbeat may leave. One that decides something is valid as
-    /// long as the lease. One that only stops tasks of terminal jobs renews the worker's lease
-    /// and decides nothing: it is valid through the post-lease grace.
+    /// Until when the reply to a heartbeat may be sent. A reply that makes a decision is valid
+    /// until the lease expires. A reply that only stops tasks of terminal jobs renews the
+    /// worker's lease and decides nothing: it is valid until the post-lease grace period ends.
     pub fn heartbeat_reply_validity(&self, commands: &[Command]) -> Validity {
         let decides = commands.iter().any(|command| !matches!(command, Command::Stop { .. }));
         let valid_until = if decides { self.lease_expiry } else { self.grace_expiry() };
@@ -196,26 +201,28 @@
 }
 
 impl StartPermit {
-    /// The command, for the reply to the heartbeat of the machine that was asked about.
+    /// The start command, to be sent in the reply to the heartbeat of the machine that the
+    /// evidence was about.
     pub fn into_command(self) -> Command {
         Command::Start { task: self.task, attempt: self.attempt }
     }
 }
 
-/// An invariant that would have been broken. They hold whatever the controllers decide, and
-/// are checked where they could be broken: the act is refused, counted and logged.
+/// A prevented violation of an invariant. The invariants hold whatever the controllers decide.
+/// They are checked wherever they could be violated; the action is refused, counted and
+/// logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// A start that had been decided has no permit.
+    /// The scheduler decided to start a task, but the start was not permitted.
     #[error("a decided start was refused: {0}")]
     Start(Refusal),
-    /// A job would have left memory while tasks of it are on machines.
+    /// A job would have been evicted from memory while machines still had tasks of it.
     #[error("a job with tasks on machines would have been evicted")]
     JobEvictedWithTasks,
-    /// A record says that a job has started whose dependencies are not done.
+    /// The record of a job says that it has started although its dependencies are not done.
     #[error("a record says that a job has started before its dependencies were done")]
     StartedBeforeDependencies,
-    /// A leader would have begun a second time in one epoch.
+    /// A second leader state machine would have been started in the same epoch.
     #[error("a leader would have begun a second time in an epoch")]
     EpochReused,
 }
