--- a/src/coordination/election/mod.rs
+++ b/src/coordination/election/mod.rs
@@ -1,9 +1,9 @@
 //! Leader election: the lease, the epoch, renewal and stepping down.
 //!
-//! One key, attached to a lease of the key-value store, names the leader. Its version is the
-//! epoch: the store assigns it, and it rises each time the key is acquired. [`Election`] is
-//! the state machine that decides what to do next; [`run`] carries its steps out, one at a
-//! time.
+//! One key, attached to a lease of the key-value store, names the leader. The key's version is
+//! the epoch: the store assigns it, and it increases each time the key is acquired.
+//! [`Election`] is the state machine that decides the next step; [`run`] executes the steps,
+//! one at a time.
 
 mod runner;
 mod state;
@@ -21,7 +21,7 @@
 /// The result of the election as other parts of the controller see it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Role {
-    /// No leader is known: the store was not read yet, or there is none.
+    /// No leader is known: the store has not been read yet, or there is no leader.
     Leaderless,
     /// Another controller leads.
     Follower {
@@ -34,8 +34,8 @@
     Leader {
         /// Its epoch.
         epoch: u64,
-        /// Until when it leads at least; afterwards nothing may be done in the epoch's name
-        /// until the lease is extended.
+        /// When the lease expires by the local clock. From then on nothing may be done under
+        /// the epoch until the lease is extended.
         lease_expiry: Instant,
     },
 }
--- a/src/coordination/election/runner.rs
+++ b/src/coordination/election/runner.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of the election with requests to the key-value store.
+//! Executes the steps of the election by requests to the key-value store.
 
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -17,11 +17,11 @@
 use crate::transport::client::{ClientError, HttpCall};
 use crate::transport::codec::Response;
 
-/// Runs the election, and sends each change of the role, for as long as somebody receives
-/// them.
+/// Runs the election and sends each change of the role to `roles`, until its receiver is
+/// dropped.
 ///
-/// `address` is written to the leader key, for operators. An epoch sent by `resigned_epoch`
-/// is given up before its lease expires.
+/// `address` is written to the leader key, for operators. The leadership of an epoch sent by
+/// `resigned_epoch` is given up before its lease expires.
 pub async fn run(
     election: Election,
     kv: KvClient,
@@ -47,7 +47,7 @@
 
 fn log_role_change(before: &Role, after: &Role) {
     match (before, after) {
-        // A renewal.
+        // Only the lease was renewed.
         (Role::Leader { epoch: before, .. }, Role::Leader { epoch: after, .. }) if before == after => {}
         (_, Role::Leader { epoch, .. }) => tracing::info!(epoch, "leadership acquired"),
         (_, Role::Follower { leader, .. }) => tracing::info!(%leader, "following leader"),
@@ -55,7 +55,7 @@
     }
 }
 
-/// The election with what its requests need.
+/// The election, and what is needed to execute its steps.
 struct Runner {
     election: Election,
     kv: KvClient,
@@ -109,7 +109,7 @@
         self.election.on_acquire(Instant::now(), outcome);
     }
 
-    /// A transaction that writes the leader key if it is vacant.
+    /// Encodes a transaction that writes the leader key if it is vacant.
     fn encode_acquire(&self, lease: u64) -> Vec<u8> {
         let record =
             MapBuilder::new().set("name", self.election.name()).set("address", self.address.as_str());
@@ -178,10 +178,11 @@
                 None => WatchOutcome::Failed,
             }
         }
-        // The version is too old to watch from: reading the key is enough.
+        // The store can no longer watch from that version. The key is read next, which is
+        // enough.
         Ok(response) if response.status == 410 => WatchOutcome::Ended,
         Ok(_) | Err(ClientError::NotSent | ClientError::ConnectionLost(_)) => WatchOutcome::Failed,
-        // Whether the store can be reached is seen by reading the key, which follows.
+        // The key is read next, which shows whether the store can be reached.
         Err(ClientError::TimedOut | ClientError::InvalidResponse(_)) => WatchOutcome::Ended,
     }
 }
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -1,4 +1,5 @@
-//! The state machine of the election: outcomes of requests and time in, the next step out.
+//! The state machine of the election: its inputs are the outcomes of requests and the time,
+//! its output is the next step.
 
 use std::time::Duration;
 
@@ -7,43 +8,44 @@
 use crate::coordination::election::steps::{AcquireOutcome, LeaderRead, RenewOutcome, Step, WatchOutcome};
 use crate::coordination::election::{LeaderRecord, Role};
 
-/// Part of the lease that is given up as a margin for clock drift, timer steps and late
-/// wake-ups.
-const CLOCK_DRIFT_MARGIN: f64 = 0.03;
-/// Renewals within one duration of the lease.
+/// Fraction of the lease duration by which the lease expires early here, as a margin for clock
+/// drift, timer resolution and late wake-ups.
+const LEASE_SAFETY_MARGIN: f64 = 0.03;
+/// Number of renewals in one lease duration.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Part of the lease that passes before a failed request is tried again.
+/// The pause before a failed request is retried is the lease duration divided by this.
 const RETRY_LEASE_DIVISOR: u32 = 20;
-/// Part of the lease after which a granted one is too old to acquire the key with: with
-/// little time left, leadership would be lost soon after it was won.
+/// A granted lease is used to acquire the key only until it is as old as the lease duration
+/// divided by this. With little of it left, leadership would be lost soon after it was won.
 const ACQUIRE_LEASE_DIVISOR: u32 = 3;
-/// Leases without contact to the store after which a follower no longer names its leader.
+/// Number of lease durations without contact to the store after which a follower no longer
+/// reports a leader.
 const STALE_CONTACT_LEASES: u32 = 2;
 
-/// A lease of the store that belongs to this process.
+/// A lease that the store granted to this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Lease {
     id: u64,
-    /// When the last request was sent that certainly set its expiry.
+    /// When the last grant or renewal that is known to have succeeded was sent.
     requested_at: Instant,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
-    /// The leader key is to be read.
+    /// The leader key has to be read.
     Unknown,
-    /// Nobody holds the leader key.
+    /// No controller holds the leader key.
     Vacant,
-    /// Another controller holds it.
+    /// Another controller holds the leader key.
     Following { holder: LeaderRecord },
-    /// This controller holds it. `needs_confirmation`: the lease had expired before it
-    /// was renewed, so the key must be read before anything is done in the epoch's name.
+    /// This controller holds the leader key. `needs_confirmation`: the lease had expired before
+    /// it was renewed, so the key must be read before anything is done under the epoch.
     Leading { epoch: u64, renew_at: Instant, lease_expiry: Instant, needs_confirmation: bool },
-    /// A lease is to be ended, and the key with it.
+    /// The lease that the leader key is attached to has to be revoked, which deletes the key.
     Revoking { lease: u64 },
 }
 
-/// The election of one process.
+/// The election as one process takes part in it.
 #[derive(Debug)]
 pub struct Election {
     name: String,
@@ -53,13 +55,13 @@
     state: State,
     lease: Option<Lease>,
     paused_until: Option<Instant>,
-    /// When the store last answered who leads.
+    /// When the leader key was last read successfully.
     last_contact: Option<Instant>,
 }
 
 impl Election {
-    /// An election in which nothing is known yet. `incarnation` differs for each process of
-    /// a controller's name; `ttl` is the duration of the lease.
+    /// An election in which the leader is not known yet. `incarnation` is different for each
+    /// process that runs under the controller's name; `ttl` is the duration of the lease.
     pub fn new(name: &str, incarnation: &str, ttl: Duration) -> Self {
         Election {
             name: name.to_owned(),
@@ -87,7 +89,7 @@
         self.ttl
     }
 
-    /// The result so far.
+    /// The current role of this controller.
     pub fn role(&self) -> Role {
         match &self.state {
             State::Leading { epoch, lease_expiry, .. } => {
@@ -100,12 +102,13 @@
         }
     }
 
-    /// Whether [`Self::role`] may be published: not while the key must be read first.
+    /// Whether [`Self::role`] may be published. A leader whose lease had expired before it was
+    /// renewed must read the key first.
     pub(super) fn is_confirmed(&self) -> bool {
         !matches!(self.state, State::Leading { needs_confirmation: true, .. })
     }
 
-    /// What to do now.
+    /// The next step to execute.
     pub fn next_step(&mut self, now: Instant) -> Step {
         if let Some(until) = self.paused_until {
             if now < until {
@@ -139,12 +142,12 @@
         }
     }
 
-    /// The leader key was read, or could not be.
+    /// Handles the result of reading the leader key.
     pub fn on_read(&mut self, now: Instant, read: LeaderRead) {
         let holder = match read {
             LeaderRead::Held(holder) => Some(holder),
             LeaderRead::Vacant => None,
-            LeaderRead::Failed => return self.on_no_answer(now),
+            LeaderRead::Failed => return self.on_store_failure(now),
         };
         self.last_contact = Some(now);
         if self.confirm_leadership(holder.as_ref()) {
@@ -159,7 +162,8 @@
         }
     }
 
-    /// For a leader: whether it still holds the key. If not, its epoch is over.
+    /// For a leader, returns whether it still holds the key. If it does not, its epoch is over
+    /// and the state is reset. Always `false` for others.
     fn confirm_leadership(&mut self, holder: Option<&LeaderRecord>) -> bool {
         let State::Leading { epoch, needs_confirmation, .. } = &mut self.state else { return false };
         if holder.is_some_and(|holder| holder.version == *epoch && holder.incarnation == self.incarnation) {
@@ -174,16 +178,16 @@
     fn state_with_holder(&self, holder: LeaderRecord) -> State {
         if holder.incarnation == self.incarnation {
             return match self.lease {
-                // The answer to our acquire was lost, but it was carried out.
+                // Our acquire was executed, but the answer to it was lost.
                 Some(lease) if holder.lease == Some(lease.id) => self.leading(holder.version, lease),
-                // Ours, but by a lease whose expiry we no longer know.
+                // The key is ours, but we no longer know when its lease expires.
                 _ => revoking(holder.lease),
             };
         }
-        // A controller's name is used by one process at a time: a later one is started only
-        // once the former has ended. Whoever holds the key under our name with another
-        // incarnation is therefore dead, sends nothing any more, and its lease may be ended at
-        // once. What it sent before is fenced by the epoch like that of any other.
+        // A controller's name is used by one process at a time: the next one is started only
+        // after the previous one has ended. A holder with our name and another incarnation has
+        // therefore ended and sends no more requests, so its lease may be revoked at once.
+        // Requests that it sent before are fenced by the epoch, like those of any other leader.
         if holder.name == self.name {
             return revoking(holder.lease);
         }
@@ -199,12 +203,13 @@
         }
     }
 
-    /// When the lease ends by the local clock, counted from when the request was sent.
+    /// When the lease expires by the local clock, counted from when the request was sent.
     fn lease_expiry(&self, sent: Instant) -> Instant {
-        sent + self.ttl.mul_f64(1.0 - CLOCK_DRIFT_MARGIN)
+        sent + self.ttl.mul_f64(1.0 - LEASE_SAFETY_MARGIN)
     }
 
-    /// A lease was granted to a request sent at that time; `None` if there was no answer.
+    /// Handles the result of a lease request that was sent at `sent`; `lease` is `None` if none
+    /// is known to be granted.
     pub fn on_lease_granted(&mut self, now: Instant, sent: Instant, lease: Option<u64>) {
         match lease {
             Some(id) => self.lease = Some(Lease { id, requested_at: sent }),
@@ -212,7 +217,7 @@
         }
     }
 
-    /// An acquire has ended.
+    /// Handles the outcome of an acquire.
     pub fn on_acquire(&mut self, now: Instant, outcome: AcquireOutcome) {
         self.state = match (outcome, self.lease) {
             (AcquireOutcome::Won { epoch }, Some(lease)) => self.leading(epoch, lease),
@@ -220,7 +225,7 @@
                 self.lease = None;
                 State::Unknown
             }
-            // Whether it was won or lost is read from the key.
+            // The next read of the key shows whether it was won or lost.
             (AcquireOutcome::Unknown, _) => {
                 self.pause_before_retry(now);
                 State::Unknown
@@ -229,11 +234,12 @@
         }
     }
 
-    /// A request to end a lease was answered; `ended` if the lease certainly is no more.
+    /// Handles the result of a request to revoke a lease. `ended` says whether the lease is
+    /// known not to exist any more.
     pub fn on_lease_revoked(&mut self, now: Instant, lease: u64, ended: bool) {
         if self.lease.is_some_and(|own| own.id == lease) {
-            // No harm if it has not ended for certain: it expires by itself, and a key
-            // attached to it goes with it.
+            // It may be forgotten even if it might still exist: it expires by itself, which
+            // deletes a key attached to it.
             self.lease = None;
         }
         if let State::Revoking { .. } = self.state {
@@ -244,7 +250,7 @@
         }
     }
 
-    /// A renewal that was sent at that time has ended.
+    /// Handles the outcome of a renewal that was sent at `sent`.
     pub fn on_renew(&mut self, now: Instant, sent: Instant, outcome: RenewOutcome) {
         let (ttl, new_expiry) = (self.ttl, self.lease_expiry(sent));
         let State::Leading { renew_at, lease_expiry, needs_confirmation, .. } = &mut self.state else {
@@ -252,8 +258,8 @@
         };
         match outcome {
             RenewOutcome::Renewed => {
-                // If it had expired, the epoch goes on only if the key is still ours; that is read
-                // before anything is done in its name.
+                // If the lease had expired, the epoch continues only if we still hold the key. The
+                // key is read before anything is done under the epoch.
                 *needs_confirmation = now >= *lease_expiry;
                 *lease_expiry = new_expiry;
                 *renew_at = sent + ttl / RENEWALS_PER_LEASE;
@@ -269,17 +275,18 @@
         }
     }
 
-    /// A watch of the leader key has ended.
+    /// Handles the outcome of a watch of the leader key.
     pub fn on_watch(&mut self, now: Instant, outcome: WatchOutcome) {
         match outcome {
             WatchOutcome::Ended => {}
-            WatchOutcome::Failed => self.on_no_answer(now),
+            WatchOutcome::Failed => self.on_store_failure(now),
         }
     }
 
-    /// The store did not answer. Whoever led when it last did may be long dead: after two
-    /// leases no leader is named any more.
-    fn on_no_answer(&mut self, now: Instant) {
+    /// Pauses after a failed read or watch. A leader that was read long ago may have ended
+    /// since: a follower no longer reports one after [`STALE_CONTACT_LEASES`] lease durations
+    /// without contact to the store.
+    fn on_store_failure(&mut self, now: Instant) {
         self.pause_before_retry(now);
         let is_stale = self.last_contact.is_none_or(|at| now >= at + self.ttl * STALE_CONTACT_LEASES);
         if is_stale && matches!(self.state, State::Following { .. }) {
@@ -291,9 +298,10 @@
         self.paused_until = Some(now + self.ttl / RETRY_LEASE_DIVISOR);
     }
 
-    /// Resigns an epoch: whoever leads next, perhaps this controller, begins from the
-    /// records. Otherwise a leader that has dropped its in-memory state would keep its lease,
-    /// and nobody would lead. Other epochs than the present one are ignored.
+    /// Resigns the leadership of an epoch by revoking its lease. The next leader, which may be
+    /// this controller again, starts from the records. If a leader that has dropped its
+    /// in-memory state kept its lease, no controller could lead. An `epoch` other than the
+    /// current one is ignored.
     pub fn resign(&mut self, epoch: u64) {
         if let (State::Leading { epoch: current, .. }, Some(lease)) = (&self.state, self.lease)
             && *current == epoch
@@ -303,7 +311,8 @@
     }
 }
 
-/// Ends the lease that the key is attached to; without one, the key is to be read again.
+/// The state in which the lease of the leader key is revoked; if the key has no lease, the
+/// state in which the key is read again.
 fn revoking(lease: Option<u64>) -> State {
     lease.map_or(State::Unknown, |lease| State::Revoking { lease })
 }
--- a/src/coordination/election/steps.rs
+++ b/src/coordination/election/steps.rs
@@ -1,4 +1,4 @@
-//! The requests that the election makes, and their outcomes.
+//! The requests that the election sends to the key-value store, and their outcomes.
 
 use tokio::time::Instant;
 
@@ -9,31 +9,31 @@
 pub enum Step {
     /// Read the leader key.
     ReadLeader,
-    /// Ask for a new lease.
+    /// Request a new lease.
     GrantLease,
     /// Write the leader key if it is vacant.
     Acquire {
         /// The lease to attach it to.
         lease: u64,
     },
-    /// End a lease, and with it the keys attached to it.
+    /// Revoke a lease, which deletes the keys attached to it.
     RevokeLease {
-        /// The lease.
+        /// The lease to revoke.
         lease: u64,
     },
     /// Wait for a change of the leader key, then read it.
     Watch {
-        /// The version of the key that is known.
+        /// The last known version of the key.
         from: u64,
     },
-    /// Extend the lease.
+    /// Renew the lease.
     Renew {
-        /// The lease.
+        /// The lease to renew.
         lease: u64,
     },
-    /// Do nothing for a while.
+    /// Wait before the next step.
     Wait {
-        /// Until then.
+        /// When to continue.
         until: Instant,
     },
 }
@@ -41,9 +41,9 @@
 /// The result of [`Step::ReadLeader`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaderRead {
-    /// The key is there.
+    /// The key exists.
     Held(LeaderRecord),
-    /// The key is not there: nobody leads.
+    /// The key does not exist: there is no leader.
     Vacant,
     /// The store did not answer, or the key cannot be decoded.
     Failed,
@@ -52,9 +52,9 @@
 /// The result of [`Step::Acquire`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AcquireOutcome {
-    /// This controller leads.
+    /// This controller holds the key and leads.
     Won {
-        /// The epoch that the store has assigned.
+        /// The epoch that the store assigned.
         epoch: u64,
     },
     /// Another controller holds the key.
@@ -68,18 +68,18 @@
 /// The result of [`Step::Renew`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RenewOutcome {
-    /// The lease was extended.
+    /// The lease was renewed.
     Renewed,
     /// The lease has expired.
     LeaseExpired,
-    /// There was no answer: the lease may have been extended.
+    /// There was no answer: the lease may have been renewed.
     Failed,
 }
 
 /// The result of [`Step::Watch`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchOutcome {
-    /// The key has changed, or the time to wait has passed.
+    /// The key has changed, or the watch has reached its time limit.
     Ended,
     /// The store did not answer.
     Failed,
--- a/src/coordination/election/tests.rs
+++ b/src/coordination/election/tests.rs
@@ -19,25 +19,28 @@
 }
 
 #[test]
-fn the_lease_expires_by_the_local_clock_before_it_does_in_the_store() {
+fn the_lease_expires_by_the_local_clock_before_it_expires_in_the_store() {
     let start = Instant::now();
     let mut election = leading(start);
     let Role::Leader { epoch: 40, lease_expiry } = election.role() else { panic!("leads") };
-    assert!(lease_expiry < start + TTL, "the lease counts from the sending, less a margin");
+    assert!(
+        lease_expiry < start + TTL,
+        "the lease is counted from when the request was sent, minus a margin"
+    );
     // A renewal extends from when it was sent, not from when it was answered.
     let sent = start + TTL / 4;
     election.on_renew(start + TTL / 2, sent, RenewOutcome::Renewed);
     let Role::Leader { lease_expiry, .. } = election.role() else { panic!("leads") };
     assert!(lease_expiry < sent + TTL);
     election.on_renew(start + TTL, start + TTL, RenewOutcome::Failed);
-    let Role::Leader { lease_expiry: same, .. } = election.role() else { panic!("leads") };
-    assert_eq!(lease_expiry, same, "a renewal without an answer extends nothing");
+    let Role::Leader { lease_expiry: expiry_after_failure, .. } = election.role() else { panic!("leads") };
+    assert_eq!(lease_expiry, expiry_after_failure, "a renewal without an answer extends nothing");
     election.on_renew(start + TTL, start + TTL, RenewOutcome::LeaseExpired);
     assert_eq!(election.role(), Role::Leaderless);
 }
 
 #[test]
-fn an_expired_lease_resumes_only_after_the_key_is_read_unchanged() {
+fn leadership_resumes_after_lease_expiry_only_if_the_key_is_unchanged() {
     let start = Instant::now();
     let mut election = leading(start);
     let late = start + TTL * 2;
@@ -53,7 +56,7 @@
 }
 
 #[test]
-fn an_acquire_with_unknown_outcome_is_settled_by_reading_the_key() {
+fn an_acquire_with_unknown_outcome_is_resolved_by_reading_the_key() {
     let now = Instant::now();
     let with_unknown_outcome = || {
         let mut election = Election::new("c-0", "mine", TTL);
@@ -63,19 +66,17 @@
         election
     };
     let later = now + TTL / 10;
-    let mut carried_out = with_unknown_outcome();
-    assert_eq!(carried_out.next_step(later), Step::ReadLeader);
-    carried_out.on_read(later, LeaderRead::Held(holder_of("c-0", "mine", 41, 5)));
-    assert!(
-        matches!(carried_out.role(), Role::Leader { epoch: 41, lease_expiry } if lease_expiry < now + TTL)
-    );
-    let mut not_yet = with_unknown_outcome();
-    not_yet.on_read(later, LeaderRead::Vacant);
-    assert_eq!(not_yet.next_step(later), Step::Acquire { lease: 5 });
-    let mut beaten = with_unknown_outcome();
-    beaten.on_read(later, LeaderRead::Held(holder_of("c-1", "other", 41, 9)));
+    let mut executed = with_unknown_outcome();
+    assert_eq!(executed.next_step(later), Step::ReadLeader);
+    executed.on_read(later, LeaderRead::Held(holder_of("c-0", "mine", 41, 5)));
+    assert!(matches!(executed.role(), Role::Leader { epoch: 41, lease_expiry } if lease_expiry < now + TTL));
+    let mut not_executed = with_unknown_outcome();
+    not_executed.on_read(later, LeaderRead::Vacant);
+    assert_eq!(not_executed.next_step(later), Step::Acquire { lease: 5 });
+    let mut lost = with_unknown_outcome();
+    lost.on_read(later, LeaderRead::Held(holder_of("c-1", "other", 41, 9)));
     assert_eq!(
-        beaten.next_step(later),
+        lost.next_step(later),
         Step::RevokeLease { lease: 5 },
         "a late copy of its acquire must not win afterwards"
     );
@@ -94,16 +95,16 @@
     assert_eq!(election.next_step(now), Step::ReadLeader);
 }
 
-/// A process that was restarted several times during one election: an acquire of an earlier
-/// incarnation may still be under way and win. It is ended by revoking its own lease, never
-/// by its name.
+/// A process is restarted several times during one election, and the acquire of an earlier
+/// incarnation is still in flight and wins. It must be undone by revoking the lease that the
+/// key is attached to, and no other lease of the expiry_after_failure controller name.
 #[test]
 fn late_acquires_of_earlier_incarnations_are_revoked_one_by_one() {
     let now = Instant::now();
     let mut election = Election::new("c-0", "third", TTL);
     election.on_read(now, LeaderRead::Vacant);
     election.on_lease_granted(now, now, Some(7));
-    // The first incarnation's acquire was delayed until now, and carried out.
+    // The first incarnation's acquire was delayed, and is executed only now.
     election.on_acquire(now, AcquireOutcome::Lost);
     assert_eq!(election.next_step(now), Step::ReadLeader);
     election.on_read(now, LeaderRead::Held(holder_of("c-0", "first", 40, 5)));
@@ -121,14 +122,14 @@
         Step::Acquire { lease: 7 },
         "our own lease was not revoked with theirs"
     );
-    // Its answer is lost; the key is ours by incarnation.
+    // The answer to our acquire is lost; the incarnation in the key shows that it is ours.
     election.on_acquire(now, AcquireOutcome::Unknown);
     election.on_read(now, LeaderRead::Held(holder_of("c-0", "third", 42, 7)));
     assert!(matches!(election.role(), Role::Leader { epoch: 42, .. }));
 }
 
 #[test]
-fn a_follower_without_the_store_names_its_leader_for_two_leases_at_most() {
+fn a_follower_without_contact_to_the_store_reports_its_leader_for_two_leases_at_most() {
     let now = Instant::now();
     let mut election = Election::new("c-0", "mine", TTL);
     election.on_read(now, LeaderRead::Held(holder_of("c-1", "x", 41, 6)));
@@ -136,13 +137,13 @@
     assert_eq!(
         election.role(),
         Role::Follower { leader: "c-1".into(), epoch: 41 },
-        "a short outage costs nothing"
+        "a short outage does not change the role"
     );
     election.on_read(now + TTL * 2, LeaderRead::Failed);
     assert_eq!(election.role(), Role::Leaderless);
     assert!(
         matches!(election.next_step(now + TTL * 2), Step::Wait { .. }),
-        "the store is not asked again without a pause"
+        "the read is not retried without a pause"
     );
     election.on_read(now + TTL * 3, LeaderRead::Held(holder_of("c-2", "y", 45, 7)));
     assert_eq!(election.role(), Role::Follower { leader: "c-2".into(), epoch: 45 });
