--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -1,4 +1,4 @@
-//! What the leader has decided and its actor still has to carry out.
+//! The effects that the leader has decided on and that the controller's actor carries out.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::protocol::workers::{Command, MachineId};
 use crate::storage::kv::Transaction;
 
-/// Something to be done outside the state machine.
+/// An action that the controller carries out for the leader's state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Answer a user's request.
@@ -22,64 +22,64 @@
         /// Its answer.
         answer: Answer,
     },
-    /// Read the records of jobs that a submission depends on, and submit it again.
+    /// Read the records of jobs that a submission depends on, then submit it again with them.
     ReadDependencies(Box<UncheckedSubmission>),
-    /// Read the job's record: if it exists, the state that it supports is the answer.
+    /// Read the job's record and answer with the state that follows from it.
     LookUpJob {
         /// The request to be answered.
         reply: ReplyId,
         /// The job to be read.
         job: JobId,
-        /// The answer if there is no record.
+        /// The answer if the job has no record.
         if_absent: Answer,
     },
     /// Commit a transaction in the key-value store.
     Commit {
-        /// Under which its result is reported back.
+        /// The operation that its result is reported for.
         operation: OperationId,
         /// The changes and their conditions.
         transaction: Transaction,
     },
     /// Call the cloud.
     CallCloud {
-        /// Under which its result is reported back.
+        /// The operation that its result is reported for.
         operation: OperationId,
-        /// What is asked.
+        /// The call.
         call: CloudCall,
     },
-    /// Send commands straight to a worker instead of waiting for its next heartbeat.
+    /// Send commands directly to a worker instead of waiting for its next heartbeat.
     PushCommands {
-        /// Where the worker listens.
+        /// The address on which the worker listens.
         address: SocketAddr,
-        /// The epoch that gives them.
+        /// The epoch under which the commands were decided.
         fencing_token: u64,
-        /// The worker's incarnation that they are for; any other refuses them.
+        /// The incarnation of the worker that the commands are for; any other refuses them.
         incarnation: u64,
         /// The commands.
         commands: Vec<Command>,
     },
-    /// A terminal job has left the leader's memory.
+    /// A terminal job was evicted from the leader's memory.
     JobEvicted(JobStatus),
 }
 
-/// A submission that cannot be checked before the records of jobs that it depends on are read.
+/// A submission that cannot be checked until the records of jobs that it depends on are read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UncheckedSubmission {
     /// The user's request.
     pub reply: ReplyId,
-    /// What is submitted.
+    /// The submitted job.
     pub spec: JobSpec,
-    /// The dependencies whose records are to be read.
+    /// The dependencies whose records have not been read yet.
     pub unread: Vec<JobId>,
-    /// What was read before.
+    /// The states of dependencies that were read before.
     pub known: DependencyStates,
 }
 
-/// Names one operation under way; unique within an epoch.
+/// Identifies an operation in progress; unique within an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct OperationId(pub u64);
 
-/// What an operation under way was for.
+/// The purpose of an operation in progress.
 #[derive(Debug)]
 pub(crate) enum PendingOperation {
     /// The first write of a job's record and row.
@@ -90,31 +90,31 @@
     ArchiveRow(JobId),
     /// A write of a node pool's record.
     WriteNodePool(String),
-    /// A request to the cloud for a node pool's machines.
+    /// A request to the cloud to provision a node pool's machines.
     ProvisionNodePool(String),
     /// A request to the cloud to delete machines.
     DeleteMachines(Vec<MachineId>),
-    /// A page of the cloud's inventory.
+    /// A read of one page of the cloud's inventory.
     ListMachines,
-    /// The cloud's machine types.
+    /// A read of the cloud's machine types.
     ReadCatalog,
     /// A write of one of the singleton keys.
     WriteSingleton(&'static str),
 }
 
-/// What is asked of the cloud without changing anything.
+/// A request to the cloud that changes nothing.
 #[derive(Debug)]
 pub(crate) enum CloudQuery {
     /// The machine types.
     Catalog,
     /// A page of the inventory.
     Machines {
-        /// The name after which the page begins; empty for the first.
+        /// The machine name after which the page begins; empty for the first page.
         from: String,
     },
 }
 
-/// The effects not carried out yet, and the operations whose results are awaited.
+/// The effects that are not carried out yet, and the operations whose results are pending.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
     effects: Vec<Effect>,
@@ -124,17 +124,17 @@
 }
 
 impl Outbox {
-    /// Leaves an effect to be carried out.
+    /// Adds an effect to be carried out.
     pub(crate) fn push(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// Leaves an effect to be carried out, if there is one.
+    /// Adds effects to be carried out.
     pub(crate) fn extend(&mut self, effects: impl IntoIterator<Item = Effect>) {
         self.effects.extend(effects);
     }
 
-    /// Hands the effects over, in the order in which they were decided.
+    /// Takes the effects, in the order in which they were decided.
     pub(crate) fn drain(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
@@ -144,13 +144,13 @@
         self.push(Effect::Reply { reply, answer });
     }
 
-    /// Commits a transaction; its result comes back for the operation.
+    /// Commits a transaction; its result is reported for the operation.
     pub(crate) fn commit(&mut self, operation: PendingOperation, transaction: Transaction) {
         let operation = self.begin(operation);
         self.push(Effect::Commit { operation, transaction });
     }
 
-    /// Asks the cloud to provision or to delete machines, which takes the right to decide.
+    /// Asks the cloud to provision or delete machines, which requires a permit.
     pub(crate) fn change_cloud(
         &mut self,
         _permit: LeaderPermit,
@@ -170,22 +170,22 @@
         }
     }
 
-    /// Whether the cloud is being asked for its machine types.
+    /// Whether a read of the cloud's machine types is in progress.
     pub(crate) fn is_reading_catalog(&self) -> bool {
         self.pending.values().any(|operation| matches!(operation, PendingOperation::ReadCatalog))
     }
 
-    /// An operation has ended; `None` if it was not under way.
+    /// Removes and returns an operation that has ended; `None` if it was not in progress.
     pub(crate) fn complete(&mut self, operation: OperationId) -> Option<PendingOperation> {
         self.pending.remove(&operation)
     }
 
-    /// A machine has got a command that should not wait for its next heartbeat.
+    /// Adds a machine that has a command which should not wait for the next heartbeat.
     pub(crate) fn add_machine_with_command(&mut self, machine: MachineId) {
         self.machines_with_commands.push(machine);
     }
 
-    /// Hands over the machines that have got such commands since the last call.
+    /// Takes the machines that were added since the last call.
     pub(crate) fn take_machines_with_commands(&mut self) -> Vec<MachineId> {
         std::mem::take(&mut self.machines_with_commands)
     }
--- a/src/coordination/leader/metrics.rs
+++ b/src/coordination/leader/metrics.rs
@@ -5,14 +5,14 @@
 use crate::coordination::leader::Leader;
 use crate::protocol::cbor::MapBuilder;
 
-/// Tasks and machines as both reports show them.
+/// Counts that both the metrics and the log line contain.
 struct Totals {
     tasks_pending: u32,
     tasks_active: usize,
     machines_booting: usize,
 }
 
-/// CPUs of machines that are up.
+/// Used and total CPUs of the machines that are up.
 #[derive(Debug, Default, Clone, Copy)]
 struct CpuUse {
     used: f64,
@@ -36,8 +36,8 @@
         self.jobs.values().filter(|job| is_counted(job)).count() as u64
     }
 
-    /// Adds the leader's metrics to those of the controller. Operators' tools know them by
-    /// these names.
+    /// Adds the leader's metrics to those of the controller. Operators' tools depend on the
+    /// names of the metrics.
     pub fn metrics(&self, metrics: MapBuilder) -> MapBuilder {
         let totals = self.totals();
         let waiting_for_others = |job: &Job| job.is_startable() && job.waits_for_dependencies();
@@ -58,7 +58,7 @@
             .set("invariantsViolated", self.counters.invariant_violations)
     }
 
-    /// One line for the log.
+    /// A summary of the metrics in one line, for the log.
     pub fn summary(&self) -> String {
         let Totals { tasks_pending, tasks_active, machines_booting } = self.totals();
         let is_idle = |machine: &Machine| machine.phase == Phase::Up && machine.slots.is_empty();
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -1,12 +1,12 @@
-//! The leader: a state machine that takes events and the time and leaves [`Effect`]s to be
-//! carried out. It does no input or output of its own and reads no clock, so that a test, a
-//! simulation and the controller's actor drive it alike.
+//! The leader: a state machine whose inputs are events and the time, and whose outputs are
+//! [`Effect`]s. It performs no I/O and reads no clock, so that unit tests, the simulation and
+//! the controller's actor drive it in the same way.
 //!
-//! [`Leader`] is composed of parts that each own their state. What concerns several of them
-//! is in the modules by subject: users' requests (`jobs`), heartbeats and commands
-//! (`workers`), placement (`scheduling`), machines (`fleet`), and what earlier leaders have
-//! left (`recovery`). What may be done at all is decided in
-//! [`crate::coordination::authority`].
+//! [`Leader`] is composed of parts that each own their state. Operations that involve several
+//! parts are in the modules for each subject: users' requests (`jobs`), heartbeats and commands
+//! (`workers`), placement (`scheduling`), machines (`fleet`), and the recovery of the state of
+//! earlier leaders (`recovery`). [`crate::coordination::authority`] decides which actions are
+//! permitted.
 
 pub mod effects;
 mod metrics;
@@ -55,37 +55,37 @@
 use singleton_keys::SingletonKeys;
 use wall_clock::WallClock;
 
-/// How often the slower part of the tick runs.
-const SLOW_TICK: Duration = Duration::from_secs(1);
+/// Interval between two runs of the less frequent part of the tick.
+const SLOW_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Events counted since the epoch began.
+/// Counters of events in this epoch.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
-    /// Tasks reported under this epoch's fencing token whose job is not known.
+    /// Tasks whose job is not in memory, reported under this epoch's fencing token.
     pub(crate) orphan_tasks: u64,
-    /// Acts that were refused since they would have broken an invariant.
+    /// Actions that were refused because they would have violated an invariant.
     pub(crate) invariant_violations: u64,
 }
 
-/// The leader of one epoch. All of it is dropped when the epoch ends.
+/// The leader's state in one epoch. It is dropped when the epoch ends.
 pub struct Leader {
     /// Settings and policy.
     pub(crate) config: Arc<Config>,
-    /// The right to decide: epoch, lease, fencing.
+    /// The leadership and what it permits: epoch, lease, fencing.
     pub(crate) term: LeadershipTerm,
-    /// Numbers of task attempts.
+    /// Assigns the numbers of task attempts.
     pub(crate) attempts: AttemptCounter,
-    /// The time of day.
+    /// Converts the monotonic clock to the time of day.
     pub(crate) clock: WallClock,
-    /// All jobs that are unfinished, or terminal and not archived yet.
+    /// All jobs that are not terminal, or terminal and not archived yet.
     pub(crate) jobs: HashMap<JobId, Job>,
-    /// Submissions whose first write is under way.
+    /// Submissions whose first write is in flight.
     pub(crate) admissions: Admissions,
-    /// Which jobs wait for which.
+    /// The dependencies between jobs.
     pub(crate) dependencies: DependencyGraph,
-    /// What teams are guaranteed, may use, and use.
+    /// The resources that each team is guaranteed, may use, and uses.
     pub(crate) quotas: Quotas,
-    /// Records and rows that wait to be written.
+    /// Job records and rows that wait to be written.
     pub(crate) record_writes: RecordWriteQueue,
     singletons: SingletonKeys,
     /// The machines of all node pools.
@@ -96,31 +96,32 @@
     pub(crate) unregistered: UnregisteredMachines,
     /// The cloud's machine types.
     pub(crate) catalog: Catalog,
-    /// The reading of the cloud's inventory.
+    /// The scan of the cloud's inventory.
     pub(crate) inventory: Inventory,
-    /// Whether the cloud answers.
+    /// Whether the cloud answers calls.
     pub(crate) cloud_health: CloudHealth,
-    /// What scaling out and in is based on.
+    /// The measurements that scaling out and in is based on.
     pub(crate) autoscaler: Autoscaler,
-    /// How well the workers are heard.
+    /// How well the workers' heartbeats arrive.
     pub(crate) liveness: Liveness,
-    /// The waiting jobs in order.
+    /// The waiting jobs, in scheduling order.
     pub(crate) queue: WorkQueue,
-    /// Classes of jobs whose tasks are to start at once.
+    /// Classes of jobs whose tasks should start without delay.
     pub(crate) latency_classes: LatencySensitiveClasses,
     /// How long tasks are expected to run.
     pub(crate) run_estimates: RunEstimates,
-    /// What earlier leaders may have left on machines.
+    /// What is still unknown about the machines and records of earlier leaders.
     pub(crate) failover: FailoverProgress,
-    /// Events counted for operators.
+    /// Event counters for operators.
     pub(crate) counters: Counters,
-    /// Decisions to be carried out by the controller.
+    /// Effects that the controller has yet to carry out.
     pub(crate) outbox: Outbox,
     next_slow_tick: Instant,
 }
 
 impl Leader {
-    /// A leader that has just read the store. It may do nothing before its lease is extended.
+    /// Creates a leader from the snapshot that was just read from the store. It may do nothing
+    /// until its lease is extended.
     pub fn new(config: Arc<Config>, epoch: u64, now: Instant, now_ms: u64, snapshot: Snapshot) -> Self {
         let cluster = &config.settings.cluster;
         let mut leader = Leader {
@@ -167,12 +168,12 @@
         leader
     }
 
-    /// The store's limits now, as far as is known.
+    /// Sets the limits of the key-value store that apply now, as far as is known.
     pub fn set_state_limits(&mut self, limits: KvLimits) {
         self.record_writes.set_limits(limits);
     }
 
-    /// The lease was renewed.
+    /// Extends the lease after a renewal.
     pub fn extend_lease(&mut self, now: Instant, lease_expiry: Instant) {
         if now >= self.term.lease_expiry() {
             self.liveness.restart(now);
@@ -180,17 +181,17 @@
         self.term.extend(lease_expiry);
     }
 
-    /// Whether anything may be decided in the epoch's name now.
+    /// Whether the leader may make decisions under its epoch now.
     pub fn holds_lease(&self, now: Instant) -> bool {
         self.term.holds_lease(now)
     }
 
-    /// Until when a heartbeat's answer with these commands may leave.
+    /// Until when a heartbeat reply with these commands may be sent.
     pub fn heartbeat_reply_validity(&self, commands: &[Command]) -> Validity {
         self.term.heartbeat_reply_validity(commands)
     }
 
-    /// Whether the epoch is over for certain: the leader is to be dropped.
+    /// Whether the epoch is known to be over, so that the leader must be dropped.
     pub fn is_fenced(&self) -> bool {
         self.term.is_fenced()
     }
@@ -200,18 +201,18 @@
         self.term.epoch()
     }
 
-    /// When the snapshot had been read from which this leader began.
+    /// When the reading of the snapshot that this leader started from was complete.
     pub fn snapshot_at(&self) -> Instant {
         self.failover.snapshot_at()
     }
 
-    /// Hands over what is to be done outside, in the order in which it was decided.
+    /// Takes the effects to be carried out, in the order in which they were decided.
     #[must_use]
     pub fn drain_effects(&mut self) -> Vec<Effect> {
         self.outbox.drain()
     }
 
-    /// Counts and logs that an act was refused which would have broken an invariant.
+    /// Counts and logs that an action was refused because it would have violated an invariant.
     pub(crate) fn record_violation(&mut self, violation: Violation, job: &JobId) {
         self.counters.invariant_violations += 1;
         tracing::error!(epoch = self.epoch(), %job, %violation, "invariant violation prevented");
@@ -222,7 +223,7 @@
         self.outbox.reply(reply, answer);
     }
 
-    /// Commits changes under this epoch; the result comes back for the operation.
+    /// Commits changes under this epoch. [`Self::handle_commit_result`] receives the result.
     pub(crate) fn commit(
         &mut self,
         operation: PendingOperation,
@@ -234,8 +235,8 @@
         self.outbox.commit(operation, transaction);
     }
 
-    /// Writes one of the keys that leaders keep for the next, unless its last write is under
-    /// way or the value is too large.
+    /// Writes one of the singleton keys, unless its previous write is still in flight or the
+    /// value is too large.
     pub(crate) fn write_singleton(&mut self, key: &'static str, value: Value) {
         let limit = self.config.settings.cluster.kv.strictest().value_bytes();
         let Some((compare, change)) = self.singletons.begin_write(key, value, limit) else { return };
@@ -243,7 +244,7 @@
         self.commit(operation, RequestClass::Background, vec![compare], vec![change]);
     }
 
-    /// A transaction has ended.
+    /// Handles the result of a transaction.
     pub fn handle_commit_result(
         &mut self,
         now: Instant,
@@ -251,7 +252,7 @@
         result: Result<u64, KvError>,
     ) {
         if result == Err(KvError::Fenced) {
-            // Another controller leads, or will: nothing of this epoch may be used.
+            // Another controller leads or is about to: no state of this epoch may be used.
             self.term.fence();
         }
         match self.outbox.complete(operation) {
@@ -264,17 +265,17 @@
         }
     }
 
-    /// A call to the cloud has ended.
+    /// Handles the result of a call to the cloud.
     pub fn handle_cloud_result(&mut self, now: Instant, operation: OperationId, result: CloudResult) {
         let Some(operation) = self.outbox.complete(operation) else { return };
         self.apply_cloud_result(now, operation, result);
     }
 
-    /// Does what is due by the clock; to be called a few times a second.
+    /// Runs the periodic work that is due. To be called several times a second.
     pub fn tick(&mut self, now: Instant) {
         let is_slow_tick = now >= self.next_slow_tick;
         if is_slow_tick {
-            self.next_slow_tick = now + SLOW_TICK;
+            self.next_slow_tick = now + SLOW_TICK_INTERVAL;
             self.resend_stops(now);
         }
         if !self.holds_lease(now) {
--- a/src/coordination/leader/singleton_keys.rs
+++ b/src/coordination/leader/singleton_keys.rs
@@ -1,5 +1,5 @@
-//! Keys of which there is one each, kept by a leader for the next: the machine types and
-//! the learned statistics.
+//! Keys that exist once per cluster and pass a value on from each leader to the next: the
+//! machine types and the learned statistics.
 
 use ciborium::value::Value;
 
@@ -7,30 +7,30 @@
 use crate::protocol::cbor::max_json_size;
 use crate::protocol::kv::{Change, Compare};
 
-/// Bytes that a stored value has beside what is encoded here.
+/// Allowance in bytes for what a stored value holds besides the encoded one.
 const VALUE_OVERHEAD_BYTES: usize = 64;
 
-/// One key as last read or written.
+/// The state of one key as last read or written.
 #[derive(Debug, Default)]
 struct SingletonKey {
     version: u64,
     write_in_flight: bool,
 }
 
-/// The versions of all such keys, and which of them are being written.
+/// The versions of all singleton keys, and which of them are being written.
 #[derive(Debug, Default)]
 pub(crate) struct SingletonKeys {
     keys: HashMap<&'static str, SingletonKey>,
 }
 
 impl SingletonKeys {
-    /// The key was read at this version.
+    /// Sets the version at which the key was read.
     pub(crate) fn restore(&mut self, key: &'static str, version: u64) {
         self.keys.insert(key, SingletonKey { version, write_in_flight: false });
     }
 
-    /// The write of a key; `None` while its last one is under way, or if the value is
-    /// larger than `limit` bytes.
+    /// Begins a write of a key. Returns `None` while the previous write is in flight, or if
+    /// the value is larger than `limit` bytes.
     pub(crate) fn begin_write(
         &mut self,
         key: &'static str,
@@ -46,7 +46,8 @@
         Some((compare, Change::Put { key: key.to_owned(), value, lease: None }))
     }
 
-    /// A write has ended; `version`: what it is now, if it was carried out.
+    /// Ends a write. `version` is the key's new version; `None` if the write is not known to
+    /// have succeeded.
     pub(crate) fn end_write(&mut self, key: &'static str, version: Option<u64>) {
         let entry = self.keys.entry(key).or_default();
         entry.write_in_flight = false;
--- a/src/coordination/leader/wall_clock.rs
+++ b/src/coordination/leader/wall_clock.rs
@@ -4,7 +4,8 @@
 
 use crate::numeric::whole_ms;
 
-/// Translates moments of the monotonic clock into the time of day, from one pair of both.
+/// Converts instants of the monotonic clock to the time of day, relative to one reference
+/// point for which both are known.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WallClock {
     reference: Instant,
@@ -12,14 +13,14 @@
 }
 
 impl WallClock {
-    /// `now_ms`: the time of day at `now`, in milliseconds since the epoch of Unix.
+    /// `now_ms` is the time of day at `now`, in milliseconds since the Unix epoch.
     pub(crate) fn new(now: Instant, now_ms: u64) -> Self {
         WallClock { reference: now, reference_ms: now_ms }
     }
 
-    /// The time of day in milliseconds since the epoch of Unix.
+    /// The time of day at `now`, in milliseconds since the Unix epoch.
     pub(crate) fn at_ms(&self, now: Instant) -> u64 {
-        let passed = now.saturating_duration_since(self.reference);
-        self.reference_ms.saturating_add(whole_ms(passed))
+        let elapsed = now.saturating_duration_since(self.reference);
+        self.reference_ms.saturating_add(whole_ms(elapsed))
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,5 @@
-//! Who leads, and what the leader decides. Decisions are state machines that
-//! take time and events as input; [`controller`] is the actor that feeds them.
+//! Leader election, and the decisions of the leader. Both are state machines whose inputs are
+//! the time and events; [`controller`] is the actor that drives the leader's state machine.
 
 pub mod authority;
 pub mod config;
