--- a/src/coordination/controller/forwarding.rs
+++ b/src/coordination/controller/forwarding.rs
@@ -1,5 +1,5 @@
-//! The tasks that carry calls to the leader: a user's request along its routes, and a relayed
-//! heartbeat.
+//! The tasks that send calls to the leader: the forwarding of a user's request, and the relay
+//! of a heartbeat.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use crate::numeric::count_u32;
 use crate::transport::peer::{PeerCall, PeerLink};
 
-/// One way for a call to the leader.
+/// One route for a call to the leader.
 pub(super) struct Route {
     /// The controller that is called.
     pub(super) peer: String,
-    /// Whether that controller is to relay the call to the leader.
+    /// Whether that controller must relay the call to the leader.
     pub(super) via_relay: bool,
     /// The link to that controller.
     pub(super) link: PeerLink,
@@ -27,13 +27,13 @@
     routes: Vec<Route>,
     leader_was_unreachable: bool,
     events: mpsc::Sender<InternalEvent>,
-    /// For each route.
+    /// Timeout of the call on each route.
     timeout: Duration,
 }
 
 impl Forwarding {
-    /// Forwards along these routes, of which there must be one at least. What comes of it is
-    /// sent as events.
+    /// Prepares to forward a request on these routes, of which there must be at least one.
+    /// The outcome is sent as events.
     pub(super) fn new(
         routes: Vec<Route>,
         leader_was_unreachable: bool,
@@ -43,7 +43,7 @@
         Forwarding { routes, leader_was_unreachable, events, timeout: POLL_TIMEOUT / route_count }
     }
 
-    /// Tries one route after the other until one replies.
+    /// Tries the routes one after the other until a controller replies.
     pub(super) async fn run(self, request: UserRequest) {
         let Forwarding { routes, leader_was_unreachable, events, timeout } = self;
         for Route { peer, via_relay, link } in routes {
@@ -72,9 +72,9 @@
 }
 
 impl HeartbeatRelay {
-    /// Relays the heartbeat and answers the worker. The leader's answer, under its fencing
-    /// token and lease, goes back unchanged; one that takes too long the worker drops, as it
-    /// would any other.
+    /// Relays the heartbeat and answers the worker. The leader's answer is returned
+    /// unchanged, under the leader's fencing token and lease. The worker drops an answer that
+    /// takes too long, as it does with direct answers.
     pub(super) async fn run(self, body: Vec<u8>, reply: ReplySender, events: mpsc::Sender<InternalEvent>) {
         let HeartbeatRelay { leader, link } = self;
         let relayed_at = Instant::now();
--- a/src/coordination/controller/heartbeat_answers.rs
+++ b/src/coordination/controller/heartbeat_answers.rs
@@ -8,20 +8,20 @@
 use crate::protocol::workers::{Command, encode_heartbeat_reply, encode_redirect};
 use crate::transport::peer::PeerReply;
 
-/// Sends a worker to the leader or, with none to name, to the next controller.
+/// Redirects a worker to the leader or, if none is named, to the next controller.
 pub(super) fn redirect_answer(leader: Option<&str>) -> Answer {
     Answer::new(421, &encode_redirect(leader))
 }
 
-/// A leader's answer to a heartbeat, with the time until which it may be sent.
+/// Builds the leader's answer to a heartbeat, with the time until which it may be sent.
 pub(super) fn commands_answer(leader: Option<&Leader>, fencing_token: u64, commands: &[Command]) -> Answer {
     let validity = leader.map(|leader| leader.heartbeat_reply_validity(commands));
     Answer { validity, ..Answer::new(200, &encode_heartbeat_reply(fencing_token, commands)) }
 }
 
-/// The leader's answer to a relayed heartbeat. It may be sent for as long as the leader
-/// said, counted from when the heartbeat was relayed; a leader of an earlier build does not
-/// say.
+/// Builds the answer to a heartbeat that was relayed, from the leader's reply. The answer is
+/// valid for the remaining lease that the reply states, counted from the start of the relay;
+/// leaders of earlier builds do not state one.
 pub(super) fn relayed_answer(reply: PeerReply, relayed_at: Instant) -> Answer {
     let PeerReply { status, body, lease, .. } = reply;
     let validity =
@@ -29,8 +29,8 @@
     Answer { status, body, retry_after_s: None, job_status: None, validity }
 }
 
-/// The answer to a heartbeat whose answer was deferred. One that is redirected tries the
-/// next controller by itself.
+/// Builds the answer to a heartbeat whose answer was deferred. A worker that is redirected
+/// without a leader's name tries the next controller by itself.
 pub(super) fn deferred_answer(leader: &Leader, reply: HeartbeatReply) -> Answer {
     match reply {
         HeartbeatReply::Commands { fencing_token, commands } => {
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -1,5 +1,6 @@
-//! Workers' heartbeats: answered by the leader's state machine, at once or deferred until a
-//! latency-sensitive start is decided; redirected to another controller, or relayed to it.
+//! Handles workers' heartbeats. The leader's state machine answers them, immediately or, if
+//! the answer is deferred, once a latency-sensitive start is decided. A controller that does
+//! not lead redirects the worker to another controller, or relays the heartbeat to the leader.
 
 use tokio::time::Instant;
 
@@ -15,8 +16,8 @@
     /// Answers a heartbeat, now or later.
     pub(super) fn handle_heartbeat(&mut self, message: HeartbeatMessage) {
         let now = Instant::now();
-        // Its worker has given up waiting: a start in the answer would be lost, and an answer
-        // that counts as sent would only delay the proof that the machine is dead.
+        // The worker has stopped waiting. A start in the answer would be lost, and counting
+        // the answer as sent would only delay the proof that the machine is dead.
         if now >= message.arrived + HEARTBEAT_REPLY_TIMEOUT {
             return;
         }
@@ -35,8 +36,8 @@
         self.latencies.record_heartbeat(message.arrived);
     }
 
-    /// Whether the answer may wait for a command. The answer to a relayed heartbeat may not:
-    /// the relaying controller waits for it.
+    /// Whether the answer may be deferred until there is a command. The answer to a relayed
+    /// heartbeat may not: the relaying controller waits for it.
     fn may_defer_reply(&self, message: &HeartbeatMessage) -> bool {
         let is_direct = message.body.is_some();
         is_direct && self.leader.as_ref().is_some_and(|leader| leader.may_defer_reply(&message.heartbeat))
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Sends the deferred answers whose time is over, with what the leader decides now.
+    /// Sends the deferred answers whose time is over, with the commands that the leader
+    /// decides now.
     pub(super) fn flush_expired_replies(&mut self) {
         let now = Instant::now();
         let Some(leader) = &mut self.leader else { return };
@@ -74,8 +76,9 @@
         }
     }
 
-    /// Redirects the worker to the leader. If it comes back it cannot reach the leader, as in
-    /// a network partition between two zones, and its heartbeat is relayed, once only.
+    /// Redirects the worker to the leader. If the worker comes back, it cannot reach the
+    /// leader, for example because of a network partition between two zones, and the heartbeat
+    /// is relayed to the leader. A heartbeat that was already relayed is not relayed again.
     fn redirect_or_relay(&mut self, now: Instant, message: HeartbeatMessage) {
         let HeartbeatMessage { heartbeat, body, reply, arrived } = message;
         let Some(body) = body else { return drop(reply.send(redirect_answer(None))) };
--- a/src/coordination/controller/latencies.rs
+++ b/src/coordination/controller/latencies.rs
@@ -1,4 +1,4 @@
-//! How long a controller takes to answer.
+//! Histograms of a controller's response times.
 
 use ciborium::value::Value;
 use hdrhistogram::Histogram;
@@ -6,42 +6,42 @@
 
 use crate::protocol::cbor::MapBuilder;
 
-/// Longest latency that is recorded as it is, in microseconds; longer ones count as this.
+/// Longest latency that can be recorded, in microseconds; longer ones are recorded as this.
 const MAX_MICROS: u64 = 60_000_000;
-/// Significant decimal digits of a latency; two take a few kilobytes a histogram.
+/// Significant decimal digits of a latency; with two, a histogram takes a few kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Latencies in microseconds, since the controller started. Refusals at the edge, before the
-/// actor's queues, are not counted.
+/// Latencies in microseconds, since the controller started. Requests rejected before they
+/// enter the actor's queues are not counted.
 pub(super) struct LatencyHistograms {
     heartbeats: Histogram<u32>,
     requests: Histogram<u32>,
 }
 
 impl LatencyHistograms {
-    /// Nothing recorded yet.
+    /// Creates empty histograms.
     pub(super) fn new() -> Self {
         let histogram =
             || Histogram::new_with_max(MAX_MICROS, SIGNIFICANT_DIGITS).expect("constant and valid bounds");
         LatencyHistograms { heartbeats: histogram(), requests: histogram() }
     }
 
-    /// A heartbeat was handled that entered the queue at that time.
+    /// Records the latency of a heartbeat that entered the queue at `arrived`.
     pub(super) fn record_heartbeat(&mut self, arrived: Instant) {
         self.heartbeats.saturating_record(micros_since(arrived));
     }
 
-    /// A user's request was handled that entered the queue at that time.
+    /// Records the latency of a request that entered the queue at `arrived`.
     pub(super) fn record_request(&mut self, arrived: Instant) {
         self.requests.saturating_record(micros_since(arrived));
     }
 
-    /// The part of a log line about latencies.
+    /// Formats the latencies for a log line.
     pub(super) fn summary(&self) -> String {
-        let part = |histogram: &Histogram<u32>| {
+        let format_histogram = |histogram: &Histogram<u32>| {
             format!("{} p99 {:.1} ms", histogram.len(), quantile_ms(histogram, 0.99))
         };
-        format!("reports {} users {}", part(&self.heartbeats), part(&self.requests))
+        format!("reports {} users {}", format_histogram(&self.heartbeats), format_histogram(&self.requests))
     }
 
     /// Adds the latencies to the metrics of `/status`.
@@ -65,7 +65,7 @@
     micros_to_ms(histogram.value_at_quantile(quantile))
 }
 
-/// Exact, since a latency in microseconds is at most [`MAX_MICROS`].
+/// Converts without loss of precision, since a latency is at most [`MAX_MICROS`].
 fn micros_to_ms(micros: u64) -> f64 {
     micros as f64 / 1000.0
 }
--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -1,10 +1,11 @@
-//! What this controller learns from the other controllers, beside what the store says:
-//! which of them leads, and which of them can be reached.
+//! State learnt from the other controllers (peers) rather than from the store: which of them
+//! leads, and which of them can be reached.
 //!
-//! A controller that has lost the store cannot read from it who leads. The others may know;
-//! that only decides where requests and heartbeats are forwarded to, and the leader answers
-//! them under its own lease. One conclusion is drawn from it: that no earlier leader answers
-//! workers any more, see `Leader::record_post_lease_graces_over`.
+//! A controller that has lost its connection to the store cannot read there who leads, but a
+//! peer may know. The peers' statements only decide where requests and heartbeats are
+//! forwarded, and the leader answers those under its own lease. The one other conclusion drawn
+//! from them is that no earlier leader answers workers any more, see
+//! `Leader::record_post_lease_graces_over`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,26 +16,27 @@
 use crate::protocol::cbor::{Fields, MapBuilder, decode};
 use crate::transport::peer::PeerReply;
 
-/// Field of the answer to a leader query: the epoch of a controller that leads.
+/// Field of the answer to a leader query: the epoch in which the controller leads.
 const EPOCH: &str = "epoch";
-/// Field of the same answer: whether a controller that does not lead is idle.
+/// Field of the answer of a controller that does not lead: whether it is idle.
 const IDLE: &str = "free";
-/// Part of the leader's lease between two queries to one peer.
+/// The leader's lease divided by this is the time between two queries to one peer.
 const QUERY_LEASE_DIVISOR: u32 = 8;
-/// Part of the leader's lease for which a reply, or a timeout, is relied on.
+/// The leader's lease divided by this is the time for which a peer's statement, or a timeout,
+/// counts as recent.
 const RECENT_LEASE_DIVISOR: u32 = 2;
 
-/// What is known of one other controller.
+/// State of one peer.
 #[derive(Debug, Default)]
 struct Peer {
     queried_at: Option<Instant>,
     query_in_flight: bool,
     answered_at: Option<Instant>,
     leading: Option<LeadershipClaim>,
-    /// When it said that it answers no worker, not even after its lease.
+    /// When the peer last stated that it answers no worker, not even after its lease.
     idle_at: Option<Instant>,
-    /// When a call to it last timed out.
-    failed_at: Option<Instant>,
+    /// When a call to the peer last timed out.
+    timed_out_at: Option<Instant>,
 }
 
 /// A peer's statement that it leads.
@@ -44,19 +46,19 @@
     claimed_at: Instant,
 }
 
-/// Whether a controller leads, by its own statement.
+/// Whether a controller leads, as stated by that controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PeerState {
-    /// It leads in this epoch, under a valid lease.
+    /// The controller leads in this epoch, under a valid lease.
     Leading(u64),
     /// Its lease has expired; it may still answer workers for the post-lease grace period.
     LeaseExpired,
-    /// It has no in-memory state of any epoch, so it answers no worker.
+    /// It has no leader state of any epoch in memory, so it answers no worker.
     Idle,
 }
 
 impl PeerState {
-    /// The answer to [`PeerCall::LeaderQuery`](crate::transport::peer::PeerCall::LeaderQuery).
+    /// Encodes the answer to [`PeerCall::LeaderQuery`](crate::transport::peer::PeerCall::LeaderQuery).
     pub(super) fn to_answer(self) -> Answer {
         let fields = MapBuilder::new();
         match self {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Reads such an answer; `None` if it cannot be decoded.
+    /// Decodes such an answer; `None` if it is malformed.
     pub(super) fn decode(reply: &PeerReply) -> Option<Self> {
         let body = decode(&reply.body).ok()?;
         let fields = Fields::of(&body).ok()?;
@@ -78,12 +80,12 @@
     }
 }
 
-/// The controller that leads, as far as this one knows.
+/// The controller that leads, as far as this controller knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct KnownLeader<'a> {
     /// The leader's name.
     pub(super) name: &'a str,
-    /// Its epoch.
+    /// The epoch in which it leads.
     pub(super) epoch: u64,
 }
 
@@ -93,23 +95,24 @@
     /// Duration of the leader's lease.
     lease: Duration,
     peers: BTreeMap<String, Peer>,
-    /// Since when the peers are queried, for want of a known leader.
+    /// Since when the peers are queried because no leader is known.
     querying_since: Option<Instant>,
 }
 
 impl Peers {
-    /// Knows nothing of these peers yet. `lease` is the leader's.
+    /// Creates the state of peers that have not been called yet. `lease` is the duration of the
+    /// leader's lease.
     pub(super) fn new(names: impl IntoIterator<Item = String>, lease: Duration) -> Self {
         let peers = names.into_iter().map(|name| (name, Peer::default())).collect();
         Peers { lease, peers, querying_since: None }
     }
 
-    /// A leader is known by other means: no peer need be queried.
+    /// Stops querying the peers, as the leader is known by other means.
     pub(super) fn stop_querying(&mut self) {
         self.querying_since = None;
     }
 
-    /// No leader is known: returns the peers to query now, which count as queried.
+    /// Returns the peers to query now, as no leader is known, and marks them as queried.
     pub(super) fn peers_to_query(&mut self, now: Instant) -> Vec<String> {
         self.querying_since.get_or_insert(now);
         let pause = self.lease / QUERY_LEASE_DIVISOR;
@@ -131,7 +134,7 @@
         match answer {
             Some(peer_state) => {
                 peer.answered_at = Some(now);
-                peer.failed_at = None;
+                peer.timed_out_at = None;
                 peer.leading = match peer_state {
                     PeerState::Leading(epoch) => Some(LeadershipClaim { epoch, claimed_at: now }),
                     _ => None,
@@ -141,14 +144,14 @@
                 }
             }
             None => {
-                peer.failed_at = Some(now);
+                peer.timed_out_at = Some(now);
                 peer.leading = None;
             }
         }
     }
 
-    /// The peer that recently said that it leads; of several the one with the highest epoch,
-    /// as the others' are over.
+    /// Returns the peer that recently stated that it leads. If several did, returns the one
+    /// with the highest epoch, as the other epochs are over.
     pub(super) fn known_leader(&self, now: Instant) -> Option<KnownLeader<'_>> {
         let is_recent = |claim: &LeadershipClaim| self.is_recent(now, claim.claimed_at);
         self.peers
@@ -160,33 +163,33 @@
             .max_by_key(|leader| leader.epoch)
     }
 
-    /// When the last of all peers said that it answers no worker, if all have said so since
-    /// that time.
+    /// Returns the time at which the last peer stated that it answers no worker, if all peers
+    /// have stated that since `since`.
     pub(super) fn all_idle_since(&self, since: Instant) -> Option<Instant> {
         let idle_at = |peer: &Peer| peer.idle_at.filter(|at| *at >= since);
         self.peers.values().map(idle_at).try_fold(since, |latest, at| Some(latest.max(at?)))
     }
 
-    /// A call to the peer was not answered in time.
+    /// Records that a call to the peer timed out.
     pub(super) fn record_timeout(&mut self, now: Instant, name: &str) {
         if let Some(peer) = self.peers.get_mut(name) {
-            peer.failed_at = Some(now);
+            peer.timed_out_at = Some(now);
         }
     }
 
-    /// Whether a call to the peer is worth its time: none has timed out recently.
+    /// Whether the peer can be assumed to answer: no call to it has timed out recently.
     pub(super) fn is_reachable(&self, now: Instant, name: &str) -> bool {
-        self.peers.get(name).is_some_and(|peer| !peer.failed_at.is_some_and(|at| self.is_recent(now, at)))
+        self.peers.get(name).is_some_and(|peer| !peer.timed_out_at.is_some_and(|at| self.is_recent(now, at)))
     }
 
-    /// Peers that may relay a call to a leader that cannot be reached from here.
+    /// Returns the peers that may relay a call to a leader that this controller cannot reach.
     pub(super) fn relay_candidates(&self, now: Instant, leader: &str) -> Vec<String> {
         let names = self.peers.keys().filter(|name| *name != leader && self.is_reachable(now, name));
         names.cloned().collect()
     }
 
-    /// No leader is known, and no peer has answered for a lease: users and workers are better
-    /// off with another controller.
+    /// Whether no leader is known and no peer has answered for a whole lease, so that users and
+    /// workers should use another controller.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
         let is_a_lease_ago = |at: Instant| now >= at + self.lease;
         !self.peers.is_empty()
--- a/src/coordination/controller/peers/tests.rs
+++ b/src/coordination/controller/peers/tests.rs
@@ -11,7 +11,7 @@
     let now = Instant::now();
     let mut peers = two_peers();
     assert_eq!(peers.peers_to_query(now), ["c-1", "c-2"]);
-    assert!(peers.peers_to_query(now + LEASE).is_empty(), "one query at a time");
+    assert!(peers.peers_to_query(now + LEASE).is_empty(), "at most one query to a peer is in flight");
     peers.record_answer(now, "c-1", Some(PeerState::Leading(40)));
     peers.record_answer(now, "c-2", Some(PeerState::Leading(41)));
     assert_eq!(peers.known_leader(now), Some(KnownLeader { name: "c-2", epoch: 41 }));
@@ -33,9 +33,9 @@
     assert!(!peers.is_isolated(now + LEASE), "a peer answers");
     peers.stop_querying();
     assert!(!peers.is_isolated(now + LEASE * 9), "a leader is known");
-    let mut alone = Peers::new([], LEASE);
-    alone.peers_to_query(now);
-    assert!(!alone.is_isolated(now + LEASE * 9));
+    let mut no_peers = Peers::new([], LEASE);
+    no_peers.peers_to_query(now);
+    assert!(!no_peers.is_isolated(now + LEASE * 9));
 }
 
 #[test]
@@ -50,14 +50,18 @@
 }
 
 #[test]
-fn post_lease_graces_are_over_once_all_peers_were_idle_after_the_failover() {
+fn post_lease_grace_periods_end_once_all_peers_have_been_idle_after_the_failover() {
     let now = Instant::now();
     let mut peers = two_peers();
     peers.record_answer(now, "c-1", Some(PeerState::Idle));
     peers.record_answer(now + LEASE, "c-1", Some(PeerState::LeaseExpired));
     peers.record_answer(now + LEASE, "c-2", Some(PeerState::Idle));
-    assert_eq!(peers.all_idle_since(now), Some(now + LEASE), "a peer that was idle resumes no earlier epoch");
-    assert_eq!(peers.all_idle_since(now + LEASE), None, "idle before the failover, it may have led since");
+    assert_eq!(peers.all_idle_since(now), Some(now + LEASE), "an idle peer resumes no earlier epoch");
+    assert_eq!(
+        peers.all_idle_since(now + LEASE),
+        None,
+        "c-1 was idle only before the failover and may have led since"
+    );
     peers.record_answer(now + LEASE * 2, "c-1", Some(PeerState::Idle));
     assert_eq!(peers.all_idle_since(now + LEASE), Some(now + LEASE * 2));
     assert_eq!(Peers::new([], LEASE).all_idle_since(now), Some(now));
--- a/src/coordination/controller/reconciliation.rs
+++ b/src/coordination/controller/reconciliation.rs
@@ -1,5 +1,5 @@
-//! The reconciliation that a leader runs in the background: archived rows against jobs'
-//! records, page by page, and another try at records that could not be decoded.
+//! The leader's background reconciliation: compares archived rows with the jobs' records, page
+//! by page, and reads records again that could not be decoded.
 
 use std::time::Duration;
 
@@ -14,24 +14,24 @@
 };
 use crate::storage::kv::KvClient;
 
-/// Where the scans are, and when the next page is due. At most one page is under way.
+/// The progress of the scans and the time of the next page. At most one page is in flight.
 pub(super) struct Reconciliation {
     kv: KvClient,
     events: mpsc::Sender<InternalEvent>,
-    /// Time from the beginning of one page to that of the next.
+    /// Time between the starts of two pages.
     interval: Duration,
-    /// Largest value that the store takes, in KB.
+    /// Largest value that the store accepts, in KB.
     value_kb: f64,
-    /// Where the next page of archived rows begins.
+    /// Where the next page of archived rows starts.
     row_cursor: String,
-    /// The last key that was read again because it could not be decoded.
+    /// Key of the last undecodable record that was read again.
     reread_cursor: String,
     last_started_at: Instant,
     is_in_flight: bool,
 }
 
 impl Reconciliation {
-    /// Begins at the first row, one interval from now.
+    /// Starts with the first row, one interval from now.
     pub(super) fn new(
         config: &Config,
         now: Instant,
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Compares the next page of archived rows with the jobs' records, if it is due. A row
-    /// that says that an unfinished job is finished would otherwise lose that job: at a
-    /// failover only the live rows are read.
+    /// Compares the next page of archived rows with the jobs' records, if it is due. Without
+    /// this, an archived row of a job that is not finished would lose the job: a failover reads
+    /// only the live rows.
     pub(super) fn start_if_due(&mut self, now: Instant, leader: &Leader) {
         if self.is_in_flight || now < self.last_started_at + self.interval {
             return;
@@ -65,8 +65,8 @@
         self.reread_cursor = unreadable.last().cloned().unwrap_or_default();
         tokio::spawn(async move {
             let page = reconcile_page(&kv, epoch, &cursor, value_kb).await;
-            let nothing = ReconciledPage { next: cursor, restored: Snapshot::default() };
-            let ReconciledPage { next: next_cursor, restored } = page.unwrap_or(nothing);
+            let unchanged = ReconciledPage { next: cursor, restored: Snapshot::default() };
+            let ReconciledPage { next: next_cursor, restored } = page.unwrap_or(unchanged);
             let _ = events.send(InternalEvent::RowsReconciled { epoch, next_cursor, restored }).await;
             if let Ok(restored) = reread_unreadable(&kv, unreadable, value_kb).await {
                 let _ = events.send(InternalEvent::UnreadableReread { epoch, restored }).await;
@@ -74,7 +74,7 @@
         });
     }
 
-    /// A page was compared; the next one begins at the cursor.
+    /// Records that a page was compared; the next one starts at `next_cursor`.
     pub(super) fn finish_page(&mut self, next_cursor: String) {
         self.is_in_flight = false;
         self.row_cursor = next_cursor;
--- a/src/coordination/controller/snapshot_loader.rs
+++ b/src/coordination/controller/snapshot_loader.rs
@@ -1,4 +1,4 @@
-//! Reads the snapshot from which a newly elected leader begins.
+//! Reads the snapshot from which a newly elected leader starts.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 use crate::coordination::recovery::snapshot::read_snapshot;
 use crate::storage::kv::KvClient;
 
-/// Part of the leader's lease that passes before a failed read is tried again.
+/// The leader's lease divided by this is the pause before a failed read is retried.
 const RETRY_LEASE_DIVISOR: u32 = 20;
 
-/// Reads snapshots in tasks of their own; results come as [`InternalEvent::SnapshotRead`].
+/// Reads snapshots in spawned tasks, which send the results as [`InternalEvent::SnapshotRead`].
 pub(super) struct SnapshotLoader {
     kv: KvClient,
     events: mpsc::Sender<InternalEvent>,
-    /// Largest value that the store takes, in KB.
+    /// Largest value that the store accepts, in KB.
     value_kb: f64,
     retry_pause: Duration,
 }
 
 impl SnapshotLoader {
-    /// Reads from this store, and sends the results as events.
+    /// Creates a loader that reads from `kv` and sends the results to `events`.
     pub(super) fn new(config: &Config, kv: KvClient, events: mpsc::Sender<InternalEvent>) -> Self {
         SnapshotLoader {
             kv,
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Begins to read the snapshot for an epoch.
+    /// Starts reading the snapshot for an epoch.
     pub(super) fn start(&self, epoch: u64) {
         let (kv, events) = (self.kv.clone(), self.events.clone());
         let (value_kb, retry_pause) = (self.value_kb, self.retry_pause);
         tokio::spawn(async move {
             let snapshot = read_snapshot(&kv, value_kb).await.ok();
             if snapshot.is_none() {
-                // An outage refuses at once; asking again without a pause
-                // would spend the allowance that renewals need.
+                // During an outage reads fail immediately. Retrying without a pause
+                // would use up the request rate that lease renewals need.
                 tokio::time::sleep(retry_pause).await;
             }
             let _ = events.send(InternalEvent::SnapshotRead { epoch, snapshot }).await;
--- a/src/coordination/controller/status.rs
+++ b/src/coordination/controller/status.rs
@@ -1,4 +1,4 @@
-//! The metrics that `/status` shows to operators. The field names are part of the interface.
+//! The metrics of `/status` for operators. The field names are part of the interface.
 
 use ciborium::value::Value;
 use tokio::time::Instant;
@@ -8,7 +8,7 @@
 use crate::protocol::cbor::MapBuilder;
 
 impl Controller {
-    /// The controller's metrics.
+    /// Collects the controller's metrics.
     pub(super) fn status(&self) -> Value {
         let metrics = MapBuilder::new()
             .set("name", self.config.settings.name.as_str())
--- a/src/coordination/controller/wall_clock.rs
+++ b/src/coordination/controller/wall_clock.rs
@@ -1,10 +1,10 @@
-//! The time of day, which records carry.
+//! Wall-clock time, which is stored in records.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use crate::numeric::whole_ms;
 
-/// Milliseconds since 1970; in tests, those of the simulation if there is one.
+/// Returns the milliseconds since 1970, or the simulated time in a simulation test.
 pub(super) fn wall_ms() -> u64 {
     #[cfg(test)]
     if let Some(simulated) = crate::transport::simulated_network::time_of_day_ms() {
--- a/src/coordination/controller/worker_redirects.rs
+++ b/src/coordination/controller/worker_redirects.rs
@@ -1,7 +1,8 @@
-//! Workers that were redirected to the leader and came back.
+//! Tracks workers that were redirected to the leader and came back.
 //!
-//! A worker that cannot reach the leader, as in a network partition between two zones,
-//! returns to the controller that redirected it. From then on its heartbeats are relayed.
+//! A worker that cannot reach the leader, for example because of a network partition between
+//! two zones, returns to the controller that redirected it. From then on that controller relays
+//! the worker's heartbeats.
 
 use std::time::Duration;
 
@@ -13,16 +14,16 @@
 /// Worker leases for which a worker's heartbeats are relayed before it is redirected again.
 const RELAY_LEASES: u32 = 3;
 
-/// What to do with the heartbeat of a worker that should turn to the leader.
+/// How to handle the heartbeat of a worker that should send it to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RedirectDecision {
-    /// Name the leader to it.
+    /// Redirect the worker to the leader.
     Redirect,
-    /// Relay the heartbeat: the worker does not reach the leader by itself.
+    /// Relay the heartbeat: the worker cannot reach the leader itself.
     Relay,
 }
 
-/// What is remembered of one redirected worker.
+/// State of one redirected worker.
 #[derive(Debug, Clone, Copy)]
 struct RedirectRecord {
     redirected_at: Instant,
@@ -35,39 +36,41 @@
     /// The workers' lease.
     lease: Duration,
     redirects: HashMap<MachineId, RedirectRecord>,
-    /// Workers remembered; with more, the oldest are forgotten and redirected once more.
+    /// Most workers tracked. Beyond that old entries are dropped, and those workers are
+    /// redirected once more.
     capacity: usize,
 }
 
 impl WorkerRedirects {
-    /// Remembers up to `capacity` workers with this lease.
+    /// Tracks up to `capacity` workers with this lease.
     pub(super) fn new(lease: Duration, capacity: usize) -> Self {
         WorkerRedirects { lease, redirects: HashMap::default(), capacity }
     }
 
-    /// Forgets all workers: another controller leads, and they may reach that one.
+    /// Removes all workers: another controller leads, and they may be able to reach it.
     pub(super) fn clear(&mut self) {
         self.redirects.clear();
     }
 
-    /// Decides about the heartbeat of a worker that does not belong here.
+    /// Decides how to handle the heartbeat of a worker that should send it to the leader.
     ///
-    /// `was_with_leader`: the worker has had an answer of the present leader. It left of its
-    /// own accord, as workers only do when the leader no longer answers, so redirecting it
-    /// there would cost it one more timeout for nothing.
+    /// `had_leader_answer` states whether the current leader has answered the worker before. A
+    /// worker leaves its leader only when that no longer answers, so redirecting it back would
+    /// only cost it another timeout.
     pub(super) fn decide(
         &mut self,
         now: Instant,
         worker: &MachineId,
-        was_with_leader: bool,
+        had_leader_answer: bool,
     ) -> RedirectDecision {
-        self.forget_old(now);
+        self.evict_if_full(now);
         let has_room = self.redirects.len() < self.capacity;
         let redirected = RedirectRecord { redirected_at: now, relaying_since: None };
-        let first = RedirectRecord { relaying_since: was_with_leader.then_some(now), ..redirected };
+        let new_record = RedirectRecord { relaying_since: had_leader_answer.then_some(now), ..redirected };
         match self.redirects.get_mut(worker) {
-            // Back so soon, it did not reach the leader. For a few leases its heartbeats are
-            // relayed, as each of its tries costs it several seconds; then it is to try again.
+            // A worker that returns this soon did not reach the leader. Its heartbeats are relayed
+            // for a few leases, since each attempt to reach the leader costs it several seconds;
+            // then it is redirected again.
             Some(record)
                 if now < record.redirected_at + self.lease / 2 || record.relaying_since.is_some() =>
             {
@@ -78,15 +81,15 @@
                 *record = redirected;
                 return RedirectDecision::Redirect;
             }
-            Some(record) => *record = first,
-            None if has_room => drop(self.redirects.insert(worker.clone(), first)),
+            Some(record) => *record = new_record,
+            None if has_room => drop(self.redirects.insert(worker.clone(), new_record)),
             None => {}
         }
-        if was_with_leader { RedirectDecision::Relay } else { RedirectDecision::Redirect }
+        if had_leader_answer { RedirectDecision::Relay } else { RedirectDecision::Redirect }
     }
 
-    /// Makes room, if there is none, by forgetting workers redirected a lease ago.
-    fn forget_old(&mut self, now: Instant) {
+    /// If the map is full, removes workers that were redirected at least a lease ago.
+    fn evict_if_full(&mut self, now: Instant) {
         if self.redirects.len() >= self.capacity {
             let lease = self.lease;
             self.redirects.retain(|_, record| now < record.redirected_at + lease);
--- a/src/coordination/controller/worker_redirects/tests.rs
+++ b/src/coordination/controller/worker_redirects/tests.rs
@@ -3,7 +3,7 @@
 const LEASE: Duration = Duration::from_secs(8);
 
 #[test]
-fn a_worker_that_comes_back_is_relayed_for_a_few_leases_and_then_tries_again() {
+fn a_worker_that_comes_back_is_relayed_for_a_few_leases_and_then_redirected_again() {
     let now = Instant::now();
     let at = |quarters: u32| now + LEASE * quarters / 4;
     let worker = MachineId::parse("vm-1").expect("valid");
@@ -13,23 +13,23 @@
     assert_eq!(
         redirects.decide(at(12), &worker, false),
         RedirectDecision::Relay,
-        "it stays with the controller that answers it"
+        "the relay lasts for a few leases"
     );
     assert_eq!(redirects.decide(at(13), &worker, false), RedirectDecision::Redirect);
     assert_eq!(
         redirects.decide(at(20), &worker, false),
         RedirectDecision::Redirect,
-        "it reached the leader meanwhile"
+        "the worker had reached the leader since"
     );
-    // A worker that was with the leader until now does not reach it any more.
+    // A worker that the leader has answered can no longer reach it.
     assert_eq!(redirects.decide(at(30), &worker, true), RedirectDecision::Relay);
     assert_eq!(redirects.decide(at(41), &worker, true), RedirectDecision::Relay);
     assert_eq!(
         redirects.decide(at(42), &worker, true),
         RedirectDecision::Redirect,
-        "it is to try the leader again"
+        "the worker must try the leader again"
     );
-    assert_eq!(redirects.decide(at(43), &worker, true), RedirectDecision::Relay, "it came back");
+    assert_eq!(redirects.decide(at(43), &worker, true), RedirectDecision::Relay, "the worker came back");
     redirects.clear();
     assert_eq!(redirects.decide(at(44), &worker, false), RedirectDecision::Redirect, "to the new leader");
 }
