--- a/src/coordination/controller/leader_lifecycle.rs
+++ b/src/coordination/controller/leader_lifecycle.rs
@@ -1,4 +1,5 @@
-//! How the leader's state machine begins, is fed with results, and ends on this controller.
+//! Starts and stops the leader's state machine on this controller, and passes results of
+//! spawned tasks to it.
 
 use tokio::time::Instant;
 
@@ -15,7 +16,7 @@
 use crate::storage::kv::KvError;
 
 impl Controller {
-    /// The election has given this controller a role, or extended its lease.
+    /// Handles a new role from the election, or an extension of the lease.
     pub(super) fn handle_role(&mut self, role: Role) {
         let now = Instant::now();
         match &role {
@@ -24,7 +25,7 @@
             }
             Role::Follower { .. } | Role::Leaderless => {
                 self.step_down();
-                self.leadership.lost(now);
+                self.leadership.publish_not_leading(now);
             }
         }
         self.routing.set_role(role);
@@ -32,20 +33,20 @@
 
     fn handle_leader_role(&mut self, now: Instant, epoch: u64, lease_expiry: Instant) {
         let is_same_epoch =
-            matches!(self.routing.role(), Role::Leader { epoch: before, .. } if *before == epoch);
+            matches!(self.routing.role(), Role::Leader { epoch: current, .. } if *current == epoch);
         if !is_same_epoch {
             self.step_down();
-            self.leadership.acquired();
+            self.leadership.publish_leading();
             self.snapshot_loader.start(epoch);
         }
-        self.leadership.lease_extended(lease_expiry);
+        self.leadership.publish_lease_expiry(lease_expiry);
         if let Some(leader) = &mut self.leader {
             leader.extend_lease(now, lease_expiry);
         }
     }
 
-    /// Ends the leader, if there is one: nothing of its in-memory state is used any more, and
-    /// all who wait for its answer get another.
+    /// Stops the leader's state machine, if it runs: drops its in-memory state, fails the users'
+    /// requests that wait for it, and redirects the workers whose answers are deferred.
     fn step_down(&mut self) {
         if self.leader.take().is_some() {
             tracing::info!("leadership lost; in-memory state dropped");
@@ -56,20 +57,21 @@
         }
     }
 
-    /// Begins a leader with the snapshot that was read for its epoch, or reads again.
+    /// Starts the leader from the snapshot that was read for its epoch; reads again if the
+    /// read failed.
     pub(super) fn handle_snapshot_read(&mut self, now: Instant, epoch: u64, snapshot: Option<Snapshot>) {
         let Role::Leader { epoch: current, lease_expiry } = *self.routing.role() else { return };
         if current != epoch || self.leader.is_some() {
             return;
         }
         match snapshot {
-            Some(snapshot) => self.begin_leading(now, epoch, lease_expiry, snapshot),
+            Some(snapshot) => self.start_leading(now, epoch, lease_expiry, snapshot),
             None => self.snapshot_loader.start(epoch),
         }
     }
 
-    fn begin_leading(&mut self, now: Instant, epoch: u64, lease_expiry: Instant, snapshot: Snapshot) {
-        if let Err(violation) = self.epoch_guard.begin(epoch) {
+    fn start_leading(&mut self, now: Instant, epoch: u64, lease_expiry: Instant, snapshot: Snapshot) {
+        if let Err(violation) = self.epoch_guard.claim(epoch) {
             tracing::error!(epoch, %violation, "epoch resigned");
             return self.leadership.resign(epoch);
         }
@@ -86,13 +88,13 @@
         self.leader = Some(leader);
     }
 
-    /// The leader of that epoch, if it still runs here.
+    /// Returns the leader of that epoch, if it still runs on this controller.
     pub(super) fn leader_of_epoch(&mut self, epoch: u64) -> Option<&mut Leader> {
         self.leader.as_mut().filter(|leader| leader.epoch() == epoch)
     }
 
-    /// A transaction has ended. If the store refused it because of a newer epoch, the leader
-    /// ends at once.
+    /// Handles the result of a transaction. If the store rejected it because of a newer epoch,
+    /// the leader is stopped immediately.
     pub(super) fn handle_commit_finished(
         &mut self,
         now: Instant,
@@ -108,7 +110,7 @@
         }
     }
 
-    /// A call to the cloud has ended.
+    /// Handles the result of a call to the cloud.
     pub(super) fn handle_cloud_call_finished(
         &mut self,
         now: Instant,
@@ -121,28 +123,28 @@
         }
     }
 
-    /// Hands what was read after the failover to the leader for which it was read.
+    /// Passes records that were read after the failover to the leader for which they were read.
     pub(super) fn restore_snapshot(&mut self, epoch: u64, restored: Snapshot) {
         if let Some(leader) = self.leader_of_epoch(epoch) {
             leader.restore_snapshot(Instant::now(), wall_ms(), restored);
         }
     }
 
-    /// Another controller replied whether it leads; `None` if it did not reply in time.
+    /// Handles the result of a leader query; `None` if the peer did not reply in time.
     pub(super) fn handle_peer_state(&mut self, now: Instant, peer: &str, peer_state: Option<PeerState>) {
         self.routing.record_peer_state(now, peer, peer_state);
-        // Once no other controller answers workers any more, the wait for silent machines
-        // need not cover a post-lease grace period.
+        // Once no other controller answers workers, the wait for silent machines need not
+        // cover a post-lease grace period.
         if let Some(leader) = &mut self.leader
             && let Some(at) = self.routing.all_peers_idle_since(leader.snapshot_at())
         {
             leader.record_post_lease_graces_over(at);
         }
-        // A higher epoch means that the leader key was written anew: the epoch of the leader
-        // here is over, and keeping workers here for the rest of the post-lease grace period
-        // would only delay their turning to the new leader.
-        let newest = self.routing.epoch_of_leading_peer(now);
-        if self.leader.as_ref().is_some_and(|leader| leader.epoch() < newest) {
+        // A higher epoch means that the leader key was rewritten and this leader's epoch is
+        // over. Answering workers for the rest of the post-lease grace period would only delay
+        // their move to the new leader.
+        let peer_epoch = self.routing.epoch_of_leading_peer(now);
+        if self.leader.as_ref().is_some_and(|leader| leader.epoch() < peer_epoch) {
             self.step_down();
         }
     }
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -1,12 +1,12 @@
-//! What this controller publishes about its own leadership, and the rule that an epoch is
-//! led once only.
+//! Publishes this controller's leadership, and enforces that a leader starts at most once in
+//! an epoch.
 
 use tokio::sync::watch;
 use tokio::time::Instant;
 
 use crate::coordination::authority::Violation;
 
-/// Publishes to the controller's other actors whether and until when it leads.
+/// Publishes to the controller's other actors whether it leads and when its lease expires.
 pub(super) struct LeadershipPublisher {
     is_leader: watch::Sender<bool>,
     lease_expiry: watch::Sender<Instant>,
@@ -14,8 +14,8 @@
 }
 
 impl LeadershipPublisher {
-    /// Publishes on these channels: whether the controller leads, until when, and the last
-    /// epoch that it resigned before its lease ended.
+    /// Publishes on these channels: whether the controller leads, when its lease expires, and
+    /// the last epoch that it resigned before the lease expired.
     pub(super) fn new(
         is_leader: watch::Sender<bool>,
         lease_expiry: watch::Sender<Instant>,
@@ -24,18 +24,18 @@
         LeadershipPublisher { is_leader, lease_expiry, resigned_epoch }
     }
 
-    /// The controller was elected for a new epoch.
-    pub(super) fn acquired(&self) {
+    /// Publishes that the controller was elected for a new epoch.
+    pub(super) fn publish_leading(&self) {
         let _ = self.is_leader.send(true);
     }
 
-    /// The lease holds until then.
-    pub(super) fn lease_extended(&self, lease_expiry: Instant) {
+    /// Publishes when the lease expires.
+    pub(super) fn publish_lease_expiry(&self, lease_expiry: Instant) {
         let _ = self.lease_expiry.send(lease_expiry);
     }
 
-    /// The controller does not lead, or no longer.
-    pub(super) fn lost(&self, now: Instant) {
+    /// Publishes that the controller does not lead.
+    pub(super) fn publish_not_leading(&self, now: Instant) {
         let _ = self.is_leader.send(false);
         let _ = self.lease_expiry.send(now);
     }
@@ -46,31 +46,31 @@
     }
 }
 
-/// Makes sure that no leader begins twice in one epoch: its attempt numbers start from the
-/// epoch, and would be used a second time.
+/// Ensures that no leader starts twice in one epoch. Attempt numbers are derived from the
+/// epoch, so a second leader would use the same ones again.
 #[derive(Debug, Default)]
 pub(super) struct EpochGuard {
-    last_led: u64,
+    last_epoch: u64,
     violations: u64,
 }
 
 impl EpochGuard {
-    /// A leader is about to begin in an epoch.
+    /// Claims an epoch for a leader that is about to start.
     ///
     /// # Errors
     ///
-    /// [`Violation::EpochReused`] if one began in it, or in a later one, before; it is
-    /// counted.
-    pub(super) fn begin(&mut self, epoch: u64) -> Result<(), Violation> {
-        if epoch <= self.last_led {
+    /// Returns and counts [`Violation::EpochReused`] if this epoch or a later one was claimed
+    /// before.
+    pub(super) fn claim(&mut self, epoch: u64) -> Result<(), Violation> {
+        if epoch <= self.last_epoch {
             self.violations += 1;
             return Err(Violation::EpochReused);
         }
-        self.last_led = epoch;
+        self.last_epoch = epoch;
         Ok(())
     }
 
-    /// How many times an epoch was refused.
+    /// Returns how often an epoch was refused.
     pub(super) fn violations(&self) -> u64 {
         self.violations
     }
