--- a/src/coordination/controller/concurrency_limit.rs
+++ b/src/coordination/controller/concurrency_limit.rs
@@ -1,6 +1,6 @@
-//! A bound on how many operations of one kind are under way at once.
+//! A limit on the concurrent operations of one kind.
 
-/// Counts operations under way and refuses more than a limit.
+/// Counts the operations in flight and refuses further ones at the limit.
 #[derive(Debug)]
 pub(super) struct ConcurrencyLimit {
     in_flight: usize,
@@ -8,15 +8,15 @@
 }
 
 impl ConcurrencyLimit {
-    /// Allows `limit` operations at once.
+    /// Allows `limit` concurrent operations.
     pub(super) fn new(limit: usize) -> Self {
         ConcurrencyLimit { in_flight: 0, limit }
     }
 
-    /// Counts one more operation, unless the limit is reached. Each that was allowed must be
-    /// ended by one call of [`Self::end`].
+    /// Counts one more operation and returns true, unless the limit is reached. Each
+    /// successful call must be followed by one call of [`Self::release`].
     #[must_use]
-    pub(super) fn try_begin(&mut self) -> bool {
+    pub(super) fn try_acquire(&mut self) -> bool {
         if self.in_flight >= self.limit {
             return false;
         }
@@ -24,12 +24,12 @@
         true
     }
 
-    /// An operation that was allowed has ended.
-    pub(super) fn end(&mut self) {
+    /// Records that an operation has ended.
+    pub(super) fn release(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// Operations under way.
+    /// Returns the number of operations in flight.
     #[cfg(test)]
     pub(super) fn in_flight(&self) -> usize {
         self.in_flight
--- a/src/coordination/controller/effects.rs
+++ b/src/coordination/controller/effects.rs
@@ -1,10 +1,10 @@
-//! Carries out what the leader's state machine has decided.
+//! Executes the effects that the leader's state machine emits.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use crate::coordination::controller::Controller;
-use crate::coordination::controller::events::{InternalEvent, JobLookUp};
+use crate::coordination::controller::events::{InternalEvent, JobLookup};
 use crate::coordination::fleet::cloud::CloudCall;
 use crate::coordination::leader::effects::{Effect, OperationId};
 use crate::protocol::cbor::encode;
@@ -14,12 +14,12 @@
 use crate::transport::client::{HttpCall, PreparedCall};
 use crate::transport::codec::Limits;
 
-/// Deadline of one push of commands to a worker.
+/// Timeout of one push of commands to a worker.
 const PUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Controller {
-    /// Carries out all effects, in the order in which they were decided. Those that take time
-    /// run in tasks of their own, whose results come back as events.
+    /// Executes all pending effects in the order in which they were emitted. Slow ones run in
+    /// spawned tasks that report their results as events.
     pub(super) fn perform_effects(&mut self) {
         self.flush_decided_replies();
         let Some(leader) = &mut self.leader else { return };
@@ -35,7 +35,7 @@
             Effect::LookUpJob { reply, job, if_absent } => {
                 if let Some(pending) = self.user_replies.take(reply) {
                     let reply = pending.reply;
-                    self.look_up(JobLookUp { reply, job, if_absent, only_terminal: false });
+                    self.look_up(JobLookup { reply, job, if_absent, only_terminal: false });
                 }
             }
             Effect::ReadDependencies(submission) => self.read_dependencies(epoch, submission),
@@ -65,10 +65,10 @@
         });
     }
 
-    /// Pushes commands to a worker, unless too many pushes are under way: it only saves time,
-    /// since the same commands are in the answer to the next heartbeat.
+    /// Pushes commands to a worker, unless too many pushes are in flight. A push only saves
+    /// time: the answer to the next heartbeat contains the same commands.
     fn push_commands(&mut self, address: SocketAddr, body: Vec<u8>) {
-        if !self.pushes.try_begin() {
+        if !self.pushes.try_acquire() {
             return;
         }
         let events = self.events.clone();
--- a/src/coordination/controller/events.rs
+++ b/src/coordination/controller/events.rs
@@ -1,5 +1,5 @@
-//! The messages that a controller's actor takes: calls of users and of other controllers,
-//! workers' heartbeats, and the results of the tasks that the actor has spawned.
+//! The messages that a controller's actor receives: calls of users and of other controllers,
+//! workers' heartbeats, and the results of tasks that the actor has spawned.
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -15,36 +15,36 @@
 use crate::storage::kv::KvError;
 use crate::transport::peer::{PeerCall, PeerReply};
 
-/// Takes the answer to one call.
+/// Receives the answer to one call.
 pub(super) type ReplySender = oneshot::Sender<Answer>;
 
-/// Where a call comes from, which bounds how far it is forwarded.
+/// The sender of a call, which limits how far the call is forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestOrigin {
     /// A user: forwarded to the leader, directly or through a relay.
     User,
     /// A controller that cannot reach the leader: forwarded directly to it or not at all.
     Relay,
-    /// A controller that takes this one for the leader: never forwarded.
+    /// A controller that assumes that this one leads: never forwarded.
     Peer,
 }
 
 /// A message that is not a heartbeat.
-pub(super) enum UserMessage {
-    /// A call about a job, or another controller's question.
+pub(super) enum RequestMessage {
+    /// A call about a job, or a leader query of another controller.
     Call {
-        /// What is asked.
+        /// The call.
         call: PeerCall,
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: ReplySender,
-        /// Where the call comes from.
+        /// The sender of the call.
         origin: RequestOrigin,
-        /// When it entered the actor's queue.
+        /// When the call entered the actor's queue.
         arrived: Instant,
     },
     /// An operator asks for the controller's metrics.
     Status {
-        /// Where the answer goes.
+        /// Receives the answer.
         reply: ReplySender,
     },
 }
@@ -53,24 +53,24 @@
 pub(super) struct HeartbeatMessage {
     /// The decoded heartbeat.
     pub(super) heartbeat: Heartbeat,
-    /// The encoded heartbeat, should it have to be relayed; `None` if it was relayed
-    /// already, since that is done once only.
+    /// The encoded heartbeat, for relaying it; `None` if another controller relayed it, since
+    /// a heartbeat is relayed only once.
     pub(super) body: Option<Vec<u8>>,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub(super) reply: ReplySender,
-    /// When it entered the actor's queue.
+    /// When the heartbeat entered the actor's queue.
     pub(super) arrived: Instant,
 }
 
 /// A user's request about one job.
 pub(super) struct UserRequest {
-    /// The request as it is forwarded.
+    /// The request in the form in which it is forwarded.
     pub(super) call: PeerCall,
-    /// The job that it is about.
+    /// The job that the request is about.
     pub(super) job: JobId,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub(super) reply: ReplySender,
-    /// Where the request comes from.
+    /// The sender of the request.
     pub(super) origin: RequestOrigin,
 }
 
@@ -78,23 +78,23 @@
 pub(super) enum RecordRead {
     /// The job has no record: it was never admitted.
     Absent,
-    /// The job's state according to its record.
+    /// The job's state by its record.
     Found(JobStatus),
-    /// There is a record, but it cannot be decoded.
+    /// The record exists but cannot be decoded.
     Unreadable,
     /// The key-value store did not answer in time.
     Unavailable,
 }
 
 /// A read of a job's record on behalf of a user.
-pub(super) struct JobLookUp {
-    /// Where the answer goes.
+pub(super) struct JobLookup {
+    /// Receives the answer.
     pub(super) reply: ReplySender,
-    /// The job to be read.
+    /// The job whose record is read.
     pub(super) job: JobId,
-    /// The answer if there is no record.
+    /// The answer if the job has no record.
     pub(super) if_absent: Answer,
-    /// Only a terminal state answers the request.
+    /// Whether only a terminal state may answer the request.
     pub(super) only_terminal: bool,
 }
 
@@ -104,17 +104,17 @@
     pub(super) request: UserRequest,
     /// The controller that replied.
     pub(super) peer: String,
-    /// When the request was forwarded to it.
+    /// When the request was forwarded to that controller.
     pub(super) forwarded_at: Instant,
-    /// What it replied.
+    /// The reply.
     pub(super) peer_reply: PeerReply,
 }
 
 /// The result of a task that the actor has spawned.
 pub(super) enum InternalEvent {
-    /// The snapshot from which a leader begins was read.
+    /// The snapshot from which a new leader starts was read.
     SnapshotRead {
-        /// The epoch for which it was read.
+        /// The epoch for which the snapshot was read.
         epoch: u64,
         /// The snapshot; `None` if the store could not be read.
         snapshot: Option<Snapshot>,
@@ -125,7 +125,7 @@
         epoch: u64,
         /// The operation that the transaction was part of.
         operation: OperationId,
-        /// The revision at which it was committed.
+        /// The revision at which the transaction was committed.
         result: Result<u64, KvError>,
     },
     /// A call of the leader to the cloud has ended.
@@ -137,20 +137,20 @@
         /// The cloud's reply.
         result: CloudResult,
     },
-    /// Commands were pushed to a worker, or could not be.
+    /// A push of commands to a worker has ended, successfully or not.
     PushFinished,
     /// A job's record was read for a user.
     JobLookedUp {
-        /// The read.
-        look_up: JobLookUp,
-        /// When the read began.
+        /// The lookup.
+        lookup: JobLookup,
+        /// When the read started.
         started: Instant,
-        /// Its result.
+        /// The result of the read.
         read: RecordRead,
     },
     /// The records of the jobs that a submission depends on were read.
     DependenciesRead {
-        /// The epoch of the leader that needs them.
+        /// The epoch of the leader that requested the read.
         epoch: u64,
         /// The submission.
         submission: Box<UncheckedSubmission>,
@@ -159,22 +159,22 @@
     },
     /// Another controller replied to a forwarded request.
     RequestForwarded(Box<ForwardedReply>),
-    /// A user's request could not be forwarded to the leader by any route.
+    /// A user's request could not be forwarded to the leader on any route.
     RequestNotForwarded(UserRequest),
-    /// A forwarded request reached the leader after others had not.
+    /// A forwarded request reached the leader, after earlier ones had failed.
     LeaderReached,
-    /// A forwarded request reached the leader by no route.
+    /// A forwarded request could not reach the leader on any route.
     LeaderNotReached,
-    /// A heartbeat was relayed to the leader.
+    /// The relay of a heartbeat to the leader has ended.
     HeartbeatRelayed {
-        /// The leader, if it did not answer in time.
+        /// The leader's name if it did not answer in time.
         timed_out_peer: Option<String>,
     },
     /// Another controller was asked whether it leads.
     PeerQueried {
         /// The controller.
         peer: String,
-        /// Its reply; `None` if it did not reply in time.
+        /// The controller's state; `None` if it did not reply in time.
         peer_state: Option<PeerState>,
     },
     /// Another controller did not answer a call in time.
@@ -184,18 +184,18 @@
     },
     /// One page of archived rows was compared with the jobs' records.
     RowsReconciled {
-        /// The epoch of the leader for which it was done.
+        /// The epoch of the leader for which the page was compared.
         epoch: u64,
-        /// Where the next page begins.
+        /// Where the next page starts.
         next_cursor: String,
         /// The unfinished jobs that were found.
         restored: Snapshot,
     },
-    /// Records that could not be decoded before were read again.
+    /// Records that could not be decoded earlier were read again.
     UnreadableReread {
-        /// The epoch of the leader for which it was done.
+        /// The epoch of the leader for which they were read.
         epoch: u64,
-        /// What can be decoded now, and which keys no longer exist.
+        /// The records that can be decoded now, and the keys that no longer exist.
         restored: Snapshot,
     },
 }
--- a/src/coordination/controller/handle.rs
+++ b/src/coordination/controller/handle.rs
@@ -1,5 +1,5 @@
-//! The way to the actor: takes HTTP requests and other controllers' calls, and checks the
-//! validity of an answer for the last time before it is sent.
+//! The handle of the actor: receives HTTP requests and other controllers' calls, and makes the
+//! last check of an answer's validity before it is sent.
 
 use ciborium::value::Value;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -7,7 +7,7 @@
 
 use crate::coordination::authority::answers::Answer;
 use crate::coordination::controller::RETRY_AFTER_S;
-use crate::coordination::controller::events::{HeartbeatMessage, ReplySender, RequestOrigin, UserMessage};
+use crate::coordination::controller::events::{HeartbeatMessage, ReplySender, RequestMessage, RequestOrigin};
 use crate::protocol::cbor::decode;
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::Heartbeat;
@@ -15,11 +15,11 @@
 use crate::transport::peer::{PeerCall, PeerHandler, PeerReply};
 use crate::transport::server::Handler;
 
-/// Sends messages to the actor and awaits its answers. Refuses at once when the actor's
-/// queues are full.
+/// Sends messages to the actor and awaits its answers. Rejects messages immediately when the
+/// actor's queues are full.
 #[derive(Clone)]
 pub struct ControllerHandle {
-    pub(super) requests: mpsc::Sender<UserMessage>,
+    pub(super) requests: mpsc::Sender<RequestMessage>,
     pub(super) heartbeats: mpsc::Sender<HeartbeatMessage>,
     pub(super) ready: watch::Receiver<bool>,
 }
@@ -34,7 +34,7 @@
             "/agent/beat" if is_post => self.heartbeat(request.body, false).await,
             "/agent/beat" | "/api/jobs" if !is_post => Answer::error(405, "POST only"),
             "/api/jobs" => self.request(PeerCall::Submit(request.body), RequestOrigin::User).await,
-            "/status" if is_get => self.ask(|reply| UserMessage::Status { reply }).await,
+            "/status" if is_get => self.ask(|reply| RequestMessage::Status { reply }).await,
             "/ready" if is_get => self.readiness(),
             _ => match path.strip_prefix("/api/jobs/") {
                 Some(job_path) => self.route_job(job_path, is_post, is_get).await,
@@ -69,12 +69,12 @@
     }
 
     async fn request(&self, call: PeerCall, origin: RequestOrigin) -> Answer {
-        self.ask(|reply| UserMessage::Call { call, reply, origin, arrived: Instant::now() }).await
+        self.ask(|reply| RequestMessage::Call { call, reply, origin, arrived: Instant::now() }).await
     }
 
-    async fn ask(&self, message: impl FnOnce(ReplySender) -> UserMessage) -> Answer {
+    async fn ask(&self, message: impl FnOnce(ReplySender) -> RequestMessage) -> Answer {
         let (reply, answer) = oneshot::channel();
-        // Nobody waits for room in a full queue: the request is refused at once.
+        // A full queue rejects the request immediately instead of blocking the caller.
         if self.requests.try_send(message(reply)).is_err() {
             return Answer::retry_later(429, "too many requests at once", RETRY_AFTER_S);
         }
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,22 +1,21 @@
-//! The actor at the centre of a controller: takes what users, workers and other controllers
-//! send, and feeds the leader's state machine while this controller leads.
+//! The main actor of a controller: handles the messages of users, workers and other
+//! controllers, and drives the leader's state machine while this controller leads.
 //!
-//! [`Controller`] is composed of parts that each own the state of one concern:
+//! [`Controller`] is composed of parts, each of which owns the state of one concern:
 //!
 //! | part | owns |
 //! | --- | --- |
-//! | `routing` | the role given by the election, the links to other controllers, relays; `forwarding` has its tasks |
+//! | `routing` | the role given by the election, the links to other controllers, relays; its tasks are in `forwarding` |
 //! | `user_replies` | requests that wait for the leader, terminal states served |
-//! | `record_reads` | reads of records for users |
-//! | `snapshot_loader` | the read from which a new leader begins |
+//! | `record_reads` | reads of job records for users |
+//! | `snapshot_loader` | reads of the snapshot from which a new leader starts |
 //! | `reconciliation` | the background comparison of rows and records |
-//! | `leadership` | what is published about the lease; the last epoch led |
-//! | `readiness` | whether users and workers should be sent here |
-//! | `latencies` | histograms of answer times |
+//! | `leadership` | the channels that publish the leadership and its lease; the last epoch led |
+//! | `readiness` | whether users and workers should be sent to this controller |
+//! | `latencies` | latency histograms |
 //!
-//! `Controller` receives events and dispatches them; its handlers are in the files of their
-//! subjects: `leader_lifecycle`, `requests`, `heartbeats`, `effects`, `tick`,
-//! `status`.
+//! `Controller` receives events and dispatches them. Its handlers are grouped by subject:
+//! `leader_lifecycle`, `requests`, `heartbeats`, `effects`, `tick` and `status`.
 
 pub(crate) mod capacity;
 mod concurrency_limit;
@@ -52,7 +51,7 @@
 use crate::coordination::config::Config;
 use crate::coordination::controller::capacity::CapacityLimits;
 use crate::coordination::controller::concurrency_limit::ConcurrencyLimit;
-use crate::coordination::controller::events::{HeartbeatMessage, InternalEvent, UserMessage};
+use crate::coordination::controller::events::{HeartbeatMessage, InternalEvent, RequestMessage};
 use crate::coordination::controller::latencies::LatencyHistograms;
 use crate::coordination::controller::leadership::{EpochGuard, LeadershipPublisher};
 use crate::coordination::controller::readiness::Readiness;
@@ -69,27 +68,26 @@
 
 pub use handle::ControllerHandle;
 
-/// Longest that a user's request is pursued before it is given up. Users wait five seconds
-/// for a submission.
+/// Time after which a user's request fails. Users wait five seconds for a submission.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
-/// The same for a poll, for which users wait two seconds; also the deadline of calls to other
-/// controllers.
+/// Time after which a poll fails; users wait two seconds for it. Also the timeout of calls to
+/// other controllers.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Seconds after which a user may retry a request that could not be answered.
+/// Seconds after which a user may retry a request that failed.
 const RETRY_AFTER_S: u32 = 1;
 /// Time between two ticks.
-const TICK: Duration = Duration::from_millis(200);
-/// Results of spawned tasks that may wait for the actor.
-const EVENT_QUEUE: usize = 256;
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Capacity of the queue of [`InternalEvent`]s.
+const EVENT_QUEUE_CAPACITY: usize = 256;
 
-/// The actor, with everything that it owns.
+/// The main actor of a controller.
 pub struct Controller {
     config: Arc<Config>,
     kv: KvClient,
     cloud: Cloud,
     events: mpsc::Sender<InternalEvent>,
-    /// The leader's state machine, while this controller leads and for the post-lease grace
-    /// period after that.
+    /// The leader's state machine; present while this controller leads and for the post-lease
+    /// grace period afterwards.
     leader: Option<Leader>,
     leadership: LeadershipPublisher,
     epoch_guard: EpochGuard,
@@ -99,17 +97,17 @@
     user_replies: UserReplies,
     record_reads: RecordReads,
     deferred_replies: DeferredReplies<oneshot::Sender<Answer>>,
-    /// Pushes of commands to workers.
+    /// Limits concurrent pushes of commands to workers.
     pushes: ConcurrencyLimit,
     readiness: Readiness,
     latencies: LatencyHistograms,
     /// When the metrics were last logged.
-    logged_at: Instant,
+    metrics_logged_at: Instant,
 }
 
-/// The queues that the actor serves.
+/// The queues from which the actor receives messages.
 pub struct Inputs {
-    requests: mpsc::Receiver<UserMessage>,
+    requests: mpsc::Receiver<RequestMessage>,
     heartbeats: mpsc::Receiver<HeartbeatMessage>,
     events: mpsc::Receiver<InternalEvent>,
     /// The roles that the election gives this controller.
@@ -117,11 +115,12 @@
 }
 
 impl Controller {
-    /// A controller that does not lead, its queues, and the handle that fills them.
+    /// Creates a controller that does not lead yet, its queues, and the handle that sends
+    /// messages to them.
     ///
-    /// It publishes whether it leads (`is_leader`), until when (`lease_expiry`) and the last
-    /// epoch that it resigned before its lease ended (`resigned_epoch`); `roles` comes from
-    /// the election.
+    /// The controller publishes whether it leads (`is_leader`), when its lease expires
+    /// (`lease_expiry`), and the last epoch that it resigned before the lease expired
+    /// (`resigned_epoch`). The election sends this controller's role on `roles`.
     pub fn new(
         config: Arc<Config>,
         kv: KvClient,
@@ -134,7 +133,7 @@
         let capacity = CapacityLimits::new(&config.settings.cluster.limits);
         let (request_sender, requests) = mpsc::channel(capacity.queued_requests);
         let (heartbeat_sender, heartbeats) = mpsc::channel(capacity.queued_heartbeats);
-        let (events, event_receiver) = mpsc::channel(EVENT_QUEUE);
+        let (events, event_receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let (is_ready, ready) = watch::channel(false);
         let now = Instant::now();
         let controller = Controller {
@@ -150,7 +149,7 @@
             pushes: ConcurrencyLimit::new(capacity.pushes),
             readiness: Readiness::new(is_ready, now, config.settings.cluster.workers.lease()),
             latencies: LatencyHistograms::new(),
-            logged_at: now,
+            metrics_logged_at: now,
             config,
             kv,
             cloud,
@@ -161,14 +160,14 @@
         (controller, inputs, handle)
     }
 
-    /// Serves the queues until the election ends.
+    /// Handles messages until the election ends.
     pub async fn run(mut self, mut inputs: Inputs) {
-        let mut tick = tokio::time::interval(TICK);
+        let mut tick = tokio::time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                // The order is that of importance: the lease, what was
-                // written, workers, then users.
+                // Polled by priority: the lease, results of writes, workers,
+                // then users.
                 biased;
                 role = inputs.roles.recv() => match role {
                     Some(role) => self.handle_role(role),
@@ -184,13 +183,13 @@
         }
     }
 
-    fn handle_message(&mut self, message: UserMessage) {
+    fn handle_message(&mut self, message: RequestMessage) {
         match message {
-            UserMessage::Call { call, reply, origin, arrived } => {
+            RequestMessage::Call { call, reply, origin, arrived } => {
                 self.handle_request(call, reply, origin);
                 self.latencies.record_request(arrived);
             }
-            UserMessage::Status { reply } => drop(reply.send(Answer::new(200, &self.status()))),
+            RequestMessage::Status { reply } => drop(reply.send(Answer::new(200, &self.status()))),
         }
     }
 
@@ -207,9 +206,9 @@
             InternalEvent::CloudCallFinished { epoch, operation, result } => {
                 self.handle_cloud_call_finished(now, epoch, operation, result);
             }
-            InternalEvent::PushFinished => self.pushes.end(),
-            InternalEvent::JobLookedUp { look_up, started, read } => {
-                self.handle_job_looked_up(look_up, started, read);
+            InternalEvent::PushFinished => self.pushes.release(),
+            InternalEvent::JobLookedUp { lookup, started, read } => {
+                self.handle_job_looked_up(lookup, started, read);
             }
             InternalEvent::DependenciesRead { epoch, submission, states } => {
                 self.handle_dependencies_read(epoch, *submission, states);
--- a/src/coordination/controller/record_reads.rs
+++ b/src/coordination/controller/record_reads.rs
@@ -1,21 +1,21 @@
-//! Reads of jobs' records on behalf of users, bounded in number and in time.
+//! Reads of jobs' records on behalf of users, with a concurrency limit and timeouts.
 
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
 use crate::coordination::controller::concurrency_limit::ConcurrencyLimit;
-use crate::coordination::controller::events::{InternalEvent, JobLookUp, RecordRead};
+use crate::coordination::controller::events::{InternalEvent, JobLookup, RecordRead};
 use crate::coordination::controller::{POLL_TIMEOUT, REQUEST_TIMEOUT};
 use crate::coordination::leader::effects::UncheckedSubmission;
 use crate::coordination::recovery::snapshot;
 use crate::protocol::jobs::{JobId, JobState, JobStatus};
 use crate::storage::kv::{KvClient, KvError, RequestClass};
 
-/// Records of dependencies that are read for one answer at most; with more of them to look
-/// at, the user is asked to retry.
+/// Most records of dependencies that are read for one answer. If more are needed, the user is
+/// told to retry.
 const MAX_DEPENDENCIES_READ: usize = 64;
 
-/// Reads records in tasks of their own; results come as [`InternalEvent`]s.
+/// Reads records in spawned tasks, which send the results as [`InternalEvent`]s.
 pub(super) struct RecordReads {
     kv: KvClient,
     events: mpsc::Sender<InternalEvent>,
@@ -23,30 +23,30 @@
 }
 
 impl RecordReads {
-    /// Allows `limit` reads at once.
+    /// Allows `limit` concurrent reads.
     pub(super) fn new(kv: KvClient, events: mpsc::Sender<InternalEvent>, limit: usize) -> Self {
         RecordReads { kv, events, limit: ConcurrencyLimit::new(limit) }
     }
 
-    /// Reserves one read, unless there are too many. One that was reserved is to be started
-    /// by [`Self::look_up`] or [`Self::read_dependencies`].
+    /// Reserves one read and returns true, unless the limit is reached. A reserved read is
+    /// started by [`Self::look_up`] or [`Self::read_dependencies`].
     #[must_use]
-    pub(super) fn try_begin(&mut self) -> bool {
-        self.limit.try_begin()
+    pub(super) fn try_acquire(&mut self) -> bool {
+        self.limit.try_acquire()
     }
 
-    /// The result of a read has come.
-    pub(super) fn end(&mut self) {
-        self.limit.end();
+    /// Records that a read has ended.
+    pub(super) fn release(&mut self) {
+        self.limit.release();
     }
 
     /// Starts a reserved read of one job's record.
-    pub(super) fn look_up(&self, look_up: JobLookUp) {
+    pub(super) fn look_up(&self, lookup: JobLookup) {
         let (kv, events) = (self.kv.clone(), self.events.clone());
         tokio::spawn(async move {
             let started = Instant::now();
-            let read = read_status(&kv, &look_up.job).await;
-            let _ = events.send(InternalEvent::JobLookedUp { look_up, started, read }).await;
+            let read = read_status(&kv, &lookup.job).await;
+            let _ = events.send(InternalEvent::JobLookedUp { lookup, started, read }).await;
         });
     }
 
@@ -62,9 +62,9 @@
     }
 }
 
-/// Reads a job's state from its record, within the time that its user waits.
+/// Reads a job's state from its record, with a timeout that is shorter than the user's.
 async fn read_status(kv: &KvClient, job: &JobId) -> RecordRead {
-    let read = tokio::time::timeout(POLL_TIMEOUT, status_by_records(kv, job)).await;
+    let read = tokio::time::timeout(POLL_TIMEOUT, status_from_records(kv, job)).await;
     match read {
         Ok(Ok(Some(status))) => RecordRead::Found(status),
         Ok(Ok(None)) => RecordRead::Absent,
@@ -73,10 +73,10 @@
     }
 }
 
-/// A job's state by its record and, while it waits for others, by theirs: a job whose
-/// dependency is cancelled is cancelled too, whether or not a leader has written that yet.
-/// Otherwise the leader would answer "cancelled" and this controller "queued".
-async fn status_by_records(kv: &KvClient, job: &JobId) -> Result<Option<JobStatus>, KvError> {
+/// Determines a job's state from its record and, while the job waits for dependencies, from
+/// their records: a job with a cancelled dependency is cancelled too, even if no leader has
+/// written that yet. Otherwise the leader would answer "cancelled" and this controller "queued".
+async fn status_from_records(kv: &KvClient, job: &JobId) -> Result<Option<JobStatus>, KvError> {
     let class = RequestClass::Completion;
     let Some(record) = snapshot::read_record(kv, class, job).await? else { return Ok(None) };
     let mut status = record.status();
--- a/src/coordination/controller/requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -1,12 +1,12 @@
-//! Users' requests: answered by the leader's state machine, forwarded to the controller that
-//! leads, or answered from the job's record. Whatever produces an answer, it passes through
-//! [`UserReplies::answer`](super::user_replies::UserReplies::answer).
+//! Handles users' requests: the leader's state machine answers them, or they are forwarded to
+//! the controller that leads, or answered from the job's record. Every answer about a job passes
+//! through [`UserReplies::answer`](super::user_replies::UserReplies::answer).
 
 use tokio::time::Instant;
 
 use crate::coordination::authority::answers::{self, Answer, UnusableReply, Validity};
 use crate::coordination::controller::events::{
-    ForwardedReply, JobLookUp, RecordRead, ReplySender, RequestOrigin, UserRequest,
+    ForwardedReply, JobLookup, RecordRead, ReplySender, RequestOrigin, UserRequest,
 };
 use crate::coordination::controller::peers::PeerState;
 use crate::coordination::controller::user_replies::PendingReply;
@@ -19,8 +19,8 @@
 use crate::protocol::jobs::{JobId, JobSpec, JobStatus};
 use crate::transport::peer::PeerCall;
 
-/// Seconds after which a user may retry for a job whose record cannot be decoded, which takes
-/// an operator or the reconciliation to repair.
+/// Seconds after which a user may retry a request about a job whose record cannot be decoded.
+/// Only an operator or the reconciliation can repair that.
 const UNREADABLE_RETRY_AFTER_S: u32 = 5;
 
 impl Controller {
@@ -37,10 +37,10 @@
                 Err(error) => return drop(reply.send(Answer::error(400, &error.to_string()))),
             },
             PeerCall::LeaderQuery => return drop(reply.send(self.peer_state(now).to_answer())),
-            // Heartbeats have a queue of their own.
+            // Heartbeats arrive on a separate queue.
             PeerCall::Heartbeat(_) => return drop(reply.send(Answer::error(400, "a report"))),
         };
-        // A terminal state stays so, whichever controller leads.
+        // A terminal state never changes, whichever controller leads.
         if let Some(status) = self.user_replies.terminal_state(&job) {
             return drop(reply.send(Answer::terminal_state(status.clone())));
         }
@@ -53,8 +53,9 @@
         }
     }
 
-    /// Whether users' requests go to the state machine here. A leader whose lease has expired
-    /// answers few of them; if another is known to lead, that one answers all.
+    /// Whether this controller's state machine handles users' requests. A leader whose lease has
+    /// expired can answer few of them, so they are forwarded if another controller is known to
+    /// lead.
     fn serves_as_leader(&self, now: Instant) -> bool {
         match &self.leader {
             Some(leader) => leader.holds_lease(now) || self.routing.leading_peer(now).is_none(),
@@ -62,13 +63,13 @@
         }
     }
 
-    /// Whether this controller leads, as it tells the others.
+    /// Returns the state that this controller reports to its peers.
     fn peer_state(&self, now: Instant) -> PeerState {
         match &self.leader {
             Some(leader) if leader.holds_lease(now) => PeerState::Leading(leader.epoch()),
             Some(_) => PeerState::LeaseExpired,
-            // Without a leader's state machine no worker gets a 200 from here, and one begins
-            // only with a new epoch.
+            // Without a leader's state machine this controller answers no heartbeat with 200,
+            // and a state machine starts only with a new epoch.
             None => PeerState::Idle,
         }
     }
@@ -94,13 +95,12 @@
         let outcome = self.leader.as_mut().map(|leader| leader.cancel(now, id, &job));
         let is_in_memory = outcome == Some(CancelOutcome::Accepted);
         if !is_in_memory && let Some(PendingReply { reply, job, .. }) = self.user_replies.take(id) {
-            self.look_up(JobLookUp { reply, job, if_absent: no_such_job(), only_terminal: true });
+            self.look_up(JobLookup { reply, job, if_absent: no_such_job(), only_terminal: true });
         }
     }
 
-    /// Forwards a user's request to the leader, around a network partition through another
-    /// controller if need be. A poll that the leader cannot answer is answered from the
-    /// record.
+    /// Forwards a user's request to the leader, if necessary through another controller around
+    /// a network partition. A user's poll that cannot be forwarded is answered from the record.
     fn forward_to_leader(&mut self, request: UserRequest) {
         let routes = self.routing.routes_to_leader(Instant::now(), request.origin);
         if routes.is_empty() {
@@ -110,7 +110,7 @@
     }
 
     /// Answers a request that could not be forwarded to the leader: a user's poll from the
-    /// record, all else with a failure.
+    /// record, any other request with a failure.
     pub(super) fn answer_without_leader(&mut self, request: UserRequest, reason: &str) {
         let UserRequest { call, job, reply, origin } = request;
         match call {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Answers with another controller's reply, if it can be relied on.
+    /// Answers with another controller's reply if it is usable, otherwise with a failure.
     pub(super) fn handle_forwarded_reply(&mut self, forwarded: ForwardedReply) {
         let ForwardedReply { request, peer, forwarded_at, peer_reply } = forwarded;
         let UserRequest { call, job, reply, .. } = request;
@@ -140,61 +140,63 @@
         self.user_replies.answer(reply, &job, answer);
     }
 
-    /// Answers from the record, which alone decides whether a job was ever admitted.
+    /// Answers from the record, which alone determines whether a job was ever admitted.
     fn answer_from_record(&mut self, reply: ReplySender, job: JobId) {
-        self.look_up(JobLookUp { reply, job, if_absent: no_such_job(), only_terminal: false });
+        self.look_up(JobLookup { reply, job, if_absent: no_such_job(), only_terminal: false });
     }
 
-    /// Reads a job's record for a user, unless too many reads are under way.
-    pub(super) fn look_up(&mut self, look_up: JobLookUp) {
-        if !self.record_reads.try_begin() {
-            return self.user_replies.answer(look_up.reply, &look_up.job, too_many_requests());
+    /// Reads a job's record for a user; answers with a failure if too many reads are in flight.
+    pub(super) fn look_up(&mut self, lookup: JobLookup) {
+        if !self.record_reads.try_acquire() {
+            return self.user_replies.answer(lookup.reply, &lookup.job, too_many_requests());
         }
-        self.record_reads.look_up(look_up);
+        self.record_reads.look_up(lookup);
     }
 
-    /// A job's record was read. A terminal state is the answer. If the record's state is not
-    /// terminal, the leader's memory may be by now, and it knows which tasks run.
-    pub(super) fn handle_job_looked_up(&mut self, look_up: JobLookUp, started: Instant, read: RecordRead) {
-        self.record_reads.end();
-        let JobLookUp { reply, job, if_absent, only_terminal } = look_up;
+    /// Answers a user after the job's record was read. A terminal state in the record is the
+    /// answer. Otherwise, unless only a terminal state may answer, the leader's in-memory state
+    /// is preferred: it may be terminal by now, and it includes the running tasks.
+    pub(super) fn handle_job_looked_up(&mut self, lookup: JobLookup, started: Instant, read: RecordRead) {
+        self.record_reads.release();
+        let JobLookup { reply, job, if_absent, only_terminal } = lookup;
         let answer = match read {
             RecordRead::Absent => if_absent,
             RecordRead::Unreadable => Answer::retry_later(503, "unreadable record", UNREADABLE_RETRY_AFTER_S),
             RecordRead::Unavailable => Answer::retry_later(503, "records cannot be read now", RETRY_AFTER_S),
             RecordRead::Found(status) if status.state.is_terminal() => Answer::terminal_state(status),
             RecordRead::Found(_) if only_terminal => Answer::retry_later(503, "try again", RETRY_AFTER_S),
-            RecordRead::Found(status) => self.answer_from_memory_or(status, &job, started),
+            RecordRead::Found(status) => self.answer_from_memory_or_record(status, &job, started),
         };
         self.user_replies.answer(reply, &job, answer);
     }
 
-    /// The state of a job by the leader's memory or else by its record, read at that time.
-    fn answer_from_memory_or(&self, recorded: JobStatus, job: &JobId, read_at: Instant) -> Answer {
+    /// Builds the answer from the leader's in-memory state or, failing that, from the state
+    /// `recorded` in the job's record, which was read at `read_at`.
+    fn answer_from_memory_or_record(&self, recorded: JobStatus, job: &JobId, read_at: Instant) -> Answer {
         let from_memory =
             self.leader.as_ref().and_then(|leader| leader.status_from_memory(Instant::now(), job));
         let validity = Validity { epoch: 0, valid_until: read_at + POLL_TIMEOUT };
         from_memory.unwrap_or_else(|| Answer::job_state(200, recorded, validity))
     }
 
-    /// Reads the records of the jobs that a submission depends on, unless too many reads are
-    /// under way.
+    /// Reads the records of the jobs that a submission depends on; answers with a failure if too
+    /// many reads are in flight.
     pub(super) fn read_dependencies(&mut self, epoch: u64, submission: Box<UncheckedSubmission>) {
-        if !self.record_reads.try_begin() {
+        if !self.record_reads.try_acquire() {
             return self.user_replies.answer_pending(submission.reply, too_many_requests());
         }
         self.record_reads.read_dependencies(epoch, submission);
     }
 
-    /// The records of the jobs that a submission depends on were read: submits it again with
-    /// their states. `None` if they could not be read.
+    /// Submits a job again, with the states of the jobs that it depends on. `states` is `None` if
+    /// their records could not be read.
     pub(super) fn handle_dependencies_read(
         &mut self,
         epoch: u64,
         submission: UncheckedSubmission,
         states: Option<DependencyStates>,
     ) {
-        self.record_reads.end();
+        self.record_reads.release();
         let now = Instant::now();
         let UncheckedSubmission { reply, spec, known: mut dependencies, .. } = submission;
         match (states, self.leader_of_epoch(epoch)) {
@@ -210,7 +212,7 @@
     }
 }
 
-/// A cancellation may only be answered with a terminal state, or with a failure.
+/// Rejects an answer to a cancellation that is neither a terminal state nor a failure.
 fn require_terminal(answer: Answer) -> Result<Answer, UnusableReply> {
     if answer.validity.is_some() { Err(UnusableReply::NotTerminal) } else { Ok(answer) }
 }
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -1,4 +1,4 @@
-//! Which controller leads, and how calls get there: directly, or relayed by another
+//! Determines which controller leads, and routes calls to it: directly, or relayed by another
 //! controller around a network partition.
 
 use std::time::Duration;
@@ -19,44 +19,45 @@
 use crate::protocol::workers::Heartbeat;
 use crate::transport::peer::{PeerCall, PeerLink};
 
-/// Routes that are tried for one request at most.
+/// Most routes that are tried for one request.
 const MAX_ROUTES: usize = 2;
-/// Part of the leader's lease that a peer has to reply to a query.
+/// The leader's lease divided by this is the timeout of a leader query.
 const QUERY_TIMEOUT_LEASE_DIVISOR: u32 = 4;
 
-/// What to do with a heartbeat that the leader should answer.
+/// How to handle a heartbeat that the leader should answer.
 pub(super) enum HeartbeatRoute {
-    /// There is no leader to name, or none that can be reached from here.
+    /// No leader is known, or this controller cannot reach it.
     NoLeader,
-    /// The worker is redirected to the leader of this name.
+    /// Redirect the worker to the leader with this name.
     Redirect(String),
-    /// It should be relayed, but too many are being relayed. The worker retries, here or
-    /// elsewhere, which is better than waiting for a leader that does not answer it.
+    /// The heartbeat should be relayed, but too many relays are in flight. The worker retries,
+    /// with this or another controller, which is better than waiting for a leader that does not
+    /// answer it.
     TooManyRelays,
-    /// It is relayed by [`LeaderRouting::relay_heartbeat`].
+    /// Relay the heartbeat with [`LeaderRouting::relay_heartbeat`].
     Relay(HeartbeatRelay),
 }
 
-/// Owns the role that the election has given this controller, the links to the others, and
-/// what is known of their state.
+/// The role that the election has given this controller, the links to the peers, and their
+/// last known state.
 pub(super) struct LeaderRouting {
     role: Role,
     /// Duration of the leader's lease.
     lease: Duration,
     links: HashMap<String, PeerLink>,
-    /// Whether every other controller of the cluster is linked.
+    /// Whether there is a link to every other controller of the cluster.
     links_all_peers: bool,
     peers: Peers,
     worker_redirects: WorkerRedirects,
     /// Since when no user's call has reached the leader.
     leader_unreachable_since: Option<Instant>,
-    /// Heartbeats being relayed.
+    /// Limits concurrent relays of heartbeats.
     relays: ConcurrencyLimit,
     events: mpsc::Sender<InternalEvent>,
 }
 
 impl LeaderRouting {
-    /// Links the configured peers; the links connect when first used.
+    /// Sets up the links to the configured peers; each connects when first used.
     pub(super) fn new(
         config: &Config,
         capacity: &CapacityLimits,
@@ -82,8 +83,8 @@
         &self.role
     }
 
-    /// The election has decided anew. What was learnt about the way to the former leader does
-    /// not hold for another.
+    /// Sets the role given by the election. If it has changed, the state about reaching the
+    /// previous leader is cleared, since it does not apply to another one.
     pub(super) fn set_role(&mut self, role: Role) {
         if self.role != role {
             self.worker_redirects.clear();
@@ -97,8 +98,8 @@
         matches!(self.role, Role::Follower { .. })
     }
 
-    /// The leader, if it is another controller: as the store says or, without the store, as
-    /// the others say.
+    /// Returns the leader if it is another controller: the one named by the store or, without
+    /// the store, the peer that states that it leads.
     pub(super) fn other_leader(&self, now: Instant) -> Option<KnownLeader<'_>> {
         match &self.role {
             Role::Follower { leader, epoch } => Some(KnownLeader { name: leader, epoch: *epoch }),
@@ -106,17 +107,17 @@
         }
     }
 
-    /// The peer that recently said that it leads.
+    /// Returns the peer that recently stated that it leads.
     pub(super) fn leading_peer(&self, now: Instant) -> Option<KnownLeader<'_>> {
         self.peers.known_leader(now)
     }
 
-    /// The epoch of the peer that recently said that it leads; 0 if none did.
+    /// Returns the epoch of the peer that recently stated that it leads; 0 if none did.
     pub(super) fn epoch_of_leading_peer(&self, now: Instant) -> u64 {
         self.peers.known_leader(now).map_or(0, |leader| leader.epoch)
     }
 
-    /// The highest epoch that this controller has heard of.
+    /// Returns the highest epoch that this controller knows of.
     pub(super) fn newest_epoch(&self, now: Instant) -> u64 {
         let by_role = match &self.role {
             Role::Follower { epoch, .. } | Role::Leader { epoch, .. } => *epoch,
@@ -125,43 +126,43 @@
         by_role.max(self.epoch_of_leading_peer(now))
     }
 
-    /// A user's call has reached the leader.
+    /// Records that a user's call has reached the leader.
     pub(super) fn record_leader_reached(&mut self) {
         self.leader_unreachable_since = None;
     }
 
-    /// A user's call has reached the leader by no route.
+    /// Records that a user's call could not reach the leader on any route.
     pub(super) fn record_leader_unreachable(&mut self, now: Instant) {
         self.leader_unreachable_since.get_or_insert(now);
     }
 
-    /// Whether the store names a leader and the last calls did not reach it.
+    /// Whether the store names a leader that the latest calls could not reach.
     pub(super) fn is_leader_unreachable(&self) -> bool {
         self.is_follower() && self.leader_unreachable_since.is_some()
     }
 
-    /// Whether no call has reached the leader for longer than it would lead if it were dead:
-    /// users are better off with a controller that reaches it.
+    /// Whether no call has reached the leader for a whole lease. A dead leader would have lost
+    /// its lease by now, so users should use a controller that can reach the leader.
     pub(super) fn is_leader_lost(&self, now: Instant) -> bool {
         self.is_follower() && self.leader_unreachable_since.is_some_and(|since| now >= since + self.lease)
     }
 
-    /// Whether no leader is known, and no peer has answered for a lease.
+    /// Whether no leader is known and no peer has answered for a whole lease.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
         self.peers.is_isolated(now)
     }
 
-    /// A call to the peer was not answered in time.
+    /// Records that a call to the peer timed out.
     pub(super) fn record_timeout(&mut self, now: Instant, peer: &str) {
         self.peers.record_timeout(now, peer);
     }
 
-    /// A leader is known: the peers are no longer queried.
+    /// Stops querying the peers, as a leader is known.
     pub(super) fn stop_querying_peers(&mut self) {
         self.peers.stop_querying();
     }
 
-    /// Asks the peers whether they lead, those for which it is due.
+    /// Asks the peers whose query is due whether they lead.
     pub(super) fn query_peers(&mut self, now: Instant) {
         let timeout = self.lease / QUERY_TIMEOUT_LEASE_DIVISOR;
         for peer in self.peers.peers_to_query(now) {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Records a peer's reply; `None` if there was none in time.
+    /// Records the result of a leader query; `None` if the peer did not reply in time.
     pub(super) fn record_peer_state(&mut self, now: Instant, peer: &str, peer_state: Option<PeerState>) {
         self.peers.record_answer(now, peer, peer_state);
         if peer_state.is_some() && self.other_leader(now).is_some_and(|leader| leader.name == peer) {
@@ -183,13 +184,13 @@
         }
     }
 
-    /// When the last of all other controllers said that it answers no worker, if all have
-    /// said so since that time.
+    /// Returns the time at which the last peer stated that it answers no worker, if all other
+    /// controllers have stated that since `since`.
     pub(super) fn all_peers_idle_since(&self, since: Instant) -> Option<Instant> {
         if self.links_all_peers { self.peers.all_idle_since(since) } else { None }
     }
 
-    /// The routes to the leader for a request, the best first, at most [`MAX_ROUTES`].
+    /// Returns up to [`MAX_ROUTES`] routes to the leader for a request, the best first.
     pub(super) fn routes_to_leader(&self, now: Instant, origin: RequestOrigin) -> Vec<Route> {
         if origin == RequestOrigin::Peer {
             return Vec::new();
@@ -200,7 +201,7 @@
             RequestOrigin::Relay | RequestOrigin::Peer => Vec::new(),
         };
         let mut hops = Vec::new();
-        // A direct call that has just failed is tried again only if there is no relay.
+        // After a recent timeout the direct route is used only if no peer can relay.
         if self.peers.is_reachable(now, leader) || relays.is_empty() {
             hops.push((leader.to_owned(), false));
         }
@@ -213,15 +214,15 @@
         hops.into_iter().filter_map(route).collect()
     }
 
-    /// Forwards a user's request, in a task of its own, along the routes until one
-    /// replies. There must be a route.
+    /// Spawns a task that forwards a user's request on the routes, one after the other, until
+    /// one replies. There must be at least one route.
     pub(super) fn forward(&self, request: UserRequest, routes: Vec<Route>) {
         let leader_was_unreachable = self.leader_unreachable_since.is_some();
         let forwarding = Forwarding::new(routes, leader_was_unreachable, self.events.clone());
         tokio::spawn(forwarding.run(request));
     }
 
-    /// Decides what to do with a heartbeat that the leader should answer.
+    /// Decides how to handle a heartbeat that the leader should answer.
     pub(super) fn route_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatRoute {
         let Some(leader) = self.other_leader(now) else { return HeartbeatRoute::NoLeader };
         let (name, epoch) = (leader.name.to_owned(), leader.epoch);
@@ -229,39 +230,39 @@
             return HeartbeatRoute::NoLeader;
         }
         let Some(link) = self.links.get(&name).cloned() else { return HeartbeatRoute::NoLeader };
-        let was_with_leader = heartbeat.fencing_token == epoch;
-        match self.worker_redirects.decide(now, &heartbeat.machine, was_with_leader) {
+        let had_leader_answer = heartbeat.fencing_token == epoch;
+        match self.worker_redirects.decide(now, &heartbeat.machine, had_leader_answer) {
             RedirectDecision::Redirect => HeartbeatRoute::Redirect(name),
-            RedirectDecision::Relay if self.relays.try_begin() => {
+            RedirectDecision::Relay if self.relays.try_acquire() => {
                 HeartbeatRoute::Relay(HeartbeatRelay { leader: name, link })
             }
             RedirectDecision::Relay => HeartbeatRoute::TooManyRelays,
         }
     }
 
-    /// Relays a heartbeat to the leader in a task of its own. The leader's answer, under its
-    /// fencing token and lease, goes back unchanged; one that takes too long the worker drops,
-    /// as it would any other.
+    /// Spawns a task that relays a heartbeat to the leader and answers the worker, see
+    /// [`HeartbeatRelay::run`].
     pub(super) fn relay_heartbeat(&self, relay: HeartbeatRelay, body: Vec<u8>, reply: ReplySender) {
         tokio::spawn(relay.run(body, reply, self.events.clone()));
     }
 
-    /// A relayed heartbeat was answered, or the leader has timed out.
+    /// Records that the relay of a heartbeat has ended, with the leader's name if the leader
+    /// timed out.
     pub(super) fn end_heartbeat_relay(&mut self, now: Instant, timed_out_peer: Option<&str>) {
-        self.relays.end();
+        self.relays.release();
         if let Some(peer) = timed_out_peer {
             self.peers.record_timeout(now, peer);
         }
     }
 
-    /// Heartbeats being relayed.
+    /// Returns the number of relays in flight.
     #[cfg(test)]
     pub(super) fn relays_in_flight(&self) -> usize {
         self.relays.in_flight()
     }
 }
 
-/// The links to the configured peers; one that cannot be set up is logged and left out.
+/// Sets up the links to the configured peers; logs and skips those that fail.
 fn link_peers(config: &Config) -> HashMap<String, PeerLink> {
     let mut links = HashMap::default();
     for peer in &config.settings.peers {
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::coordination::authority::answers::Validity;
 use crate::coordination::controller::events::{
-    ForwardedReply, JobLookUp, RecordRead, RequestOrigin, UserRequest,
+    ForwardedReply, JobLookup, RecordRead, RequestOrigin, UserRequest,
 };
 use crate::coordination::controller::peers::{KnownLeader, PeerState};
 use crate::coordination::jobs::cancellation::CancelOutcome;
@@ -17,8 +17,8 @@
 use crate::transport::codec::Request;
 use crate::transport::peer::{PeerCall, PeerHandler, PeerReply, RemainingLease};
 
-/// A controller `c-0` beside `c-1` and `c-2`, at whose addresses nothing listens, with a store
-/// in memory and a cloud that answers nothing.
+/// A controller `c-0` with the peers `c-1` and `c-2`, at whose addresses nothing listens, an
+/// in-memory store, and a cloud API that answers no call.
 struct TestHarness {
     controller: Controller,
     inputs: Inputs,
@@ -32,16 +32,20 @@
         let mut settings = crate::settings::tests::sample();
         let second = settings.peers[0].clone();
         settings.peers.push(crate::settings::Peer { name: "c-2".into(), ..second });
-        let (term, until) = watch::channel(Instant::now());
-        let cloud =
-            crate::coordination::fleet::cloud::start(kv_server.address(), 1.0, Duration::from_secs(1), until);
+        let (lease_expiry_sender, lease_expiry) = watch::channel(Instant::now());
+        let cloud = crate::coordination::fleet::cloud::start(
+            kv_server.address(),
+            1.0,
+            Duration::from_secs(1),
+            lease_expiry,
+        );
         let config = Arc::new(Config { settings, tuning: crate::policy::tests::tuning() });
         let (is_leader, _) = watch::channel(false);
         let (_role_sender, roles) = mpsc::channel(1);
-        let (resigned, resigned_epoch) = watch::channel(0);
+        let (resigned_sender, resigned_epoch) = watch::channel(0);
         let kv = kv_client(kv_server.address(), 12);
         let (controller, inputs, handle) =
-            Controller::new(config, kv, cloud, is_leader, term, resigned, roles);
+            Controller::new(config, kv, cloud, is_leader, lease_expiry_sender, resigned_sender, roles);
         TestHarness { controller, inputs, handle, resigned_epoch }
     }
 }
@@ -54,18 +58,18 @@
     Request { method: method.into(), target: target.into(), body: body.to_vec(), close: false }
 }
 
-/// A heartbeat of `vm-1` under this fencing token.
+/// A heartbeat of `vm-1` with this fencing token.
 fn heartbeat(fencing_token: u64) -> Heartbeat {
     Heartbeat { fencing_token, ..heartbeat_message("vm-1", 1, Vec::new()) }
 }
 
-/// Requests are refused at once, rather than kept waiting, while the actor's queue is full.
+/// While the actor's queue is full, requests are rejected immediately instead of blocking.
 #[tokio::test]
-async fn a_full_queue_refuses_requests_at_once_with_a_time_to_retry() {
+async fn a_full_queue_rejects_requests_immediately_with_a_retry_after() {
     let TestHarness { controller, inputs: _inputs, handle, .. } = TestHarness::start().await;
     for _ in 0..CapacityLimits::new(&controller.config.settings.cluster.limits).queued_requests {
         let (reply, _) = oneshot::channel();
-        assert!(handle.requests.try_send(UserMessage::Status { reply }).is_ok());
+        assert!(handle.requests.try_send(RequestMessage::Status { reply }).is_ok());
     }
     let answer = handle.route(request("GET", "/api/jobs/job-1", b"")).await;
     assert_eq!((answer.status, answer.retry_after_s), (429, Some(1)));
@@ -81,13 +85,13 @@
     let answer = ask(&mut controller, &mut inputs, PeerCall::Cancel("job-1".into())).await;
     assert_eq!(answer.status, 503);
     let answer = ask(&mut controller, &mut inputs, PeerCall::Poll("job-1".into())).await;
-    assert_eq!(answer.status, 404, "the record decides whether there is a job");
+    assert_eq!(answer.status, 404, "the record decides whether the job exists");
     let answer = ask(&mut controller, &mut inputs, PeerCall::Submit(b"junk".to_vec())).await;
     assert_eq!(answer.status, 400);
 }
 
-/// A network partition between two controllers: the third relays calls, once, and a
-/// controller that was taken for the leader forwards nothing.
+/// During a network partition between two controllers the third one relays calls, once. A
+/// controller that another one assumes to lead forwards nothing.
 #[tokio::test]
 async fn calls_are_relayed_around_a_partition_by_one_other_controller() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -104,17 +108,17 @@
     assert_eq!(
         routes_from(&controller, RequestOrigin::User),
         [relayed],
-        "without waiting for the unreachable leader again"
+        "does not wait for the unreachable leader again"
     );
     assert_eq!(routes_from(&controller, RequestOrigin::Relay), std::slice::from_ref(&direct));
     assert_eq!(routes_from(&controller, RequestOrigin::Peer), []);
     controller.routing.record_timeout(now, "c-2");
-    assert_eq!(routes_from(&controller, RequestOrigin::User), [direct], "there is no other route to try");
+    assert_eq!(routes_from(&controller, RequestOrigin::User), [direct], "no other route is left");
 }
 
-/// Controllers that refuse each other's calls: a follower that cannot reach the leader by any
-/// route can admit nothing. It is not ready from when the leader would have lost its lease if
-/// it were dead, so that users turn to the controller that is.
+/// Guards against a follower that stays ready although controllers reject each other's calls:
+/// it cannot reach the leader on any route, so it can admit nothing. Once a dead leader would
+/// have lost its lease, the follower is not ready, so that users use the controller that is.
 #[tokio::test]
 async fn a_follower_that_cannot_reach_the_leader_is_not_ready() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -123,22 +127,22 @@
     assert!(controller.readiness.is_ready());
     controller.handle_event(InternalEvent::LeaderNotReached);
     controller.tick();
-    assert!(controller.readiness.is_ready(), "a leader that has just died is soon followed by another");
+    assert!(controller.readiness.is_ready(), "a leader that has just died is soon replaced");
     let a_lease_ago = Instant::now().checked_sub(controller.config.tuning.lease);
     controller.routing.record_leader_reached();
-    controller.routing.record_leader_unreachable(a_lease_ago.expect("a clock that has run for a while"));
+    controller.routing.record_leader_unreachable(a_lease_ago.expect("the clock has run for a lease"));
     controller.tick();
     assert!(!controller.readiness.is_ready());
     controller.handle_peer_state(Instant::now(), "c-2", Some(PeerState::Idle));
     controller.tick();
-    assert!(!controller.readiness.is_ready(), "a peer that can be reached and does not lead is of no use");
+    assert!(!controller.readiness.is_ready(), "a reachable peer that does not lead does not help");
     controller.handle_peer_state(Instant::now(), "c-1", Some(PeerState::Leading(7)));
     controller.tick();
     assert!(controller.readiness.is_ready());
 }
 
-/// A leader that cannot reach the store, but the other controllers: its post-lease grace
-/// period ends, and its workers are redirected, as soon as it learns of the new leader.
+/// A leader that can reach the other controllers but not the store ends its post-lease grace
+/// period, and redirects its workers, as soon as it learns of the new leader.
 #[tokio::test]
 async fn a_leader_past_its_lease_steps_down_when_it_learns_of_a_higher_epoch() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -147,18 +151,18 @@
     controller.leader = Some(Leader::new(controller.config.clone(), 40, now, 0, snapshot));
     controller.routing.set_role(Role::Leader { epoch: 40, lease_expiry: now });
     controller.tick();
-    assert!(!controller.readiness.is_ready(), "it never was ready, and no longer leads");
+    assert!(!controller.readiness.is_ready(), "it was never ready and no longer leads");
     controller.handle_peer_state(now, "c-1", Some(PeerState::Leading(39)));
     assert!(controller.leader.is_some(), "an earlier epoch is ignored");
     controller.handle_peer_state(now, "c-1", Some(PeerState::Leading(41)));
     assert!(controller.leader.is_none());
     assert_eq!(controller.routing.other_leader(now), Some(KnownLeader { name: "c-1", epoch: 41 }));
     controller.tick();
-    assert!(controller.readiness.is_ready(), "it can serve users again, through the leader");
+    assert!(controller.readiness.is_ready(), "it can serve users again by forwarding to the leader");
 }
 
-/// A zone that cannot reach the leader's zone: heartbeats of its workers are relayed by a
-/// controller that can; one that was relayed is not relayed again.
+/// Workers in a zone that cannot reach the leader's zone have their heartbeats relayed by a
+/// controller that can reach it. A relayed heartbeat is not relayed again.
 #[tokio::test]
 async fn heartbeats_of_workers_that_come_back_are_relayed_once() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -174,41 +178,46 @@
         });
         answer
     };
-    let answered_leader = |answer: Answer| {
+    let status_and_leader = |answer: Answer| {
         let body = decode(&answer.body).expect("CBOR");
         let name = Fields::of(&body).expect("a map").opt_text("foreman").expect("text").map(str::to_owned);
         (answer.status, name)
     };
     let first = send(&mut controller, Some(Vec::new())).await.expect("answered");
-    assert_eq!(answered_leader(first), (421, Some("c-1".into())));
-    let relayed = send(&mut controller, None).await.expect("answered at once");
-    assert_eq!(answered_leader(relayed), (421, None));
+    assert_eq!(status_and_leader(first), (421, Some("c-1".into())));
+    let relayed = send(&mut controller, None).await.expect("answered immediately");
+    assert_eq!(status_and_leader(relayed), (421, None));
     assert_eq!(controller.routing.relays_in_flight(), 0);
     let _again = send(&mut controller, Some(Vec::new()));
     assert_eq!(controller.routing.relays_in_flight(), 1, "the worker came back");
-    // A worker that was with the leader until now is not redirected there first.
-    let stayed = Heartbeat {
+    // A worker that the leader has answered before is not redirected to it first.
+    let from_leader = Heartbeat {
         machine: MachineId::parse("vm-2").expect("valid"),
         fencing_token: 7,
         ..heartbeat.clone()
     };
     let (reply, _answer) = oneshot::channel();
     let body = Some(Vec::new());
-    controller.handle_heartbeat(HeartbeatMessage { heartbeat: stayed, body, reply, arrived: Instant::now() });
-    assert_eq!(controller.routing.relays_in_flight(), 2, "relayed at once");
-    // A leader that cannot be reached from here is not named.
+    controller.handle_heartbeat(HeartbeatMessage {
+        heartbeat: from_leader,
+        body,
+        reply,
+        arrived: Instant::now(),
+    });
+    assert_eq!(controller.routing.relays_in_flight(), 2, "relayed immediately");
+    // A leader that this controller cannot reach is not named.
     controller.routing.record_timeout(Instant::now(), "c-1");
-    let lost = send(&mut controller, Some(Vec::new())).await.expect("answered at once");
-    assert_eq!(answered_leader(lost), (421, None));
-    // Another leader may be reachable for the worker.
+    let unnamed = send(&mut controller, Some(Vec::new())).await.expect("answered immediately");
+    assert_eq!(status_and_leader(unnamed), (421, None));
+    // The worker may be able to reach another leader.
     controller.routing.record_peer_state(Instant::now(), "c-1", Some(PeerState::Idle));
     controller.handle_role(follower_of("c-2"));
     let next = send(&mut controller, Some(Vec::new())).await.expect("answered");
-    assert_eq!(answered_leader(next), (421, Some("c-2".into())));
+    assert_eq!(status_and_leader(next), (421, Some("c-2".into())));
 }
 
-/// A controller that is overloaded, or was suspended, finds heartbeats in its queue whose
-/// workers have turned to another controller.
+/// After overload or a suspension, a controller finds heartbeats in its queue whose workers have
+/// already moved to another controller.
 #[tokio::test]
 async fn heartbeats_that_waited_past_the_reply_timeout_are_dropped() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -218,7 +227,7 @@
     controller.leader = Some(leader);
     for (waited, answered) in [(Duration::ZERO, true), (HEARTBEAT_REPLY_TIMEOUT, false)] {
         let (reply, answer) = oneshot::channel();
-        let arrived = now.checked_sub(waited).expect("a clock that has run for a while");
+        let arrived = now.checked_sub(waited).expect("the clock has run for a reply timeout");
         controller.handle_heartbeat(HeartbeatMessage { heartbeat: heartbeat(1), body: None, reply, arrived });
         assert_eq!(answer.await.is_ok(), answered);
     }
@@ -231,7 +240,7 @@
     assert!(controller.kv.compare_and_swap(write).await.is_ok());
 }
 
-/// Makes a user's call, and handles the actor's events until it is answered.
+/// Makes a user's call, and handles the actor's events until the call is answered.
 async fn ask(controller: &mut Controller, inputs: &mut Inputs, call: PeerCall) -> Answer {
     let (reply, answer) = oneshot::channel();
     controller.handle_request(call, reply, RequestOrigin::User);
@@ -246,8 +255,8 @@
     }
 }
 
-/// A follower that cannot reach its leader by any route answers a poll from the record,
-/// within the time that a user waits.
+/// A follower that cannot reach its leader on any route answers a poll from the record, within
+/// the time that a user waits.
 #[tokio::test]
 async fn a_poll_that_cannot_be_forwarded_is_answered_from_the_record() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -260,9 +269,9 @@
     assert_eq!(answer.status, 200);
 }
 
-/// A job's dependency is cancelled, and no leader has written that into the job's own record
-/// yet: a controller that answered from that record alone would say "queued" after the leader
-/// that wrote the cancellation has said "cancelled".
+/// A job's dependency is cancelled, but no leader has written that to the job's own record yet.
+/// A controller that read only that record would answer "queued" after the leader, which wrote
+/// the dependency's cancellation, has answered "cancelled".
 #[tokio::test]
 async fn an_answer_from_records_takes_account_of_cancelled_dependencies() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -275,7 +284,7 @@
     let first = crate::protocol::jobs::tests::sample("job-0", "red", 1, 1.0);
     records.push(JobRecord { cancelled: true, ..JobRecord::new(first, 0) });
     records.extend((1..100).map(|n| JobRecord::new(dependent(n, n - 1), 0)));
-    // One that has started, so its dependencies were done, and one that waits for that.
+    // A job that has started, so its dependencies were done, and one that depends on it.
     records.push(JobRecord { started_high_water: 1, ..JobRecord::new(dependent(200, 2), 0) });
     records.push(JobRecord::new(dependent(201, 200), 0));
     for record in records {
@@ -286,7 +295,7 @@
         ("job-40", 200, Some("cancelled")),
         ("job-200", 200, Some("queued")),
         ("job-201", 200, Some("queued")),
-        // More records than are read for one answer.
+        // Needs more records than are read for one answer.
         ("job-99", 503, None),
     ] {
         let answer = ask(&mut controller, &mut inputs, PeerCall::Poll(job.into())).await;
@@ -294,13 +303,13 @@
         assert_eq!(state.map(|_| state_of(&answer)).as_deref(), state, "{job}");
         assert_eq!(answer.retry_after_s.is_some(), state.is_none(), "{job}");
     }
-    // A terminal state that was served is served again.
+    // A terminal state is served again from the cache.
     let again = ask(&mut controller, &mut inputs, PeerCall::Poll("job-1".into())).await;
     assert_eq!(state_of(&again), "cancelled");
 }
 
 #[tokio::test]
-async fn a_relayed_heartbeat_carries_no_body_to_be_relayed_again() {
+async fn a_relayed_heartbeat_has_no_body_to_relay_again() {
     let TestHarness { controller: _controller, mut inputs, handle, .. } = TestHarness::start().await;
     for was_relayed in [false, true] {
         let (handle, body) = (handle.clone(), encoded_heartbeat(1));
@@ -316,7 +325,7 @@
 }
 
 #[tokio::test]
-async fn unknown_paths_and_methods_are_refused_with_their_status() {
+async fn unknown_paths_and_methods_are_rejected() {
     let TestHarness { controller: _controller, inputs: _inputs, handle, .. } = TestHarness::start().await;
     for (method, target, status) in [
         ("GET", "/nowhere", 404),
@@ -332,10 +341,10 @@
     }
 }
 
-/// A job that is unfinished by its record, but not in the leader's memory: a cancellation is
-/// not answered from that record, since its outcome is open.
+/// If a job is not terminal by its record and not in the leader's memory, the outcome of its
+/// cancellation is unknown, and the record must not be the answer.
 #[tokio::test]
-async fn a_cancellation_is_answered_from_a_record_only_if_that_is_terminal() {
+async fn a_cancellation_is_answered_from_a_record_only_if_its_state_is_terminal() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     for (completed, status) in [(false, 503), (true, 200)] {
@@ -350,8 +359,8 @@
     }
 }
 
-/// Makes the controller lead with a job of one task whose terminal write is in flight: sent,
-/// and its outcome not known. `completes`: the task is done; otherwise the job is cancelled.
+/// Makes the controller lead with a job of one task whose terminal write was sent and has an
+/// unknown outcome. If `completes`, the task is done; otherwise the job is cancelled.
 fn lead_with_terminal_write_in_flight(controller: &mut Controller, spec: &JobSpec, completes: bool) {
     let now = Instant::now();
     let record = JobRecord { started_high_water: 1, ..JobRecord::new(spec.clone(), 0) };
@@ -364,13 +373,16 @@
     } else {
         assert_eq!(leader.cancel(now, ReplyId(0), &spec.id), CancelOutcome::Accepted);
     }
-    assert!(leader.drain_effects().iter().any(|a| matches!(a, Effect::Commit { .. })), "it is sent");
+    assert!(
+        leader.drain_effects().iter().any(|effect| matches!(effect, Effect::Commit { .. })),
+        "the write is sent"
+    );
     controller.leader = Some(leader);
 }
 
-/// The cause of `went_back` (docs/incidents/inc-went-back.md): a transaction was committed and
-/// only its answer lost, another controller read the record and served the terminal state,
-/// and the leader went on answering with the earlier state from memory, under a valid lease.
+/// Guards against the cause of `went_back` (docs/incidents/inc-went-back.md): a transaction was
+/// committed but its answer was lost, another controller read the record and served the terminal
+/// state, and the leader kept answering with the earlier state from memory, under a valid lease.
 #[tokio::test]
 async fn a_leader_reads_the_record_while_a_terminal_write_of_its_own_is_in_flight() {
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
@@ -402,8 +414,9 @@
     Fields::of(&body).expect("a map").text("standing").expect("a state").to_owned()
 }
 
-/// A follower forwarded a request, the leader's answer was delayed on the link, and meanwhile
-/// the follower has served the terminal state: the delayed answer must not be sent after it.
+/// Guards against an answer that contradicts an earlier one: a follower forwards a request, the
+/// leader's answer is delayed on the link, and the follower serves the terminal state in the
+/// meantime. The delayed answer must not be sent after that.
 #[tokio::test]
 async fn a_forwarded_answer_does_not_follow_a_terminal_state_served_here() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -435,14 +448,14 @@
     assert_eq!(state_of(&last), "cancelled");
     let delayed = forwarded(&mut controller, JobState::Running, Some(lease)).await.expect("answered");
     assert_eq!(state_of(&delayed), "cancelled");
-    // The same holds for a record that was read before.
+    // Nor may the state of a record that was read earlier.
     let (reply, answer) = oneshot::channel();
     let absent = Answer::error(404, "no such job");
-    let look_up = JobLookUp { reply, job: job.clone(), if_absent: absent, only_terminal: false };
-    assert!(controller.record_reads.try_begin());
-    controller.handle_job_looked_up(look_up, Instant::now(), RecordRead::Found(status(JobState::Queued)));
+    let lookup = JobLookup { reply, job: job.clone(), if_absent: absent, only_terminal: false };
+    assert!(controller.record_reads.try_acquire());
+    controller.handle_job_looked_up(lookup, Instant::now(), RecordRead::Found(status(JobState::Queued)));
     assert_eq!(state_of(&answer.await.expect("answered")), "cancelled");
-    // And a cancellation must not be answered with another state.
+    // A cancellation must not be answered with a state that is not terminal.
     let (reply, answer) = oneshot::channel();
     let other = JobId::parse("job-2").expect("valid");
     let call = PeerCall::Cancel("job-2".into());
@@ -459,8 +472,8 @@
     assert_eq!(answer.await.expect("answered").status, 503);
 }
 
-/// The actor decides under its lease, and the process is suspended before the answer is sent:
-/// the last step, to users and to other controllers, checks the lease again.
+/// The actor decides an answer under a valid lease, and the process is suspended before the
+/// answer is sent. Sending it, to users or to other controllers, must check the lease again.
 #[tokio::test(start_paused = true)]
 async fn an_answer_delayed_past_its_lease_is_not_sent() {
     let TestHarness { controller: _controller, mut inputs, handle, .. } = TestHarness::start().await;
@@ -468,21 +481,22 @@
     for (state, is_delayed, status) in
         [(JobState::Running, false, 200), (JobState::Running, true, 503), (JobState::Done, true, 200)]
     {
-        let basis = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(1) };
+        let validity = Validity { epoch: 7, valid_until: Instant::now() + Duration::from_secs(1) };
         let served = JobStatus { id: job.clone(), state, done_tasks: 0, running_tasks: 0 };
-        let to_user = handle.clone();
+        let user_handle = handle.clone();
         let user = tokio::spawn(async move {
-            crate::transport::server::Handler::handle(&to_user, request("GET", "/api/jobs/job-1", b"")).await
+            crate::transport::server::Handler::handle(&user_handle, request("GET", "/api/jobs/job-1", b""))
+                .await
         });
-        let to_peer = handle.clone();
+        let peer_handle = handle.clone();
         let peer = tokio::spawn(async move {
-            PeerHandler::handle(&to_peer, PeerCall::Poll("job-1".into()), false).await
+            PeerHandler::handle(&peer_handle, PeerCall::Poll("job-1".into()), false).await
         });
         for _ in 0..2 {
-            let Some(UserMessage::Call { reply, .. }) = inputs.requests.recv().await else {
+            let Some(RequestMessage::Call { reply, .. }) = inputs.requests.recv().await else {
                 panic!("no request")
             };
-            assert!(reply.send(Answer::job_state(200, served.clone(), basis)).is_ok());
+            assert!(reply.send(Answer::job_state(200, served.clone(), validity)).is_ok());
         }
         if is_delayed {
             tokio::time::advance(Duration::from_secs(2)).await;
@@ -492,7 +506,7 @@
     }
 }
 
-/// A worker's heartbeat with this fencing token, as encoded on the wire.
+/// A worker's heartbeat with this fencing token, in its wire encoding.
 fn encoded_heartbeat(fencing_token: u64) -> Vec<u8> {
     let heartbeat = MapBuilder::new()
         .set("bench", "vm-1")
@@ -505,11 +519,11 @@
     encode(&heartbeat.build())
 }
 
-/// Makes the controller lead in epoch 40 for a second, with a machine and, if `starts`, a task
+/// Makes the controller lead in epoch 40 for a second, with a machine and, if `has_task`, a task
 /// to start on it.
-fn lead_for_a_second(controller: &mut Controller, starts: bool) {
+fn lead_for_a_second(controller: &mut Controller, has_task: bool) {
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
-    let jobs = if starts { vec![loaded_job(spec)] } else { Vec::new() };
+    let jobs = if has_task { vec![loaded_job(spec)] } else { Vec::new() };
     let node_pools = vec![rented("vm-1", true)];
     let snapshot = Snapshot { jobs, node_pools, catalog: Some((catalog(), 2)), ..Snapshot::default() };
     let now = Instant::now();
@@ -518,15 +532,16 @@
     controller.leader = Some(leader);
 }
 
-/// A heartbeat is answered under the lease, and the process is suspended before the answer is
-/// sent. By then another controller may lead, and may have confirmed the cancellation of what
-/// the answer starts; an answer that only renews the worker's lease is sent for the post-lease
-/// grace period too. Both to the worker and to a controller that relayed the heartbeat.
+/// The answer to a heartbeat is decided under a valid lease, and the process is suspended before
+/// the answer is sent. By then another controller may lead, and may have confirmed the
+/// cancellation of a task that the answer starts. An answer that only renews the worker's lease
+/// may also be sent during the post-lease grace period. Both rules apply to answers to the
+/// worker and to a controller that relayed the heartbeat.
 #[tokio::test(start_paused = true)]
 async fn an_answer_to_a_heartbeat_is_not_sent_past_its_lease() {
     let post_lease_grace = TestHarness::start().await.controller.config.post_lease_grace();
     let second = Duration::from_secs(1);
-    for (starts, delay, status) in [
+    for (has_task, delay, status) in [
         (true, Duration::ZERO, 200),
         (true, second * 2, 503),
         (false, second * 2, 200),
@@ -534,7 +549,7 @@
     ] {
         for was_relayed in [false, true] {
             let TestHarness { mut controller, mut inputs, handle, .. } = TestHarness::start().await;
-            lead_for_a_second(&mut controller, starts);
+            lead_for_a_second(&mut controller, has_task);
             let answered = tokio::spawn(async move {
                 match was_relayed {
                     true => {
@@ -551,24 +566,24 @@
             let message = inputs.heartbeats.recv().await.expect("a heartbeat");
             controller.handle_heartbeat(message);
             tokio::time::advance(delay).await;
-            assert_eq!(answered.await.expect("answered"), status, "{starts} {delay:?} {was_relayed}");
+            assert_eq!(answered.await.expect("answered"), status, "{has_task} {delay:?} {was_relayed}");
         }
     }
 }
 
-/// A leader that begins a second time in an epoch would use its attempt numbers a second time:
-/// the epoch is resigned instead.
+/// A leader that starts a second time in an epoch would reuse its attempt numbers, so the
+/// epoch is resigned instead.
 #[tokio::test]
-async fn no_leader_begins_twice_in_one_epoch() {
+async fn no_leader_starts_twice_in_one_epoch() {
     let TestHarness { mut controller, mut resigned_epoch, .. } = TestHarness::start().await;
     controller
         .routing
         .set_role(Role::Leader { epoch: 40, lease_expiry: Instant::now() + Duration::from_secs(9) });
-    for begins in [true, false] {
+    for starts in [true, false] {
         controller.leader = None;
         controller
             .handle_event(InternalEvent::SnapshotRead { epoch: 40, snapshot: Some(Snapshot::default()) });
-        assert_eq!(controller.leader.is_some(), begins);
+        assert_eq!(controller.leader.is_some(), starts);
     }
     assert_eq!((controller.epoch_guard.violations(), *resigned_epoch.borrow_and_update()), (1, 40));
 }
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -1,4 +1,4 @@
-//! What a controller does by the clock, a few times a second.
+//! The controller's periodic work, done several times a second.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 use crate::coordination::controller::readiness::LeaderVisibility;
 use crate::coordination::leader::Leader;
 
-/// Time between two log lines with a leader's metrics.
+/// Time between two log lines with the leader's metrics.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Controller {
-    /// Does what is due now.
+    /// Runs the periodic work.
     pub(super) fn tick(&mut self) {
         let now = Instant::now();
         self.tick_leader(now);
@@ -31,13 +31,13 @@
         }
     }
 
-    /// Whether the leader runs here, under a valid lease.
+    /// Whether this controller leads, under a valid lease.
     fn leads(&self, now: Instant) -> bool {
         self.leader.as_ref().is_some_and(|leader| leader.holds_lease(now))
     }
 
-    /// Queries the other controllers while no leader is known or reached; a new leader does
-    /// so until it knows that no earlier leader answers workers any more.
+    /// Queries the other controllers while no leader is known or reachable. A new leader queries
+    /// them until it knows that no earlier leader answers workers any more.
     fn query_peers_if_needed(&mut self, now: Instant) {
         let has_leader = self.leads(now) || self.routing.is_follower();
         let needs_leader = !has_leader || self.routing.is_leader_unreachable();
@@ -59,10 +59,10 @@
     }
 
     fn log_metrics(&mut self, now: Instant) {
-        if now <= self.logged_at + LOG_INTERVAL {
+        if now <= self.metrics_logged_at + LOG_INTERVAL {
             return;
         }
-        self.logged_at = now;
+        self.metrics_logged_at = now;
         if let Some(leader) = &self.leader {
             tracing::info!("{} {}", leader.summary(), self.latencies.summary());
         }
