--- a/src/coordination/recovery/failover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -2,8 +2,8 @@
 //! every machine that an earlier leader may have used.
 //!
 //! A machine is reconciled by a heartbeat under this epoch's fencing token, or once its lease
-//! has provably expired. Until all of them are, tasks that may have started in earlier epochs
-//! wait.
+//! has provably expired. Tasks that may have started in earlier epochs wait until all machines
+//! are reconciled.
 
 use std::time::Duration;
 
@@ -27,10 +27,10 @@
     }
 
     /// Records that no earlier leader can have replied to a worker since `at`: every other
-    /// controller has stated, between the start of this epoch and `at`, that it is no leader
-    /// and so replies to no worker. That covers earlier terms of the same controllers, also of
-    /// processes that have died: a name is used by one process at a time, and a process only
-    /// becomes a leader with a new epoch.
+    /// controller has stated, between the start of this epoch and `at`, that it is not a leader
+    /// and so replies to no worker. That covers earlier terms of the same controllers, including
+    /// those of processes that have died: a name is used by one process at a time, and a process
+    /// only becomes a leader with a new epoch.
     pub fn record_post_lease_graces_over(&mut self, at: Instant) {
         self.failover.record_post_lease_graces_over(at);
     }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Restores what was read after the failover: jobs that the reconciler has made live
-    /// again, and records that could not be read before. Nothing is started of these jobs
+    /// Restores data that was read after the failover: jobs that the reconciler has made live
+    /// again, and records that could not be read before. No task of these jobs is started
     /// before the leases of an earlier leader's workers have expired.
     pub fn restore_snapshot(&mut self, now: Instant, now_ms: u64, restored: Snapshot) {
         for key in &restored.deleted_keys {
@@ -113,8 +113,8 @@
         self.failover.unreadable().next_keys(key, max)
     }
 
-    /// Restores jobs as they were read. All of them are entered before their dependencies are
-    /// resolved, since they may depend on one another.
+    /// Restores jobs as they were read. All jobs are added before their dependencies are
+    /// resolved, because they may depend on one another.
     pub(crate) fn restore_jobs(
         &mut self,
         now: Instant,
@@ -132,7 +132,7 @@
         self.cancel_restored_dependents(now);
     }
 
-    /// Enters one job. Its tasks below the started high-water mark may still run somewhere:
+    /// Adds one job. Its tasks below the started high-water mark may still run on a machine, so
     /// they wait until every machine is reconciled.
     fn restore_job(&mut self, now: Instant, now_ms: u64, snapshot: JobSnapshot) {
         let JobSnapshot { record, record_version, live_row_version, block_versions } = snapshot;
@@ -147,8 +147,8 @@
         self.jobs.insert(job.id().clone(), job);
     }
 
-    /// Once the leases of unrecorded machines have expired (machines of unreadable node pool
-    /// records, which may have sent no heartbeat), stops waiting for them.
+    /// Stops waiting for unrecorded machines once their leases have expired. These are machines
+    /// of unreadable node pool records, which may have sent no heartbeat.
     pub(crate) fn expire_unrecorded_machines(&mut self, now: Instant) {
         if !self.failover.expire_unrecorded(now, &self.config) {
             return;
@@ -159,7 +159,7 @@
     }
 
     /// Clears the machines whose leases have expired: an agent that has received no reply for
-    /// its whole lease, and a margin, has killed all its tasks.
+    /// its lease and a margin has killed all its tasks.
     pub(crate) fn expire_silent_machines(&mut self, now: Instant) {
         let lease_timeout = self.config.worker_lease_timeout();
         let unreplied_expiry = self.failover.unreplied_lease_expiry(&self.config);
@@ -183,7 +183,7 @@
         if let Some(expired) = self.machines.get_mut(machine) {
             let agent = &mut expired.agent;
             let newest_heartbeat = agent.last_heartbeat.max(agent.last_stale_heartbeat);
-            // A delayed heartbeat of an incarnation until now may still list the lost tasks.
+            // A delayed heartbeat of an incarnation seen so far may still list the lost tasks.
             agent.min_incarnation = newest_heartbeat.map_or(0, |stamp| stamp.incarnation + 1);
             expired.free = self.catalog.resources(expired.machine_type);
         }
@@ -191,12 +191,12 @@
     }
 }
 
-/// When the agent's lease has provably expired. `unreplied_expiry`: when the lease of an agent
-/// has expired to which this epoch has never replied.
+/// Time from which the agent's lease has provably expired. `unreplied_expiry`: that time for an
+/// agent to which this epoch has never replied.
 ///
 /// An agent that has sent a heartbeat under this epoch's fencing token ignores the replies of
-/// earlier leaders. Any other may never have received a reply of this epoch, and an earlier
-/// leader in its post-lease grace may have renewed its lease since.
+/// earlier leaders. Any other agent may never have received a reply of this epoch, and an
+/// earlier leader in its post-lease grace may have renewed its lease since.
 fn lease_expiry(agent: &AgentContact, lease_timeout: Duration, unreplied_expiry: Instant) -> Instant {
     match agent.replied_at.map(|at| at + lease_timeout) {
         Some(own_expiry) if agent.last_heartbeat.is_some() => own_expiry,
--- a/src/coordination/recovery/progress.rs
+++ b/src/coordination/recovery/progress.rs
@@ -17,20 +17,21 @@
 /// lease has expired. Until then tasks that may have started in earlier epochs wait.
 #[derive(Debug)]
 pub(crate) struct FailoverProgress {
-    /// When the snapshot had been read.
+    /// When the read of the snapshot had ended.
     snapshot_at: Instant,
-    /// Since when no earlier leader can have replied to a worker, once that is confirmed.
+    /// Time since which no earlier leader can have replied to a worker; `None` until that is
+    /// confirmed.
     post_lease_graces_over_at: Option<Instant>,
-    /// Every machine that may hold tasks is reconciled. Never reset within an epoch.
+    /// Whether every machine that may hold tasks is reconciled. Never reset within an epoch.
     is_complete: bool,
     /// Records that exist and cannot be used.
     unreadable: UnreadableRecords,
-    /// Unrecorded machines, which no readable record names, may hold tasks.
+    /// Whether unrecorded machines, which no readable record names, may hold tasks.
     unrecorded_machines_possible: bool,
     /// When an unrecorded machine was last replied to while such machines may have held tasks.
     unrecorded_replied_at: Option<Instant>,
-    /// A machine that was not reconciled at the last check: as long as it is not, the next
-    /// check need not look at the others.
+    /// A machine that was not reconciled at the last check. While it remains so, the next check
+    /// need not look at other machines.
     unreconciled_machine: Option<MachineId>,
 }
 
@@ -52,7 +53,7 @@
         progress
     }
 
-    /// When the snapshot had been read.
+    /// When the read of the snapshot had ended.
     pub(crate) fn snapshot_at(&self) -> Instant {
         self.snapshot_at
     }
@@ -94,7 +95,7 @@
         self.post_lease_graces_over_at.get_or_insert(at);
     }
 
-    /// When the lease of a machine expires to which this epoch has never replied: a lease after
+    /// Expiry of the lease of a machine to which this epoch has never replied: one lease after
     /// the end of all post-lease graces, by the configured bound or by an earlier confirmation.
     pub(crate) fn unreplied_lease_expiry(&self, config: &Config) -> Instant {
         let after_graces = self.snapshot_at + config.failover_lease_timeout();
@@ -104,9 +105,9 @@
 
     /// Whether an unrecorded machine may be replied to while a node pool's record cannot be read.
     ///
-    /// Each reply renews the lease of an agent whose tasks are counted nowhere. So replies are
-    /// only given for the time of one `lease` after the snapshot: by then a live machine has
-    /// been registered.
+    /// Each reply renews the lease of an agent whose tasks are not counted anywhere. Replies are
+    /// therefore given only for one `lease` after the snapshot: every live machine is registered
+    /// by then.
     pub(crate) fn may_reply_to_unrecorded(&mut self, now: Instant, lease: Duration) -> bool {
         let may_reply = now < self.snapshot_at + lease;
         if may_reply {
@@ -115,8 +116,8 @@
         may_reply
     }
 
-    /// Whether the leases of unrecorded machines have just expired: from now on none of them can
-    /// hold tasks. True at most once.
+    /// Whether the leases of unrecorded machines have just expired, so that none of them can
+    /// hold tasks from now on. Returns `true` at most once.
     pub(crate) fn expire_unrecorded(&mut self, now: Instant, config: &Config) -> bool {
         let replied_expiry = self.unrecorded_replied_at.map(|at| at + config.worker_lease_timeout());
         let has_expired = self.unrecorded_machines_possible
@@ -130,10 +131,10 @@
 
     /// Whether every machine that may hold tasks is reconciled.
     ///
-    /// The search continues at the machine where the last one stopped, so that not every
-    /// heartbeat of a failover iterates over the whole fleet. The result does not depend on the
-    /// order in which machines are reconciled: a search that reaches the end starts again with
-    /// the first machine.
+    /// The search continues at the machine where the last search stopped, so that heartbeats
+    /// during a failover do not each iterate over the whole fleet. The result does not depend on
+    /// the order in which machines are reconciled: a search that reaches the end starts again
+    /// with the first machine.
     pub(crate) fn all_machines_reconciled(&mut self, machines: &MachineTable) -> bool {
         let is_unreconciled = |machine: &&Machine| machine.may_hold_tasks() && !machine.reconciled;
         let last = self.unreconciled_machine.take();
--- a/src/coordination/recovery/reconciler.rs
+++ b/src/coordination/recovery/reconciler.rs
@@ -1,8 +1,8 @@
 //! The reconciler: compares the rows of jobs with their records.
 //!
-//! Two kinds of difference can be repaired soundly from the record: a row that lags behind
-//! it, and an archived row of a job whose record is live. Any other is reported and not
-//! changed.
+//! Two kinds of difference can be repaired safely from the record: a row that lags behind
+//! it, and an archived row of a job whose record is live. Any other difference is reported and
+//! not repaired.
 
 use std::collections::BTreeSet;
 
@@ -17,10 +17,10 @@
 /// Keys that one request of [`all_jobs`] reads.
 const KEYS_PER_PAGE: usize = 200;
 
-/// What the store holds of one job.
+/// The stored state of one job, as far as the reconciler compares it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Evidence {
-    /// The terminal state that the record supports, if any; the outer `None` if there is no
+pub struct StoredJob {
+    /// The terminal state in the record, if the job is terminal; the outer `None` if there is no
     /// record.
     pub record: Option<Option<JobState>>,
     /// Whether there is a live row.
@@ -29,30 +29,31 @@
     pub archived_row: Option<JobState>,
 }
 
-/// What a comparison of a job's rows with its record has found.
+/// The result of comparing a job's rows with its record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Finding {
     /// Record and rows agree.
     Consistent,
-    /// The record is in this terminal state and the rows do not say so: they are to follow the
-    /// record.
+    /// The record is in this terminal state and the rows do not say so: the repair changes the
+    /// rows to match the record.
     RowBehind(JobState),
-    /// A row says terminal where the record says live: the job is to be made live again.
+    /// A row says that the job is terminal, the record says that it is live: the repair makes
+    /// the row live again.
     Stranded,
-    /// The state cannot be derived soundly, for this reason.
+    /// The correct state cannot be derived from the record, for this reason.
     Suspect(&'static str),
 }
 
 impl Finding {
     /// Whether the finding can be repaired from the record alone.
-    pub fn is_sound(self) -> bool {
+    pub fn is_repairable(self) -> bool {
         matches!(self, Finding::RowBehind(_) | Finding::Stranded)
     }
 }
 
-/// Compares what the store holds of one job.
-pub fn judge(evidence: Evidence) -> Finding {
-    let Evidence { record, live_row, archived_row } = evidence;
+/// Compares the rows of one job with its record.
+pub fn classify(stored: StoredJob) -> Finding {
+    let StoredJob { record, live_row, archived_row } = stored;
     match (record, live_row, archived_row) {
         (None, false, None) => Finding::Consistent,
         (None, _, _) => Finding::Suspect("a row without a record"),
@@ -60,8 +61,8 @@
         (Some(None), true, None) => Finding::Consistent,
         (Some(None), _, Some(_)) => Finding::Stranded,
         (Some(Some(terminal)), false, Some(row)) if terminal == row => Finding::Consistent,
-        // Also where both rows exist: the move from one to the other is one
-        // transaction, so this is damage, but the record decides it.
+        // This includes the case that both rows exist. A row is moved in one transaction,
+        // so that is damage, but the record determines the correct state.
         (Some(Some(terminal)), _, _) => Finding::RowBehind(terminal),
     }
 }
@@ -72,7 +73,7 @@
 pub struct Examined {
     /// The job.
     pub job: JobId,
-    /// What the comparison has found.
+    /// The result of the comparison.
     pub finding: Finding,
     /// Whether its tasks wait for other jobs.
     pub waits_for_dependencies: bool,
@@ -87,8 +88,8 @@
 }
 
 impl Examined {
-    /// The repair under `epoch`, if the finding is sound. It is only committed while record and
-    /// rows are as they were read.
+    /// The repair under `epoch`, if the finding is repairable. It is only committed while record
+    /// and rows are as they were read.
     pub fn repair(&self, epoch: u64) -> Option<Transaction> {
         let compares = vec![
             Compare { key: job_record_key(&self.job), version: self.record_version },
@@ -116,7 +117,7 @@
     }
 }
 
-/// Reads and compares what the store holds of one job.
+/// Reads the record and the rows of one job and compares them.
 ///
 /// The rows are read before the record: a row is only ever written after the record that it
 /// follows, so a row that is ahead of a record read later is damage and not a write in flight.
@@ -141,7 +142,7 @@
     };
     let finding = match (archived_row, decoded) {
         _ if has_missing_dependency => Finding::Suspect("it awaits a job without a record"),
-        (Ok(archived_row), Ok(record)) => judge(Evidence {
+        (Ok(archived_row), Ok(record)) => classify(StoredJob {
             record: record.map(|record| record.terminal_state()),
             live_row: live.is_some(),
             archived_row,
@@ -160,7 +161,7 @@
     })
 }
 
-/// Whether a job depends on one that has no record, and so would wait for ever.
+/// Whether a job depends on a job without a record, and so would wait forever.
 async fn has_missing_dependency(kv: &KvClient, record: &JobRecord) -> Result<bool, KvError> {
     for dependency in &record.spec.dependencies {
         if kv.get(RequestClass::Background, &job_record_key(dependency)).await?.is_none() {
--- a/src/coordination/recovery/snapshot.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -17,9 +17,9 @@
     NodePoolRecord, RecordError, job_record_key, live_row_key,
 };
 
-/// What a leader has read from the store: at failover everything that it needs, later the
-/// part that was repaired or read again. Each number beside a value is the version of its
-/// key in the store.
+/// Data that a leader has read from the store: at failover everything that it needs, later
+/// the part that was repaired or read again. Each number paired with a value is the version
+/// of its key in the store.
 #[derive(Debug, Default)]
 pub struct Snapshot {
     /// Unfinished jobs: those with a live row.
@@ -54,7 +54,7 @@
 }
 
 impl Snapshot {
-    /// Adds a job, or notes why it cannot be used.
+    /// Adds a job, or records why it cannot be used.
     fn add_job(&mut self, job: &JobId, outcome: JobReadOutcome) {
         match outcome {
             Ok(snapshot) => self.jobs.push(*snapshot),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds a node pool's record, or notes why it cannot be decoded.
+    /// Adds a node pool's record, or records why it cannot be decoded.
     fn add_node_pool(&mut self, key: &str, value: &Value, version: u64) {
         match NodePoolRecord::decode(value) {
             Ok(record) => self.node_pools.push((record, version)),
@@ -71,8 +71,8 @@
     }
 }
 
-/// Archived rows that one round of the reconciler compares with their records, and
-/// unreadable keys that one round reads again.
+/// Maximum number of archived rows that one round of the reconciler compares with their
+/// records, and of unreadable keys that one round reads again.
 pub const ROWS_PER_ROUND: usize = 8;
 
 /// The result of one round of the reconciler.
@@ -85,7 +85,7 @@
 }
 
 /// Runs one round of the reconciler: compares a page of archived rows, after the key `from`,
-/// with their records, and repairs what can be repaired soundly.
+/// with their records, and repairs the differences that can be repaired safely.
 ///
 /// # Errors
 ///
@@ -116,8 +116,8 @@
     Ok(ReconciledPage { next: next.unwrap_or_default(), restored })
 }
 
-/// Reads again the keys of records that could not be used before: jobs and node pools that
-/// can be read by now, or that no longer exist.
+/// Reads the keys of unusable records again. The result holds the jobs and node pools that
+/// can be read now, and the keys that no longer exist.
 ///
 /// # Errors
 ///
@@ -258,11 +258,11 @@
 }
 
 /// Whether a job that has not started is cancelled because a job that it depends on, directly
-/// or not, is cancelled; by the records alone.
+/// or indirectly, is cancelled. Only records are used, no state in memory.
 ///
 /// # Errors
 ///
-/// [`KvError::Unavailable`] if that would take reading more than `max_reads` records, and the
+/// [`KvError::Unavailable`] if more than `max_reads` records would have to be read, and the
 /// errors of [`read_record`].
 pub async fn is_cancelled_by_dependencies(
     kv: &KvClient,
--- a/src/coordination/recovery/unreadable.rs
+++ b/src/coordination/recovery/unreadable.rs
@@ -1,8 +1,8 @@
 //! Records that a leader could not read from the store.
 //!
-//! From a record that exists and cannot be decoded nothing may be concluded: neither that the
-//! job is terminal nor that a machine holds no tasks. Its key is kept, everything that depends
-//! on it is delayed, and it is read again at a bounded rate.
+//! Nothing may be concluded from a record that exists but cannot be decoded: neither that a
+//! job is terminal nor that a machine holds no tasks. The key of such a record is kept,
+//! everything that depends on it is delayed, and it is read again at a bounded rate.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -33,7 +33,7 @@
         self.reasons.remove(key);
     }
 
-    /// Adds the keys that another read has found; those that are new are logged.
+    /// Adds the keys that another read has found, and logs each new key.
     pub fn extend(&mut self, other: UnreadableRecords) {
         for (key, reason) in other.reasons {
             if let Entry::Vacant(entry) = self.reasons.entry(key) {
@@ -53,9 +53,9 @@
         self.reasons.is_empty()
     }
 
-    /// Whether the job's record is unreadable: then its state is unknown.
+    /// Whether the job's record is unreadable, so that the job's state is unknown.
     pub fn contains_job(&self, job: &JobId) -> bool {
-        // Usually the map is empty; then the key need not be allocated for each lookup.
+        // The map is usually empty; checking that first saves allocating the key.
         !self.reasons.is_empty() && self.reasons.contains_key(&job_record_key(job))
     }
 
@@ -71,7 +71,7 @@
         if next.is_empty() { self.reasons.keys().take(max).cloned().collect() } else { next }
     }
 
-    /// The job whose record has this key; `None` if it is the key of no job record.
+    /// The job whose record has this key; `None` if this is not the key of a job record.
     pub fn job_of(key: &str) -> Option<JobId> {
         key.strip_prefix(JOB_RECORDS).and_then(JobId::parse)
     }
