--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -1,4 +1,4 @@
-//! Archiving: a terminal job's row follows its record, and the job leaves memory.
+//! Archiving: moves the row of a terminal job to the archive and evicts the job from memory.
 
 use crate::coordination::authority::Violation;
 use crate::coordination::jobs::record_state::RowState;
@@ -11,8 +11,8 @@
 use crate::storage::records::{archived_row_key, encode_row, live_row_key};
 
 impl Leader {
-    /// Once a job is terminal and nothing of it is on a machine, its row is archived. Until
-    /// then the row stays among the live ones, so that a new leader knows what its tasks take.
+    /// Archives the job's row if the job is terminal and no task of it is on a machine. Until
+    /// then the row stays live, so that a new leader knows which resources its tasks take.
     pub(crate) fn try_archive(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         let is_in_use = job.tasks.slot_count > 0 || job.stored.write_in_flight.is_some();
@@ -24,7 +24,7 @@
             RowState::Archiving => return,
             RowState::Live => {}
         }
-        // While a machine is not reconciled, a task may still be there.
+        // A machine that is not reconciled may still hold a task of the job.
         if job.tasks.unreconciled_below > 0 && !self.failover.is_complete() {
             return;
         }
@@ -33,7 +33,7 @@
         self.archive_queued_rows();
     }
 
-    /// Archives rows as long as few of their moves are in flight.
+    /// Archives queued rows while the number of row moves in flight is below its limit.
     pub(crate) fn archive_queued_rows(&mut self) {
         let max_in_flight = self.config.settings.cluster.kv.strictest().txn_ops;
         while let Some(job_id) = self.record_writes.pop_archive(max_in_flight) {
@@ -45,7 +45,8 @@
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         let Some(state) = job.record.terminal_state() else { return };
         if job.tasks.slot_count > 0 {
-            // A machine has shown one more task of it since: archived once that is gone.
+            // A machine has since reported another task of the job: the row is archived once
+            // that task is gone.
             job.stored.row = RowState::Live;
             return;
         }
@@ -60,7 +61,7 @@
         self.commit(operation, RequestClass::Background, compares, changes);
     }
 
-    /// The move of a row has ended: the job leaves memory.
+    /// Handles the outcome of a row's move to the archive, and evicts the job from memory.
     pub(crate) fn handle_row_archived(&mut self, job_id: &JobId, result: Result<u64, KvError>) {
         self.record_writes.archive_ended();
         match result {
@@ -71,7 +72,8 @@
             }
         }
         match self.jobs.get_mut(job_id).filter(|job| job.tasks.slot_count > 0) {
-            // A machine has shown a task of it since. Out of memory, nobody would stop it.
+            // A machine has since reported a task of the job. Nothing would stop that task if
+            // the job were evicted.
             Some(job) => {
                 job.stored.row = RowState::Archived;
                 self.record_violation(Violation::JobEvictedWithTasks, job_id);
@@ -81,7 +83,7 @@
         self.archive_queued_rows();
     }
 
-    /// A terminal job with nothing on any machine leaves memory.
+    /// Removes a terminal job without tasks on any machine from memory.
     fn evict_job(&mut self, job_id: &JobId) {
         self.queue.release_reservation(job_id);
         self.dependencies.remove(job_id);
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -1,4 +1,4 @@
-//! What the leader holds in memory of a job.
+//! In-memory state of a job on the leader.
 
 use std::collections::BTreeSet;
 
@@ -11,30 +11,30 @@
 use crate::protocol::workers::MachineId;
 use crate::storage::records::JobRecord;
 
-/// Names a user's request that waits for an answer; given out by the controller.
+/// Identifies a user's request that waits for an answer; assigned by the controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ReplyId(pub u64);
 
-/// A job's cancellation.
+/// State of a job's cancellation.
 #[derive(Debug, Default)]
 pub struct JobCancellation {
-    /// Users who wait for its outcome.
+    /// Requests that wait for its outcome.
     pub waiters: Vec<ReplyId>,
-    /// It is to be cancelled: nothing of it is started any more.
+    /// The job is to be cancelled: none of its tasks is started any more.
     pub is_requested: bool,
-    /// A job that it depends on is cancelled, which is committed: so is this one, whatever
-    /// its own record says yet.
+    /// The cancellation of a job that it depends on is committed, so this job is cancelled
+    /// too, even if its own record does not say so yet.
     pub by_dependency: bool,
-    /// When its cancellation was committed, or read by a new leader.
+    /// When the cancellation was committed, or read by a new leader.
     pub committed_at: Option<Instant>,
 }
 
 /// Failures of a job's tasks.
 #[derive(Debug, Default)]
 pub struct JobFailures {
-    /// Machines on which tasks have failed since one last succeeded.
+    /// Machines on which tasks have failed since a task last succeeded.
     pub machines: BTreeSet<MachineId>,
-    /// While it fails everywhere, only one task at a time starts until then.
+    /// If the job fails on every machine, it may run only one task at a time until then.
     pub backoff_until: Option<Instant>,
 }
 
@@ -45,15 +45,15 @@
     total_s: f64,
 }
 
-/// A job that the leader knows.
+/// A job in the leader's memory.
 #[derive(Debug)]
 pub struct Job {
-    /// The record as it should be. `cancelled` and `completed` are set only once they are
-    /// committed.
+    /// The desired content of the record; `cancelled` and `completed` are set only once they
+    /// are committed.
     pub record: JobRecord,
-    /// The record and the row as they are in the store, and their writes.
+    /// The record and the row as stored, and their writes.
     pub stored: RecordState,
-    /// Which of its tasks are on machines, and which are next.
+    /// The placements of its tasks.
     pub tasks: TaskPlacements,
     /// Its cancellation.
     pub cancellation: JobCancellation,
@@ -64,19 +64,19 @@
     /// When it was submitted.
     pub submitted_at: Instant,
     /// When the last job that it depends on was done, or its submission if that was later;
-    /// `None` while it waits for others.
+    /// `None` while it waits for its dependencies.
     pub ready_at: Option<Instant>,
-    /// Brought back by the reconciler: before then tasks of it may be on machines that took
-    /// them for another job's.
+    /// Set for a job that was restored after the failover: until then, machines may still hold
+    /// tasks of it that the leader could not attribute to the job.
     pub not_before: Option<Instant>,
-    /// What all its tasks asked for at once, in units of its demand group, when it entered
-    /// the measured demand.
+    /// The load of all its tasks running at once, in units of its demand group, when it was
+    /// added to the measured demand.
     pub offered_load: Option<f64>,
     run_times: RunTimes,
 }
 
 impl Job {
-    /// A job with this record. `blocks`: how many blocks of done tasks it has beside it.
+    /// A job with this record and `blocks` separate blocks of done tasks.
     pub fn new(
         record: JobRecord,
         record_version: u64,
@@ -104,26 +104,26 @@
         &self.record.spec.id
     }
 
-    /// What its user asked for.
+    /// Its description as submitted by its user.
     pub fn spec(&self) -> &JobSpec {
         &self.record.spec
     }
 
-    /// Whether a write that makes the job terminal is under way: it may have been carried
-    /// out, and others may have read it, before its outcome is heard here. Until then memory
-    /// does not say what the job is; the record does.
+    /// Whether a write that makes the job terminal is in flight. The write may be committed,
+    /// and read by others, before its outcome arrives here. Until then only the record, and
+    /// not the state in memory, says whether the job is terminal.
     pub fn has_terminal_write_in_flight(&self) -> bool {
         if self.cancellation.by_dependency {
             return false;
         }
-        // A rejected write may have been carried out by an earlier try without an answer.
+        // An earlier attempt at a rejected write may have been committed without a response.
         let is_rejected =
             self.stored.is_rejected && (self.cancellation.is_requested || self.record.all_tasks_done());
         is_rejected || self.stored.write_in_flight.as_ref().is_some_and(RecordWriteInFlight::is_terminal)
     }
 
-    /// Whether tasks may still be started. A requested cancellation ends that at once;
-    /// whether it is committed only matters for what users are answered.
+    /// Whether tasks may still be started. No task starts once a cancellation is requested;
+    /// only the answers to users depend on whether it is committed.
     pub fn is_startable(&self) -> bool {
         self.record.terminal_state().is_none() && !self.cancellation.is_requested
     }
@@ -133,18 +133,18 @@
         self.ready_at.is_none()
     }
 
-    /// From when its age and its waits count; now, while it waits for others.
+    /// Time from which its age and its waits count; `now` while it waits for its dependencies.
     pub fn waiting_since(&self, now: Instant) -> Instant {
         self.ready_at.unwrap_or(now)
     }
 
-    /// Its done tasks are in new blocks, which its record names.
+    /// Switches to the new blocks of a conversion, which the stored record now names.
     pub fn adopt_blocks(&mut self, conversion: BlockConversion, value_kb: f64) {
         self.record.block_tasks = Some(conversion.block_tasks);
         self.stored.adopt_blocks(&self.record, conversion, value_kb);
     }
 
-    /// Its state as users are answered.
+    /// Its state as reported to users.
     pub fn status(&self) -> JobStatus {
         let mut status = self.record.status();
         if self.cancellation.by_dependency {
@@ -157,7 +157,8 @@
         status
     }
 
-    /// Tasks neither done nor on a machine.
+    /// The number of tasks that are neither done nor assigned to a machine; 0 while no task of
+    /// the job may start.
     pub fn pending(&self) -> u32 {
         if !self.is_startable() || self.waits_for_dependencies() {
             return 0;
@@ -165,23 +166,23 @@
         self.unfinished().saturating_sub(self.tasks.assigned_count())
     }
 
-    /// Tasks not done yet.
+    /// The number of tasks that are not done yet.
     pub fn unfinished(&self) -> u32 {
         self.spec().task_count - self.record.done.len()
     }
 
-    /// The next task from `least` on that may be started.
-    pub fn next_pending(&mut self, least: u32) -> Option<u32> {
-        self.tasks.next_pending(&self.record, least)
+    /// The next task at or above `first` that is neither done nor assigned.
+    pub fn next_pending(&mut self, first: u32) -> Option<u32> {
+        self.tasks.next_pending(&self.record, first)
     }
 
-    /// A task of it has run to its end, for so many seconds.
+    /// Records the run time, in seconds, of a task that has ended.
     pub fn record_run(&mut self, run_s: f64) {
         self.run_times.count = self.run_times.count.saturating_add(1);
         self.run_times.total_s += run_s;
     }
 
-    /// How long its tasks have run so far on average, in seconds, if any has ended.
+    /// Mean run time of its ended tasks in seconds; `None` if no task has ended.
     pub fn mean_run_s(&self) -> Option<f64> {
         let RunTimes { count, total_s } = self.run_times;
         (count > 0).then(|| total_s / f64::from(count))
--- a/src/coordination/jobs/quota.rs
+++ b/src/coordination/jobs/quota.rs
@@ -1,22 +1,22 @@
-//! Quotas of teams: what they are guaranteed, their limits, and what they use.
+//! Team quotas: guaranteed resources, limits and current use.
 
 use crate::coordination::jobs::resources::Resources;
 use crate::maps::HashMap;
 use crate::settings;
 
-/// Names a team's quota.
+/// Identifies a team's quota: its index in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct QuotaId(usize);
 
 /// One team's quota and use.
 #[derive(Debug)]
 pub struct TeamQuota {
-    /// What its work gets before other teams' work beyond theirs.
+    /// Resources that its jobs get before other teams' jobs exceed their own guarantee.
     pub guaranteed: Resources,
-    /// The most that it may use; infinite where the settings give no limit.
+    /// Maximum that it may use; infinite where the settings give no limit.
     pub limit: Resources,
-    /// Everything that may be on a machine: started, fetching, running, saving, or on a
-    /// machine that cannot be reached.
+    /// Resources of all its tasks that may be on a machine: started, fetching, running,
+    /// saving, or on an unreachable machine.
     pub used: Resources,
 }
 
@@ -28,10 +28,11 @@
 }
 
 impl Quotas {
-    /// The quotas that the settings name, nothing of them used.
+    /// The quotas in the settings, with nothing used yet.
     pub fn new(teams: &[settings::Team]) -> Self {
         let quotas = teams.iter().map(TeamQuota::new).collect();
-        let by_team = teams.iter().enumerate().map(|(at, team)| (team.name.clone(), QuotaId(at))).collect();
+        let by_team =
+            teams.iter().enumerate().map(|(index, team)| (team.name.clone(), QuotaId(index))).collect();
         Quotas { quotas, by_team }
     }
 
@@ -47,7 +48,7 @@
 
     /// All quotas, in the order of the settings.
     pub fn iter(&self) -> impl Iterator<Item = (QuotaId, &TeamQuota)> {
-        self.quotas.iter().enumerate().map(|(at, quota)| (QuotaId(at), quota))
+        self.quotas.iter().enumerate().map(|(index, quota)| (QuotaId(index), quota))
     }
 
     /// Counts resources as used by the team.
@@ -55,7 +56,7 @@
         self.quotas[quota.0].used.add(resources);
     }
 
-    /// Counts resources as used no longer.
+    /// Counts resources as no longer used by the team.
     pub fn release(&mut self, quota: QuotaId, resources: &Resources) {
         self.quotas[quota.0].used.sub(resources);
     }
--- a/src/coordination/jobs/record_state.rs
+++ b/src/coordination/jobs/record_state.rs
@@ -1,4 +1,4 @@
-//! What the store holds of a job, as far as the leader knows, and the writes that change it.
+//! The stored state of a job as the leader knows it, and the writes that change it.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,16 @@
 use crate::storage::done_set::DoneSet;
 use crate::storage::records::JobRecord;
 
-/// A write of a job's record that is under way: what holds once it is committed.
+/// A write of a job's record that is in flight: the state once it is committed.
 #[derive(Debug)]
 pub struct RecordWriteInFlight {
     /// The record will say that the job is cancelled.
     pub cancelled: bool,
     /// The record will say that all tasks are done.
     pub completed: bool,
-    /// The done tasks that will be in the store.
+    /// The done tasks that the store will hold.
     pub done: DoneSet,
-    /// The bound on started tasks that the record will have.
+    /// The started high-water mark that the record will have.
     pub started_high_water: u32,
     /// Which keys it changes.
     pub scope: WriteScope,
@@ -25,16 +25,16 @@
 /// Which of a job's keys a write changes.
 #[derive(Debug)]
 pub enum WriteScope {
-    /// The record, and blocks of done tasks beside it.
+    /// The record and some of its blocks of done tasks.
     Record {
-        /// The numbers of these blocks.
+        /// The numbers of the blocks.
         blocks: Vec<u32>,
     },
     /// The record without its done tasks.
     WithoutDoneTasks,
     /// Further blocks of a conversion; the record does not name them yet.
     NewBlocks {
-        /// How many.
+        /// The number of blocks.
         count: u32,
     },
     /// The record that names a conversion's blocks.
@@ -42,13 +42,13 @@
 }
 
 impl RecordWriteInFlight {
-    /// A write after which the record says this.
+    /// A write after which the store holds this record and these done tasks.
     pub fn new(record: &JobRecord, done: DoneSet, scope: WriteScope) -> Self {
         let JobRecord { cancelled, completed, started_high_water, .. } = *record;
         RecordWriteInFlight { cancelled, completed, done, started_high_water, scope }
     }
 
-    /// Whether the job is terminal once it is committed.
+    /// Whether the job is terminal once the write is committed.
     pub fn is_terminal(&self) -> bool {
         self.cancelled || self.completed
     }
@@ -59,14 +59,14 @@
 pub struct BlockConversion {
     /// Tasks in each new block.
     pub block_tasks: u32,
-    /// The done tasks as they were when it began.
+    /// The done tasks at the beginning of the conversion.
     pub done: DoneSet,
-    /// Versions of the blocks that are written.
+    /// Versions of the new blocks that are already written.
     pub versions: Vec<u64>,
 }
 
 impl BlockConversion {
-    /// A conversion of which nothing is written yet.
+    /// A conversion without written blocks.
     pub fn new(block_tasks: u32, done: DoneSet) -> Self {
         BlockConversion { block_tasks, done, versions: Vec::new() }
     }
@@ -75,11 +75,11 @@
 /// Where a terminal job's row is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowState {
-    /// Among the live jobs' rows.
+    /// Among the rows of live jobs.
     Live,
-    /// On its way to the archive.
+    /// It is queued for the archive, or its move is in flight.
     Archiving,
-    /// In the archive; the job stays in memory for tasks that machines have shown since.
+    /// In the archive; the job stays in memory because machines have since reported tasks of it.
     Archived,
 }
 
@@ -88,32 +88,33 @@
 pub struct RecordState {
     /// Done tasks as committed.
     pub done: DoneSet,
-    /// The bound on started tasks as committed.
+    /// The started high-water mark as committed.
     pub started_high_water: u32,
     /// The record's version.
     pub version: u64,
-    /// The versions of the blocks of done tasks; 0 for one that does not exist.
+    /// The versions of the blocks of done tasks; 0 for a block that does not exist.
     pub block_versions: Vec<u64>,
     /// The version of its row among the live jobs.
     pub live_row_version: u64,
     /// Blocks that have changed since they were written.
     pub dirty_blocks: BTreeSet<u32>,
-    /// When the first task was done that is not written yet.
+    /// When the first done task that is not written yet was done.
     pub dirty_since: Option<Instant>,
-    /// The write under way; there is one at most.
+    /// The write in flight; there is at most one.
     pub write_in_flight: Option<RecordWriteInFlight>,
-    /// Its done tasks are being copied into smaller blocks.
+    /// The conversion in progress, if its done tasks are being copied into smaller blocks.
     pub conversion: Option<BlockConversion>,
-    /// It was rejected for its size: once terminal, it is written without done tasks.
+    /// The store rejected its terminal state for its size: it is then written without done
+    /// tasks.
     pub is_too_large: bool,
-    /// It was rejected in every size, and is not written for a while.
+    /// The store rejected it in every size; it is not written until its next retry.
     pub is_rejected: bool,
     /// Where its row is.
     pub row: RowState,
 }
 
 impl RecordState {
-    /// A record that was just read, or written for the first time.
+    /// The state of a record that was just read, or written for the first time.
     pub fn new(record: &JobRecord, version: u64, live_row_version: u64, blocks: u32) -> Self {
         RecordState {
             done: record.done.clone(),
@@ -131,8 +132,8 @@
         }
     }
 
-    /// A write of the record was committed at this version. Returns the conversion that it has
-    /// ended, if it named the conversion's blocks.
+    /// Applies a write of the record that was committed at this version. Returns the
+    /// conversion if the write has ended it by naming its blocks.
     #[must_use]
     pub fn apply_commit(&mut self, write: RecordWriteInFlight, version: u64) -> Option<BlockConversion> {
         self.version = version;
@@ -152,7 +153,7 @@
         }
     }
 
-    /// The done tasks are in new blocks, which the record names.
+    /// Replaces the blocks after a conversion: the record now names the new ones.
     pub fn adopt_blocks(&mut self, record: &JobRecord, conversion: BlockConversion, value_kb: f64) {
         self.block_versions = conversion.versions;
         let layout = record.layout(value_kb);
--- a/src/coordination/jobs/record_write.rs
+++ b/src/coordination/jobs/record_write.rs
@@ -1,9 +1,9 @@
 //! One write of a job's record: which keys it changes, under which conditions.
 //!
 //! A value that was allowed when it was written may be too large for limits that take effect
-//! later. Such a job's done tasks are then copied into smaller blocks under keys of their own,
-//! over as many transactions as it takes, and one last transaction makes the record name them:
-//! until that one is committed the old blocks hold, and from then on the new.
+//! later. The done tasks of such a job are then copied into smaller blocks under new keys, in
+//! as many transactions as needed. One last transaction makes the record name the new blocks:
+//! the old blocks are valid until it is committed, and the new ones from then on.
 
 use ciborium::value::Value;
 
@@ -16,15 +16,15 @@
 use crate::storage::kv::RequestClass;
 use crate::storage::records::{JobRecord, Layout, job_record_key};
 
-/// One write of a job's record, to be committed.
+/// A write of a job's record that is to be committed.
 pub(crate) struct RecordWrite {
-    /// How urgent it is.
+    /// The priority of the request.
     pub(crate) class: RequestClass,
-    /// The versions on which it depends.
+    /// The versions on which it is conditional.
     pub(crate) compares: Vec<Compare>,
-    /// What it changes.
+    /// The changes to commit.
     pub(crate) changes: Vec<Change>,
-    /// What holds once it is committed.
+    /// The state of the record once the write is committed.
     pub(crate) in_flight: RecordWriteInFlight,
 }
 
@@ -34,27 +34,27 @@
 }
 
 impl RecordWrite {
-    /// The next write of a job's record, in the form that the store takes.
-    pub(crate) fn next(job: &mut Job, now_ms: u64, state: &KvSettings) -> RecordWrite {
+    /// The next write of a job's record, in a form that the store accepts.
+    pub(crate) fn next(job: &mut Job, now_ms: u64, kv: &KvSettings) -> RecordWrite {
         let record = target_record(job, now_ms);
         let is_terminal = record.terminal_state().is_some();
         let conversion = job.stored.conversion.take();
         let write = match &conversion {
             Some(_) if is_terminal => RecordWrite::without_done_tasks(job, &record),
-            Some(conversion) => RecordWrite::block_conversion(job, conversion, record, state),
+            Some(conversion) => RecordWrite::block_conversion(job, conversion, record, kv),
             None if is_terminal && job.stored.is_too_large => RecordWrite::without_done_tasks(job, &record),
-            None => RecordWrite::with_blocks(job, &record, state),
+            None => RecordWrite::with_blocks(job, &record, kv),
         };
         job.stored.conversion = conversion.filter(|_| !is_terminal);
         write
     }
 
-    /// The record with as many of its changed blocks as one transaction takes.
-    fn with_blocks(job: &mut Job, record: &JobRecord, state: &KvSettings) -> RecordWrite {
-        let value_kb = state.value_kb;
+    /// The record with as many of its changed blocks as one transaction may contain.
+    fn with_blocks(job: &mut Job, record: &JobRecord, kv: &KvSettings) -> RecordWrite {
+        let value_kb = kv.value_kb;
         let layout = record.layout(value_kb);
         let id = record.spec.id.clone();
-        let max_blocks = state.strictest().txn_ops.saturating_sub(1).max(1);
+        let max_blocks = kv.strictest().txn_ops.saturating_sub(1).max(1);
         let blocks: Vec<u32> = job.stored.dirty_blocks.iter().copied().take(max_blocks).collect();
         job.stored.dirty_blocks.retain(|block| !blocks.contains(block));
         let mut compares = vec![record_compare(job)];
@@ -71,7 +71,7 @@
         RecordWrite { class, compares, changes, in_flight }
     }
 
-    /// A terminal record without its done tasks, which nobody needs any more.
+    /// A terminal record without its done tasks, which are no longer needed.
     fn without_done_tasks(job: &Job, record: &JobRecord) -> RecordWrite {
         let changes = vec![put(job_record_key(&record.spec.id), record.encode_without_done_tasks())];
         let done = record.done.clone();
@@ -81,26 +81,27 @@
     }
 
     /// The next blocks of a conversion, or the record that names them once all are written.
-    /// Each part holds only while the record is the one that was read: a part that is
-    /// committed late, after the last one, fails.
+    /// Each transaction is conditional on the record's version, so a transaction that reaches
+    /// the store after the last one fails.
     fn block_conversion(
         job: &Job,
         conversion: &BlockConversion,
         mut record: JobRecord,
-        state: &KvSettings,
+        kv: &KvSettings,
     ) -> RecordWrite {
         let id = record.spec.id.clone();
         record.done = conversion.done.clone();
         record.block_tasks = Some(conversion.block_tasks);
         let layout = Layout::NamedBlocks(conversion.block_tasks);
         let first = count_u32(conversion.versions.len());
-        let max_blocks = count_u32(state.strictest().txn_ops);
+        let max_blocks = count_u32(kv.strictest().txn_ops);
         let end = layout.blocks(record.spec.task_count).min(first.saturating_add(max_blocks));
         let (scope, changes) = if first == end {
-            let change = put(job_record_key(&id), record.encode(state.value_kb));
+            let change = put(job_record_key(&id), record.encode(kv.value_kb));
             (WriteScope::SwitchLayout, vec![change])
         } else {
-            let put_block = |n| put(layout.block_key(&id, n), record.encode_block(n, state.value_kb));
+            let put_block =
+                |block| put(layout.block_key(&id, block), record.encode_block(block, kv.value_kb));
             (WriteScope::NewBlocks { count: end - first }, (first..end).map(put_block).collect())
         };
         let in_flight = RecordWriteInFlight::new(&record, conversion.done.clone(), scope);
@@ -109,7 +110,7 @@
     }
 }
 
-/// The record as it should be once the write is committed.
+/// The record as it is to be stored by the next write.
 fn target_record(job: &mut Job, now_ms: u64) -> JobRecord {
     let cancelled = job.cancellation.is_requested;
     let completed = job.record.all_tasks_done() && !cancelled;
@@ -125,18 +126,18 @@
 
 fn class_of(job: &Job, record: &JobRecord) -> RequestClass {
     match (record.cancelled, record.completed) {
-        // Users are answered by the cancellation of the dependency: they wait for that write,
-        // not for those of its dependents.
+        // Users are answered once the cancellation of the dependency is committed, so they do
+        // not wait for the writes of its dependents.
         (true, _) if job.cancellation.by_dependency => RequestClass::Completion,
         (true, _) => RequestClass::Cancellation,
         (_, true) => RequestClass::Completion,
-        // Its tasks wait for nothing but this.
+        // The first start of its tasks waits only for this write.
         _ if record.started_high_water > job.stored.started_high_water => RequestClass::Completion,
         _ => RequestClass::Progress,
     }
 }
 
-/// The done tasks that are in the store once the record and these blocks are.
+/// The done tasks that the store holds once the record and these blocks are committed.
 fn done_once_committed(job: &Job, record: &JobRecord, layout: Layout, blocks: &[u32]) -> DoneSet {
     if job.stored.dirty_blocks.is_empty() || record.completed {
         return record.done.clone();
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -1,4 +1,5 @@
-//! The leader's writes of job records: done tasks in batches, one write of a record at a time.
+//! The leader's writes of job records. Done tasks are written in batches; each record has at
+//! most one write in flight.
 
 use tokio::time::Instant;
 
@@ -11,13 +12,13 @@
 use crate::storage::kv::KvError;
 use crate::storage::records::block_size;
 
-/// Fewest tasks in a block: as many as one digit of a bitmap holds.
+/// Minimum number of tasks in a block: the tasks that one character of a bitmap encodes.
 const MIN_BLOCK_TASKS: u32 = 6;
-/// By so many tasks the started high-water mark of a very large job rises at once.
+/// Number of tasks by which one write raises the started high-water mark of a very large job.
 const HIGH_WATER_STEP: u32 = 4096;
 
 impl Leader {
-    /// A task has ended well: it is written with the next batch.
+    /// Marks a task as done; the next batch writes it.
     pub(crate) fn mark_task_done(&mut self, now: Instant, job_id: &JobId, task: u32) {
         let value_kb = self.config.settings.cluster.kv.value_kb;
         let Some(job) = self.jobs.get_mut(job_id) else { return };
@@ -32,7 +33,7 @@
         }
         let completes = job.record.all_tasks_done();
         self.mark_dirty(now, job_id);
-        // The user waits for the completion: it does not wait for a batch.
+        // The user waits for the completion, so it is written without waiting for a batch.
         if completes {
             self.write_record(now, job_id);
         }
@@ -46,10 +47,10 @@
         }
     }
 
-    /// Writes what has gathered long enough, at the rate that the store leaves for it. What
-    /// users wait for, admissions and completions, is never to queue behind done tasks: with
-    /// more to write than may be, those gather for longer, and go out in fewer, larger
-    /// batches.
+    /// Writes the records whose done tasks have waited for the batch delay, at most at the
+    /// share of the store's write rate that is for them. Admissions and completions, for which
+    /// users wait, must never queue behind done tasks: under load the done tasks wait longer
+    /// and are written in fewer, larger batches.
     pub(crate) fn flush_dirty_records(&mut self, now: Instant) {
         let max_writes = self.record_writes.begin_flush(now);
         let delay = self.config.tuning.done_task_batch_delay;
@@ -63,7 +64,7 @@
             };
             let Some(job) = self.jobs.get(&job_id) else { continue };
             if job.stored.dirty_since != Some(since) {
-                // Another write has taken its done tasks along.
+                // Another write has included its done tasks.
                 continue;
             }
             if job.stored.write_in_flight.is_some() {
@@ -86,13 +87,13 @@
         }
     }
 
-    /// Has the record say that all the job's tasks may have started, or of a very large one
-    /// the next few thousand, before the first of them does.
+    /// Raises the started high-water mark in the record before the first task beyond it
+    /// starts: to all tasks of the job, or by [`HIGH_WATER_STEP`] tasks for a very large job.
     pub(crate) fn raise_started_high_water(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         let tasks = job.spec().task_count;
         let committed = job.stored.started_high_water;
-        // That a job has started says that its dependencies are done.
+        // A raised mark implies that the job's dependencies are done.
         let may_start = job.is_startable() && !job.waits_for_dependencies();
         if may_start && job.record.started_high_water == committed && committed < tasks {
             job.record.started_high_water = tasks.min(committed.saturating_add(HIGH_WATER_STEP));
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Writes a job's record, one write at a time: what changes meanwhile is written when this
-    /// one has ended.
+    /// Writes a job's record unless a write of it is in flight: changes made during a write
+    /// are written once that write has ended.
     pub(crate) fn write_record(&mut self, now: Instant, job_id: &JobId) {
         let now_ms = self.clock.at_ms(now);
         let Some(job) = self.jobs.get_mut(job_id) else { return };
@@ -116,7 +117,7 @@
         self.commit(operation, write.class, write.compares, write.changes);
     }
 
-    /// A write of a job's record has ended.
+    /// Handles the outcome of a write of a job's record.
     pub(crate) fn handle_record_written(
         &mut self,
         now: Instant,
@@ -130,8 +131,8 @@
             Err(KvError::Fenced) => {}
             Err(KvError::Rejected) => self.handle_record_rejected(now, job_id, &write),
             Err(error) => {
-                // Somebody else has written under our epoch, or the record is not the one that
-                // was read: going on could not mend it.
+                // Another process has written under this epoch, or the record is not the one
+                // that was read. Continuing could not repair either.
                 tracing::error!(job = %job_id, ?error, "job record not written; epoch resigned");
                 self.term.fence();
             }
@@ -167,13 +168,13 @@
         }
         match job.record.terminal_state() {
             Some(state) => self.handle_job_terminated(now, job_id, state),
-            None => self.write_what_changed_meanwhile(now, job_id),
+            None => self.write_pending_changes(now, job_id),
         }
     }
 
-    /// A cancellation, the last task or a first start may have come while a write was in
-    /// flight; done tasks go with the next batch.
-    fn write_what_changed_meanwhile(&mut self, now: Instant, job_id: &JobId) {
+    /// Writes the changes that were made while the last write was in flight: a cancellation, a
+    /// completion or a first start at once, other done tasks with the next batch.
+    fn write_pending_changes(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get(job_id) else { return };
         let is_urgent = job.cancellation.is_requested
             || job.record.all_tasks_done()
@@ -185,7 +186,8 @@
         }
     }
 
-    /// A job's terminal state is committed: its users are answered, and its dependents follow.
+    /// Handles the commit of a job's terminal state: answers the users who wait for it, and
+    /// makes its dependents ready or cancels them.
     fn handle_job_terminated(&mut self, now: Instant, job_id: &JobId, state: JobState) {
         tracing::debug!(epoch = self.epoch(), job = %job_id, state = state.as_str(), "job terminated");
         self.answer_cancel_waiters(job_id);
@@ -197,11 +199,11 @@
         self.try_archive(job_id);
     }
 
-    /// The store does not take a value of that size any more. The write is made again in a
-    /// smaller form, and holds nothing else up.
+    /// Handles a write that the store rejected because it no longer accepts values of that
+    /// size: writes the record in a smaller form. Other writes are not delayed.
     fn handle_record_rejected(&mut self, now: Instant, job_id: &JobId, write: &RecordWriteInFlight) {
-        let state = &self.config.settings.cluster.kv;
-        let (value_kb, announced) = (state.value_kb, block_size(state.strictest().value_kb));
+        let kv = &self.config.settings.cluster.kv;
+        let (value_kb, allowed_block_tasks) = (kv.value_kb, block_size(kv.strictest().value_kb));
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         if let WriteScope::Record { blocks } = &write.scope {
             job.stored.dirty_blocks.extend(blocks);
@@ -210,17 +212,18 @@
             job.stored.is_too_large = true;
             return self.write_record(now, job_id);
         }
-        let by_layout = job.record.layout(value_kb).block_tasks().unwrap_or(job.spec().task_count);
-        let present = job.stored.conversion.take().map_or(by_layout, |conversion| conversion.block_tasks);
-        let smaller = announced.min(present / 2);
-        if write.is_terminal() || smaller < MIN_BLOCK_TASKS {
+        let layout_block_tasks = job.record.layout(value_kb).block_tasks().unwrap_or(job.spec().task_count);
+        let current_block_tasks =
+            job.stored.conversion.take().map_or(layout_block_tasks, |conversion| conversion.block_tasks);
+        let new_block_tasks = allowed_block_tasks.min(current_block_tasks / 2);
+        if write.is_terminal() || new_block_tasks < MIN_BLOCK_TASKS {
             tracing::error!(job = %job_id, "job record rejected in every size; retried later");
             job.stored.is_rejected = true;
             self.record_writes.push_rejected(now, job_id.clone());
             return;
         }
-        tracing::info!(job = %job_id, tasks = smaller, "job record too large; done tasks move to blocks");
-        job.stored.conversion = Some(BlockConversion::new(smaller, job.record.done.clone()));
+        tracing::info!(job = %job_id, tasks = new_block_tasks, "job record too large; done tasks move to blocks");
+        job.stored.conversion = Some(BlockConversion::new(new_block_tasks, job.record.done.clone()));
         self.write_record(now, job_id);
     }
 }
--- a/src/coordination/jobs/resources.rs
+++ b/src/coordination/jobs/resources.rs
@@ -4,44 +4,44 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobSpec;
 
-/// Amounts that a task takes, or that a machine or a team has.
+/// Amounts that a task needs, or that a machine or a team has.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
-    /// CPUs; a part of one counts.
+    /// CPUs; may be fractional.
     pub cpus: f64,
-    /// GPUs; a part of one counts.
+    /// GPUs; may be fractional.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
-/// Sums of decimals are inexact; differences up to this much are ignored.
+/// Tolerance of comparisons, because sums of decimal fractions are inexact.
 const EPSILON: f64 = 1e-6;
 
 impl Resources {
-    /// More than anybody may use.
+    /// Unlimited resources.
     pub const UNBOUNDED: Resources =
         Resources { cpus: f64::INFINITY, gpus: f64::INFINITY, memory_gb: f64::INFINITY };
 
-    /// What one task of the job takes.
+    /// Resources that one task of the job needs.
     pub fn of(spec: &JobSpec) -> Self {
         Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// What an empty machine of the type has.
+    /// Resources of an empty machine of this type.
     pub fn of_type(machine_type: &MachineType) -> Self {
         let MachineType { cpus, gpus, memory_gb, .. } = *machine_type;
         Resources { cpus, gpus, memory_gb }
     }
 
-    /// Whether it fits into the capacity, in each amount.
+    /// Whether each amount fits into the capacity.
     pub fn fits(&self, capacity: &Resources) -> bool {
         self.cpus <= capacity.cpus + EPSILON
             && self.gpus <= capacity.gpus + EPSILON
             && self.memory_gb <= capacity.memory_gb + EPSILON
     }
 
-    /// How many times it fits into the capacity.
+    /// How many times these amounts fit into the capacity.
     pub fn times_in(&self, capacity: &Resources) -> u32 {
         let times = |need: f64, has: f64| {
             if need <= 0.0 { f64::from(u32::MAX) } else { ((has + EPSILON) / need).floor().max(0.0) }
