--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -1,11 +1,11 @@
-//! Admission: which submissions are taken, and the first write of their records.
+//! Admission: checks submissions and writes the records of new jobs.
 
 use tokio::time::Instant;
 
 use crate::coordination::authority::answers::Answer;
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::admissions::PendingAdmission;
-use crate::coordination::jobs::dag::{DependencyCheck, KnownDependencies};
+use crate::coordination::jobs::dependencies::{DependencyCheck, KnownDependencies};
 use crate::coordination::jobs::dependency_graph::Cancellation;
 use crate::coordination::jobs::dependency_state::DependencyStates;
 use crate::coordination::jobs::job::{Job, ReplyId};
@@ -21,37 +21,37 @@
 use crate::storage::kv::{KvError, RequestClass};
 use crate::storage::records::{JobRecord, block_size, encode_row, job_record_key, live_row_key};
 
-/// Bytes that a value has beside what is encoded here.
+/// Margin, in bytes, for the parts of a value that the size check does not encode.
 const VALUE_OVERHEAD_BYTES: usize = 128;
-/// Changes of the store that an admission takes: the record and its row.
+/// Changes to the store per admission: the record and its row.
 const CHANGES_PER_ADMISSION: f64 = 2.0;
-/// Admissions under way at least, whatever the write rate.
+/// Lower bound on the number of pending admissions allowed, for any write rate.
 const MIN_ADMISSIONS: f64 = 4.0;
-/// Unfinished jobs that may be held for each MB of memory.
+/// Maximum number of jobs in memory per MB of the memory limit.
 const JOBS_PER_MB: f64 = 32.0;
 
-/// Whether the record fits into one value, before and after the limits change, with its done
-/// tasks in the form that leaves the most room for the description.
-fn fits_a_value(record: &JobRecord, state: &KvSettings) -> bool {
-    let limits = state.strictest();
+/// Whether the record fits into one value under the present and the announced limits, with its
+/// done tasks in the form that leaves the most room for the description.
+fn fits_a_value(record: &JobRecord, kv: &KvSettings) -> bool {
+    let limits = kv.strictest();
     let bitmap = (record.spec.task_count.min(block_size(limits.value_kb)) / 6) as usize;
     max_json_size(&record.encode_without_done_tasks()) + bitmap + VALUE_OVERHEAD_BYTES <= limits.value_bytes()
 }
 
 impl Leader {
-    /// A user submits a job.
+    /// Handles a user's submission of a job.
     pub fn submit(&mut self, now: Instant, now_ms: u64, reply: ReplyId, spec: JobSpec) {
         self.submit_with_dependency_states(now, now_ms, reply, spec, DependencyStates::default());
     }
 
-    /// The same, with what was read of the jobs that it depends on.
+    /// Handles a submission, with the states that were read of the jobs that it depends on.
     pub fn submit_with_dependency_states(
         &mut self,
         now: Instant,
         now_ms: u64,
         reply: ReplyId,
         spec: JobSpec,
-        read: DependencyStates,
+        dependency_states: DependencyStates,
     ) {
         if !self.holds_lease(now) {
             return self.reply(reply, Answer::retry_later(503, "not leading now", 1));
@@ -65,10 +65,10 @@
         if self.catalog.is_empty() {
             return self.reply(reply, Answer::retry_later(503, "machine types not known yet", 1));
         }
-        let dependencies = match self.check_dependencies(&spec, &read) {
+        let dependencies = match self.check_dependencies(&spec, &dependency_states) {
             DependencyCheck::Known(dependencies) => dependencies,
             DependencyCheck::Unread(unread) => {
-                let submission = UncheckedSubmission { reply, spec, unread, known: read };
+                let submission = UncheckedSubmission { reply, spec, unread, known: dependency_states };
                 return self.outbox.push(Effect::ReadDependencies(Box::new(submission)));
             }
             DependencyCheck::Undetermined(reason) => {
@@ -78,7 +78,7 @@
                 return self.reject_unless_admitted(reply, spec.id, reason);
             }
         };
-        if let Some(reason) = self.infeasibility(&spec) {
+        if let Some(reason) = self.infeasibility_reason(&spec) {
             return self.reject_unless_admitted(reply, spec.id, reason);
         }
         if !self.has_room_for_admission() {
@@ -95,14 +95,14 @@
         }
     }
 
-    /// The job was admitted earlier: its record says what became of it.
+    /// Answers from the record of a job that was admitted earlier.
     fn answer_from_record(&mut self, reply: ReplyId, job: JobId) {
         let if_absent = Answer::retry_later(503, "try again", 1);
         self.outbox.push(Effect::LookUpJob { reply, job, if_absent });
     }
 
-    /// What could not be written within a second or two is refused now rather than kept
-    /// waiting.
+    /// Whether another admission can be written soon. A submission that could not be written
+    /// within a second or two is refused at once instead of being kept waiting.
     fn has_room_for_admission(&self) -> bool {
         let write_rps = self.record_writes.limits().write_rps;
         let max_admissions = whole_usize((write_rps / CHANGES_PER_ADMISSION).max(MIN_ADMISSIONS));
@@ -110,7 +110,7 @@
         self.admissions.len() < max_admissions && self.jobs.len() < max_jobs
     }
 
-    /// Writes the record and the row of a new job; its user is answered once they are there.
+    /// Writes the record and the row of a new job; its user is answered once they are committed.
     fn write_admission(
         &mut self,
         now: Instant,
@@ -119,15 +119,15 @@
         spec: JobSpec,
         dependencies: KnownDependencies,
     ) {
-        let state = &self.config.settings.cluster.kv;
+        let kv = &self.config.settings.cluster.kv;
         let job = spec.id.clone();
         let mut record = JobRecord::new(spec, now_ms);
         record.cancelled = dependencies.cancellation == Cancellation::Cancelled;
-        if !record.spec.dependencies.is_empty() && !fits_a_value(&record, state) {
+        if !record.spec.dependencies.is_empty() && !fits_a_value(&record, kv) {
             return self.reject_unless_admitted(reply, job, "awaits more jobs than a record holds");
         }
         let is_ready = dependencies.unmet.is_empty() && !record.cancelled;
-        if is_ready && self.may_start_at_once(&record.spec) {
+        if is_ready && self.may_mark_all_started(&record.spec) {
             record.started_high_water = record.spec.task_count;
         }
         let (record_key, row_key) = (job_record_key(&job), live_row_key(&job));
@@ -136,39 +136,44 @@
             Compare { key: row_key.clone(), version: 0 },
         ];
         let changes =
-            vec![put(record_key, record.encode(state.value_kb)), put(row_key, encode_row(JobState::Queued))];
+            vec![put(record_key, record.encode(kv.value_kb)), put(row_key, encode_row(JobState::Queued))];
         self.add_to_dependency_graph(&record.spec, now, dependencies);
         self.admissions.begin(job.clone(), PendingAdmission { record, waiters: vec![reply] });
         self.commit(PendingOperation::AdmitJob(job), RequestClass::Admission, compares, changes);
     }
 
-    /// Whether the first write says that all tasks may have started. With room for some of
-    /// them, the first start should not wait for a second write; nor where nothing has been
-    /// started on any machine yet, since then whatever comes up is for the jobs that come now.
-    fn may_start_at_once(&self, spec: &JobSpec) -> bool {
+    /// Whether the first write of the record already says that all tasks may have started, so
+    /// that the first start need not wait for a second write. True if there is room for some of
+    /// the tasks, or if no machine may hold tasks yet: the machines that come up next then serve
+    /// the jobs that are submitted now.
+    fn may_mark_all_started(&self, spec: &JobSpec) -> bool {
         self.could_start_now(spec) || !self.machines.values().any(Machine::may_hold_tasks)
     }
 
     /// Rejects a job that can never run, unless it was admitted earlier: a repeated submission
-    /// is never judged anew.
+    /// is not checked again.
     fn reject_unless_admitted(&mut self, reply: ReplyId, job: JobId, reason: &str) {
         let if_absent = Answer::error(422, reason);
         self.outbox.push(Effect::LookUpJob { reply, job, if_absent });
     }
 
-    /// Why no machine will ever take the job.
-    fn infeasibility(&self, spec: &JobSpec) -> Option<&'static str> {
+    /// Why the job can never run, by its team or its resources; `None` if it can.
+    fn infeasibility_reason(&self, spec: &JobSpec) -> Option<&'static str> {
         let Some(team) = self.quotas.find(&spec.team) else { return Some("unknown team") };
         if self.catalog.feasible_types(spec).is_empty() {
             return Some("a task fits no allowed machine type");
         }
-        let at_once = if spec.kind == JobKind::Service { f64::from(spec.task_count) } else { 1.0 };
-        let total = Resources { cpus: spec.cpus * at_once, gpus: spec.gpus * at_once, memory_gb: 0.0 };
+        let concurrent_tasks = if spec.kind == JobKind::Service { f64::from(spec.task_count) } else { 1.0 };
+        let total = Resources {
+            cpus: spec.cpus * concurrent_tasks,
+            gpus: spec.gpus * concurrent_tasks,
+            memory_gb: 0.0,
+        };
         let fits = total.fits(&self.quotas.get(team).limit);
         (!fits).then_some("needs more than the team's limit")
     }
 
-    /// The first write of a job's record has ended.
+    /// Handles the outcome of the first write of a job's record.
     pub(crate) fn handle_admission_written(
         &mut self,
         now: Instant,
@@ -190,7 +195,7 @@
     /// Answers a submission whose first write was not carried out.
     fn answer_not_admitted(&mut self, reply: ReplyId, job: JobId, error: KvError) {
         match error {
-            // It was admitted earlier and is terminal: the record tells.
+            // The job was admitted earlier and is terminal: its record has the answer.
             KvError::Conflict => self.answer_from_record(reply, job),
             KvError::Rejected => {
                 self.reject_unless_admitted(reply, job, "its description is too large for a record");
@@ -220,7 +225,7 @@
         }
     }
 
-    /// Enters a new job as the store now has it.
+    /// Adds a new job to memory as it is stored.
     fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
         let spec = &record.spec;
         let is_ready = spec.dependencies.is_empty() || self.dependencies.is_ready(&spec.id);
@@ -238,28 +243,28 @@
         self.queue.invalidate();
     }
 
-    /// An admission was not carried out. A job that the reconciler has brought back meanwhile
-    /// keeps its place in the graph.
+    /// Removes a job from the graph whose admission was not carried out. A job that the
+    /// reconciler has restored in the meantime stays in the graph.
     fn retract_admission(&mut self, job: &JobId) {
         if !self.jobs.contains_key(job) {
             self.dependencies.retract(job);
         }
     }
 
-    /// The answer about a job by memory; `None` if the store must be asked.
+    /// The answer about a job from memory; `None` if its record must be read.
     pub fn poll(&self, now: Instant, job: &JobId) -> Option<Answer> {
-        // Whoever reads the record may know more while a terminal write is under way.
+        // While a terminal write is in flight, a reader of the record may already see its result.
         let is_undecided = self.jobs.get(job)?.has_terminal_write_in_flight()
             || self.dependencies.cancellation(job) == Cancellation::Pending;
         if is_undecided { None } else { self.status_from_memory(now, job) }
     }
 
-    /// The answer by memory about a job that is decided, or whose record was just read and is
-    /// not terminal: memory may have become so meanwhile, and knows what runs. `None` if it may
-    /// not be used.
+    /// The answer from memory about a job whose outcome is not pending, or whose record was just
+    /// read and is not terminal: memory may have become terminal since the read, and knows
+    /// which tasks run. `None` if memory may not be used.
     pub fn status_from_memory(&self, now: Instant, job: &JobId) -> Option<Answer> {
         let status = self.jobs.get(job)?.status();
-        // Without the lease another leader may know more; what is terminal is so in any case.
+        // Without the lease another leader may have changed the job; a terminal state is final.
         let is_usable = self.holds_lease(now) || status.state.is_terminal();
         is_usable.then(|| Answer::job_state(200, status, self.term.validity()))
     }
--- a/src/coordination/jobs/admissions.rs
+++ b/src/coordination/jobs/admissions.rs
@@ -1,4 +1,4 @@
-//! Submissions whose first write is under way.
+//! Pending admissions: submitted jobs whose first write has not ended.
 
 use crate::coordination::jobs::job::ReplyId;
 use crate::maps::HashMap;
@@ -8,13 +8,13 @@
 /// A job whose record is being written for the first time.
 #[derive(Debug)]
 pub(crate) struct PendingAdmission {
-    /// The record as it is written.
+    /// The record that is being written.
     pub(crate) record: JobRecord,
-    /// Users who wait for the outcome; repeated submissions wait with the first.
+    /// Requests that wait for the outcome: the first submission and its repetitions.
     pub(crate) waiters: Vec<ReplyId>,
 }
 
-/// The admissions under way, and how many submissions were turned away.
+/// The pending admissions, and the number of refused submissions.
 #[derive(Debug, Default)]
 pub(crate) struct Admissions {
     pending: HashMap<JobId, PendingAdmission>,
@@ -22,7 +22,7 @@
 }
 
 impl Admissions {
-    /// How many are under way.
+    /// The number of pending admissions.
     pub(crate) fn len(&self) -> usize {
         self.pending.len()
     }
@@ -32,27 +32,27 @@
         self.pending.contains_key(job)
     }
 
-    /// The admission of a job, if it is under way.
+    /// The pending admission of a job, if there is one.
     pub(crate) fn get_mut(&mut self, job: &JobId) -> Option<&mut PendingAdmission> {
         self.pending.get_mut(job)
     }
 
-    /// An admission's write was sent.
+    /// Adds an admission whose write was sent.
     pub(crate) fn begin(&mut self, job: JobId, admission: PendingAdmission) {
         self.pending.insert(job, admission);
     }
 
-    /// An admission's write has ended.
+    /// Removes and returns an admission whose write has ended.
     pub(crate) fn end(&mut self, job: &JobId) -> Option<PendingAdmission> {
         self.pending.remove(job)
     }
 
-    /// A submission was turned away for want of capacity.
+    /// Counts a submission that was refused for lack of capacity.
     pub(crate) fn record_refused(&mut self) {
         self.refused += 1;
     }
 
-    /// Submissions turned away in this epoch for want of capacity.
+    /// The number of submissions refused for lack of capacity in this epoch.
     pub(crate) fn refused(&self) -> u64 {
         self.refused
     }
--- a/src/coordination/jobs/dag.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -1,8 +1,8 @@
-//! Jobs that depend on others: what a submission may depend on, and which jobs become ready
-//! when one is done.
+//! The leader's handling of dependencies: checks those of a submission, restores those of the
+//! jobs that a new leader reads, and makes jobs ready when a dependency is done.
 //!
 //! A job is ready only once the completion of its last dependency is committed, so that every
-//! later leader comes to the same conclusion. The edges are kept by
+//! later leader comes to the same result. The edges are stored in
 //! [`crate::coordination::jobs::dependency_graph`].
 
 use std::collections::BTreeSet;
@@ -17,49 +17,53 @@
 use crate::coordination::leader::Leader;
 use crate::protocol::jobs::{JobId, JobSpec};
 
-/// The longest deadline that counts, in seconds.
+/// Upper bound on the deadlines used in urgencies, in seconds.
 const MAX_DEADLINE_S: f64 = 1e7;
-/// The longest fetch of an image that counts, in seconds.
+/// Upper bound on the expected time to fetch an image, in seconds.
 const MAX_FETCH_S: f64 = 1e4;
 
-/// The dependencies of a submission, as far as they can be judged now.
+/// The result of checking the dependencies of a submission.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum DependencyCheck {
-    /// All are known.
+    /// The states of all dependencies are known, and the job may be admitted.
     Known(KnownDependencies),
-    /// These are not in memory: their records decide.
+    /// These dependencies are not in memory: their records have to be read.
     Unread(Vec<JobId>),
-    /// The job can never run.
+    /// The job can never run, for this reason.
     Infeasible(&'static str),
-    /// What a dependency is cannot be known at present.
+    /// The state of a dependency cannot be determined at present, for this reason.
     Undetermined(&'static str),
 }
 
-/// What a job's dependencies mean for it.
+/// The dependencies of a job that are not done, and their effect on the job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct KnownDependencies {
-    /// Those that are neither done nor cancelled.
+    /// Dependencies that are neither done nor cancelled.
     pub(crate) unmet: BTreeSet<JobId>,
-    /// Whether one of them is cancelled.
+    /// Whether a dependency is cancelled.
     pub(crate) cancellation: Cancellation,
 }
 
 impl KnownDependencies {
-    /// No dependency has been looked at yet.
+    /// The value before any dependency is considered.
     fn none() -> Self {
         KnownDependencies { unmet: BTreeSet::new(), cancellation: Cancellation::NotCancelled }
     }
 
-    /// Whether the job has to wait, or is never to start.
-    fn holds_back(&self) -> bool {
+    /// Whether the job has to wait for a dependency, or must never start.
+    fn prevents_start(&self) -> bool {
         !self.unmet.is_empty() || self.cancellation == Cancellation::Cancelled
     }
 }
 
 impl Leader {
-    /// Judges the jobs that a submission depends on, with what was read of those that are not
-    /// in memory.
-    pub(crate) fn check_dependencies(&self, spec: &JobSpec, read: &DependencyStates) -> DependencyCheck {
+    /// Checks the jobs that a submission depends on. `read_states`: the states that were read
+    /// of jobs that are not in memory.
+    pub(crate) fn check_dependencies(
+        &self,
+        spec: &JobSpec,
+        read_states: &DependencyStates,
+    ) -> DependencyCheck {
         if spec.dependencies.contains(&spec.id) {
             return DependencyCheck::Infeasible("a job cannot await itself");
         }
@@ -69,7 +73,7 @@
             if !is_in_memory && self.admissions.contains(dependency) {
                 return DependencyCheck::Undetermined("an awaited job is being accepted");
             }
-            match self.dependency_state(dependency, read) {
+            match self.dependency_state(dependency, read_states) {
                 None => unread.push(dependency.clone()),
                 Some(DependencyState::Absent) => {
                     return DependencyCheck::Infeasible("an awaited job was never accepted");
@@ -91,16 +95,20 @@
         if unread.is_empty() { DependencyCheck::Known(known) } else { DependencyCheck::Unread(unread) }
     }
 
-    /// The state of a dependency by memory, or else by what was read.
-    fn dependency_state(&self, dependency: &JobId, read: &DependencyStates) -> Option<DependencyState> {
+    /// The state of a dependency from memory, or else from the states that were read.
+    fn dependency_state(
+        &self,
+        dependency: &JobId,
+        read_states: &DependencyStates,
+    ) -> Option<DependencyState> {
         match self.jobs.get(dependency) {
             Some(job) if job.cancellation.by_dependency => Some(DependencyState::Cancelled),
             Some(job) => Some(DependencyState::of(Some(&job.record))),
-            None => read.get(dependency).copied(),
+            None => read_states.get(dependency).copied(),
         }
     }
 
-    /// Enters a job's dependencies, if it has any, into the graph.
+    /// Adds a job to the graph if it has dependencies.
     pub(crate) fn add_to_dependency_graph(
         &mut self,
         spec: &JobSpec,
@@ -111,7 +119,7 @@
             return;
         }
         let KnownDependencies { unmet, mut cancellation } = known;
-        // Whether it is cancelled with them is known once that is written.
+        // Whether this job is cancelled too is known once the cancellation is committed.
         let is_being_cancelled =
             |id: &JobId| self.jobs.get(id).is_some_and(|job| job.cancellation.is_requested);
         if unmet.iter().any(is_being_cancelled) {
@@ -124,8 +132,8 @@
         self.dependencies.insert(&spec.id, NewDependent { unmet, cancellation, urgency, duration });
     }
 
-    /// How long a job is expected to take from when it is ready to its completion: a heartbeat
-    /// interval until its tasks start and their ends are reported, its image, and its run.
+    /// Expected time from when a job is ready to its completion: one heartbeat interval for
+    /// starting its tasks and reporting their ends, the fetch of its image, and its run time.
     fn expected_duration(&self, spec: &JobSpec) -> Duration {
         let rates = self.catalog.types().iter().map(|machine_type| machine_type.fetch_gb_per_s);
         let best_rate = rates.fold(0.0, f64::max);
@@ -134,7 +142,8 @@
         self.config.settings.cluster.workers.heartbeat_interval() + Duration::from_secs_f64(seconds)
     }
 
-    /// A job is done, and that is committed: those that waited only for it are ready.
+    /// Marks the dependents that waited only for this job as ready, once its completion is
+    /// committed.
     pub(crate) fn mark_dependents_ready(&mut self, now: Instant, job_id: &JobId) {
         let now_ms = self.clock.at_ms(now);
         for ready_id in self.dependencies.complete(job_id) {
@@ -147,46 +156,46 @@
                 self.latency_classes.announce_work();
             }
             self.queue.invalidate();
-            // Its first start is near, and needs this.
+            // Its tasks start only once the raised mark is committed.
             self.raise_started_high_water(now, &ready_id);
         }
     }
 
-    /// Enters what a new leader has read of a job's dependencies. Those that are neither
-    /// terminal nor in memory are waited for: they cannot be judged.
+    /// Restores the dependencies of a job that was read from the store. The job also waits for
+    /// dependencies that are neither terminal nor in memory, because their state is unknown.
     pub(crate) fn restore_dependencies(
         &mut self,
         now: Instant,
         now_ms: u64,
         job_id: &JobId,
-        read: &DependencyStates,
+        read_states: &DependencyStates,
     ) {
         let Some(job) = self.jobs.get(job_id) else { return };
         if job.spec().dependencies.is_empty() || job.record.terminal_state().is_some() {
             return;
         }
         let (spec, submitted_at, mut ready_ms) = (job.spec().clone(), job.submitted_at, job.record.ready_ms);
-        let says_started = job.stored.started_high_water > 0;
-        let has_started = says_started && !self.has_unmet_dependency_in_memory(job);
-        if says_started && !has_started {
+        let is_recorded_as_started = job.stored.started_high_water > 0;
+        let has_started = is_recorded_as_started && !self.has_unmet_dependency_in_memory(job);
+        if is_recorded_as_started && !has_started {
             self.record_violation(Violation::StartedBeforeDependencies, job_id);
         }
         let mut known = KnownDependencies::none();
-        // Only a ready job may have started.
+        // Only a ready job starts, so a started job has no unmet dependency.
         for dependency in spec.dependencies.iter().filter(|_| !has_started) {
             let in_memory = self.jobs.get(dependency).map(|job| DependencyState::of(Some(&job.record)));
-            match in_memory.or_else(|| read.get(dependency).copied()) {
+            match in_memory.or_else(|| read_states.get(dependency).copied()) {
                 Some(DependencyState::Done { at_ms }) => ready_ms = ready_ms.max(at_ms),
                 Some(DependencyState::Cancelled) => known.cancellation = Cancellation::Cancelled,
                 _ => drop(known.unmet.insert(dependency.clone())),
             }
         }
-        let is_held_back = known.holds_back();
+        let must_not_start = known.prevents_start();
         self.add_to_dependency_graph(&spec, submitted_at, known);
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         let since_ready = ready_ms.map(|at_ms| Duration::from_millis(now_ms.saturating_sub(at_ms)));
         let ready_at = since_ready.and_then(|since| now.checked_sub(since)).unwrap_or(submitted_at);
-        job.ready_at = (!is_held_back).then_some(ready_at.max(submitted_at));
+        job.ready_at = (!must_not_start).then_some(ready_at.max(submitted_at));
     }
 
     fn has_unmet_dependency_in_memory(&self, job: &Job) -> bool {
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -1,13 +1,13 @@
-//! Which jobs depend on which: a directed acyclic graph of the unfinished jobs.
+//! Directed acyclic graph of the dependencies between unfinished jobs.
 //!
-//! A job may name others that have to be done before any of its tasks starts. This module owns
-//! what follows from that: which jobs become ready when one is done, which are cancelled with
-//! one, and which urgency a job inherits from its dependents. It knows no time and no records;
-//! the leader tells it what has been committed, and asks.
+//! A job may name other jobs that have to be done before any of its tasks starts. The graph
+//! determines which jobs become ready when a job is done, which jobs are cancelled with a job,
+//! and which urgency a job inherits from its dependents. It uses neither the clock nor the
+//! store: the leader reports what has been committed and queries the result.
 //!
-//! Only admitted jobs can be named, so no cycle can form. Every walk keeps a work list instead
-//! of recursing, so chains may be of any length, and costs grow with the edges that a change
-//! touches.
+//! A job can only name admitted jobs, so no cycle can form. Every traversal uses a work list
+//! instead of recursion, so chains may be of any length; its cost is proportional to the number
+//! of edges that a change affects.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -17,17 +17,17 @@
 use crate::maps::{HashMap, HashSet};
 use crate::protocol::jobs::{JobId, Priority};
 
-/// How urgent a job is: by its own description, or by that of its dependents.
+/// How urgent a job is, by its own description or by those of its dependents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
     /// Its priority.
     pub priority: Priority,
-    /// When it is to be done, if there is a deadline.
+    /// When it has to be done, if there is a deadline.
     pub finish_by: Option<Instant>,
 }
 
 impl Urgency {
-    /// The higher priority and the earlier end of the two.
+    /// The higher priority and the earlier deadline of the two.
     #[must_use]
     pub fn most_urgent(self, other: Urgency) -> Urgency {
         let finish_by = match (self.finish_by, other.finish_by) {
@@ -38,18 +38,18 @@
     }
 }
 
-/// What the cancellation of its dependencies means for a job.
+/// Whether a job is cancelled because of its dependencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cancellation {
-    /// None of them is cancelled, or about to be.
+    /// No dependency is cancelled or being cancelled.
     NotCancelled,
-    /// The cancellation of one is being written, with an outcome that is not known yet.
+    /// The cancellation of a dependency is being written, and its outcome is not known yet.
     Pending,
-    /// One is cancelled, and that is committed: so is this job.
+    /// The cancellation of a dependency is committed, so this job is cancelled too.
     Cancelled,
 }
 
-/// A job with dependencies as it enters the graph.
+/// A job with dependencies that is to be inserted into the graph.
 #[derive(Debug)]
 pub struct NewDependent {
     /// Its dependencies that are not terminal yet.
@@ -58,7 +58,7 @@
     pub cancellation: Cancellation,
     /// Its own urgency.
     pub urgency: Urgency,
-    /// How long it is expected to take from when it is ready to its end.
+    /// Expected time from when it is ready to its completion.
     pub duration: Duration,
 }
 
@@ -68,10 +68,10 @@
     unmet: BTreeSet<JobId>,
     dependents: BTreeSet<JobId>,
     cancellation: Cancellation,
-    /// Its own urgency and expected duration; `None` for a job without dependencies, whose own
-    /// the graph never needs.
+    /// Its own urgency and expected duration; `None` for a job without dependencies, for which
+    /// the graph needs neither.
     own_urgency: Option<(Urgency, Duration)>,
-    /// The urgency of its dependents.
+    /// The urgency of its dependents, direct and indirect.
     inherited: Option<Urgency>,
 }
 
@@ -94,8 +94,8 @@
         self.unmet.is_empty() && !self.is_cancelled()
     }
 
-    /// The urgency that its dependencies inherit from it: they have to end earlier by the time
-    /// that it takes itself.
+    /// The urgency that its dependencies inherit from it: their deadline is earlier than its own
+    /// by its expected duration.
     fn urgency_for_dependencies(&self) -> Option<Urgency> {
         let (own, duration) = self.own_urgency?;
         let combined = self.inherited.map_or(own, |inherited| own.most_urgent(inherited));
@@ -111,7 +111,8 @@
 }
 
 impl DependencyGraph {
-    /// A job with dependencies joins, before its admission is written or as it was read.
+    /// Inserts a job with dependencies, before its admission is written or after it was read
+    /// from the store.
     pub fn insert(&mut self, job: &JobId, dependent: NewDependent) {
         let NewDependent { unmet, mut cancellation, urgency, duration } = dependent;
         for dependency in &unmet {
@@ -130,13 +131,13 @@
         self.propagate_urgency(job);
     }
 
-    /// Whether a job with dependencies is known to wait for none of them any more. One that
-    /// the graph does not hold is not: absence proves nothing.
+    /// Whether a job with dependencies is known to wait for none of them any more. A job that
+    /// is not in the graph is not known to be ready: its absence proves nothing.
     pub fn is_ready(&self, job: &JobId) -> bool {
         self.nodes.get(job).is_some_and(GraphNode::is_ready)
     }
 
-    /// What the cancellation of its dependencies means for a job.
+    /// Whether a job is cancelled because of its dependencies.
     pub fn cancellation(&self, job: &JobId) -> Cancellation {
         self.nodes.get(job).map_or(Cancellation::NotCancelled, |node| node.cancellation)
     }
@@ -146,7 +147,7 @@
         self.nodes.get(job).and_then(|node| node.inherited)
     }
 
-    /// A job is done, and that is committed. Returns the dependents that became ready.
+    /// Marks a job as done, once that is committed. Returns the dependents that became ready.
     #[must_use]
     pub fn complete(&mut self, job: &JobId) -> Vec<JobId> {
         let mut ready = Vec::new();
@@ -160,19 +161,19 @@
         ready
     }
 
-    /// The cancellation of a job is being written: whether its dependents are cancelled with
-    /// it is not known until the outcome is.
+    /// Marks the cancellation of a job as being written: until its outcome is known, it is not
+    /// known whether the job's dependents are cancelled with it.
     pub fn mark_cancellation_pending(&mut self, job: &JobId) {
         self.propagate_cancellation(job, Cancellation::Pending);
     }
 
-    /// A job is cancelled, and that is committed. Returns its dependents, direct and indirect:
-    /// they are cancelled with it.
+    /// Marks a job as cancelled, once that is committed. Returns its dependents, direct and
+    /// indirect, that are newly cancelled with it.
     #[must_use]
     pub fn cancel(&mut self, job: &JobId) -> Vec<JobId> {
         let dependents = self.propagate_cancellation(job, Cancellation::Cancelled);
         let cancelled: HashSet<&JobId> = dependents.iter().chain(std::iter::once(job)).collect();
-        // Dependencies of theirs that go on may have inherited urgency from them.
+        // Their dependencies that are not cancelled may have inherited urgency from them.
         let mut remaining: BTreeSet<JobId> = BTreeSet::new();
         for member in &cancelled {
             let Some(node) = self.nodes.get(*member) else { continue };
@@ -187,8 +188,8 @@
         dependents
     }
 
-    /// A job's admission was not carried out: its dependencies count for nothing. Its
-    /// dependents know of an earlier admission, and stay.
+    /// Removes the dependencies of a job whose admission was not carried out. Its dependents
+    /// rely on an earlier admission of the job and stay in the graph.
     pub fn retract(&mut self, job: &JobId) {
         let Some(node) = self.nodes.get_mut(job) else { return };
         let dependents = std::mem::take(&mut node.dependents);
@@ -199,7 +200,7 @@
         }
     }
 
-    /// A job is terminal and has left memory.
+    /// Removes a terminal job that is evicted from memory.
     pub fn remove(&mut self, job: &JobId) {
         let Some(node) = self.nodes.remove(job) else { return };
         for dependency in &node.unmet {
@@ -218,8 +219,8 @@
         self.nodes.get(job).map(|node| node.dependents.iter().cloned().collect()).unwrap_or_default()
     }
 
-    /// Raises the cancellation of all dependents, direct and indirect; returns those whose was
-    /// lower.
+    /// Raises the cancellation of all dependents, direct and indirect, to at least this one.
+    /// Returns the dependents whose cancellation was lower before.
     fn propagate_cancellation(&mut self, job: &JobId, cancellation: Cancellation) -> Vec<JobId> {
         let mut raised = Vec::new();
         let mut work = vec![job.clone()];
@@ -236,7 +237,7 @@
         raised
     }
 
-    /// Passes the urgency of a job that has joined on to its dependencies.
+    /// Propagates the urgency of a newly inserted job to its dependencies, direct and indirect.
     fn propagate_urgency(&mut self, job: &JobId) {
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
@@ -253,7 +254,8 @@
         }
     }
 
-    /// Computes again what a job inherits, and its dependencies, since a dependent has left.
+    /// Recomputes the inherited urgency of a job and of its dependencies after a dependent was
+    /// removed or cancelled.
     fn recompute_inherited_urgency(&mut self, job: &JobId) {
         let mut work = vec![job.clone()];
         while let Some(next) = work.pop() {
--- a/src/coordination/jobs/dependency_graph/tests.rs
+++ b/src/coordination/jobs/dependency_graph/tests.rs
@@ -4,13 +4,13 @@
     JobId::parse(&format!("job-{text}")).expect("valid id")
 }
 
-fn names(jobs: Vec<JobId>) -> Vec<String> {
+fn sorted_names(jobs: Vec<JobId>) -> Vec<String> {
     let mut names: Vec<String> = jobs.iter().map(|job| job.as_str().replace("job-", "")).collect();
     names.sort();
     names
 }
 
-fn plain(dependencies: &[&str]) -> NewDependent {
+fn dependent_on(dependencies: &[&str]) -> NewDependent {
     NewDependent {
         unmet: dependencies.iter().map(|dependency| id(dependency)).collect(),
         cancellation: Cancellation::NotCancelled,
@@ -22,7 +22,7 @@
 fn graph(edges: &[(&str, &[&str])]) -> DependencyGraph {
     let mut graph = DependencyGraph::default();
     for (job, dependencies) in edges {
-        graph.insert(&id(job), plain(dependencies));
+        graph.insert(&id(job), dependent_on(dependencies));
     }
     graph
 }
@@ -30,15 +30,15 @@
 #[test]
 fn a_job_is_ready_once_its_last_dependency_is_done() {
     let mut graph = graph(&[("b", &["a"]), ("c", &["a"]), ("d", &["b", "c"])]);
-    assert_eq!(names(graph.complete(&id("a"))), ["b", "c"]);
+    assert_eq!(sorted_names(graph.complete(&id("a"))), ["b", "c"]);
     assert!(graph.complete(&id("b")).is_empty());
     assert!(!graph.is_ready(&id("d")) && graph.is_ready(&id("c")));
-    assert_eq!(names(graph.complete(&id("c"))), ["d"]);
-    assert!(graph.complete(&id("c")).is_empty(), "a second time says nothing new");
+    assert_eq!(sorted_names(graph.complete(&id("c"))), ["d"]);
+    assert!(graph.complete(&id("c")).is_empty(), "a second completion makes no job ready");
 }
 
-/// A chain, a diamond, fan-in and fan-out: all dependents of a cancelled job are cancelled,
-/// and nothing beside them.
+/// In a graph with a chain, a diamond, fan-in and fan-out, exactly the direct and indirect
+/// dependents of a cancelled job are cancelled.
 #[test]
 fn all_dependents_of_a_cancelled_job_are_cancelled() {
     let mut graph = graph(&[
@@ -51,46 +51,46 @@
     ]);
     graph.mark_cancellation_pending(&id("b"));
     assert_eq!([id("d"), id("e")].map(|job| graph.cancellation(&job)), [Cancellation::Pending; 2]);
-    // One that comes while the outcome is not known.
-    graph.insert(&id("f"), plain(&["e"]));
+    // A job that is inserted while the outcome is not known.
+    graph.insert(&id("f"), dependent_on(&["e"]));
     assert_eq!(graph.cancellation(&id("f")), Cancellation::Pending);
-    assert_eq!(names(graph.cancel(&id("b"))), ["d", "e", "f"]);
+    assert_eq!(sorted_names(graph.cancel(&id("b"))), ["d", "e", "f"]);
     for job in ["a", "c", "x", "y", "z"] {
         assert_eq!(graph.cancellation(&id(job)), Cancellation::NotCancelled, "{job}");
     }
-    graph.insert(&id("g"), plain(&["f", "y"]));
+    graph.insert(&id("g"), dependent_on(&["f", "y"]));
     assert_eq!(graph.cancellation(&id("g")), Cancellation::Cancelled);
     assert!(graph.complete(&id("c")).is_empty(), "a cancelled job is never ready");
     assert!(!graph.is_ready(&id("d")));
-    assert_eq!(names(graph.complete(&id("x"))), ["y"]);
+    assert_eq!(sorted_names(graph.complete(&id("x"))), ["y"]);
 }
 
-/// Read by a new leader, a job may come before its dependencies.
+/// A new leader may read a job before the jobs that it depends on.
 #[test]
-fn the_order_in_which_jobs_join_does_not_matter() {
+fn cancellation_does_not_depend_on_the_insertion_order() {
     let mut graph = graph(&[("c", &["b"])]);
-    graph.insert(&id("b"), NewDependent { cancellation: Cancellation::Cancelled, ..plain(&[]) });
+    graph.insert(&id("b"), NewDependent { cancellation: Cancellation::Cancelled, ..dependent_on(&[]) });
     assert_eq!(graph.cancellation(&id("c")), Cancellation::Cancelled);
 }
 
 #[test]
-fn urgency_is_inherited_along_the_path_and_falls_back() {
+fn inherited_urgency_is_recomputed_when_dependents_leave() {
     let now = Instant::now();
     let due = |s| Some(now + Duration::from_secs(s));
-    let last = |dependencies: &[&str], priority, s| {
+    let urgent_dependent_on = |dependencies: &[&str], priority, s| {
         let urgency = Urgency { priority, finish_by: due(s) };
-        NewDependent { urgency, ..plain(dependencies) }
+        NewDependent { urgency, ..dependent_on(dependencies) }
     };
     let mut graph = graph(&[("b", &["a"]), ("c", &["a"])]);
     assert_eq!(graph.inherited(&id("a")).map(|u| u.priority), Some(Priority::BestEffort));
-    graph.insert(&id("d"), last(&["b", "c"], Priority::High, 100));
-    graph.insert(&id("e"), last(&["c"], Priority::Standard, 60));
+    graph.insert(&id("d"), urgent_dependent_on(&["b", "c"], Priority::High, 100));
+    graph.insert(&id("e"), urgent_dependent_on(&["c"], Priority::Standard, 60));
     let inherited =
         |graph: &DependencyGraph, job| graph.inherited(&id(job)).map(|u| (u.priority, u.finish_by));
     assert_eq!(inherited(&graph, "b"), Some((Priority::High, due(90))));
     assert_eq!(inherited(&graph, "c"), Some((Priority::High, due(50))));
     assert_eq!(inherited(&graph, "a"), Some((Priority::High, due(40))));
-    assert_eq!(names(graph.cancel(&id("d"))), Vec::<String>::new());
+    assert_eq!(sorted_names(graph.cancel(&id("d"))), Vec::<String>::new());
     assert_eq!(inherited(&graph, "b"), None);
     assert_eq!(inherited(&graph, "c"), Some((Priority::Standard, due(50))));
     assert_eq!(inherited(&graph, "a"), Some((Priority::Standard, due(40))));
@@ -98,16 +98,16 @@
     assert_eq!(inherited(&graph, "a"), Some((Priority::BestEffort, None)));
 }
 
-/// No step recurses: a chain may be longer than any stack.
+/// Traversals do not recurse, so the stack does not limit the length of a chain.
 #[test]
-fn a_long_chain_costs_a_step_for_each_edge() {
+fn a_chain_of_100_000_jobs_is_traversed_without_recursion() {
     let mut graph = DependencyGraph::default();
     let name = |n: u32| format!("{n}");
     for n in 1..100_000 {
-        graph.insert(&id(&name(n)), plain(&[&name(n - 1)]));
+        graph.insert(&id(&name(n)), dependent_on(&[&name(n - 1)]));
     }
     let urgent = Urgency { priority: Priority::Critical, finish_by: None };
-    graph.insert(&id("last"), NewDependent { urgency: urgent, ..plain(&[&name(99_999)]) });
+    graph.insert(&id("last"), NewDependent { urgency: urgent, ..dependent_on(&[&name(99_999)]) });
     assert_eq!(graph.inherited(&id("0")).map(|u| u.priority), Some(Priority::Critical));
     assert_eq!(graph.cancel(&id("0")).len(), 100_000);
     for n in 0..100_000 {
@@ -117,12 +117,12 @@
     assert!(graph.nodes.is_empty());
 }
 
-/// A job that the graph does not hold may depend on anything.
+/// The dependencies of a job that is not in the graph are unknown.
 #[test]
-fn a_job_that_the_graph_does_not_hold_is_not_ready() {
+fn a_job_that_is_not_in_the_graph_is_not_ready() {
     let mut graph = DependencyGraph::default();
     assert!(!graph.is_ready(&id("a")));
-    graph.insert(&id("b"), plain(&["a"]));
+    graph.insert(&id("b"), dependent_on(&["a"]));
     assert!(!graph.is_ready(&id("b")));
     assert_eq!(graph.complete(&id("a")), [id("b")]);
     assert!(graph.is_ready(&id("b")));
@@ -130,17 +130,17 @@
     assert!(!graph.is_ready(&id("b")));
 }
 
-/// An admission that was not carried out takes nothing from the job's dependents.
+/// Retracting an admission that was not carried out leaves the job's dependents in the graph.
 #[test]
 fn a_retracted_job_keeps_its_dependents() {
     let mut graph = DependencyGraph::default();
-    graph.insert(&id("c"), plain(&["b"]));
-    graph.insert(&id("b"), plain(&["a"]));
+    graph.insert(&id("c"), dependent_on(&["b"]));
+    graph.insert(&id("b"), dependent_on(&["a"]));
     graph.retract(&id("b"));
-    assert!(graph.cancel(&id("a")).is_empty(), "its dependencies count for nothing");
+    assert!(graph.cancel(&id("a")).is_empty(), "a retracted job has no dependencies");
     assert_eq!(graph.cancel(&id("b")), [id("c")]);
     graph.retract(&id("d"));
-    graph.insert(&id("e"), plain(&[]));
+    graph.insert(&id("e"), dependent_on(&[]));
     graph.retract(&id("e"));
     assert!(!graph.is_ready(&id("e")));
 }
--- a/src/coordination/jobs/dependency_state.rs
+++ b/src/coordination/jobs/dependency_state.rs
@@ -1,13 +1,13 @@
-//! What is known of the jobs that others depend on.
+//! States of jobs that other jobs depend on, as read from the store.
 
 use crate::maps::HashMap;
 use crate::protocol::jobs::{JobId, JobKind, JobState};
 use crate::storage::records::JobRecord;
 
-/// What the store says of a job that another one depends on.
+/// The state of a job that another job depends on, according to its record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyState {
-    /// Never admitted.
+    /// It has no record: it was never admitted.
     Absent,
     /// A service, which is never done.
     Service,
@@ -15,20 +15,20 @@
     Unfinished,
     /// All its tasks are done.
     Done {
-        /// When, if the record says so: milliseconds since the epoch of Unix.
+        /// When the last task was done, in milliseconds since the Unix epoch, if the record says so.
         at_ms: Option<u64>,
     },
     /// Cancelled.
     Cancelled,
-    /// There is a record, and it cannot be read: any of these may be.
+    /// There is a record that cannot be read: the job may be in any of these states.
     Unreadable,
 }
 
-/// What was read of jobs that others depend on.
+/// The states that were read, by job.
 pub type DependencyStates = HashMap<JobId, DependencyState>;
 
 impl DependencyState {
-    /// What a job's record, if it has one, means for those that depend on the job.
+    /// The state that a job's record implies; `None` for a job without a record.
     pub fn of(record: Option<&JobRecord>) -> Self {
         let Some(record) = record else { return DependencyState::Absent };
         match record.terminal_state() {
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,10 +1,11 @@
-//! Jobs: what users submit, how it is recorded, and which jobs wait for which.
+//! Jobs: admission, records in the store, dependencies between jobs, cancellation, archiving
+//! and quotas.
 
 pub mod admission;
 pub mod admissions;
 pub mod archive;
 pub mod cancellation;
-pub mod dag;
+pub mod dependencies;
 pub mod dependency_graph;
 pub mod dependency_state;
 pub mod job;
