--- a/src/coordination/workers/deferred_replies.rs
+++ b/src/coordination/workers/deferred_replies.rs
@@ -1,14 +1,14 @@
-//! Heartbeats whose replies are deferred for a command that is likely to come.
+//! Heartbeats whose replies are deferred because a command for the machine is likely to follow.
 //!
-//! A start can go only into the reply to a heartbeat, and a worker sends one every few
-//! seconds. Where an objective asks for a start within less, the reply is deferred for a
-//! bounded time and is sent as soon as there is a command for that machine.
+//! A start can be sent only in the reply to a heartbeat, and a worker sends a heartbeat every
+//! few seconds. If an objective requires a start sooner than that, the reply is deferred for a
+//! bounded time and is sent as soon as there is a command for the machine.
 //!
-//! Deferring a reply never keeps a task alive for longer: the worker's lease, its timeout for
-//! replies and every proof of lease expiry count from the sending or the arrival of the
-//! heartbeat. What the reply says is decided when it is sent, not when the heartbeat came, so
-//! that it carries the stops of what was cancelled meanwhile and nothing that the leader may
-//! no longer command.
+//! Deferring a reply never keeps a task alive for longer: the worker's lease, its reply timeout
+//! and every proof of lease expiry count from the time when the heartbeat was sent or arrived.
+//! The contents of the reply are decided when it is sent, not when the heartbeat arrived, so
+//! that it carries the stops of tasks cancelled meanwhile, and no command that the leader may no
+//! longer give.
 
 use std::time::Duration;
 
@@ -18,24 +18,24 @@
 use crate::maps::HashMap;
 use crate::protocol::workers::{HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId};
 
-/// Longest delay of a reply, in heartbeat intervals. Less than three quarters of one, the
-/// shortest time after which a worker sends its next heartbeat: a deferred reply delays no
-/// heartbeat.
-const HEARTBEAT_INTERVAL_RATIO: f64 = 0.7;
-/// Longest delay as a part of the time that a worker waits for a reply; the rest is left for
+/// Longest delay of a reply, in heartbeat intervals. It is less than three quarters of an
+/// interval, the shortest time after which a worker sends its next heartbeat, so that a deferred
+/// reply does not delay a heartbeat.
+const MAX_DELAY_INTERVALS: f64 = 0.7;
+/// Longest delay as a fraction of the time that a worker waits for a reply; the rest is left for
 /// the network.
-const REPLY_TIMEOUT_DIVISOR: u32 = 2;
-/// Longest delay as a part of the lease that the reply renews.
-const LEASE_DIVISOR: u32 = 4;
+const MAX_DELAY_REPLY_TIMEOUT_DIVISOR: u32 = 2;
+/// Longest delay as a fraction of the lease that the reply renews.
+const MAX_DELAY_LEASE_DIVISOR: u32 = 4;
 
-/// A heartbeat that was handled and not replied to yet.
+/// A heartbeat that was handled but not replied to yet.
 #[derive(Debug)]
 pub struct DeferredReply<R> {
-    /// The heartbeat.
+    /// The heartbeat to reply to.
     pub heartbeat: Heartbeat,
-    /// Where the reply goes.
+    /// Channel over which the reply is sent.
     pub reply: R,
-    /// When the reply has to be sent, whether there is a command or not.
+    /// When the reply has to be sent even if there is no command.
     deadline: Instant,
 }
 
@@ -48,41 +48,41 @@
 }
 
 impl<R> DeferredReplies<R> {
-    /// No deferred replies yet; the longest delay follows from the settings.
+    /// Creates an empty set; the longest delay follows from the settings.
     pub fn new(config: &Config) -> Self {
         let workers = &config.settings.cluster.workers;
         let max_delay = workers
             .heartbeat_interval()
-            .mul_f64(HEARTBEAT_INTERVAL_RATIO)
-            .min(HEARTBEAT_REPLY_TIMEOUT / REPLY_TIMEOUT_DIVISOR)
-            .min(workers.lease() / LEASE_DIVISOR);
+            .mul_f64(MAX_DELAY_INTERVALS)
+            .min(HEARTBEAT_REPLY_TIMEOUT / MAX_DELAY_REPLY_TIMEOUT_DIVISOR)
+            .min(workers.lease() / MAX_DELAY_LEASE_DIVISOR);
         DeferredReplies { max_delay, by_machine: HashMap::default() }
     }
 
-    /// Defers the reply to a heartbeat. Returns the one that was deferred for the machine
-    /// before: its worker has given it up.
+    /// Defers the reply to a heartbeat. Returns the reply that was already deferred for the
+    /// machine, if any: the worker no longer waits for it.
     pub fn defer(&mut self, now: Instant, heartbeat: Heartbeat, reply: R) -> Option<DeferredReply<R>> {
         let machine = heartbeat.machine.clone();
         let deferred = DeferredReply { heartbeat, reply, deadline: now + self.max_delay };
         self.by_machine.insert(machine, deferred)
     }
 
-    /// The machines whose replies are deferred.
+    /// Returns the machines whose replies are deferred.
     pub fn machines(&self) -> impl Iterator<Item = &MachineId> {
         self.by_machine.keys()
     }
 
-    /// The reply deferred for a machine, if there is one.
+    /// Returns the reply deferred for a machine, if there is one.
     pub fn get(&self, machine: &MachineId) -> Option<&DeferredReply<R>> {
         self.by_machine.get(machine)
     }
 
-    /// Takes the reply deferred for a machine out, to be sent.
+    /// Removes and returns the reply deferred for a machine.
     pub fn remove(&mut self, machine: &MachineId) -> Option<DeferredReply<R>> {
         self.by_machine.remove(machine)
     }
 
-    /// Takes out those whose deadline has passed.
+    /// Removes and returns the replies whose deadline has passed.
     pub fn expired(&mut self, now: Instant) -> Vec<DeferredReply<R>> {
         let expired: Vec<MachineId> = self
             .by_machine
@@ -93,7 +93,7 @@
         expired.iter().filter_map(|machine| self.by_machine.remove(machine)).collect()
     }
 
-    /// Takes out all of them: their leader is gone.
+    /// Removes and returns all replies, because their leader is gone.
     pub fn drain(&mut self) -> impl Iterator<Item = DeferredReply<R>> + '_ {
         self.by_machine.drain().map(|(_, deferred)| deferred)
     }
--- a/src/coordination/workers/deferred_replies/tests.rs
+++ b/src/coordination/workers/deferred_replies/tests.rs
@@ -8,8 +8,8 @@
     DeferredReplies::new(&Config { settings, tuning: policy::tests::tuning() })
 }
 
-/// Whatever the settings are, a reply is deferred for less than a heartbeat interval, than
-/// the worker waits, and than its lease lasts.
+/// For any settings, the longest delay of a reply is less than the heartbeat interval, the
+/// worker's reply timeout and its lease.
 #[test]
 fn delays_are_bounded_by_the_settings() {
     for (report_s, lease_s) in [(3.0, 18.0), (60.0, 300.0), (0.5, 5.0), (30.0, 6.0)] {
@@ -21,7 +21,8 @@
     }
 }
 
-/// A worker has one heartbeat in flight: a newer one means that it gave up the older.
+/// A worker has one heartbeat in flight: when it sends a newer one, it no longer waits for the
+/// reply to the older one.
 #[test]
 fn one_reply_is_deferred_for_each_machine_until_its_deadline() {
     let mut replies = deferred_replies(|_| {});
--- a/src/coordination/workers/failure_detector.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -1,4 +1,4 @@
-//! The failure detector: which machines are suspected or dead, by their heartbeats.
+//! The failure detector: decides from heartbeats which machines are suspected or dead.
 
 use std::time::Duration;
 
@@ -9,60 +9,62 @@
 use crate::coordination::fleet::machine_table::MachineTable;
 use crate::maps::HashMap;
 
-/// After so many intervals the next heartbeat of a machine is surely overdue: it may come a
-/// quarter late, and its packets a little more.
+/// Heartbeat intervals after which a machine's next heartbeat is certainly overdue. The worker
+/// may send it a quarter of an interval late, and the network adds a little more.
 const OVERDUE_INTERVALS: f64 = 1.6;
-/// Late heartbeats are few while at most one machine in so many is late.
-const MACHINES_PER_LATE_ONE: usize = 10;
+/// The fleet counts as mostly live while at most one machine in this many is late.
+const MAX_LATE_DIVISOR: usize = 10;
 
-/// Which machines are silent at one moment, and whether that can be believed.
+/// The machines that are silent at one moment, and whether their silence means failure.
 ///
-/// Silence may be the fault of the machine, of the network of its zone, or of this side.
-/// Where most others of its zone are live it is the machine's. A zone that is mostly silent
-/// is more likely partitioned: heartbeats of its machines may arrive again, by another way or
-/// once the partition has healed, and the machines keep what they have for a lease. If most of
-/// all machines are silent, the fault is taken to be on this side: a leader that has lost its
-/// workers gets their heartbeats again one by one, and the first few must not make the others
-/// seem dead. If no machine is live at all, nothing follows. Where all but a few have been
-/// live for a while, a single missed heartbeat is enough: what was lost starts elsewhere the
-/// sooner.
+/// The cause of the silence may be the machine, the network of its zone, or the leader's side:
+///
+/// - If most machines of its zone are live, the machine has failed.
+/// - A zone that is mostly silent is more likely partitioned. Heartbeats of its machines may
+///   arrive again, over another path or after the partition has healed, and the machines keep
+///   their tasks for the duration of a lease.
+/// - If most machines of the fleet are silent, the fault is assumed to be on the leader's side.
+///   A leader that has lost its workers gets their heartbeats back one by one, and the first few
+///   must not make the others seem dead.
+/// - If no machine is live, no machine is suspected.
+/// - If all but a few machines have been live for a while, a single missed heartbeat is enough
+///   for suspicion, so that lost tasks are restarted elsewhere sooner.
 pub(crate) struct FailureDetector {
     now: Instant,
-    /// Since when this leader could have received heartbeats.
+    /// Since when this leader has been able to receive heartbeats.
     listening_since: Instant,
-    /// How long silence must last to be believed, as things are.
+    /// How long a machine must be silent to be suspected, given the state of the fleet.
     suspicion_timeout: Duration,
-    /// At least one machine is live.
+    /// Whether at least one machine is live.
     any_live: bool,
-    /// The workers' lease.
+    /// Duration of the workers' lease.
     lease: Duration,
     zones: HashMap<String, ZoneCount>,
 }
 
-/// The machines of a zone.
+/// Machine counts of a zone.
 #[derive(Debug, Default, Clone, Copy)]
 struct ZoneCount {
-    /// Those that are up.
+    /// Machines that are up.
     up: usize,
-    /// Those of them whose heartbeats arrive in time.
+    /// Machines that are up and whose heartbeats arrive in time.
     live: usize,
 }
 
 impl FailureDetector {
-    /// Whether the machine's last heartbeat is more than `timeout` ago. A leader counts from
-    /// when it began to listen, at the earliest.
+    /// Whether the machine's last heartbeat is more than `timeout` ago. The time before the
+    /// leader began to listen does not count.
     fn is_overdue_by(&self, machine: &Machine, timeout: Duration) -> bool {
         let last = machine.agent.heartbeat_at.map_or(self.listening_since, |at| at.max(self.listening_since));
         machine.phase == Phase::Up && self.now > last + timeout
     }
 
-    /// Whether the machine is suspected to have failed: its capacity is not counted on for
-    /// now.
+    /// Whether the machine is suspected to have failed. Its capacity is not counted while it is.
     pub(crate) fn is_suspected(&self, machine: &Machine) -> bool {
         self.any_live && self.is_overdue_by(machine, self.suspicion_timeout)
     }
 
-    /// Whether the machine is not coming back, and is to be deleted.
+    /// Whether the machine is considered failed for good, and has to be deleted.
     pub(crate) fn is_dead(&self, machine: &Machine) -> bool {
         let zone = self.zones.get(&machine.zone).copied().unwrap_or_default();
         let is_zone_live = is_majority(zone.live, zone.up);
@@ -70,20 +72,20 @@
     }
 }
 
-/// Whether so many of all are the rule, not the exception.
+/// Whether `count` is at least half of `all`.
 fn is_majority(count: usize, all: usize) -> bool {
     count * 2 >= all
 }
 
-/// When the next heartbeat of a machine is surely overdue: between two thirds of the policy's
-/// timeout and all of it.
+/// Time since the last heartbeat after which the next one is certainly overdue: between two
+/// thirds of the policy's suspicion timeout and the whole of it.
 fn heartbeat_timeout(config: &Config) -> Duration {
-    let silence = config.tuning.suspicion_timeout;
+    let suspicion_timeout = config.tuning.suspicion_timeout;
     let interval = config.settings.cluster.workers.heartbeat_interval();
-    interval.mul_f64(OVERDUE_INTERVALS).max(silence * 2 / 3).min(silence)
+    interval.mul_f64(OVERDUE_INTERVALS).max(suspicion_timeout * 2 / 3).min(suspicion_timeout)
 }
 
-/// What a leader remembers of how well its workers' heartbeats arrive.
+/// The leader's record of whether its workers' heartbeats arrive in time.
 #[derive(Debug)]
 pub(crate) struct Liveness {
     /// Since when this leader has replied to heartbeats without a break.
@@ -93,12 +95,13 @@
 }
 
 impl Liveness {
-    /// A leader begins to listen.
+    /// Creates the record of a leader that begins to listen at `now`.
     pub(crate) fn new(now: Instant) -> Self {
         Liveness { listening_since: now, mostly_live_since: None }
     }
 
-    /// The leader listens again after a break: silence during the break proves nothing.
+    /// Records that the leader listens again after a break. Silence during the break proves
+    /// nothing.
     pub(crate) fn restart(&mut self, now: Instant) {
         self.listening_since = now;
     }
@@ -108,7 +111,7 @@
         self.mostly_live_since.is_some()
     }
 
-    /// The failure detector for this moment.
+    /// Returns the failure detector for the current moment.
     pub(crate) fn detector(&self, now: Instant, config: &Config, machines: &MachineTable) -> FailureDetector {
         let (overdue, lease) = (heartbeat_timeout(config), config.settings.cluster.workers.lease());
         let mut detector = FailureDetector {
@@ -136,13 +139,13 @@
         detector
     }
 
-    /// Notes since when the heartbeats of all but a few machines have arrived in time.
+    /// Updates since when the heartbeats of all but a few machines have arrived in time.
     pub(crate) fn record(&mut self, now: Instant, config: &Config, machines: &MachineTable) {
         let detector = self.detector(now, config, machines);
         let overdue = heartbeat_timeout(config);
         let up = machines.values().filter(|machine| machine.phase == Phase::Up);
         let late = up.clone().filter(|machine| detector.is_overdue_by(machine, overdue)).count();
-        if late * MACHINES_PER_LATE_ONE > up.count() {
+        if late * MAX_LATE_DIVISOR > up.count() {
             self.mostly_live_since = None;
         } else {
             self.mostly_live_since.get_or_insert(now);
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats of workers: which of them count, and what is replied.
+//! Handling of workers' heartbeats: which of them are accepted, and how they are replied to.
 //!
-//! Starts go only into replies to heartbeats: a worker drops a reply that comes more than a
-//! few seconds late, while a pushed command may be carried out minutes later.
+//! Start commands are sent only in replies to heartbeats: a worker drops a reply that arrives
+//! more than a few seconds late, while a pushed command may be executed minutes later.
 
 use std::time::Duration;
 
@@ -13,40 +13,40 @@
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
-/// Longest time to a preemption that is taken from a heartbeat, in seconds. Keeps the sum
-/// with the clock in range, whatever a worker sends.
+/// Upper bound for the time to a preemption that a heartbeat announces, in seconds. Keeps the
+/// sum with the current time in range, whatever value a worker sends.
 const MAX_PREEMPTION_NOTICE_S: f64 = 1e6;
 
-/// What is replied to a heartbeat.
+/// Reply to a heartbeat.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HeartbeatReply {
     /// The heartbeat is accepted, which renews the worker's lease.
     Commands {
         /// The epoch of the leader that replies.
         fencing_token: u64,
-        /// What the worker is to do; may be empty.
+        /// Commands for the worker; may be empty.
         commands: Vec<Command>,
     },
-    /// The leader may not, or does not want to, renew the worker's lease: the worker must
-    /// try another controller.
+    /// The leader must not renew the worker's lease, or chooses not to: the worker must try
+    /// another controller.
     Redirect,
 }
 
-/// Whether a machine's replies seem to reach it.
+/// Whether the replies to a machine seem to reach it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReplyDelivery {
-    /// Nothing speaks against it.
+    /// There is no sign that replies are lost.
     Unsuspected,
-    /// Heartbeats arrive, but nothing in them shows that replies do: a one-way partition.
+    /// Heartbeats arrive, but show no effect of the replies: a one-way partition.
     Suspected {
-        /// Whether it is time to try a single start all the same.
+        /// Whether a single start may be sent now as a probe.
         may_probe: bool,
     },
 }
 
 impl ReplyDelivery {
-    /// How many tasks may be started in a reply that already has `commands` commands. A
-    /// suspected machine is probed with a single start now and then.
+    /// Returns how many tasks may be started in a reply that already has `commands` commands.
+    /// A suspected machine is probed with a single start from time to time.
     fn max_starts(self, commands: usize) -> usize {
         let limit = MAX_COMMANDS.saturating_sub(commands);
         match self {
@@ -58,26 +58,26 @@
 }
 
 impl Leader {
-    /// Takes a worker's heartbeat and decides the reply.
+    /// Handles a worker's heartbeat and returns the reply.
     ///
-    /// The checks come first, from the leader's own term to the heartbeat's token. A
+    /// The checks come first, from the leader's own term to the heartbeat's fencing token. A
     /// heartbeat that passes all of them updates the machine and its slots, and its reply
     /// carries stops, reaps and starts.
     pub fn handle_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
-        // A reply with a lower token would be dropped and only hold the worker here while
-        // its lease runs out.
+        // The worker would drop a reply with a lower token, and would stay with this controller
+        // until its lease expires.
         if heartbeat.fencing_token > self.term.epoch() || self.is_fenced() {
             return HeartbeatReply::Redirect;
         }
         if !self.holds_lease(now) {
             return self.handle_heartbeat_after_lease(now, heartbeat);
         }
-        // A late copy from a machine whose deletion was confirmed.
+        // A delayed copy from a machine whose deletion was confirmed.
         if self.machines.is_deleted(&heartbeat.machine) {
             return HeartbeatReply::Redirect;
         }
-        // Without machine types its capacity cannot be counted yet, so its lease must not be
-        // renewed.
+        // The machine's capacity is unknown until the machine types are loaded, so its lease
+        // must not be renewed.
         if self.catalog.is_empty() {
             return HeartbeatReply::Redirect;
         }
@@ -87,7 +87,7 @@
         if is_outdated(machine, heartbeat) {
             return HeartbeatReply::Redirect;
         }
-        let must_lose_lease = self.ignores_its_stops(now, heartbeat);
+        let must_lose_lease = self.ignores_cancellation_stops(now, heartbeat);
         if heartbeat.fencing_token < self.term.epoch() {
             return if must_lose_lease {
                 HeartbeatReply::Redirect
@@ -102,12 +102,12 @@
         self.reply_with_commands(now, heartbeat)
     }
 
-    /// A heartbeat of a machine that is in none of the node pools' records.
+    /// Handles a heartbeat of a machine that no node pool record lists.
     ///
-    /// Under an earlier token it may be a late copy, of a machine long deleted. A live
-    /// machine shows our token with its next heartbeat, and only then it is registered. No
-    /// machine that no record names was ever given a start, so the reply keeps no task
-    /// alive; unless a record cannot be read.
+    /// A heartbeat with an earlier fencing token may be a delayed copy from a machine that was
+    /// deleted long ago. A live machine sends this epoch's token with its next heartbeat, and is
+    /// registered only then. Tasks are started only on machines that a record lists, so the
+    /// reply cannot keep a task alive, unless a record is unreadable.
     fn handle_unregistered_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
         let worker_lease = self.config.settings.cluster.workers.lease();
         if self.failover.unrecorded_machines_possible()
@@ -127,20 +127,20 @@
         self.reply_with_terminal_stops(heartbeat)
     }
 
-    /// Updates the machine and its slots from a heartbeat under this epoch's token.
-    /// `is_replied`: whether its reply renews the worker's lease.
-    fn reconcile_machine(&mut self, now: Instant, heartbeat: &Heartbeat, is_replied: bool) {
-        let has_new_incarnation = self.record_heartbeat(now, heartbeat, is_replied);
+    /// Updates the machine and its slots from a heartbeat with this epoch's fencing token.
+    /// `renews_lease`: whether the reply renews the worker's lease.
+    fn reconcile_machine(&mut self, now: Instant, heartbeat: &Heartbeat, renews_lease: bool) {
+        let has_new_incarnation = self.record_heartbeat(now, heartbeat, renews_lease);
         if has_new_incarnation {
-            // A new incarnation begins without tasks.
+            // A new incarnation starts without tasks.
             self.clear_slots(now, &heartbeat.machine);
         }
         self.reconcile_tasks(now, heartbeat);
         self.mark_machine_reconciled(&heartbeat.machine);
     }
 
-    /// The reply to a heartbeat that was accepted: stops and reaps, then starts as far as
-    /// the reply's limit and the machine's free capacity allow.
+    /// Builds the reply to an accepted heartbeat: stops and reaps, then as many starts as the
+    /// limit of commands in a reply and the machine's free capacity allow.
     fn reply_with_commands(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
         let machine = &heartbeat.machine;
         let mut commands = self.stop_and_reap_commands(heartbeat);
@@ -153,23 +153,23 @@
         HeartbeatReply::Commands { fencing_token: self.term.epoch(), commands }
     }
 
-    /// Records the arrival of a heartbeat under this epoch's token, and whether its reply
+    /// Records the arrival of a heartbeat with this epoch's fencing token, and whether the reply
     /// renews the worker's lease. Returns whether the worker has a new incarnation.
-    fn record_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat, is_replied: bool) -> bool {
+    fn record_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat, renews_lease: bool) -> bool {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return false };
         let worker_lease = self.config.settings.cluster.workers.lease();
         let agent = &mut machine.agent;
-        // The first effect of our replies that can be seen is the token.
+        // This epoch's token is the first visible effect of this leader's replies.
         if agent.last_heartbeat.is_none() || agent.last_stale_heartbeat.take().is_some() {
             agent.acks.record_acknowledged();
         }
         let earlier = agent.last_heartbeat.replace(HeartbeatStamp::of(heartbeat));
         let has_new_incarnation = earlier.is_some_and(|earlier| earlier.incarnation < heartbeat.incarnation);
         if has_new_incarnation && agent.replied_at.is_some_and(|at| now < at + worker_lease) {
-            // Its lease has expired although a reply had renewed it.
+            // The worker's lease expired although a reply should have renewed it.
             agent.acks.record_missed(now);
         }
-        if is_replied {
+        if renews_lease {
             agent.replied_at = Some(now);
         }
         agent.heartbeat_at = Some(now);
@@ -179,10 +179,10 @@
         has_new_incarnation
     }
 
-    /// Whether replies seem to reach the machine; records the outcome on it.
+    /// Checks whether replies seem to reach the machine, and records the result on it.
     fn check_reply_delivery(&mut self, now: Instant, machine: &MachineId) -> ReplyDelivery {
         let workers = &self.config.settings.cluster.workers;
-        let (heartbeat_interval, probe_pause) = (workers.heartbeat_interval(), workers.lease() / 2);
+        let (heartbeat_interval, probe_interval) = (workers.heartbeat_interval(), workers.lease() / 2);
         let Some(entry) = self.machines.get_mut(machine) else {
             return ReplyDelivery::Suspected { may_probe: false };
         };
@@ -192,19 +192,19 @@
         }
         entry.agent.one_way_partitioned = is_suspected;
         if is_suspected {
-            ReplyDelivery::Suspected { may_probe: entry.agent.acks.may_probe(now, probe_pause) }
+            ReplyDelivery::Suspected { may_probe: entry.agent.acks.may_probe(now, probe_interval) }
         } else {
             ReplyDelivery::Unsuspected
         }
     }
 
-    /// A heartbeat under an earlier token: of a worker that has not had our first reply yet,
-    /// or a late copy.
+    /// Handles a heartbeat with an earlier fencing token: from a worker that has not received
+    /// this leader's first reply yet, or a delayed copy.
     ///
-    /// Only a heartbeat under our own token is younger than anything that an earlier leader
-    /// could still command, since such commands carry a lower token and are refused from
-    /// then on. So nothing that a stale heartbeat lists is used; it is replied to, so that a
-    /// live worker learns the token.
+    /// A worker that has seen this epoch's token refuses commands with a lower token. Only its
+    /// heartbeats are therefore guaranteed to be newer than any command of an earlier leader
+    /// that can still take effect. The task list of a stale heartbeat is ignored; the reply lets
+    /// a live worker learn the token.
     fn handle_stale_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return HeartbeatReply::Redirect;
@@ -214,12 +214,12 @@
         }
         let earlier = machine.agent.last_stale_heartbeat.replace(HeartbeatStamp::of(heartbeat));
         if earlier.is_some() {
-            // The reply to the earlier one should have shown in the token.
+            // After the reply to the earlier one the worker should have sent the new token.
             machine.agent.acks.record_missed(now);
         }
-        // A machine that replies do not reach gets no further ones, so that the proof of its
-        // lease's expiry can complete. After that no task is on it, and a reply delays
-        // no proof.
+        // Each reply postpones the proof that the machine's lease has expired, so a machine that
+        // replies do not reach gets no further ones while it may hold tasks. After the proof it
+        // holds none, and replies are harmless.
         let may_hold_tasks = !machine.reconciled || !machine.slots.is_empty();
         let delivery = self.check_reply_delivery(now, &heartbeat.machine);
         if may_hold_tasks && delivery != ReplyDelivery::Unsuspected {
@@ -229,31 +229,33 @@
             return HeartbeatReply::Redirect;
         };
         machine.agent.replied_at = Some(now);
-        // Its first start is near: the record of its use takes a write.
+        // Starts may follow with the next heartbeat, and need the machine's use on record: the
+        // write is started now.
         self.record_machine_use(&heartbeat.machine);
         self.reply_with_terminal_stops(heartbeat)
     }
 
-    /// A reply for the post-lease grace: nothing but stops, for a bounded time after the
-    /// leader's lease has expired.
+    /// Handles a heartbeat in the post-lease grace period, a bounded time after the leader's
+    /// lease has expired: the reply carries only stops.
     ///
-    /// An outage of the key-value store lets every leader's lease expire, and would take the
-    /// workers' leases along if it lasted. Kept alive, the workers finish what they run.
-    /// Nothing is decided here; and the next leader waits for silent machines that much
-    /// longer, see [`crate::coordination::config::Config::failover_lease_timeout`].
+    /// During an outage of the key-value store no leader can renew its lease. Without these
+    /// replies a long outage would also let the workers' leases expire; with them the workers
+    /// finish their tasks. The leader makes no scheduling decision here, and the next leader
+    /// waits correspondingly longer for silent machines, see
+    /// [`crate::coordination::config::Config::failover_lease_timeout`].
     pub(super) fn handle_heartbeat_after_lease(
         &mut self,
         now: Instant,
         heartbeat: &Heartbeat,
     ) -> HeartbeatReply {
-        if self.ignores_its_stops(now, heartbeat) {
+        if self.ignores_cancellation_stops(now, heartbeat) {
             return HeartbeatReply::Redirect;
         }
         let (epoch, grace_expiry) = (self.term.epoch(), self.term.grace_expiry());
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return HeartbeatReply::Redirect;
         };
-        // Only the tasks of machines that this epoch has replied to are surely counted by it.
+        // Only on machines that this epoch has replied to are all tasks known to be counted.
         if now >= grace_expiry || machine.agent.replied_at.is_none() || heartbeat.fencing_token < epoch {
             return HeartbeatReply::Redirect;
         }
@@ -262,15 +264,15 @@
         self.reply_with_terminal_stops(heartbeat)
     }
 
-    /// A reply that decides nothing, and stops the tasks of terminal or cancelled jobs.
+    /// Builds a reply that starts nothing, and stops the tasks of terminal or cancelled jobs.
     ///
-    /// Every reply renews a worker's lease, and keeps what it runs alive. Were the stops of
-    /// cancelled jobs left out of the first reply after a failover and of those in the
-    /// post-lease grace, a chain of short-lived leaders that each give only such replies
-    /// could keep a cancelled task alive for ever. Stopping a task of a job that is terminal,
-    /// or that its user has cancelled, is right under any epoch, at any time, and in reply to
-    /// any copy of a heartbeat: the command names task and attempt. A worker that gets the
-    /// reply gets the stop with it, and one that does not is not kept alive.
+    /// Every reply renews a worker's lease and so keeps its tasks alive. If the first reply after
+    /// a failover and the replies in the post-lease grace period left out the stops of cancelled
+    /// jobs, a series of short-lived leaders that each send only such replies could keep a
+    /// cancelled task alive forever. Stopping a task of a terminal or cancelled job is correct
+    /// in any epoch, at any time, and in reply to any copy of a heartbeat, because the command
+    /// names the task and the attempt. A worker that receives the reply receives the stop with
+    /// it; the lease of a worker that does not is not renewed.
     fn reply_with_terminal_stops(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
         let has_ended = |job: &JobId| self.jobs.get(job).is_none_or(|job| !job.is_startable());
         let commands = heartbeat
@@ -284,30 +286,31 @@
     }
 }
 
-/// Whether a heartbeat is a copy of one that was taken before, or of an incarnation that is
-/// void: either proves nothing.
+/// Whether a heartbeat is a copy of one that was accepted before, is older, or comes from an
+/// incarnation that is no longer valid. Such a heartbeat proves nothing.
 ///
-/// A machine that was back so quickly that its numbers are behind those of its former
-/// incarnation also looks like this. A reply would renew its lease here without its tasks
-/// being counted; so it is redirected, until its lease has expired and its incarnation has
-/// risen, or until it has been silent for long enough to be replaced.
+/// The heartbeats of a machine that restarted so quickly that its numbers are lower than those
+/// of its previous incarnation look the same. A reply would renew its lease without its tasks
+/// being counted, so it is redirected until its lease has expired and its incarnation is higher,
+/// or until it has been silent for long enough to be replaced.
 fn is_outdated(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     let stamp = HeartbeatStamp::of(heartbeat);
     machine.agent.last_heartbeat.is_some_and(|last| stamp <= last)
         || heartbeat.incarnation < machine.agent.min_incarnation
 }
 
-/// Whether a heartbeat under an earlier token is a late copy.
+/// Whether a heartbeat with an earlier fencing token is a delayed copy.
 fn is_stale_copy(machine: &Machine, heartbeat: &Heartbeat) -> bool {
-    // Tokens do not fall within an incarnation: it was sent before one that was taken.
+    // Within an incarnation the token never decreases, so this heartbeat was sent before the
+    // last accepted one.
     let precedes_last =
         machine.agent.last_heartbeat.is_some_and(|last| heartbeat.incarnation <= last.incarnation);
-    // Each copy may delay the proof of its machine's lease expiry only once.
+    // Each heartbeat may postpone the proof of its machine's lease expiry only once.
     let stamp = HeartbeatStamp::of(heartbeat);
     precedes_last || machine.agent.last_stale_heartbeat.is_some_and(|last| stamp <= last)
 }
 
-/// The first heartbeat of a machine ends its boot.
+/// Marks a booting machine as up on its first heartbeat.
 fn mark_up(machine: &mut Machine, now: Instant) {
     if machine.phase == Phase::Booting {
         machine.phase = Phase::Up;
@@ -315,7 +318,7 @@
     }
 }
 
-/// Takes over when the cloud preempts the machine, if the heartbeat announces it.
+/// Records when the cloud will preempt the machine, if the heartbeat announces it.
 fn record_preemption_notice(machine: &mut Machine, now: Instant, heartbeat: &Heartbeat) {
     let Some(seconds) = heartbeat.preemption_notice_s else { return };
     if machine.preempted_at.is_none() {
--- a/src/coordination/workers/machine_use.rs
+++ b/src/coordination/workers/machine_use.rs
@@ -1,13 +1,14 @@
-//! The record that a machine may hold tasks, written before its first start.
+//! Recording that a machine may hold tasks, before the first task is started on it.
 
 use crate::coordination::fleet::machine::UseRecord;
 use crate::coordination::leader::Leader;
 use crate::protocol::workers::MachineId;
 
 impl Leader {
-    /// Writes into the record of the machine's node pool that the machine may hold tasks,
-    /// unless that is written or under way. Nothing starts on a machine before it is
-    /// committed: a later leader reconciles only the machines whose record says so.
+    /// Writes to the machine's node pool record that the machine may hold tasks, unless the
+    /// record says so already or the write is in flight. No task is started on the machine
+    /// before the write is committed, because a later leader reconciles only the machines that
+    /// are recorded this way.
     pub(super) fn record_machine_use(&mut self, machine: &MachineId) {
         let Some(entry) = self.machines.get_mut(machine) else { return };
         if entry.use_record != UseRecord::NotRecorded {
--- a/src/coordination/workers/mod.rs
+++ b/src/coordination/workers/mod.rs
@@ -1,10 +1,10 @@
-//! Workers: their heartbeats, the commands in reply, the slots that their tasks take, and
-//! which of them are alive.
+//! Workers: their heartbeats, the commands in the replies, the slots that their tasks occupy,
+//! and failure detection.
 //!
-//! A heartbeat passes through [`heartbeats`], which decides whether it counts, then through
-//! `task_reconciliation`, which reconciles the tasks that it lists with the leader's slots, then
-//! through `reply_commands`, which collects the commands of the reply. Starts are added to
-//! the reply by [`crate::coordination::scheduling`].
+//! A heartbeat passes through [`heartbeats`], which decides whether it is accepted, then
+//! through `task_reconciliation`, which reconciles the tasks that it lists with the leader's
+//! slots, then through `reply_commands`, which collects the stops and reaps of the reply.
+//! Starts are added to the reply by [`crate::coordination::scheduling`].
 
 pub mod deferred_replies;
 pub mod failure_detector;
--- a/src/coordination/workers/reply_commands.rs
+++ b/src/coordination/workers/reply_commands.rs
@@ -1,29 +1,29 @@
-//! Commands of a heartbeat's reply that concern the tasks that it lists: stops and reaps.
+//! Commands in a heartbeat's reply for the tasks that the heartbeat lists: stops and reaps.
 
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::leader::Leader;
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::{Command, ExitCause, Heartbeat, TaskState, TaskStatus};
 
-/// Most commands in one reply; more follow with the next heartbeat. Keeps the reply well
-/// below its size limit.
+/// Maximum number of commands in one reply; further ones are sent in reply to the next
+/// heartbeat. Keeps the reply well below its size limit.
 pub(super) const MAX_COMMANDS: usize = 200;
 
 impl Leader {
-    /// Stops for tasks that must not run on, then reaps for exited ones that the worker need
-    /// not list any longer; at most [`MAX_COMMANDS`].
+    /// Returns stops for tasks that must not continue, then reaps for exited tasks that the
+    /// worker no longer needs to list; at most [`MAX_COMMANDS`].
     pub(super) fn stop_and_reap_commands(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let Some(machine) = self.machines.get(&heartbeat.machine) else { return Vec::new() };
         let mut commands: Vec<Command> =
             heartbeat.tasks.iter().filter_map(|status| self.command_for_task(machine, status)).collect();
-        // No reply may leave a stop out because reaps fill it: it renews the lease under
-        // which the task runs.
+        // Stops come first, so that reaps cannot displace them: the reply renews the lease under
+        // which the tasks to be stopped run.
         commands.sort_by_key(|command| matches!(command, Command::Reap { .. }));
         commands.truncate(MAX_COMMANDS);
         commands
     }
 
-    /// The stop or reap for one listed task, if it needs one.
+    /// Returns the stop or reap for one listed task, if it needs one.
     fn command_for_task(&self, machine: &Machine, status: &TaskStatus) -> Option<Command> {
         let (task, attempt) = (status.task.clone(), status.attempt);
         if let TaskState::Exited(cause) = status.state {
@@ -31,19 +31,19 @@
             return (!must_stay_listed).then_some(Command::Reap { task, attempt });
         }
         let Some(slot) = machine.slots.get(&task) else {
-            // Its job is terminal or was never admitted.
+            // The task's job is terminal or was never admitted.
             return Some(Command::Stop { task, attempt, grace_s: 0.0 });
         };
         let grace_s = slot.stop_grace_s?;
-        // A task that saves a checkpoint is stopping already; only a stop at once may cut
-        // that short.
+        // A task that saves a checkpoint is already stopping; only a stop without grace may
+        // interrupt it.
         let is_needed = status.state != TaskState::Saving || grace_s <= 0.0;
         is_needed.then_some(Command::Stop { task, attempt, grace_s })
     }
 
-    /// Whether the stored record of the job may not say yet that the task is done: the worker
-    /// must not forget the task before. A job that is not in memory is terminal, or cannot be
-    /// read.
+    /// Whether the job's stored record may not show yet that the task is done. Until it does, the
+    /// worker must keep listing the task. A job that is not in memory is either terminal or
+    /// unreadable.
     fn may_be_uncommitted(&self, task: &TaskId) -> bool {
         match self.jobs.get(&task.job) {
             Some(job) => {
--- a/src/coordination/workers/reply_deferral.rs
+++ b/src/coordination/workers/reply_deferral.rs
@@ -1,5 +1,5 @@
-//! Which replies are deferred for a start that is likely to come, and what is replied once
-//! they are decided. The deferred replies themselves are kept by the controller, in
+//! Decides which replies are deferred because a start is likely to follow, and what a deferred
+//! reply contains when it is sent. The controller keeps the deferred replies themselves, in
 //! [`super::deferred_replies::DeferredReplies`].
 
 use tokio::time::Instant;
@@ -11,9 +11,10 @@
 use crate::protocol::workers::{Heartbeat, MachineId, TaskState, TaskStatus};
 
 impl Leader {
-    /// Whether the empty reply to a heartbeat that was just handled is to be deferred, since
-    /// a latency-sensitive start on the machine is likely. A machine with tasks that end by
-    /// themselves is not deferred: its next heartbeat may show free capacity or results.
+    /// Whether the empty reply to a heartbeat that was just handled should be deferred because a
+    /// latency-sensitive start on the machine is likely. The reply is not deferred if the
+    /// machine has tasks that end by themselves: its next heartbeat may show free capacity or
+    /// results.
     pub fn may_defer_reply(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.fencing_token == self.term.epoch()
             && heartbeat.preemption_notice_s.is_none()
@@ -30,11 +31,14 @@
             && self.jobs.get(&status.task.job).is_some_and(|job| job.is_startable() && job.is_service())
     }
 
-    /// Decides the reply to a heartbeat that was handled before and whose reply was deferred.
-    /// What it listed is reconciled already. It is redirected if a newer heartbeat of the
-    /// machine was handled since: that one's reply counts.
+    /// Builds the deferred reply to a heartbeat that was handled earlier. The tasks that the
+    /// heartbeat lists are already reconciled. The worker is redirected if a newer heartbeat of
+    /// the machine was handled since, because only the reply to the newer one is valid.
     pub fn decide_deferred_reply(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
-        if self.is_fenced() || !self.is_last_heartbeat(heartbeat) || self.ignores_its_stops(now, heartbeat) {
+        if self.is_fenced()
+            || !self.is_last_heartbeat(heartbeat)
+            || self.ignores_cancellation_stops(now, heartbeat)
+        {
             return HeartbeatReply::Redirect;
         }
         if !self.holds_lease(now) {
@@ -59,9 +63,9 @@
             .is_some_and(|machine| machine.agent.last_heartbeat == Some(stamp))
     }
 
-    /// Machines whose deferred replies should be decided now, those first whose free capacity
-    /// should be used first: the machines that have got commands; or all, if
-    /// latency-sensitive work has come to wait since the last call.
+    /// Returns the machines whose deferred replies should be decided now: those with new
+    /// commands, or all of them if latency-sensitive work was queued since the last call. In the
+    /// latter case machines whose free capacity should be used first come first.
     pub fn deferred_replies_to_decide<'a>(
         &mut self,
         deferred: impl Iterator<Item = &'a MachineId>,
@@ -77,14 +81,14 @@
             let has_image = machine
                 .is_some_and(|machine| waiting_images.iter().any(|image| machine.images.contains(image)));
             let is_needed = machine.is_some_and(|machine| machine.need.is_needed);
-            // Not negative, so that the bits of the number sort as the number does.
+            // The bits of a non-negative float sort like the float itself.
             let free_cpus = machine.map_or(0.0, |machine| machine.free.cpus).max(0.0).to_bits();
             (!has_image, !is_needed, free_cpus, id.clone())
         });
         machines
     }
 
-    /// The images of latency-sensitive jobs that have tasks to start.
+    /// Images of the latency-sensitive jobs that have tasks to start.
     fn images_of_latency_sensitive_work(&self) -> Vec<&str> {
         let waiting = self.jobs.values().filter(|job| job.pending() > 0);
         let sensitive = waiting.filter(|job| self.is_latency_sensitive(job.spec()));
--- a/src/coordination/workers/slot.rs
+++ b/src/coordination/workers/slot.rs
@@ -5,38 +5,39 @@
 use crate::coordination::jobs::quota::QuotaId;
 use crate::coordination::jobs::resources::Resources;
 
-/// How far the task in a slot has come.
+/// State of the task in a slot.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SlotState {
-    /// The start went out in the reply to the heartbeat with this sequence number; no
-    /// heartbeat has shown the task yet.
+    /// The start command was sent in the reply to the heartbeat with this sequence number; no
+    /// heartbeat has listed the task yet.
     StartSent {
         /// The heartbeat's sequence number within the worker's incarnation.
         sequence: u64,
     },
-    /// Its image is being fetched.
+    /// The task's image is being fetched.
     Fetching,
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It saves a checkpoint before it stops.
+    /// The task is saving a checkpoint before it stops.
     Saving,
 }
 
-/// Capacity of a machine that a task takes, or may take.
+/// Capacity of a machine that a task occupies, or may occupy.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// Number of the attempt that takes the slot.
+    /// Number of the attempt that occupies the slot.
     pub attempt: u64,
-    /// How far the task has come.
+    /// State of the task.
     pub state: SlotState,
-    /// What the task takes of the machine and of its team's quota.
+    /// Resources that the task takes from the machine and from its team's quota.
     pub resources: Resources,
     /// The quota that `resources` are charged to, if the job's team has one.
     pub team: Option<QuotaId>,
-    /// Since when the task has been in this state.
+    /// When the task entered this state.
     pub since: Instant,
-    /// Seconds of grace with which the task is to stop; `None` while it may run on.
+    /// Grace period in seconds with which the task is being stopped; `None` if it is not being
+    /// stopped.
     pub stop_grace_s: Option<f64>,
-    /// The task is assigned to this slot; otherwise it should not be here.
+    /// Whether the task is assigned to this slot; if not, the task should not be here.
     pub assigned: bool,
 }
--- a/src/coordination/workers/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -1,5 +1,5 @@
-//! The one place that enters and removes slots, and with them counts what tasks take of
-//! machines' capacity and of teams' quotas.
+//! Adding and removing slots. No other code does so: machines' free capacity and teams' quota
+//! use are updated together with the slots.
 
 use tokio::time::Instant;
 
@@ -10,9 +10,9 @@
 use crate::protocol::workers::MachineId;
 
 impl Leader {
-    /// Enters a slot for an attempt of a task, and charges what it takes to the machine and to
-    /// the team's quota. `is_assigned`: the task belongs there; otherwise it is there although
-    /// it should not be. Does nothing if machine or job is not in memory.
+    /// Adds a slot for an attempt of a task, and charges its resources to the machine and to
+    /// the team's quota. `is_assigned`: whether the task is assigned to this machine; if not,
+    /// it should not be there. Does nothing if the machine or the job is not in memory.
     pub(crate) fn add_slot(
         &mut self,
         now: Instant,
@@ -49,15 +49,15 @@
         machine.slots.insert(task, slot);
     }
 
-    /// Removes a slot whose task is provably not on the machine any more, and gives back what
-    /// it took. A task that was assigned to it and is not done waits again.
+    /// Removes a slot whose task is provably no longer on the machine, and releases its
+    /// resources. A task that was assigned to the slot and is not done is requeued.
     pub(crate) fn remove_slot(&mut self, now: Instant, machine_id: &MachineId, task: &TaskId) {
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
         let Some(slot) = machine.slots.remove(task) else { return };
         machine.free.add(&slot.resources);
         if machine.slots.is_empty() {
             machine.idle_since = now;
-            // Sums of decimals drift: an empty machine begins anew.
+            // Resets the floating-point error that sums and differences accumulate.
             machine.free = self.catalog.resources(machine.machine_type);
         }
         if let Some(team) = slot.team {
@@ -66,7 +66,7 @@
         self.release_task(machine_id, task, &slot);
     }
 
-    /// Updates the job after the removal of a slot: its counts, and its assignment.
+    /// Updates the job's counts and task assignment after a slot was removed.
     fn release_task(&mut self, machine_id: &MachineId, task: &TaskId, slot: &Slot) {
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let was_running = u32::from(slot.state == SlotState::Running);
@@ -79,7 +79,7 @@
                 if job.is_service() {
                     self.latency_classes.announce_work();
                 }
-                // A job that had no task to start is not in the queue.
+                // The job had no task to start until now, so the queue may not contain it.
                 if job.pending() == 1 {
                     self.queue.invalidate();
                 }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Removes all slots of a machine on which provably no task is left.
+    /// Removes all slots of a machine that provably holds no tasks.
     pub(crate) fn clear_slots(&mut self, now: Instant, machine_id: &MachineId) {
         let Some(machine) = self.machines.get(machine_id) else { return };
         let tasks: Vec<TaskId> = machine.slots.keys().cloned().collect();
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -1,5 +1,5 @@
 //! Stopping tasks: those of terminal and cancelled jobs, until they are proven gone, and those
-//! on machines that the cloud preempts.
+//! on machines that the cloud is about to preempt.
 
 use tokio::time::Instant;
 
@@ -16,14 +16,14 @@
 struct CancellationStop {
     /// When the job's cancellation was committed.
     committed_at: Instant,
-    /// The stop.
+    /// The stop command.
     command: Command,
 }
 
 impl Leader {
-    /// Stops a task: at once by a pushed command, and again with every reply to its machine
-    /// until the task is gone. `grace_s`: seconds that it has for saving a checkpoint. A task
-    /// that is to stop with no more grace already is left as it is.
+    /// Stops a task: immediately by a pushed command, and again in every reply to its machine
+    /// until the task is gone. `grace_s`: seconds that the task has to save a checkpoint. Does
+    /// nothing if the task is already being stopped with the same or a shorter grace period.
     pub(crate) fn stop_task(&mut self, now: Instant, machine: &MachineId, task: &TaskId, grace_s: f64) {
         let Some(entry) = self.machines.get_mut(machine) else { return };
         let Some(slot) = entry.slots.get_mut(task) else { return };
@@ -36,23 +36,23 @@
         self.outbox.add_machine_with_command(machine.clone());
     }
 
-    /// Stops all tasks of a job that is terminal: whatever still runs of it is of no use.
+    /// Stops all tasks of a terminal job, whose results are no longer needed.
     pub(crate) fn stop_remaining_tasks(&mut self, now: Instant, job: &JobId) {
         for (machine, task) in self.slots_of(job) {
             self.stop_task(now, &machine, &task, 0.0);
         }
     }
 
-    /// Every slot of the job, with its machine.
+    /// Returns the tasks in all slots of the job, with their machines.
     fn slots_of(&self, job_id: &JobId) -> Vec<(MachineId, TaskId)> {
         let Some(job) = self.jobs.get(job_id) else { return Vec::new() };
-        let are_all_assigned = job.tasks.assigned_count() == job.tasks.slot_count;
-        if are_all_assigned {
+        let all_slots_assigned = job.tasks.assigned_count() == job.tasks.slot_count;
+        if all_slots_assigned {
             let task_id = |index: u32| TaskId { job: job_id.clone(), index };
             let assigned = job.tasks.assigned.iter();
             return assigned.map(|(index, machine)| (machine.clone(), task_id(*index))).collect();
         }
-        // Some are where they should not be, and only their machines name them.
+        // Some slots hold tasks that are not assigned to them; only the machines list those.
         let slots = |machine: &Machine| {
             let of_job = machine.slots.keys().filter(|task| &task.job == job_id);
             of_job.map(|task| (machine.id.clone(), task.clone())).collect::<Vec<_>>()
@@ -60,12 +60,14 @@
         self.machines.values().flat_map(slots).collect()
     }
 
-    /// Pushes the stops of cancelled jobs to their machines again, until the tasks are proven
-    /// gone: a command can be lost, and a machine that reaches no controller may still be
-    /// reached. Also without a valid lease, since nothing is decided by it.
+    /// Pushes the stops of cancelled jobs to their machines again until the tasks are proven
+    /// gone, because a command can be lost, and a machine that cannot reach any controller may
+    /// still be reachable. This also happens without a valid lease, since a repeated stop decides
+    /// nothing new.
     ///
-    /// A machine that has sent no heartbeat since the cancellation, when half of the time
-    /// that a cancellation may take is over, is deleted: the cloud's answer is the proof.
+    /// A machine that has sent no heartbeat since the cancellation is deleted once half of the
+    /// time that a cancellation may take has passed: the cloud's confirmation then proves that
+    /// the tasks are gone.
     pub(crate) fn resend_stops(&mut self, now: Instant) {
         if self.is_fenced() || !self.has_cancelled_tasks() {
             return;
@@ -97,15 +99,15 @@
         }
     }
 
-    /// Whether a task of a job whose cancellation is committed may be on a machine.
+    /// Whether any task of a job whose cancellation is committed may still be on a machine.
     fn has_cancelled_tasks(&self) -> bool {
         self.jobs.values().any(|job| job.cancellation.committed_at.is_some() && job.tasks.slot_count > 0)
     }
 
-    /// Whether the heartbeat shows that stops of a cancelled job have no effect, so late that
-    /// the worker must now lose its lease for it. Counted from the cancellation, not from
-    /// stops that were missed.
-    pub(crate) fn ignores_its_stops(&self, now: Instant, heartbeat: &Heartbeat) -> bool {
+    /// Whether the heartbeat still lists a task of a cancelled job that has not exited, so long
+    /// after the cancellation that the worker must now lose its lease. The time is counted from
+    /// the cancellation, not from the stops that were missed.
+    pub(crate) fn ignores_cancellation_stops(&self, now: Instant, heartbeat: &Heartbeat) -> bool {
         let reply_window = self.config.cancelled_task_reply_window();
         let cancelled_at = |job: &JobId| self.jobs.get(job).and_then(|job| job.cancellation.committed_at);
         heartbeat.tasks.iter().any(|status| {
@@ -114,15 +116,15 @@
         })
     }
 
-    /// Stops tasks on a machine that the cloud has announced to preempt.
+    /// Stops tasks on a machine whose preemption the cloud has announced.
     pub(super) fn stop_for_preemption_notice(&mut self, now: Instant, machine: &MachineId) {
         let Some(entry) = self.machines.get(machine) else { return };
         let Some(preempted_at) = entry.preempted_at else { return };
-        let left_s = preempted_at.saturating_duration_since(now).as_secs_f64();
+        let remaining_s = preempted_at.saturating_duration_since(now).as_secs_f64();
         let mut stops = Vec::new();
         for (task, slot) in &entry.slots {
             let Some(job) = self.jobs.get(&task.job) else { continue };
-            if let Some(grace_s) = self.stop_grace_before_preemption(now, job, slot, left_s) {
+            if let Some(grace_s) = self.stop_grace_before_preemption(now, job, slot, remaining_s) {
                 stops.push((task.clone(), grace_s));
             }
         }
@@ -131,14 +133,20 @@
         }
     }
 
-    /// Whether a task is stopped for its machine's preemption in `left_s` seconds: the
-    /// seconds of grace if so.
+    /// Returns the grace period in seconds with which a task is stopped because its machine is
+    /// preempted in `remaining_s` seconds; `None` if the task is not stopped.
     ///
-    /// What can be saved before the cloud takes the machine is saved now. What cannot be
-    /// saved may still finish in time; what will not is stopped at once, since its work is
-    /// lost anyway, and it starts elsewhere that much sooner than once the machine has been
-    /// taken and is proven gone.
-    fn stop_grace_before_preemption(&self, now: Instant, job: &Job, slot: &Slot, left_s: f64) -> Option<f64> {
+    /// A task that can save a checkpoint before the preemption saves it now. Any other task runs
+    /// on if it is expected to finish in time. Otherwise it is stopped immediately: its work is
+    /// lost anyway, and it restarts elsewhere sooner than it could after the machine has been
+    /// preempted and is proven gone.
+    fn stop_grace_before_preemption(
+        &self,
+        now: Instant,
+        job: &Job,
+        slot: &Slot,
+        remaining_s: f64,
+    ) -> Option<f64> {
         if slot.stop_grace_s.is_some() {
             return None;
         }
@@ -147,22 +155,22 @@
             SlotState::Saving => None,
             SlotState::Running => {
                 let spec = job.spec();
-                let can_save = spec.checkpoint_interval_s > 0.0 && spec.checkpoint_save_s < left_s;
+                let can_save = spec.checkpoint_interval_s > 0.0 && spec.checkpoint_save_s < remaining_s;
                 if can_save {
-                    return Some(left_s);
+                    return Some(remaining_s);
                 }
                 let ran_s = now.saturating_duration_since(slot.since).as_secs_f64();
                 let run_s = job.mean_run_s().unwrap_or_else(|| self.run_estimates.expected_run_s(spec));
-                // Past the announced time it may be taken at any moment, or later: then the
-                // task may still finish.
-                let ends_too_late = left_s > 0.0 && run_s - ran_s > left_s;
+                // Once the announced time has passed, the preemption may come at any moment, or
+                // late enough for the task to finish.
+                let ends_too_late = remaining_s > 0.0 && run_s - ran_s > remaining_s;
                 (!job.is_service() && ends_too_late).then_some(0.0)
             }
         }
     }
 }
 
-/// Stops for all tasks on the machine whose job's cancellation is committed.
+/// Returns the stops for all tasks on the machine whose job's cancellation is committed.
 fn cancellation_stops(jobs: &HashMap<JobId, Job>, machine: &Machine) -> Vec<CancellationStop> {
     let stop = |(task, slot): (&TaskId, &Slot)| {
         let committed_at = jobs.get(&task.job)?.cancellation.committed_at?;
--- a/src/coordination/workers/task_failures.rs
+++ b/src/coordination/workers/task_failures.rs
@@ -1,5 +1,5 @@
-//! Failed tasks: jobs that fail everywhere are slowed down, machines on which several jobs
-//! fail are cordoned.
+//! Task failures: jobs that fail on several machines are backed off, and machines on which
+//! tasks fail repeatedly are cordoned.
 
 use tokio::time::Instant;
 
@@ -8,22 +8,23 @@
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
 
-/// Failures on one machine, not counting those of jobs that fail everywhere, that cordon it.
+/// Task failures on one machine that cordon it. Failures of jobs that fail on several machines
+/// do not count.
 const FAILURES_TO_CORDON: usize = 3;
-/// Machines on which a job must have failed to be slowed down.
+/// Machines on which a job must have failed to be backed off.
 const FAILED_MACHINES_TO_BACK_OFF: usize = 3;
-/// Longest back-off of a failing job, in heartbeat intervals.
+/// Longest backoff of a failing job, in heartbeat intervals.
 const MAX_BACKOFF_INTERVALS: u32 = 10;
 
 impl Leader {
-    /// A task of the job has failed on the machine.
+    /// Records that a task of the job has failed on the machine.
     pub(super) fn record_task_failure(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
         self.back_off_failing_job(now, machine, job);
         self.cordon_failing_machine(machine, job);
     }
 
-    /// A job that fails everywhere is slowed down, never given up: for one heartbeat interval
-    /// for each machine on which it has failed.
+    /// Backs off a job that fails on several machines, for one heartbeat interval per machine on
+    /// which it has failed. The job is never given up.
     fn back_off_failing_job(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
         let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         let Some(job) = self.jobs.get_mut(job) else { return };
@@ -35,16 +36,16 @@
         }
     }
 
-    /// Counts the failure against the machine, and cordons it after several: it is replaced.
-    /// Failures of jobs that fail everywhere say nothing about the machine.
+    /// Counts the failure against the machine, and cordons it after several, so that it is
+    /// replaced. Failures of jobs that fail on several machines are not the machine's fault.
     fn cordon_failing_machine(&mut self, machine: &MachineId, job: &JobId) {
-        let fails_everywhere = |job: &JobId| {
+        let fails_on_several_machines = |job: &JobId| {
             let job = self.jobs.get(job);
             job.is_some_and(|job| job.failures.machines.len() >= FAILED_MACHINES_TO_BACK_OFF)
         };
         let Some(machine) = self.machines.get_mut(machine) else { return };
         machine.failures.push(job.clone());
-        let counted = machine.failures.iter().filter(|job| !fails_everywhere(job)).count();
+        let counted = machine.failures.iter().filter(|job| !fails_on_several_machines(job)).count();
         if counted >= FAILURES_TO_CORDON && !machine.cordoned {
             tracing::info!(machine = %machine.id, "machine cordoned after repeated task failures");
             machine.cordoned = true;
--- a/src/coordination/workers/task_reconciliation.rs
+++ b/src/coordination/workers/task_reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of the tasks that a heartbeat lists with the slots that the leader holds of
-//! the machine. What the worker lists is what is on the machine: slots follow it.
+//! Reconciliation of the tasks that a heartbeat lists with the leader's slots of the machine.
+//! The worker's list is authoritative: slots are updated to match it.
 
 use tokio::time::Instant;
 
@@ -10,8 +10,8 @@
 use crate::protocol::workers::{ExitCause, Heartbeat, MachineId, TaskState, TaskStatus};
 
 impl Leader {
-    /// Reconciles the machine's slots with the tasks that a heartbeat under this epoch's token
-    /// lists.
+    /// Reconciles the machine's slots with the tasks listed by a heartbeat with this epoch's
+    /// fencing token.
     pub(super) fn reconcile_tasks(&mut self, now: Instant, heartbeat: &Heartbeat) {
         let machine = &heartbeat.machine;
         let mut present: HashSet<&TaskId> = HashSet::default();
@@ -34,7 +34,7 @@
         self.remove_unlisted_slots(now, heartbeat, &present);
     }
 
-    /// Notes on the machine whether it has orphan tasks: tasks whose job is not in memory.
+    /// Records whether the machine has orphan tasks, i.e. tasks whose job is not in memory.
     fn set_orphan_tasks(&mut self, heartbeat: &Heartbeat, has_orphan_tasks: bool) {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let had_orphan_tasks = std::mem::replace(&mut machine.has_orphan_tasks, has_orphan_tasks);
@@ -43,8 +43,8 @@
         }
     }
 
-    /// A machine has begun to show orphan tasks: they are stopped, and its capacity counts as
-    /// used, against every limit, until they are gone.
+    /// Logs and counts the orphan tasks of a machine that had none before. The tasks are stopped,
+    /// and until they are gone the machine's whole capacity counts against every team's limit.
     fn record_orphan_tasks(&mut self, heartbeat: &Heartbeat) {
         let mut orphans = heartbeat
             .tasks
@@ -63,13 +63,13 @@
             );
         }
         self.counters.orphan_tasks += count as u64;
-        // The capacity that they take is counted when the queue is ordered.
+        // The capacity of machines with orphan tasks is counted when the queue is ordered.
         self.queue.invalidate();
     }
 
-    /// A slot whose task is not listed is free: either its start went into the reply to an
-    /// earlier heartbeat, which the worker has dropped by now, or the task has ended. A start
-    /// in the reply to this very heartbeat is not there yet.
+    /// Removes the slots whose tasks the heartbeat does not list. Either the start was in the
+    /// reply to an earlier heartbeat, which the worker has dropped by now, or the task has ended.
+    /// A start in the reply to this heartbeat or a later one cannot be listed yet.
     fn remove_unlisted_slots(&mut self, now: Instant, heartbeat: &Heartbeat, present: &HashSet<&TaskId>) {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let is_sent_later = |state: SlotState| matches!(state, SlotState::StartSent { sequence } if sequence >= heartbeat.sequence);
@@ -79,7 +79,7 @@
             unlisted.clone().any(|(_, slot)| matches!(slot.state, SlotState::StartSent { .. }));
         let unlisted: Vec<TaskId> = unlisted.map(|(task, _)| task.clone()).collect();
         if has_lost_start {
-            // A start went into a reply that the worker did not get.
+            // The worker did not receive the reply that carried the start.
             machine.agent.acks.record_missed(now);
         }
         for task in unlisted {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Reconciles a task that is on the machine, in this state. Returns false if its job is
+    /// Reconciles a task that is on the machine and has not exited. Returns false if its job is
     /// not in memory.
     fn reconcile_present_task(
         &mut self,
@@ -99,14 +99,14 @@
         if self.update_slot_state(now, machine, status, state) {
             return true;
         }
-        // The worker has another attempt than the one that was sent, if any: ours is refused
-        // there because the task is in use. What is there counts.
+        // The worker has another attempt than the one that this leader sent, if it sent any. It
+        // refuses the sent one because the task is already there; the listed one is adopted.
         self.remove_slot(now, machine, &status.task);
         self.adopt_task(now, machine, status, state)
     }
 
-    /// Updates the slot of the listed attempt. Returns false if the machine has no slot of
-    /// this attempt.
+    /// Updates the state of the listed attempt's slot. Returns false if the machine has no slot
+    /// for this attempt.
     fn update_slot_state(
         &mut self,
         now: Instant,
@@ -137,9 +137,8 @@
         true
     }
 
-    /// Enters a slot for a task that an earlier leader started. It is assigned to the machine
-    /// unless it should not be there; then it is stopped. Returns false if its job is not in
-    /// memory.
+    /// Adds a slot for a task that an earlier leader started. The task is assigned to the
+    /// machine, or stopped if it should not be there. Returns false if its job is not in memory.
     fn adopt_task(
         &mut self,
         now: Instant,
@@ -161,7 +160,7 @@
         true
     }
 
-    /// A listed task has exited. Its slot is removed if it is of this attempt.
+    /// Handles a listed task that has exited. Its slot is removed if it belongs to this attempt.
     fn handle_task_exit(&mut self, now: Instant, machine: &MachineId, status: &TaskStatus, cause: ExitCause) {
         let task = &status.task;
         let slot = self
@@ -170,7 +169,7 @@
             .and_then(|machine| machine.slots.get(task))
             .filter(|slot| slot.attempt == status.attempt);
         let has_slot = slot.is_some();
-        let shows_start = slot.is_some_and(|slot| matches!(slot.state, SlotState::StartSent { .. }));
+        let confirms_start = slot.is_some_and(|slot| matches!(slot.state, SlotState::StartSent { .. }));
         if let Some(slot) = slot.filter(|slot| cause == ExitCause::Done && slot.state == SlotState::Running) {
             let run_s = now.saturating_duration_since(slot.since).as_secs_f64();
             self.record_run(&task.job, run_s);
@@ -182,7 +181,7 @@
             }
             _ => {}
         }
-        if shows_start && let Some(machine) = self.machines.get_mut(machine) {
+        if confirms_start && let Some(machine) = self.machines.get_mut(machine) {
             machine.agent.acks.record_acknowledged();
         }
         if has_slot {
@@ -191,13 +190,13 @@
         }
     }
 
-    /// A task was completed on the machine, by whichever attempt.
+    /// Handles a task that was completed on the machine, by any attempt.
     fn handle_task_done(&mut self, now: Instant, machine: &MachineId, task: &TaskId) {
         self.mark_task_done(now, &task.job, task.index);
         if let Some(machine) = self.machines.get_mut(machine) {
             machine.failures.clear();
         }
-        // Its result is kept; another machine that runs it as well wastes work.
+        // The result is kept, so another machine that also runs the task does redundant work.
         let job = self.jobs.get(&task.job);
         let assigned = job.and_then(|job| job.tasks.assigned.get(&task.index)).cloned();
         if let Some(other) = assigned.filter(|assigned| assigned != machine) {
@@ -205,7 +204,7 @@
         }
     }
 
-    /// Learns from a task that has run to its end in `run_s` seconds.
+    /// Records the run time of a completed task for the run time estimates.
     fn record_run(&mut self, job: &JobId, run_s: f64) {
         let Some(job) = self.jobs.get_mut(job) else { return };
         job.record_run(run_s);
