--- a/src/coordination/scheduling/descheduler.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -1,10 +1,10 @@
 //! The descheduler: moves replicas of services off machines that no demand needs.
 //!
-//! Services do not end by themselves: a machine that was provisioned for a peak, or that is
-//! more expensive than others by now, would otherwise be paid for as long as a single replica
-//! runs on it. A replica is down from its stop until it starts elsewhere, so one is moved only
-//! when a machine that stays has free capacity for it and its image, few are moved at a time,
-//! and none soon after its start.
+//! Services do not end by themselves. Without the descheduler, a machine that was provisioned
+//! for a peak, or that has become more expensive than others, would be paid for as long as a
+//! single replica runs on it. A replica is down from its stop until it starts elsewhere, so it
+//! is moved only when a machine that stays has its image and free capacity for it. Few replicas
+//! are moved at a time, and none soon after its start.
 
 use tokio::time::Instant;
 
@@ -17,21 +17,23 @@
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::MachineId;
 
-/// A replica stays where it started for this many heartbeat intervals.
+/// Heartbeat intervals that a replica must have run before it may be moved.
 const MIN_HEARTBEATS_BEFORE_MOVE: u32 = 10;
-/// A machine has not been needed for this part of the longest boot before it is drained.
+/// Before a machine is drained, it must have been unneeded for this fraction of the longest boot
+/// time.
 const UNNEEDED_BOOT_DIVISOR: u32 = 2;
 
 impl Leader {
-    /// Chooses at most one machine to drain, once all replicas moved before run again.
+    /// Drains at most one machine, and only while no replica is waiting to start, so that replicas
+    /// moved earlier are placed first.
     pub(crate) fn rebalance(&mut self, now: Instant) {
-        let is_steady =
+        let is_stable =
             self.failover.is_complete() && !self.cloud_health.is_down(now) && self.liveness.is_mostly_live();
         for machine in self.machines.values_mut().filter(|machine| machine.need.is_draining) {
-            machine.need.is_draining = is_steady && !machine.need.is_needed;
+            machine.need.is_draining = is_stable && !machine.need.is_needed;
         }
         let has_waiting_replicas = self.jobs.values().any(|job| job.is_service() && job.pending() > 0);
-        if !is_steady || has_waiting_replicas {
+        if !is_stable || has_waiting_replicas {
             return;
         }
         if let Some(machine) = self.choose_machine_to_drain(now) {
@@ -39,8 +41,8 @@
         }
     }
 
-    /// Stops all replicas on the machine, so that they start elsewhere; nothing is placed on
-    /// it any more.
+    /// Stops all replicas on the machine, so that they start elsewhere, and marks the machine as
+    /// draining, so that no tasks are placed on it.
     fn drain(&mut self, now: Instant, machine: &MachineId) {
         let Some(drained) = self.machines.get_mut(machine) else { return };
         drained.need.is_draining = true;
@@ -51,8 +53,8 @@
         }
     }
 
-    /// The most expensive machine by CPU that may be drained and whose replicas fit elsewhere;
-    /// among equals the one with the fewest.
+    /// Returns the machine with the highest price per CPU that may be drained and whose replicas
+    /// fit elsewhere; among machines of equal price, the one with the fewest replicas.
     fn choose_machine_to_drain(&self, now: Instant) -> Option<MachineId> {
         let mut candidates: Vec<&Machine> =
             self.machines.values().filter(|machine| self.may_drain(now, machine)).collect();
@@ -64,8 +66,8 @@
         candidates.into_iter().find(|machine| self.others_can_host(machine)).map(|machine| machine.id.clone())
     }
 
-    /// Whether no demand has needed the machine for a while and it holds nothing but replicas
-    /// that may be moved.
+    /// Whether no demand has needed the machine for a while, and it holds only replicas that may
+    /// be moved.
     fn may_drain(&self, now: Instant, machine: &Machine) -> bool {
         let min_unneeded = self.catalog.longest_boot() / UNNEEDED_BOOT_DIVISOR;
         machine.has_usable_capacity()
@@ -85,28 +87,28 @@
             && self.jobs.get(&task.job).is_some_and(|job| job.is_startable() && job.is_service())
     }
 
-    /// Whether machines that stay have free capacity, and the images, for all replicas of the
-    /// machine at once.
+    /// Whether machines that stay have the images and enough free capacity for all replicas of
+    /// this machine together.
     fn others_can_host(&self, machine: &Machine) -> bool {
-        let mut promised: HashMap<&MachineId, Resources> = HashMap::default();
+        let mut planned: HashMap<&MachineId, Resources> = HashMap::default();
         machine.slots.keys().all(|task| {
             let Some(job) = self.jobs.get(&task.job) else { return false };
             let host = self.machines.values().find(|other| {
                 let mut free = other.free;
-                if let Some(promised) = promised.get(&other.id) {
-                    free.sub(promised);
+                if let Some(planned) = planned.get(&other.id) {
+                    free.sub(planned);
                 }
                 other.id != machine.id && self.can_host(job, other, &free)
             });
             host.is_some_and(|host| {
-                promised.entry(&host.id).or_default().add(&Resources::of(job.spec()));
+                planned.entry(&host.id).or_default().add(&Resources::of(job.spec()));
                 true
             })
         })
     }
 
-    /// Whether the machine stays, has the job's image, and takes a replica into this free
-    /// capacity.
+    /// Whether the machine stays, has the job's image, and can hold a replica of the job in the
+    /// given free capacity.
     fn can_host(&self, job: &Job, machine: &Machine, free: &Resources) -> bool {
         machine.need.is_needed
             && machine.has_usable_capacity()
--- a/src/coordination/scheduling/filters.rs
+++ b/src/coordination/scheduling/filters.rs
@@ -16,29 +16,30 @@
             && self.allows_machine(spec, machine)
             && !has_unassigned_task(job, machine)
             && (!spec.one_zone || self.is_in_zone_of_job(spec, machine))
-            && (!spec.spread || self.leaves_job_spread(spec, machine))
+            && (!spec.spread || self.keeps_job_spread(spec, machine))
     }
 
-    /// Whether the job allows the machine: its type, its zone, spot or not.
+    /// Whether the job allows the machine's type and zone, and allows spot if it is a spot machine.
     pub(crate) fn allows_machine(&self, spec: &JobSpec, machine: &Machine) -> bool {
         (spec.spot || !machine.spot)
             && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
             && self.catalog.is_allowed_by(spec, machine.machine_type)
     }
 
-    /// Whether no task of the job is in another zone than the machine's.
+    /// Whether all tasks of the job that may be on machines are in this machine's zone.
     fn is_in_zone_of_job(&self, spec: &JobSpec, machine: &Machine) -> bool {
         self.zones_of_tasks(spec).all(|zone| zone == machine.zone)
     }
 
-    /// Whether at most half of the job's tasks are in the machine's zone with one more.
-    fn leaves_job_spread(&self, spec: &JobSpec, machine: &Machine) -> bool {
+    /// Whether at most half of the job's tasks, rounded up, are in the machine's zone after one
+    /// more task is placed there.
+    fn keeps_job_spread(&self, spec: &JobSpec, machine: &Machine) -> bool {
         let in_zone = self.zones_of_tasks(spec).filter(|zone| *zone == machine.zone).count();
         in_zone < spec.task_count.div_ceil(2) as usize
     }
 
-    /// The zone of each task of the job that may be on a machine. Every one counts, whatever
-    /// its state; so do those that should not be there.
+    /// The zone of each task of the job that may be on a machine, in any state, including tasks
+    /// that should not be there.
     fn zones_of_tasks<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a str> + 'a {
         self.machines.values().flat_map(|machine| {
             let of_job = machine.slots.keys().filter(|task| task.job == spec.id);
@@ -46,18 +47,19 @@
         })
     }
 
-    /// Whether the quota of the job's team has capacity for one more task. A job whose team
-    /// the settings do not name has none.
+    /// Whether the quota of the job's team has capacity for one more task. False if
+    /// the settings do not name the team.
     pub(crate) fn is_within_quota(&self, job: &Job) -> bool {
         let Some(quota) = job.team.map(|team| self.quotas.get(team)) else { return false };
         let mut used = quota.used;
-        // What is on unreconciled machines, or belongs to orphan tasks, may all be this team's.
+        // All capacity of unreconciled machines and of machines with orphan tasks may be in use
+        // by this team.
         used.add(self.queue.unreconciled_capacity());
         used.add(&Resources::of(job.spec()));
         used.fits(&quota.limit)
     }
 
-    /// Whether some machine has free capacity for a task of a new job now.
+    /// Whether any machine has free capacity for a task of a new job now.
     pub(crate) fn could_start_now(&self, spec: &JobSpec) -> bool {
         let task = Resources::of(spec);
         self.machines.values().any(|machine| {
@@ -66,8 +68,8 @@
     }
 }
 
-/// Whether a slot on the machine holds a task of the job that is assigned nowhere: it should
-/// not be there, and it is being stopped.
+/// Whether a slot on the machine holds a task of the job that is not assigned to any machine.
+/// Such a task should not be there, and is being stopped.
 fn has_unassigned_task(job: &Job, machine: &Machine) -> bool {
     machine.slots.keys().any(|task| &task.job == job.id() && !job.tasks.assigned.contains_key(&task.index))
 }
--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -1,4 +1,4 @@
-//! Orders the queue, and has the records say in time which jobs may have started tasks.
+//! Orders the queue, and records ahead of time which jobs are about to start tasks.
 
 use tokio::time::Instant;
 
@@ -12,20 +12,21 @@
 
 /// A machine with fewer free CPUs counts as full.
 pub(crate) const MIN_FREE_CPUS: f64 = 1e-3;
-/// The order is kept for this part of a heartbeat interval.
-const MAX_AGE_DIVISOR: u32 = 12;
-/// A machine is a candidate for so many heartbeat intervals after its last heartbeat.
-const CANDIDATE_INTERVALS: f64 = 1.5;
-/// The part of a machine's CPUs that is expected to be freed until the next round of
+/// The queue is reordered after this fraction of a heartbeat interval.
+const MAX_ORDER_AGE_DIVISOR: u32 = 12;
+/// A machine is a candidate for this many heartbeat intervals after its last heartbeat.
+const CANDIDATE_TIMEOUT_INTERVALS: f64 = 1.5;
+/// Fraction of a machine's CPUs that is expected to become free before the next call of
 /// [`Leader::record_upcoming_starts`].
 const FREED_SHARE: f64 = 0.1;
 
 impl Leader {
-    /// Orders the waiting jobs: starved ones and guarantees first, then priority, then the
-    /// latest start at which an objective is met, or age. An order that is fresh is kept.
+    /// Orders the waiting jobs: first starved jobs, then those within their team's guarantee,
+    /// then by priority, then by the latest start at which an objective is met, or by age. Does
+    /// nothing if the current order is fresh.
     pub(crate) fn order_queue(&mut self, now: Instant) {
         let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
-        if self.queue.is_fresh(now, heartbeat_interval / MAX_AGE_DIVISOR) {
+        if self.queue.is_fresh(now, heartbeat_interval / MAX_ORDER_AGE_DIVISOR) {
             return;
         }
         let guaranteed = self.within_guarantees();
@@ -44,8 +45,8 @@
         self.queue.order(now, queued, candidates, unreconciled);
     }
 
-    /// All the capacity of machines that may hold unknown tasks. Machines are reconciled one
-    /// after the other and stay so: what was counted last is never too little.
+    /// Total capacity of the machines that may hold unknown tasks. Machines are reconciled one by
+    /// one and stay reconciled, so an earlier count is never too low.
     fn unreconciled_capacity(&self) -> Resources {
         if self.failover.unrecorded_machines_possible() {
             return Resources::UNBOUNDED;
@@ -61,10 +62,11 @@
         capacity
     }
 
-    /// Machines that have free capacity. One whose heartbeat is overdue may be dead, and is
-    /// left out.
+    /// Machines that have free capacity, except those whose heartbeat is overdue, since they may
+    /// be dead.
     fn find_candidates(&self, now: Instant) -> Vec<MachineId> {
-        let timeout = self.config.settings.cluster.workers.heartbeat_interval().mul_f64(CANDIDATE_INTERVALS);
+        let timeout =
+            self.config.settings.cluster.workers.heartbeat_interval().mul_f64(CANDIDATE_TIMEOUT_INTERVALS);
         let is_live = |machine: &Machine| machine.agent.heartbeat_at.is_some_and(|at| now < at + timeout);
         let has_free_capacity = |machine: &&Machine| {
             machine.free.cpus > MIN_FREE_CPUS && machine.has_usable_capacity() && is_live(machine)
@@ -72,9 +74,9 @@
         self.machines.values().filter(has_free_capacity).map(|machine| machine.id.clone()).collect()
     }
 
-    /// Raises the started high-water marks of the jobs whose turn comes next, so that no start
-    /// waits for the write. Those behind them are left as they are: a next leader may start
-    /// them at once.
+    /// Raises the started high-water marks of the jobs that will probably start next, so that
+    /// their starts need not wait for the write. The marks of the other jobs stay as they are, so
+    /// that the next leader may start those jobs immediately.
     pub(crate) fn record_upcoming_starts(&mut self, now: Instant) {
         self.order_queue(now);
         for job in self.jobs_starting_soon() {
@@ -82,19 +84,20 @@
         }
     }
 
-    /// Jobs at the head of the queue for which there is free capacity, or will be until the
-    /// next round, and whose record does not say yet that all their tasks may have started.
+    /// Jobs at the head of the queue for which capacity is free, or is expected to become free
+    /// before the next call, and whose record does not say yet that all their tasks may have
+    /// started.
     fn jobs_starting_soon(&self) -> Vec<JobId> {
         let expected_cpus =
             |machine: &Machine| machine.free.cpus + FREED_SHARE * self.catalog.cpus(machine.machine_type);
         let usable = self.machines.values().filter(|machine| machine.has_usable_capacity());
-        let mut left_cpus: f64 = usable.map(expected_cpus).sum();
+        let mut remaining_cpus: f64 = usable.map(expected_cpus).sum();
         let mut found = Vec::new();
         for job in self.queue.jobs().iter().filter_map(|queued| self.jobs.get(&queued.job)) {
-            if left_cpus <= 0.0 {
+            if remaining_cpus <= 0.0 {
                 break;
             }
-            left_cpus -= waiting_cpus(job);
+            remaining_cpus -= waiting_cpus(job);
             if job.stored.started_high_water < job.spec().task_count {
                 found.push(job.id().clone());
             }
@@ -103,7 +106,7 @@
     }
 }
 
-/// CPUs that all waiting tasks of the job take.
+/// CPUs that all waiting tasks of the job require.
 fn waiting_cpus(job: &Job) -> f64 {
     job.spec().cpus * f64::from(job.pending())
 }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -1,9 +1,10 @@
 //! Placement: which tasks start on a machine that has just sent a heartbeat.
 //!
-//! Only the reply to a machine's heartbeat can carry a start. For each job in the order of
-//! the queue the machine has to pass the filters and is compared with a sample of other
-//! machines that last had free capacity; it gets the task unless one of those is clearly the
-//! better place, which will then take it with its own next heartbeat.
+//! Only the reply to a machine's heartbeat can carry a start. For each job, in the order of the
+//! queue, the machine has to pass the filters and is compared with a sample of other machines
+//! that recently had free capacity. It gets the task unless clearly better machines have
+//! capacity for all waiting tasks of the job; those then get the tasks with their own next
+//! heartbeats.
 
 use tokio::time::Instant;
 
@@ -17,7 +18,7 @@
 use crate::protocol::jobs::TaskId;
 use crate::protocol::workers::{Command, MachineId};
 
-/// Sums of decimals are off by a little; this many CPUs are forgiven.
+/// Tolerance for floating-point errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
 
 /// The heartbeat whose reply carries the starts.
@@ -30,8 +31,8 @@
 }
 
 impl Leader {
-    /// Starts tasks on a machine that has just sent the heartbeat with this sequence number,
-    /// and adds their commands to those of the reply: `max_starts` at most.
+    /// Starts at most `max_starts` tasks on a machine that has just sent the heartbeat with this
+    /// sequence number, and appends their start commands to those of the reply.
     pub(crate) fn place_tasks(
         &mut self,
         now: Instant,
@@ -52,7 +53,7 @@
             if started >= max_starts || free.cpus < min_cpus - CPU_TOLERANCE {
                 break;
             }
-            // A starved job may have this machine reserved for it, however little is free.
+            // The machine may be reserved for a starved job even if the job does not fit now.
             if !queued.starved && !queued.fits(&free, is_spot) {
                 continue;
             }
@@ -65,8 +66,8 @@
         self.queue.put_jobs_back(queue);
     }
 
-    /// Starts tasks of one job on the machine while they should start there, and returns how
-    /// many; `max_starts` at most.
+    /// Starts tasks of one job on the machine as long as they should start there, `max_starts` at
+    /// most. Returns the number of started tasks.
     fn start_tasks_of(
         &mut self,
         now: Instant,
@@ -87,7 +88,7 @@
             started += 1;
             self.queue.release_reservation(&queued.job);
             if queued.starved {
-                // It has started: the rest of its tasks wait like any other job's.
+                // The job is no longer starved: its other tasks wait like those of any other job.
                 self.queue.invalidate();
                 break;
             }
@@ -95,8 +96,8 @@
         started
     }
 
-    /// Enters a slot for a task on the machine and returns its start command, if there is a
-    /// permit for it.
+    /// Adds a slot for the task on the machine and returns its start command, if the start is
+    /// permitted.
     fn start_task(&mut self, now: Instant, heartbeat: HeartbeatRef<'_>, task: TaskId) -> Option<Command> {
         let HeartbeatRef { machine, sequence } = heartbeat;
         let Some(attempt) = self.attempts.next() else {
@@ -126,7 +127,7 @@
         Some(permit.into_command())
     }
 
-    /// What is known for and against starting a task on a machine.
+    /// Collects the evidence from which the permit to start a task on a machine is decided.
     fn start_evidence(&self, machine: &MachineId, task: &TaskId) -> Option<StartEvidence> {
         let job = self.jobs.get(&task.job)?;
         let machine = self.machines.get(machine)?;
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: which running tasks give way to waiting work of higher priority, or to work
+//! Preemption: which running tasks are stopped for waiting work of higher priority, or for work
 //! within its team's guarantee.
 
 use tokio::time::Instant;
@@ -15,17 +15,17 @@
 use crate::protocol::jobs::{Priority, TaskId};
 use crate::protocol::workers::MachineId;
 
-/// Jobs at the head of the queue that tasks may be preempted for.
-const MAX_JOBS: usize = 16;
-/// Heartbeat intervals that a job waits before it may preempt: machines that have free
-/// capacity get their chance to send a heartbeat first.
+/// Maximum number of jobs at the head of the queue for which tasks may be preempted.
+const MAX_PREEMPTING_JOBS: usize = 16;
+/// Heartbeat intervals that a job waits before it may preempt, so that machines with free
+/// capacity can send a heartbeat first.
 const MIN_WAIT_INTERVALS: f64 = 0.5;
 /// Heartbeat intervals that a job waits before it may preempt for its team's guarantee.
 const GUARANTEE_WAIT_INTERVALS: f64 = 1.5;
-/// A start is pressing if its latest time is within so many heartbeat intervals.
-const PRESSING_INTERVALS: f64 = 2.5;
+/// A job is urgent if the latest start of its tasks is within this many heartbeat intervals.
+const URGENT_INTERVALS: f64 = 2.5;
 
-/// What could give way at all, determined once for all waiting jobs.
+/// What could be preempted at all, determined once for all waiting jobs.
 struct Preemptible {
     /// Teams that use more than they are guaranteed.
     over_guarantee: HashSet<QuotaId>,
@@ -33,42 +33,42 @@
     lowest_priority: Option<Priority>,
 }
 
-/// Why a job may preempt others. A guarantee is less pressing than a priority, and waits
-/// longer for capacity that is freed by itself.
+/// Why a job may preempt others. A guarantee is less urgent than a priority, so the job waits
+/// longer for capacity to become free without preemption.
 struct PreemptionReason {
-    /// Its start is pressing: tasks of lower priority may give way.
+    /// The job is urgent: tasks of lower priority may be preempted.
     by_priority: bool,
-    /// It has waited for long enough: tasks beyond their team's guarantee may give way.
+    /// The job has waited for long enough: tasks beyond their team's guarantee may be preempted.
     by_guarantee: bool,
 }
 
-/// A task that may give way.
+/// A task that may be preempted.
 struct Victim {
     /// The machine that it is on.
     machine: MachineId,
     /// The task.
     task: TaskId,
-    /// Work that is lost if it is stopped now, in seconds of run time.
+    /// Work that is lost if the task is stopped now, in seconds of run time.
     lost_work_s: f64,
-    /// Whether its priority is lower than that of the waiting job; otherwise its team uses
-    /// more than its guarantee.
+    /// Whether its priority is lower than that of the waiting job. If not, its team uses more
+    /// than its guarantee.
     has_lower_priority: bool,
 }
 
-/// A task to be stopped.
+/// A task to stop.
 struct Preemption {
     /// The machine that it is on.
     machine: MachineId,
     /// The task.
     task: TaskId,
-    /// Seconds to save a checkpoint.
+    /// Seconds that the task has to save a checkpoint.
     grace_s: f64,
 }
 
 impl Leader {
-    /// Frees capacity for work within its guarantee from work beyond another's, and for work
-    /// of higher priority from lower. Stops tasks for one job at a time, and only tasks that
-    /// lose little.
+    /// Preempts work beyond a team's guarantee for work within another team's guarantee, and work
+    /// of lower priority for work of higher priority. Stops tasks for one job per call, and only
+    /// tasks that lose little work.
     pub(crate) fn preempt(&mut self, now: Instant) {
         let tuning = &self.config.tuning;
         let is_enabled = tuning.preempt_loss_s.max(tuning.preempt_lower_loss_s) > 0.0;
@@ -77,7 +77,7 @@
         }
         self.order_queue(now);
         let preemptible = self.preemptible();
-        let head = self.queue.jobs().iter().take(MAX_JOBS);
+        let head = self.queue.jobs().iter().take(MAX_PREEMPTING_JOBS);
         let mut preemptions = head.map(|queued| self.preemptions_for(now, queued, &preemptible));
         let preemptions = preemptions.find(|preemptions| !preemptions.is_empty()).unwrap_or_default();
         for Preemption { machine, task, grace_s } in preemptions {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// What could give way to any job.
+    /// Determines what could be preempted for any job.
     fn preemptible(&self) -> Preemptible {
         let over = self.quotas.iter().filter(|(_, quota)| quota.exceeds_guarantee());
         let on_machines = self.jobs.values().filter(|job| job.tasks.slot_count > 0);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Tasks to be stopped for a waiting job.
+    /// Returns the tasks to stop for a waiting job.
     fn preemptions_for(
         &self,
         now: Instant,
@@ -110,7 +110,7 @@
         if missing == 0 {
             return preemptions;
         }
-        // What each team uses, less what is stopped of it here.
+        // The use of each team, reduced by the tasks that are to be stopped.
         let mut used: HashMap<QuotaId, Resources> = HashMap::default();
         for victim in self.preemption_victims(now, queued, job, &preemptible.over_guarantee) {
             if preemptions.len() >= missing {
@@ -120,7 +120,7 @@
                 continue;
             }
             let Some(victim_job) = self.jobs.get(&victim.task.job) else { continue };
-            if !victim.has_lower_priority && !self.takes_from_excess(victim_job, &mut used) {
+            if !victim.has_lower_priority && !self.deduct_if_over_guarantee(victim_job, &mut used) {
                 continue;
             }
             let grace_s = victim_job.spec().checkpoint_save_s;
@@ -129,7 +129,7 @@
         preemptions
     }
 
-    /// Why a job may preempt others now, if it may.
+    /// Returns why a job may preempt others now; `None` if it may not.
     fn preemption_reason(
         &self,
         now: Instant,
@@ -137,29 +137,31 @@
         job: &Job,
         preemptible: &Preemptible,
     ) -> Option<PreemptionReason> {
-        let has_lower = preemptible.lowest_priority.is_some_and(|lowest| lowest < queued.priority);
-        let has_borrowed =
+        let has_lower_priority_tasks =
+            preemptible.lowest_priority.is_some_and(|lowest| lowest < queued.priority);
+        let can_reclaim_guarantee =
             queued.guaranteed && preemptible.over_guarantee.iter().any(|team| job.team != Some(*team));
-        if !(has_lower || has_borrowed) {
+        if !(has_lower_priority_tasks || can_reclaim_guarantee) {
             return None;
         }
         let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         let waiting_since = job.waiting_since(now);
-        let may_start_by_itself = now < waiting_since + heartbeat_interval.mul_f64(MIN_WAIT_INTERVALS);
-        if may_start_by_itself || !self.is_within_quota(job) {
+        let may_start_without_preemption =
+            now < waiting_since + heartbeat_interval.mul_f64(MIN_WAIT_INTERVALS);
+        if may_start_without_preemption || !self.is_within_quota(job) {
             return None;
         }
         let has_waited = now >= waiting_since + heartbeat_interval.mul_f64(GUARANTEE_WAIT_INTERVALS);
-        // Capacity is freed by itself all the time: work is lost for a priority only where an
-        // objective would be missed otherwise.
-        let is_pressing = queued.latest_start <= now + heartbeat_interval.mul_f64(PRESSING_INTERVALS);
-        if !((has_lower && is_pressing) || (has_borrowed && has_waited)) {
+        // Capacity becomes free all the time without preemption, so priority justifies losing
+        // work only if an objective would be missed otherwise.
+        let is_urgent = queued.latest_start <= now + heartbeat_interval.mul_f64(URGENT_INTERVALS);
+        if !((has_lower_priority_tasks && is_urgent) || (can_reclaim_guarantee && has_waited)) {
             return None;
         }
-        Some(PreemptionReason { by_priority: is_pressing, by_guarantee: has_waited })
+        Some(PreemptionReason { by_priority: is_urgent, by_guarantee: has_waited })
     }
 
-    /// Tasks of a job for which there is no capacity, neither free nor being freed.
+    /// Number of the job's waiting tasks for which no capacity is free or being freed.
     fn tasks_without_capacity(&self, job: &Job) -> u32 {
         let task = Resources::of(job.spec());
         let usable = self
@@ -172,7 +174,7 @@
         job.pending().saturating_sub(free).saturating_sub(count_u32(stopping))
     }
 
-    /// Whether the victim may be stopped for this reason, and loses little enough work.
+    /// Whether the reason allows the victim to be preempted, and the lost work is within the limit.
     fn may_preempt(&self, victim: &Victim, reason: &PreemptionReason) -> bool {
         let tuning = &self.config.tuning;
         let (max_lost_work_s, has_reason) = if victim.has_lower_priority {
@@ -183,9 +185,9 @@
         victim.lost_work_s <= max_lost_work_s && has_reason
     }
 
-    /// Whether a task of the job is beyond its team's own guarantee; counts it as stopped
-    /// if it is.
-    fn takes_from_excess(&self, victim: &Job, used: &mut HashMap<QuotaId, Resources>) -> bool {
+    /// Whether the victim's team uses more than its guarantee. If so, deducts one task of the job
+    /// from the use of the team in `used`.
+    fn deduct_if_over_guarantee(&self, victim: &Job, used: &mut HashMap<QuotaId, Resources>) -> bool {
         let Some(team) = victim.team else { return false };
         let quota = self.quotas.get(team);
         let used = used.entry(team).or_insert(quota.used);
@@ -196,7 +198,7 @@
         true
     }
 
-    /// Tasks that may give way to the job, those that lose least first.
+    /// Returns the tasks that may be preempted for the job, those that lose the least work first.
     fn preemption_victims(
         &self,
         now: Instant,
@@ -209,7 +211,7 @@
         let mut victims = Vec::new();
         for machine in self.machines.values().filter(may_run_on) {
             for (task, slot) in &machine.slots {
-                // A stopped task has to free the CPUs for at least one of the job.
+                // The victim has to free enough CPUs for at least one task of the job.
                 if slot.stop_grace_s.is_some() || slot.resources.cpus < queued.task_resources.cpus {
                     continue;
                 }
@@ -218,7 +220,7 @@
                     slot.team != job.team && slot.team.is_some_and(|team| over_guarantee.contains(&team));
                 let has_lower_priority = self.priority(victim) < queued.priority;
                 let has_reason = has_lower_priority || (queued.guaranteed && is_borrowed);
-                if !has_reason || self.is_only_start(victim, now) || victim.is_service() {
+                if !has_reason || self.would_starve_without_task(victim, now) || victim.is_service() {
                     continue;
                 }
                 victims.push(Victim {
@@ -233,18 +235,18 @@
         victims
     }
 
-    /// Whether the job has one task on machines and none done, so late that without that task
-    /// it would be starved.
-    fn is_only_start(&self, job: &Job, now: Instant) -> bool {
+    /// Whether the job would be starved without the one task that it has on machines: no task is
+    /// done, and the job has waited too long.
+    fn would_starve_without_task(&self, job: &Job, now: Instant) -> bool {
         job.tasks.assigned.len() == 1 && job.record.done.is_empty() && self.has_waited_too_long(job, now)
     }
 }
 
-/// Work that is lost if the task in the slot is stopped now, in seconds of run time.
+/// Returns the work that is lost if the task in the slot is stopped now, in seconds of run time.
 fn lost_work_s(now: Instant, job: &Job, slot: &Slot) -> f64 {
     match slot.state {
         SlotState::Running if job.spec().checkpoint_interval_s > 0.0 => job.spec().checkpoint_save_s,
-        // A fetch may have to be done again elsewhere.
+        // The image may have to be fetched again on another machine.
         SlotState::Running | SlotState::Fetching => now.saturating_duration_since(slot.since).as_secs_f64(),
         SlotState::StartSent { .. } | SlotState::Saving => 0.0,
     }
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of jobs that have tasks to start, and what was counted when it was last ordered.
+//! The queue of jobs that have tasks to start, and the state computed when it was last ordered.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -12,35 +12,35 @@
 use crate::protocol::jobs::{JobId, Priority};
 use crate::protocol::workers::MachineId;
 
-/// A waiting job's place in the queue.
+/// A waiting job's entry in the queue.
 #[derive(Debug, Clone)]
 pub(crate) struct QueuedJob {
-    /// The job.
+    /// The job's id.
     pub(crate) job: JobId,
-    /// It has waited too long for its first task, which goes before all other work.
+    /// Whether it has waited too long for its first task, which then precedes all other work.
     pub(crate) starved: bool,
-    /// It fits into its team's guarantee.
+    /// Whether it fits into its team's guarantee.
     pub(crate) guaranteed: bool,
-    /// Its priority, or that of a job that depends on it.
+    /// The highest of its own priority and those of its dependents.
     pub(crate) priority: Priority,
     /// The latest start of its tasks at which its next objective is met.
     pub(crate) latest_start: Instant,
-    /// What one task takes. Most of the queue is passed over for a machine by this and
-    /// `allows_spot` alone.
+    /// Resources that one task requires. This and `allows_spot` alone suffice to skip most of
+    /// the queue for a given machine.
     pub(crate) task_resources: Resources,
     /// Whether its tasks may run on spot machines.
     pub(crate) allows_spot: bool,
 }
 
 impl QueuedJob {
-    /// Whether one of its tasks fits into a machine's free capacity and may run there, as far
-    /// as the queue can tell.
+    /// Whether one of its tasks fits into a machine's free capacity and may run there, judged
+    /// only by the data in the queue.
     pub(crate) fn fits(&self, free: &Resources, is_spot: bool) -> bool {
         self.task_resources.fits(free) && (self.allows_spot || !is_spot)
     }
 
-    /// The order of the queue. The job's id makes it total, so that it is the same on each
-    /// run.
+    /// The order of the queue. The job's id makes it a total order, so that every run gives the
+    /// same result.
     fn compare(&self, other: &Self) -> Ordering {
         other
             .starved
@@ -52,28 +52,29 @@
     }
 }
 
-/// The waiting jobs in order, the machines that had free capacity when they were ordered, and
-/// the machines reserved for starved jobs.
+/// The waiting jobs in order, the machines that had free capacity when the queue was last
+/// ordered, and the machines reserved for starved jobs.
 #[derive(Debug)]
 pub(crate) struct WorkQueue {
     jobs: Vec<QueuedJob>,
-    /// When it was last ordered; `None` if it has to be ordered at the next use.
+    /// When the queue was last ordered; `None` if it has to be ordered before the next use.
     ordered_at: Option<Instant>,
-    /// The fewest CPUs that any task in the queue takes: no job need be looked at for a
-    /// machine that has less free.
+    /// The fewest CPUs that any task in the queue requires. A machine with fewer free CPUs can be
+    /// skipped without looking at any job.
     min_task_cpus: f64,
     /// Machines that had free capacity when the queue was last ordered.
     candidates: Vec<MachineId>,
-    /// All the capacity of machines that may hold unknown tasks, counted at the same time.
+    /// Total capacity of the machines that may hold unknown tasks, counted at the same time.
     unreconciled_capacity: Resources,
-    /// Machines kept clear for starved jobs.
+    /// Machines reserved for starved jobs.
     reservations: HashMap<JobId, MachineId>,
-    /// Draws the samples of candidates.
+    /// Random number generator for the samples of candidates.
     rng: SmallRng,
 }
 
 impl WorkQueue {
-    /// An empty queue that has to be ordered before it is used. `seed`: of the random samples.
+    /// Creates an empty queue that has to be ordered before it is used. `seed`: the seed for
+    /// random samples.
     pub(crate) fn new(seed: u64) -> Self {
         WorkQueue {
             jobs: Vec::new(),
@@ -86,19 +87,19 @@
         }
     }
 
-    /// Whether it was ordered less than `max_age` ago and is still valid.
+    /// Whether the order is less than `max_age` old and has not been invalidated.
     pub(crate) fn is_fresh(&self, now: Instant, max_age: Duration) -> bool {
         self.ordered_at.is_some_and(|at| now < at + max_age)
     }
 
-    /// Something has changed that the order does not show: the queue is ordered again at the
-    /// next use.
+    /// Invalidates the order after a change that it does not reflect: the queue is ordered again
+    /// before the next use.
     pub(crate) fn invalidate(&mut self) {
         self.ordered_at = None;
     }
 
-    /// Orders the jobs: starved ones, then those within guarantees, then by priority, then
-    /// by the latest start.
+    /// Orders the jobs (first starved ones, then those within guarantees, then by priority, then
+    /// by the latest start) and stores the state computed with the order.
     pub(crate) fn order(
         &mut self,
         now: Instant,
@@ -107,7 +108,7 @@
         unreconciled_capacity: Resources,
     ) {
         jobs.sort_by(QueuedJob::compare);
-        // A machine that is full now may be reserved for a starved job.
+        // A full machine must not be skipped for a starved job, since it may be reserved for it.
         let min_cpus = |job: &QueuedJob| if job.starved { 0.0 } else { job.task_resources.cpus };
         self.min_task_cpus = jobs.iter().map(min_cpus).fold(f64::INFINITY, f64::min);
         self.jobs = jobs;
@@ -116,13 +117,13 @@
         self.ordered_at = Some(now);
     }
 
-    /// The jobs in order.
+    /// Returns the jobs in order.
     pub(crate) fn jobs(&self) -> &[QueuedJob] {
         &self.jobs
     }
 
-    /// Takes the jobs out while tasks of them are started; [`WorkQueue::put_jobs_back`] returns
-    /// them.
+    /// Takes the jobs out of the queue while their tasks are started;
+    /// [`WorkQueue::put_jobs_back`] puts them back.
     pub(crate) fn take_jobs(&mut self) -> Vec<QueuedJob> {
         std::mem::take(&mut self.jobs)
     }
@@ -132,8 +133,8 @@
         self.jobs = jobs;
     }
 
-    /// The fewest CPUs that any task in the queue takes; 0 while a starved job waits, infinite
-    /// if none waits.
+    /// The fewest CPUs that any task in the queue requires; 0 while a starved job waits, infinite
+    /// if the queue is empty.
     pub(crate) fn min_task_cpus(&self) -> f64 {
         self.min_task_cpus
     }
@@ -148,30 +149,31 @@
         rand::seq::index::sample(&mut self.rng, self.candidates.len(), count).into_vec()
     }
 
-    /// All the capacity of machines that may hold unknown tasks, which may be of any team.
+    /// Total capacity of the machines that may hold unknown tasks. The tasks may belong to any
+    /// team.
     pub(crate) fn unreconciled_capacity(&self) -> &Resources {
         &self.unreconciled_capacity
     }
 
-    /// A machine with this capacity was reconciled since the queue was ordered. The capacity is
-    /// counted again with each ordering, and does not fall below zero meanwhile.
+    /// Subtracts the capacity of a machine that was reconciled since the queue was last ordered.
+    /// The total is counted anew at each ordering, and does not fall below zero until then.
     pub(crate) fn subtract_reconciled(&mut self, capacity: &Resources) {
         if capacity.fits(&self.unreconciled_capacity) {
             self.unreconciled_capacity.sub(capacity);
         }
     }
 
-    /// The machine reserved for a starved job, if there is one.
+    /// Returns the machine reserved for a starved job, if there is one.
     pub(crate) fn reservation(&self, job: &JobId) -> Option<&MachineId> {
         self.reservations.get(job)
     }
 
-    /// Reserves a machine for a starved job, in place of the one reserved before.
+    /// Reserves a machine for a starved job, replacing any earlier reservation of the job.
     pub(crate) fn reserve(&mut self, job: JobId, machine: MachineId) {
         self.reservations.insert(job, machine);
     }
 
-    /// Gives a job's reservation up, if it has one.
+    /// Releases a job's reservation, if it has one.
     pub(crate) fn release_reservation(&mut self, job: &JobId) {
         self.reservations.remove(job);
     }
--- a/src/coordination/scheduling/reservation.rs
+++ b/src/coordination/scheduling/reservation.rs
@@ -1,5 +1,5 @@
-//! Reservations: a starved job that fits nowhere gets a machine kept clear for it, or smaller
-//! tasks would take all free capacity as it arises.
+//! Reservations: a machine is reserved for a starved job that fits nowhere, because smaller tasks
+//! would otherwise take all capacity as it becomes free.
 
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
@@ -8,8 +8,8 @@
 use crate::protocol::workers::MachineId;
 
 impl Leader {
-    /// Whether this machine is reserved for the starved job, and so nothing else may start on
-    /// it. Reserves it if the job has no reservation and could run there.
+    /// Returns whether this machine is reserved for the starved job, so that nothing else may
+    /// start on it. Reserves it if the job has no usable reservation and could run there.
     pub(crate) fn try_reserve(&mut self, job_id: &JobId, machine_id: &MachineId) -> bool {
         let Some(job) = self.jobs.get(job_id) else { return false };
         let Some(machine) = self.machines.get(machine_id) else { return false };
@@ -30,16 +30,16 @@
         is_suitable
     }
 
-    /// Whether the job could start if there were free capacity. Not while its team is at its
-    /// quota's limit, or its tasks may still run on an unreconciled machine: other jobs must
-    /// not wait beside an empty machine.
+    /// Whether the job could start if there were free capacity. It cannot while its team is at the
+    /// limit of its quota, or while its tasks may still be running on an unreconciled machine. A
+    /// reservation would then keep other jobs waiting while the machine stays empty.
     fn would_capacity_help(&self, job: &Job) -> bool {
         let is_reconciled = self.failover.is_complete() || job.tasks.unreconciled_below == 0;
         self.is_within_quota(job) && is_reconciled
     }
 
-    /// The machine reserved for the job. A machine that is gone, or that no task may be placed
-    /// on any more, does not count.
+    /// Returns the machine reserved for the job, unless the machine is gone or its capacity can no
+    /// longer be used.
     fn usable_reservation(&self, job: &JobId) -> Option<&MachineId> {
         let is_usable = |id: &&MachineId| self.machines.get(id).is_some_and(Machine::has_usable_capacity);
         self.queue.reservation(job).filter(is_usable)
--- a/src/coordination/scheduling/run_estimates.rs
+++ b/src/coordination/scheduling/run_estimates.rs
@@ -1,17 +1,17 @@
-//! How long tasks are expected to run: their owners' estimates, corrected by what was measured.
+//! Run time estimates of tasks: the owners' estimates, corrected by measured run times.
 
 use crate::maps::HashMap;
 use crate::protocol::jobs::JobSpec;
 
-/// Most classes whose ratio is remembered; later ones are not.
+/// Maximum number of classes whose ratio is remembered; later ones are ignored.
 const MAX_CLASSES: usize = 256;
-/// Most classes whose ratio is stored for the next leader.
+/// Maximum number of classes whose ratio is stored for the next leader.
 const MAX_STORED_CLASSES: usize = 64;
-/// Weight of one run in its class's ratio (exponential smoothing).
+/// Weight of a single run in the ratio of its class (exponential smoothing).
 const SMOOTHING: f64 = 0.02;
-/// Least and largest ratio of measured to estimated time that is taken from one run.
+/// Smallest and largest ratio of measured to estimated run time that a single run contributes.
 const RATIO_BOUNDS: (f64, f64) = (0.05, 20.0);
-/// The longest run expected of any task, in seconds.
+/// Upper bound for the expected run time of any task, in seconds.
 const MAX_RUN_S: f64 = 1e6;
 
 /// Ratios of measured run times to the owners' estimates, by class.
@@ -22,26 +22,26 @@
 }
 
 impl RunEstimates {
-    /// Takes over what an earlier leader has learned.
+    /// Restores the ratios that an earlier leader stored.
     pub(crate) fn restore(&mut self, ratios: Vec<(String, f64)>) {
         self.ratios = ratios.into_iter().collect();
     }
 
-    /// The ratios that are stored for the next leader, by class.
+    /// Returns the ratios to store for the next leader, by class.
     pub(crate) fn to_stored(&self) -> Vec<(String, f64)> {
         let stored = self.ratios.iter().take(MAX_STORED_CLASSES);
         stored.map(|(class, ratio)| (class.clone(), *ratio)).collect()
     }
 
-    /// How long a task of the job is expected to run, in seconds: the owner's estimate,
-    /// corrected by how the estimates of its class have turned out.
+    /// Expected run time of a task of the job, in seconds: the owner's estimate, multiplied by the
+    /// ratio of its class.
     pub(crate) fn expected_run_s(&self, spec: &JobSpec) -> f64 {
         let ratio = self.ratios.get(&spec.class).copied().unwrap_or(1.0);
         (spec.estimated_run_s * ratio).min(MAX_RUN_S)
     }
 
-    /// Learns from a task that has run to its end in `run_s` seconds. A job without an
-    /// estimate teaches nothing.
+    /// Updates the ratio of the class with the run time of a completed task. Does nothing for a
+    /// job without an estimate.
     pub(crate) fn record(&mut self, spec: &JobSpec, run_s: f64) {
         let is_full = self.ratios.len() >= MAX_CLASSES && !self.ratios.contains_key(&spec.class);
         if spec.estimated_run_s <= 0.0 || is_full {
--- a/src/coordination/scheduling/sampling.rs
+++ b/src/coordination/scheduling/sampling.rs
@@ -1,5 +1,5 @@
-//! Sampling: a few other machines stand for all of them (power-of-k sampling), so that a
-//! placement costs the same on a fleet of any size.
+//! Sampling: a machine is compared with a small random sample of the others (power-of-k
+//! sampling), so that the cost of a placement does not depend on the size of the fleet.
 
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
@@ -7,21 +7,21 @@
 use crate::coordination::leader::Leader;
 use crate::protocol::workers::MachineId;
 
-/// Candidates drawn at most for each machine that is wanted in a sample: not every candidate
+/// Maximum number of candidates drawn per machine wanted in a sample, since not every candidate
 /// has free capacity for the task.
 const DRAWS_PER_MACHINE: usize = 4;
 
-/// Machines that stand for all that have free capacity for a task.
+/// Random sample of the machines that have free capacity for a task.
 pub(crate) struct CandidateSample {
-    /// The machines drawn.
+    /// The machines in the sample.
     pub(crate) machines: Vec<MachineId>,
-    /// About how many machines they stand for.
+    /// Estimated number of machines that the sample represents.
     pub(crate) population: f64,
 }
 
 impl Leader {
-    /// Draws a few machines other than this one that last had free capacity for a task, from
-    /// the candidates of the last ordering of the queue.
+    /// Draws a few machines other than this one that have free capacity for a task, from the
+    /// candidates found when the queue was last ordered.
     pub(crate) fn sample_candidates(&mut self, machine: &MachineId, task: &Resources) -> CandidateSample {
         let max_machines = self.config.tuning.sampled_machines.saturating_sub(1);
         let max_draws = (max_machines * DRAWS_PER_MACHINE).min(self.queue.candidates().len());
@@ -53,19 +53,19 @@
         self.fits_on_machines_where(job, |machine| machine.images.contains(&job.spec().image))
     }
 
-    /// Whether all waiting tasks of the job fit on such machines, among those that had free
-    /// capacity when the queue was last ordered.
+    /// Whether all waiting tasks of the job fit on the machines for which `is_suitable` holds,
+    /// among those that had free capacity when the queue was last ordered.
     fn fits_on_machines_where(&self, job: &Job, is_suitable: impl Fn(&Machine) -> bool) -> bool {
         let task = Resources::of(job.spec());
-        let mut left = job.pending();
+        let mut remaining = job.pending();
         for machine in self.queue.candidates().iter().filter_map(|id| self.machines.get(id)) {
             if is_suitable(machine)
                 && task.fits(&machine.free)
                 && !machine.agent.one_way_partitioned
                 && self.passes_filters(job, machine)
             {
-                left = left.saturating_sub(task.times_in(&machine.free));
-                if left == 0 {
+                remaining = remaining.saturating_sub(task.times_in(&machine.free));
+                if remaining == 0 {
                     return true;
                 }
             }
--- a/src/coordination/scheduling/score.rs
+++ b/src/coordination/scheduling/score.rs
@@ -1,4 +1,4 @@
-//! Scores: how good a place a machine is for a task. Each summand is a time lost, in seconds.
+//! Scores: how suitable a machine is for a task. Each term of a score is a cost in seconds.
 
 use tokio::time::Instant;
 
@@ -8,17 +8,17 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobSpec;
 
-/// Seconds that a machine which stays empty beside the task costs against one that it fills
-/// up: tasks are packed on few machines (bin packing).
+/// Cost in seconds of a machine that stays empty apart from the task, compared with one that the
+/// task fills: tasks are packed onto few machines (bin packing).
 const EMPTINESS_WEIGHT_S: f64 = 1.5;
-/// Seconds that a regular machine costs a task that may run on spot machines.
+/// Cost in seconds of a regular machine for a task that may run on spot machines.
 const NON_SPOT_PENALTY_S: f64 = 2.0;
-/// Seconds that a machine costs which no demand needs.
+/// Cost in seconds of a machine that no demand needs.
 const UNNEEDED_PENALTY_S: f64 = 2.0;
 
 impl Leader {
-    /// How good a place the machine is for a task of the job, in seconds saved: larger is
-    /// better. `starts_at`: when the reply to the machine's heartbeat can carry the start.
+    /// Returns the machine's score for a task of the job, in seconds saved; higher is better.
+    /// `starts_at`: when the reply to the machine's heartbeat can carry the start.
     pub(crate) fn score(&self, now: Instant, job: &Job, machine: &Machine, starts_at: Instant) -> f64 {
         let spec = job.spec();
         let Some(machine_type) = self.catalog.get(machine.machine_type) else { return f64::MIN };
@@ -31,7 +31,7 @@
         -(wait_s + fetch_s + emptiness_s + non_spot_s + unneeded_s + spot_loss_s)
     }
 
-    /// How long the machine is expected to fetch the image of the job, in seconds.
+    /// Expected time, in seconds, for the machine to fetch the job's image; 0 if it has the image.
     pub(crate) fn image_fetch_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
         if machine.images.contains(&spec.image) {
             0.0
@@ -40,9 +40,9 @@
         }
     }
 
-    /// Work that is expected to be lost with a spot machine, in weighted seconds. Without
-    /// checkpoints all of a task's work is lost with the machine; the longer it runs, the
-    /// likelier and the more.
+    /// Work that is expected to be lost through the preemption of a spot machine, in weighted
+    /// seconds. Without checkpoints all work of a task is lost with its machine. A longer run makes
+    /// both the preemption more likely and the loss larger.
     fn expected_spot_loss_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
         let may_lose_all_work = machine.spot && spec.checkpoint_interval_s <= 0.0;
         if !may_lose_all_work {
@@ -53,18 +53,19 @@
     }
 }
 
-/// The share of the machine's CPUs that are free beside the task.
+/// Fraction of the machine's CPUs that stay free when the task is placed on it.
 fn emptiness(spec: &JobSpec, machine: &Machine, machine_type: &MachineType) -> f64 {
-    let left_cpus = machine.free.cpus - spec.cpus;
-    if machine_type.cpus > 0.0 { left_cpus / machine_type.cpus } else { 0.0 }
+    let remaining_cpus = machine.free.cpus - spec.cpus;
+    if machine_type.cpus > 0.0 { remaining_cpus / machine_type.cpus } else { 0.0 }
 }
 
-/// Work that may run on spot machines leaves the others to work that may not.
+/// Penalty that keeps work which may run on spot machines off regular ones, so that those stay
+/// free for work that may not.
 fn non_spot_penalty_s(spec: &JobSpec, machine: &Machine) -> f64 {
     if spec.spot && !machine.spot { NON_SPOT_PENALTY_S } else { 0.0 }
 }
 
-/// A machine that no demand needs is left to run empty and be deleted.
+/// Penalty for a machine that no demand needs, so that it runs empty and can be deleted.
 fn unneeded_penalty_s(machine: &Machine) -> f64 {
     if machine.need.is_needed { 0.0 } else { UNNEEDED_PENALTY_S }
 }
--- a/src/coordination/scheduling/slack.rs
+++ b/src/coordination/scheduling/slack.rs
@@ -1,6 +1,6 @@
-//! Slack: how long waiting work may still wait. Objectives and deadlines become the latest
-//! start of a job's tasks, with what a job inherits from its dependents; beside them stand
-//! guarantees, the bound on starvation, and latency-sensitive work.
+//! Slack: how long waiting work may still wait. Objectives and deadlines, including those
+//! inherited from a job's dependents, determine the latest start of the job's tasks. This module
+//! also covers guarantees, the starvation limit, and latency-sensitive work.
 
 use std::time::Duration;
 
@@ -16,23 +16,24 @@
 use crate::protocol::jobs::{JobId, JobSpec, Priority};
 use crate::settings::Objective;
 
-/// [`Objective::kind`] of a start within a time of being ready.
+/// [`Objective::kind`]: the job's tasks start within a time after the job is ready.
 const KIND_WAIT: &str = "wait";
-/// [`Objective::kind`] of an end within a time of being ready.
+/// [`Objective::kind`]: the job ends within a time after it is ready.
 const KIND_FINISHED: &str = "finished";
-/// [`Objective::kind`] of an end within a multiple of the job's own deadline.
+/// [`Objective::kind`]: the job ends within a multiple of its own deadline.
 const KIND_DEADLINE: &str = "deadline";
 
-/// After so many seconds of waiting a job that has missed all its objectives has half the
-/// slack of a new one.
+/// Seconds of waiting after which a job that has missed all its objectives has half the slack
+/// of a new one.
 const HALF_SLACK_AGE_S: f64 = 600.0;
-/// Longest time that an objective or deadline is taken for, in seconds.
+/// Upper bound for the time that an objective or a deadline allows, in seconds.
 const MAX_LIMIT_S: f64 = 1e7;
 
 impl Leader {
-    /// The latest start of a job's tasks at which the next of its objectives that can still be
-    /// met is met. A job that has missed all of them goes behind those for which haste still
-    /// helps, by a boot time, and then by age.
+    /// The latest start of a job's tasks at which the next objective that can still be met is
+    /// met. A job that has missed all its objectives gets up to the longest boot time from now as
+    /// slack, which ranks it behind jobs that need to start sooner to meet an objective. This
+    /// slack shrinks with the job's age.
     pub(crate) fn latest_start(&self, job: &Job, now: Instant) -> Instant {
         let next = self.objective_start_times(job, now).filter(|&at| at > now).min();
         next.unwrap_or_else(|| {
@@ -48,8 +49,8 @@
         self.dependencies.inherited(job.id()).map_or(own, |inherited| own.max(inherited.priority))
     }
 
-    /// When a job's tasks should have started: by each objective for its class, by its
-    /// deadline, and by those of its dependents.
+    /// The times by which a job's tasks should have started: one for each objective of its
+    /// class, those for its own deadline, and the one inherited from its dependents.
     fn objective_start_times<'a>(&'a self, job: &'a Job, now: Instant) -> impl Iterator<Item = Instant> + 'a {
         let (spec, ready_at) = (job.spec(), job.waiting_since(now));
         let run = Duration::from_secs_f64(self.run_estimates.expected_run_s(spec));
@@ -60,8 +61,8 @@
         after_ready.chain(by_deadline).chain(inherited)
     }
 
-    /// How long after the job became ready its tasks should have started, by each objective
-    /// for its class.
+    /// Time limits for the start of the job's tasks, counted from when the job becomes ready: one
+    /// for each objective of its class.
     pub(crate) fn start_limits_after_ready<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -77,8 +78,8 @@
         limits_s.filter_map(limit_from_seconds)
     }
 
-    /// How long after its submission a job's tasks should have started to meet its deadline,
-    /// and the multiples of the deadline that objectives name.
+    /// Time limits for the start of the job's tasks, counted from the job's submission: one for
+    /// its deadline, and one for each multiple of the deadline that an objective names.
     pub(crate) fn start_limits_by_deadline<'a>(
         &'a self,
         spec: &'a JobSpec,
@@ -92,14 +93,14 @@
         limits_s.filter_map(limit_from_seconds)
     }
 
-    /// The objectives in the settings that are for the job's class, or for all classes.
+    /// The objectives in the settings that apply to the job's class or to all classes.
     fn objectives_for<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = &'a Objective> + 'a {
         let objectives = self.config.settings.cluster.objectives.iter();
         objectives.filter(|objective| objective.class.as_ref().is_none_or(|class| *class == spec.class))
     }
 
-    /// The objectives for the job's start that are shorter than a heartbeat interval, in
-    /// seconds.
+    /// The time limits, in seconds, of those objectives for the job's start that are shorter than
+    /// a heartbeat interval.
     fn latency_objectives<'a>(&'a self, spec: &'a JobSpec) -> impl Iterator<Item = f64> + 'a {
         let heartbeat_interval_s = self.config.settings.cluster.workers.heartbeat_interval_s;
         self.objectives_for(spec)
@@ -108,27 +109,27 @@
             .filter(move |&within_s| within_s > 0.0 && within_s < heartbeat_interval_s)
     }
 
-    /// Whether an objective asks for the job's start within less than a heartbeat interval.
+    /// Whether an objective requires the job to start within less than a heartbeat interval.
     pub(crate) fn is_latency_sensitive(&self, spec: &JobSpec) -> bool {
         self.latency_objectives(spec).next().is_some()
     }
 
-    /// Whether a task that starts on the machine now still meets an objective for its start
-    /// that is shorter than a heartbeat interval. No machine that sends its heartbeat later
-    /// could be expected to meet it; but one that would have to fetch the image first may miss
-    /// it as surely, and then is compared with the others as for any other job.
+    /// Whether a task that is started on the machine now meets an objective for its start that is
+    /// shorter than a heartbeat interval. Machines that send their heartbeats later cannot be
+    /// expected to meet it. If the machine would miss the objective as well, because it has to
+    /// fetch the image first, it is compared with the others as for any other job.
     pub(crate) fn meets_latency_objective(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
         let waited_s = now.saturating_duration_since(job.waiting_since(now)).as_secs_f64();
         let fetch_s = self.image_fetch_s(job.spec(), machine);
         if job.is_service() && !job.tasks.assigned.is_empty() && fetch_s <= 0.0 {
-            // One of its replicas is down: each second counts.
+            // A replica of a running service is down and should be replaced without delay.
             return true;
         }
         self.latency_objectives(job.spec()).any(|within_s| waited_s + fetch_s < within_s)
     }
 
-    /// Notes what a task of a latency-sensitive job takes: further tasks like it are likely to
-    /// come.
+    /// Remembers the resources of a latency-sensitive job's task, because similar tasks are
+    /// likely to follow. Does nothing for other jobs.
     pub(crate) fn record_latency_sensitive_class(&mut self, spec: &JobSpec) {
         if self.is_latency_sensitive(spec) {
             let task = LatencySensitiveTask { resources: Resources::of(spec), allows_spot: spec.spot };
@@ -136,20 +137,19 @@
         }
     }
 
-    /// Whether latency-sensitive jobs may use free capacity of the machine.
+    /// Whether a latency-sensitive task could use free capacity of the machine.
     pub(crate) fn expects_latency_sensitive_start(&self, machine: &Machine) -> bool {
         machine.has_usable_capacity() && self.latency_classes.could_use(&machine.free, machine.spot)
     }
 
-    /// Whether the job is starved: it has waited for half the time within which every job must
-    /// start, and has not started. However urgent other work is, a first task of it goes
-    /// before: otherwise a stream of more urgent, or smaller, work could keep it waiting for
-    /// ever.
+    /// Whether the job is starved: it has not started, and has waited for half the time within
+    /// which every job must start. Its first task then precedes all other work, however urgent.
+    /// Otherwise a stream of more urgent or smaller work could keep the job waiting forever.
     pub(crate) fn is_starved(&self, job: &Job, now: Instant) -> bool {
         job.tasks.assigned.is_empty() && job.record.done.is_empty() && self.has_waited_too_long(job, now)
     }
 
-    /// Whether half the time is over within which every job must start.
+    /// Whether the job has waited for half the time within which every job must start.
     pub(super) fn has_waited_too_long(&self, job: &Job, now: Instant) -> bool {
         now >= job.waiting_since(now) + self.config.tuning.start_within / 2
     }
@@ -172,7 +172,7 @@
         within
     }
 
-    /// The jobs that may start tasks, by team; of teams that are guaranteed anything.
+    /// The jobs that may start tasks, grouped by team. Only teams with a guarantee are included.
     fn jobs_of_guaranteed_teams(&self) -> HashMap<QuotaId, Vec<&Job>> {
         let has_guarantee = |team: &QuotaId| self.quotas.get(*team).guaranteed != Resources::default();
         let mut by_team: HashMap<QuotaId, Vec<&Job>> = HashMap::default();
@@ -185,7 +185,7 @@
     }
 }
 
-/// CPUs and GPUs that all unfinished tasks of the job take together. Guarantees do not count
+/// CPUs and GPUs that all unfinished tasks of the job require together. Guarantees do not cover
 /// memory.
 fn unfinished_resources(job: &Job) -> Resources {
     let tasks = f64::from(job.unfinished());
@@ -193,8 +193,8 @@
     Resources { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memory_gb: 0.0 }
 }
 
-/// Seconds as a duration, with a negative number of them as zero; `None` if there is no such
-/// duration.
+/// Converts seconds to a duration, negative values to zero. Returns `None` if the value is not
+/// finite.
 fn limit_from_seconds(seconds: f64) -> Option<Duration> {
     seconds.is_finite().then(|| Duration::from_secs_f64(seconds.clamp(0.0, MAX_LIMIT_S)))
 }
--- a/src/coordination/scheduling/start_decision.rs
+++ b/src/coordination/scheduling/start_decision.rs
@@ -1,5 +1,5 @@
-//! The decision whether a job's next task starts on a given machine now, or waits: for a
-//! write, for reconciliation, or for a better place.
+//! Decides whether a job's next task starts on a given machine now, or waits for a write, for
+//! reconciliation, or for a better machine.
 
 use tokio::time::Instant;
 
@@ -10,13 +10,13 @@
 use crate::coordination::scheduling::queue::QueuedJob;
 use crate::protocol::workers::MachineId;
 
-/// Another machine is clearly the better place if its score is higher by more than this, in
-/// seconds saved.
-const CLEARLY_BETTER_S: f64 = 0.5;
+/// A machine is clearly better than another if its score is higher by more than this, in seconds
+/// saved.
+const MIN_SCORE_ADVANTAGE_S: f64 = 0.5;
 
 impl Leader {
-    /// Whether the job's next task may and should start on this machine. Its predicates are
-    /// evaluated from the cheap to the expensive; the last one draws a random sample.
+    /// Whether the job's next task may and should start on this machine. The conditions are
+    /// checked in order of increasing cost; the last one draws a random sample.
     pub(super) fn should_start(&mut self, now: Instant, queued: &QueuedJob, machine_id: &MachineId) -> bool {
         let failover_complete = self.failover.is_complete();
         let Some(job) = self.jobs.get_mut(&queued.job) else { return false };
@@ -29,7 +29,7 @@
         }
         let Some(task) = job.next_pending(first_startable_task(job, failover_complete)) else { return false };
         if task >= job.stored.started_high_water {
-            // The record must say that the task may have started before it does.
+            // Before the task starts, the record must say that it may have started.
             self.raise_started_high_water(now, &queued.job);
             return false;
         }
@@ -39,10 +39,10 @@
             return false;
         }
         if queued.starved {
-            // Only a first task goes before all other work.
+            // Only the first task of a starved job precedes all other work.
             return job.tasks.assigned.is_empty();
         }
-        // A better place would send its heartbeat too late.
+        // A better machine would send its heartbeat too late.
         if self.meets_latency_objective(now, job, machine) {
             return true;
         }
@@ -50,27 +50,28 @@
             return false;
         }
         let score_here = self.score(now, job, machine, now);
-        !self.better_places_suffice(now, queued, machine_id, score_here)
+        !self.better_machines_suffice(now, queued, machine_id, score_here)
     }
 
-    /// Whether a latency-sensitive task should wait for a machine that has its image: those
-    /// send a heartbeat sooner than this one has fetched it. All of them are counted, since a
-    /// sample would let one of many machines start the task too early.
+    /// Whether a latency-sensitive task should wait for a machine that has its image, because
+    /// such a machine will send a heartbeat before this one has fetched the image. All such
+    /// machines are checked rather than a sample: with a sample, one of many machines without the
+    /// image would start the task prematurely.
     fn should_await_machine_with_image(&self, job: &Job, machine: &Machine) -> bool {
         self.is_latency_sensitive(job.spec())
             && self.image_fetch_s(job.spec(), machine) > 0.0
             && self.fits_on_machines_with_image(job)
     }
 
-    /// Whether the machine should run empty: no demand needs it, and the needed ones have
-    /// free capacity for all tasks of the job that wait.
+    /// Whether the machine should be left to run empty: no demand needs it, and the needed
+    /// machines have free capacity for all waiting tasks of the job.
     fn should_leave_empty(&self, job: &Job, machine: &Machine) -> bool {
         !machine.need.is_needed && self.fits_on_needed_machines(job)
     }
 
-    /// Whether clearly better places than this machine take all tasks of the job that wait.
-    /// Estimated from a random sample, which stands for all machines with free capacity.
-    fn better_places_suffice(
+    /// Whether machines that are clearly better than this one have capacity for all waiting tasks
+    /// of the job. Estimated from a random sample of the machines with free capacity.
+    fn better_machines_suffice(
         &mut self,
         now: Instant,
         queued: &QueuedJob,
@@ -89,39 +90,40 @@
             .filter(|other| {
                 let last_heartbeat = other.agent.heartbeat_at;
                 let next_heartbeat = last_heartbeat.map_or(now, |at| (at + heartbeat_interval).max(now));
-                self.score(now, job, other, next_heartbeat) > score_here + CLEARLY_BETTER_S
+                self.score(now, job, other, next_heartbeat) > score_here + MIN_SCORE_ADVANTAGE_S
             })
             .map(|other| task.times_in(&other.free))
             .fold(0, u32::saturating_add);
         let sampled = sample.machines.len().max(1) as f64;
-        let better_slots_of_all = f64::from(better_slots) * sample.population / sampled;
-        better_slots_of_all >= f64::from(job.pending())
+        let estimated_better_slots = f64::from(better_slots) * sample.population / sampled;
+        estimated_better_slots >= f64::from(job.pending())
     }
 }
 
-/// Index of the first task of the job that may start. During a failover the tasks below it
-/// may still run on a machine that is not reconciled; those that never started, and jobs
-/// admitted in this epoch, cannot.
+/// Index of the first task of the job that may start. During a failover, the tasks below it may
+/// still be running on a machine that is not reconciled. Tasks that never started, and tasks of
+/// jobs admitted in this epoch, cannot.
 pub(super) fn first_startable_task(job: &Job, failover_complete: bool) -> u32 {
     if failover_complete { 0 } else { job.tasks.unreconciled_below }
 }
 
-/// Whether the job fails everywhere and is slowed down: one task at a time for a while.
+/// Whether the job is backed off after failures on several machines, and already has a task on a
+/// machine: during the backoff only one task runs at a time.
 fn must_back_off(now: Instant, job: &Job) -> bool {
     let backs_off = job.failures.backoff_until.is_some_and(|until| now < until);
     backs_off && !job.tasks.assigned.is_empty()
 }
 
-/// Whether tasks of a job that the reconciler has brought back may still be on machines.
-/// Until every machine has sent a heartbeat, or is gone, and has stopped what it had of a job
-/// that was believed terminal, none of its tasks starts again.
+/// Whether tasks of a job that the reconciler has restored may still be on machines. The job was
+/// believed terminal; none of its tasks is started again until every machine is gone, or has
+/// sent a heartbeat and stopped the tasks that it had of the job.
 fn must_await_other_machines(now: Instant, job: &Job, machines: &MachineTable) -> bool {
     let has_orphan_tasks = || machines.values().any(|machine| machine.has_orphan_tasks);
     job.not_before.is_some_and(|not_before| now < not_before || has_orphan_tasks())
 }
 
-/// Whether all tasks of the job have to wait until the failover is complete: where those are
-/// that may run on unreconciled machines decides in which zone the others may start.
+/// Whether all tasks of the job have to wait until the failover is complete. Some of them may be
+/// running on unreconciled machines, and their zones decide where the other tasks may start.
 fn must_await_failover(job: &Job, failover_complete: bool) -> bool {
     let is_bound_to_zones = job.spec().one_zone || job.spec().spread;
     !failover_complete && job.tasks.unreconciled_below > 0 && is_bound_to_zones
