--- a/src/coordination/fleet/cloud.rs
+++ b/src/coordination/fleet/cloud.rs
@@ -1,4 +1,4 @@
-//! The client of the cloud: an actor that owns all calls to it and keeps their rate below the
+//! The cloud client: an actor that makes all calls to the cloud and keeps their rate below the
 //! cloud's limit.
 
 mod actor;
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-use crate::coordination::fleet::cloud::actor::{Actor, QUEUE, Request};
+use crate::coordination::fleet::cloud::actor::{Actor, QUEUE_CAPACITY, Request};
 use crate::protocol::cloud::{InventoryPage, MachineType, NodePoolRequest};
 use crate::protocol::workers::MachineId;
 
@@ -30,7 +30,7 @@
     Delete(Vec<MachineId>),
 }
 
-/// The cloud's reply to the call of the same name.
+/// The cloud's reply to a successful call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// The machine types.
@@ -46,49 +46,50 @@
 /// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudError {
-    /// The cloud has no machine of this type, zone and kind now.
+    /// The cloud currently has no capacity for the requested machine type and zone, spot or on-demand
+    /// as requested.
     NoCapacity,
-    /// The cloud refuses the request as malformed.
+    /// The cloud rejects the request as malformed.
     Rejected,
-    /// Refused for now, or the outcome is unknown.
+    /// The call was refused temporarily, or its outcome is unknown.
     Failed,
 }
 
 /// The result of a call.
 pub type CloudResult = Result<CloudReply, CloudError>;
 
-/// Sends calls to the actor.
+/// A handle that sends calls to the actor.
 #[derive(Debug, Clone)]
 pub struct Cloud(mpsc::Sender<Request>);
 
 impl Cloud {
-    /// Calls the cloud, once the rate allows.
+    /// Calls the cloud as soon as the rate limit allows it.
     ///
     /// # Errors
     ///
-    /// What the cloud answers; [`CloudError::Failed`] also if the lease ends while the call
-    /// waits for its turn.
+    /// The error that the cloud answers; [`CloudError::Failed`] also if the lease ends while the
+    /// call is queued.
     pub async fn call(&self, call: CloudCall) -> CloudResult {
-        let (reply, answer) = oneshot::channel();
+        let (reply, result) = oneshot::channel();
         if self.0.send(Request { call, reply }).await.is_err() {
             return Err(CloudError::Failed);
         }
-        answer.await.unwrap_or(Err(CloudError::Failed))
+        result.await.unwrap_or(Err(CloudError::Failed))
     }
 }
 
 /// Starts the actor, which makes up to `rate` calls a second, each with this deadline.
 ///
-/// Calls wait here for their turn, and the process may be suspended meanwhile. A call that was
-/// decided under a lease that has ended since (`lease_expiry`) is not made: a late deletion
-/// would take machines that the next leader uses.
+/// Calls are queued here, and the process may be suspended meanwhile. A queued call is not made
+/// once the lease under which it was decided has ended (`lease_expiry`): a late deletion would
+/// remove machines that the next leader uses.
 pub fn start(
     address: SocketAddr,
     rate: f64,
     deadline: Duration,
     lease_expiry: watch::Receiver<Instant>,
 ) -> Cloud {
-    let (sender, requests) = mpsc::channel::<Request>(QUEUE);
+    let (sender, requests) = mpsc::channel::<Request>(QUEUE_CAPACITY);
     let actor = Actor::new(address, rate, deadline, lease_expiry, requests);
     tokio::spawn(actor.run());
     Cloud(sender)
--- a/src/coordination/fleet/cloud/actor.rs
+++ b/src/coordination/fleet/cloud/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that makes the calls: their order, their rate and their connections.
+//! The actor that makes the calls and controls their order, rate and connections.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use crate::transport::client::{Connection, ConnectionPool};
 use crate::transport::codec::Limits;
 
-/// Requests that may wait for their turn; as many again may wait in the channel.
-pub(super) const QUEUE: usize = 32;
+/// The capacity of the queue of waiting requests; the channel to the actor has the same capacity.
+pub(super) const QUEUE_CAPACITY: usize = 32;
 
-/// Limits of an answer, in bytes.
-const ANSWER_LIMITS: Limits = Limits { head: 8 * 1024, body: 512 * 1024 };
-/// Requests under way at once.
+/// Size limits of a response, in bytes.
+const RESPONSE_LIMITS: Limits = Limits { head: 8 * 1024, body: 512 * 1024 };
+/// The maximum number of requests in flight.
 const MAX_IN_FLIGHT: usize = 4;
-/// Part of the cloud's rate that is used.
+/// The fraction of the cloud's rate limit that is used.
 const RATE_SHARE: f64 = 0.9;
-/// Shortest pause before the rate is looked at again.
+/// The minimum pause before the rate limit is checked again.
 const MIN_RATE_PAUSE: Duration = Duration::from_millis(5);
-/// Pause with nothing to wait for but messages.
+/// The pause while there is nothing to wait for but messages.
 const IDLE_PAUSE: Duration = Duration::from_secs(3600);
 
 /// A call and where its result goes.
@@ -37,31 +37,32 @@
 }
 
 impl Request {
-    /// Whether the call costs or saves money, rather than only reads.
+    /// Whether the call provisions or deletes machines, which costs or saves money, rather than only
+    /// reads.
     fn is_change(&self) -> bool {
         matches!(self.call, CloudCall::Provision(_) | CloudCall::Delete(_))
     }
 }
 
-/// A request that is no longer under way.
+/// A request that is no longer in flight.
 struct FinishedRequest {
-    /// The connection, if it can be used again.
+    /// The connection, if it can be reused.
     connection: Option<Connection>,
     failure: Option<Failure>,
 }
 
-/// A request that has failed for another reason than a refusal by the cloud.
+/// The failure of a request with [`CloudError::Failed`].
 struct Failure {
-    /// The status of the answer, if there was one.
+    /// The status of the response, if there was one.
     status: Option<u16>,
 }
 
 /// The state of the actor.
 pub(super) struct Actor {
     requests: mpsc::Receiver<Request>,
-    /// Until when the controller leads.
+    /// When the controller's lease as the leader ends.
     lease_expiry: watch::Receiver<Instant>,
-    /// For each request.
+    /// The deadline of each request.
     deadline: Duration,
     rate: TokenBucket,
     pool: ConnectionPool,
@@ -73,7 +74,7 @@
 }
 
 impl Actor {
-    /// An actor that calls this address with up to `rate` requests a second.
+    /// Creates an actor that calls this address. `rate`: the cloud's limit, in requests a second.
     pub(super) fn new(
         address: SocketAddr,
         rate: f64,
@@ -87,9 +88,10 @@
             requests,
             lease_expiry,
             deadline,
-            // Others may have used up the rate before a failover: the bucket starts half full.
+            // The burst is limited to one second of requests, since an earlier leader may have used
+            // up the cloud's rate limit before a failover.
             rate: TokenBucket::new(rate, rate.max(1.0), Instant::now()),
-            pool: ConnectionPool::new(address, ANSWER_LIMITS, MAX_IN_FLIGHT),
+            pool: ConnectionPool::new(address, RESPONSE_LIMITS, MAX_IN_FLIGHT),
             waiting: VecDeque::new(),
             in_flight: 0,
             finished_sender,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Makes calls until nobody can ask for any.
+    /// Makes calls until all senders of requests are dropped.
     pub(super) async fn run(mut self) {
         loop {
             let now = Instant::now();
@@ -106,7 +108,7 @@
             let pause = self.start_waiting(now);
             tokio::select! {
                 biased;
-                request = self.requests.recv(), if self.waiting.len() < QUEUE => match request {
+                request = self.requests.recv(), if self.waiting.len() < QUEUE_CAPACITY => match request {
                     Some(request) => self.enqueue(request),
                     None => return,
                 },
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Starts as many requests as are allowed now, and returns when to look again.
+    /// Starts as many waiting requests as are allowed now, and returns the pause until the next check.
     fn start_waiting(&mut self, now: Instant) -> Duration {
         while self.in_flight < MAX_IN_FLIGHT && !self.waiting.is_empty() {
             if !self.rate.allows(now, 1.0, 0.0) {
@@ -153,7 +155,7 @@
         });
     }
 
-    /// Queues a request: changes before reads, else in the order of arrival.
+    /// Queues a request: changes before reads, otherwise in the order of arrival.
     fn enqueue(&mut self, request: Request) {
         let is_read = |waiting: &Request| !waiting.is_change();
         let first_read = self.waiting.iter().position(is_read).filter(|_| request.is_change());
--- a/src/coordination/fleet/cloud/codec.rs
+++ b/src/coordination/fleet/cloud/codec.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud as HTTP requests, and the answers to them.
+//! Encoding of calls to the cloud as HTTP requests, and decoding of the responses.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::transport::client::{ClientError, HttpCall};
 use crate::transport::codec::Response;
 
-/// The error of an answer with status 503 that says that there is no capacity.
+/// The error text of a response with status 503 if the cloud has no capacity.
 const NO_CAPACITY: &str = "no capacity";
 
 /// Encodes a call as an HTTP request with this deadline.
@@ -34,12 +34,12 @@
     HttpCall { method, target, body, timeout: deadline }
 }
 
-/// Decodes the answer to a call.
+/// Decodes the response to a call.
 ///
 /// # Errors
 ///
 /// [`CloudError::Rejected`] and [`CloudError::NoCapacity`] if the cloud says so;
-/// [`CloudError::Failed`] in all other cases, as without an answer that can be decoded.
+/// [`CloudError::Failed`] in all other cases, including a missing or unreadable response.
 pub(super) fn decode_reply(call: &CloudCall, result: Result<Response, ClientError>) -> CloudResult {
     let response = result.map_err(|_| CloudError::Failed)?;
     match response.status {
@@ -52,18 +52,18 @@
 
 fn decode_success(call: &CloudCall, body: &[u8]) -> CloudResult {
     let reply = match call {
-        // The status says all.
+        // The status is sufficient; the body is ignored.
         CloudCall::Delete(_) => Ok(CloudReply::Deleted),
-        CloudCall::Catalog => decode_with(body, decode_catalog).map(CloudReply::Catalog),
+        CloudCall::Catalog => decode_body(body, decode_catalog).map(CloudReply::Catalog),
         CloudCall::ListMachines { .. } => {
-            decode_with(body, decode_inventory_page).map(CloudReply::MachinesListed)
+            decode_body(body, decode_inventory_page).map(CloudReply::MachinesListed)
         }
-        CloudCall::Provision(_) => decode_with(body, decode_provisioned).map(CloudReply::Provisioned),
+        CloudCall::Provision(_) => decode_body(body, decode_provisioned).map(CloudReply::Provisioned),
     };
     reply.map_err(|_| CloudError::Failed)
 }
 
-fn decode_with<T>(body: &[u8], decode_value: fn(&Value) -> Result<T, Malformed>) -> Result<T, Malformed> {
+fn decode_body<T>(body: &[u8], decode_value: fn(&Value) -> Result<T, Malformed>) -> Result<T, Malformed> {
     decode_value(&decode(body)?)
 }
 
