--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -8,14 +8,14 @@
 use crate::protocol::cloud::MachineType;
 use crate::protocol::jobs::JobSpec;
 
-/// Names a machine type of the catalog. Types keep their index in the catalog, so an id never
+/// Identifies a machine type by its index in the catalog. Types keep their index, so an id never
 /// changes its meaning within an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineTypeId(usize);
 
-/// The boot time assumed of an unknown machine type, in seconds.
+/// The boot time assumed for an unknown machine type, in seconds.
 const UNKNOWN_BOOT_S: f64 = 30.0;
-/// The least boot time that is reckoned with, in seconds.
+/// The minimum boot time assumed for any machine type, in seconds.
 const MIN_BOOT_S: f64 = 1.0;
 
 impl MachineTypeId {
@@ -26,30 +26,30 @@
 /// How a read of the catalog has changed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct CatalogChange {
-    /// A type is new, or differs in more than its prices.
+    /// Whether a type is new, or differs in more than its prices.
     pub(crate) has_changed: bool,
-    /// The catalog was empty before, and is not now.
+    /// Whether the catalog was empty before and no longer is.
     pub(crate) is_first: bool,
 }
 
 /// The machine types, and when they were last read from the cloud.
 #[derive(Debug, Default)]
 pub(crate) struct Catalog {
-    /// The types by their ids. A type is never removed or moved, also if the cloud no longer
-    /// names it.
+    /// The types, indexed by id. A type is never removed or moved, even if the cloud no longer
+    /// lists it.
     types: Vec<MachineType>,
-    /// When the cloud has last answered or failed to; `None` if it was not read in this epoch.
+    /// When the last read succeeded or failed; `None` if the catalog was not read in this epoch.
     read_at: Option<Instant>,
 }
 
 impl Catalog {
-    /// Restores the types that an earlier leader has stored.
+    /// Restores the types that an earlier leader stored.
     pub(crate) fn restore(&mut self, types: Vec<MachineType>) {
         self.types = types;
     }
 
-    /// Updates the types with the cloud's answer. Prices change all the time and are no reason
-    /// to store the catalog again.
+    /// Updates the types with the cloud's answer. Prices change often, so a change of prices alone
+    /// is no reason to store the catalog again.
     pub(crate) fn update(&mut self, now: Instant, types: Vec<MachineType>) -> CatalogChange {
         self.read_at = Some(now);
         let was_empty = self.types.is_empty();
@@ -68,7 +68,7 @@
         CatalogChange { has_changed, is_first: was_empty && !self.types.is_empty() }
     }
 
-    /// Records a read that failed: the next one is due after the usual time.
+    /// Records a failed read. The next read is due after the usual time.
     pub(crate) fn record_failed_read(&mut self, now: Instant) {
         self.read_at = Some(now);
     }
@@ -93,7 +93,7 @@
         self.types.get(id.0)
     }
 
-    /// The id of the type with that name; one that names no type if it is not known.
+    /// The id of the type with that name; an id without a type if the name is not known.
     pub(crate) fn id_of(&self, name: &str) -> MachineTypeId {
         self.find(name).unwrap_or(MachineTypeId::UNKNOWN)
     }
@@ -136,7 +136,7 @@
         feasible.map(|(index, _)| MachineTypeId(index)).collect()
     }
 
-    /// Whether the job allows machines of the type by its name.
+    /// Whether the job allows the type: it has no list of machine types, or its list contains the type.
     pub(crate) fn is_allowed_by(&self, spec: &JobSpec, id: MachineTypeId) -> bool {
         self.get(id).is_some_and(|machine_type| {
             spec.machine_types.as_ref().is_none_or(|names| names.contains(&machine_type.name))
--- a/src/coordination/fleet/cloud_results.rs
+++ b/src/coordination/fleet/cloud_results.rs
@@ -1,4 +1,4 @@
-//! Results of calls to the cloud, and the catalog that is read from it.
+//! Handling of the results of calls to the cloud.
 
 use tokio::time::Instant;
 
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Updates the catalog with the cloud's machine types. It is also written to the store, so
-    /// that a failover while the cloud is down knows the types of its machines.
+    /// Updates the catalog with the cloud's machine types. A changed catalog is also stored, so that
+    /// after a failover the new leader knows the types of its machines while the cloud is down.
     pub(crate) fn update_catalog(&mut self, now: Instant, types: Vec<MachineType>) {
         let change = self.catalog.update(now, types);
         if change.has_changed {
--- a/src/coordination/fleet/image_cache.rs
+++ b/src/coordination/fleet/image_cache.rs
@@ -28,7 +28,7 @@
     }
 
     /// Records that a task of the job runs here, so that its image is cached. The least recently
-    /// used images are evicted where the machine type's cache is full; the new one is always kept.
+    /// used images are evicted if the machine type's cache is full; the new one is always kept.
     pub fn record_use(&mut self, spec: &JobSpec, machine_type: Option<&MachineType>) {
         let capacity_gb = machine_type.map_or(0.0, |machine_type| machine_type.cache_gb);
         if self.images.front().is_some_and(|cached| cached.name == spec.image) {
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -1,5 +1,5 @@
 //! Scans of the cloud's inventory of machines. The inventory lags, and a scan may show an older
-//! state than the one before.
+//! state than the previous scan.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::maps::HashSet;
 use crate::protocol::workers::MachineId;
 
-/// One scan of the inventory, which is read page by page.
+/// A scan of the inventory, which is read page by page.
 #[derive(Debug)]
 pub(crate) struct InventoryScan {
     /// When its first page was requested.
@@ -17,20 +17,20 @@
     pub(crate) seen: HashSet<MachineId>,
 }
 
-/// The current scan of the inventory, and when the last one was completed.
+/// The scan of the inventory in progress, and when the last one was completed.
 #[derive(Debug, Default)]
 pub(crate) struct Inventory {
     /// The scan in progress, if any.
     scan: Option<InventoryScan>,
     /// When the last page of the last complete scan was read.
-    read_at: Option<Instant>,
+    completed_at: Option<Instant>,
 }
 
 impl Inventory {
     /// Whether a new scan is due: none is in progress, and the last one was completed longer
     /// than `interval` ago.
     pub(crate) fn is_due(&self, now: Instant, interval: Duration) -> bool {
-        self.scan.is_none() && self.read_at.is_none_or(|at| now > at + interval)
+        self.scan.is_none() && self.completed_at.is_none_or(|at| now > at + interval)
     }
 
     /// Begins a scan.
@@ -38,24 +38,24 @@
         self.scan = Some(InventoryScan { started_at: now, seen: HashSet::default() });
     }
 
-    /// Takes the scan in progress out, to add a page to it; then it is to be resumed or
-    /// completed.
+    /// Takes the scan in progress so that a page can be added to it. The caller then calls
+    /// [`Inventory::resume`] or [`Inventory::complete`].
     pub(crate) fn take_scan(&mut self) -> Option<InventoryScan> {
         self.scan.take()
     }
 
-    /// Puts the scan back, as its next page is being read.
+    /// Puts the scan back while its next page is being read.
     pub(crate) fn resume(&mut self, scan: InventoryScan) {
         self.scan = Some(scan);
     }
 
-    /// Drops the scan, as a page could not be read; a new one begins when it is due.
+    /// Drops the scan after a page could not be read. A new scan begins when it is due.
     pub(crate) fn abort(&mut self) {
         self.scan = None;
     }
 
-    /// Records that a scan was completed with its last page.
+    /// Records that the last page of a scan was read.
     pub(crate) fn complete(&mut self, now: Instant) {
-        self.read_at = Some(now);
+        self.completed_at = Some(now);
     }
 }
--- a/src/coordination/fleet/inventory_scan.rs
+++ b/src/coordination/fleet/inventory_scan.rs
@@ -1,5 +1,5 @@
-//! The handling of the cloud's inventory. That it lists a machine or does not is a reason to
-//! look closer, never a proof.
+//! Handling of the cloud's inventory. Whether it lists a machine is only a hint: it does not prove
+//! that the machine exists or is gone.
 
 use std::time::Duration;
 
@@ -11,31 +11,33 @@
 use crate::coordination::leader::effects::CloudQuery;
 use crate::protocol::cloud::{InventoryPage, ListedMachine, ListedState};
 
-/// The least lag that is assumed of the inventory, in seconds.
-const MIN_LAG_S: f64 = 1.0;
-/// How long after the snapshot a scan must begin for unregistered machines to be noticed in it, in
-/// lags of the inventory: an earlier one may still list machines that an earlier leader has deleted.
-const LAGS_AFTER_SNAPSHOT: u32 = 2;
-/// The time after its request in which a machine appears in the inventory, in lags of the inventory.
+/// The minimum lag assumed for the inventory, in seconds.
+const MIN_INVENTORY_LAG_S: f64 = 1.0;
+/// The minimum time between the snapshot and the start of a scan for the scan's unregistered machines
+/// to be registered, in multiples of the inventory's lag. An earlier scan may still list machines
+/// that a previous leader deleted.
+const MIN_SCAN_DELAY_LAGS: u32 = 2;
+/// The time after its request within which a machine should appear in the inventory, in multiples
+/// of the inventory's lag.
 const LAGS_UNTIL_LISTED: u32 = 4;
 /// The time without a heartbeat after which a machine counts as silent, in heartbeat intervals.
 const SILENT_INTERVALS: f64 = 1.5;
-/// The number of scans in a row that do not list a silent machine after which it is deleted.
+/// The number of consecutive scans that do not list a silent machine after which it is deleted.
 const MAX_MISSED_SCANS: u32 = 2;
 
 impl Leader {
-    /// How old the cloud's inventory usually is; at least a second.
+    /// The expected lag of the cloud's inventory; at least a second.
     pub(crate) fn inventory_lag(&self) -> Duration {
-        Duration::from_secs_f64(self.config.settings.cluster.cloud.list_lag_s.max(MIN_LAG_S))
+        Duration::from_secs_f64(self.config.settings.cluster.cloud.list_lag_s.max(MIN_INVENTORY_LAG_S))
     }
 
     /// Handles a page of the current scan: registers and updates the machines that it lists,
-    /// deletes those that have failed, and reads the next page or completes the scan.
+    /// deletes those that have failed, and requests the next page or completes the scan.
     pub(crate) fn handle_inventory_page(&mut self, now: Instant, page: &InventoryPage) {
         let Some(mut scan) = self.inventory.take_scan() else { return };
         let mut failed = Vec::new();
         let lists_no_deleted_machines =
-            scan.started_at >= self.failover.snapshot_at() + self.inventory_lag() * LAGS_AFTER_SNAPSHOT;
+            scan.started_at >= self.failover.snapshot_at() + self.inventory_lag() * MIN_SCAN_DELAY_LAGS;
         for listed in &page.machines {
             scan.seen.insert(listed.machine.clone());
             if let Some(machine) = self.machines.get_mut(&listed.machine) {
@@ -65,16 +67,17 @@
         }
     }
 
-    /// Deletes silent machines that several scans in a row did not list.
+    /// Deletes silent machines that several consecutive scans did not list.
     ///
-    /// A machine that was listed and is not any more is gone, unless the scan shows an older
-    /// state than an earlier one. Its deletion proves that it is gone, and costs nothing.
+    /// A machine that was listed and no longer is has probably gone, but the scan may also show an
+    /// older state than an earlier scan. Deleting the machine proves that it is gone, and costs
+    /// nothing.
     fn delete_unlisted(&mut self, now: Instant, scan: &InventoryScan) {
         let cluster = &self.config.settings.cluster;
         let time_until_listed = Duration::from_secs_f64(cluster.cloud.list_lag_s) * LAGS_UNTIL_LISTED;
         let silence = cluster.workers.heartbeat_interval().mul_f64(SILENT_INTERVALS);
         let snapshot_at = self.failover.snapshot_at();
-        let mut gone = Vec::new();
+        let mut unlisted = Vec::new();
         for machine in self.machines.values_mut() {
             if scan.seen.contains(&machine.id) || machine.phase == Phase::Deleting {
                 continue;
@@ -83,15 +86,18 @@
                 machine.listing.was_listed || machine.requested_at + time_until_listed < scan.started_at;
             let is_silent = machine.agent.heartbeat_at.unwrap_or(snapshot_at) + silence < now;
             if should_be_listed && is_silent {
-                machine.listing.missed += 1;
-                if machine.listing.missed >= MAX_MISSED_SCANS {
-                    gone.push(machine.id.clone());
+                machine.listing.missed_scans += 1;
+                if machine.listing.missed_scans >= MAX_MISSED_SCANS {
+                    unlisted.push(machine.id.clone());
                 }
             }
         }
-        if !gone.is_empty() {
-            tracing::info!(count = gone.len(), "machines no longer listed by the cloud; deletion requested");
-            self.delete_machines(now, &gone);
+        if !unlisted.is_empty() {
+            tracing::info!(
+                count = unlisted.len(),
+                "machines no longer listed by the cloud; deletion requested"
+            );
+            self.delete_machines(now, &unlisted);
         }
     }
 }
--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -1,5 +1,5 @@
-//! A machine of the fleet, as the leader sees it: its phase, its agent's heartbeats, the tasks
-//! on it, and whether demand needs it.
+//! The leader's view of a machine: its phase, its agent's heartbeats, the tasks on it, and whether
+//! demand needs it.
 
 use std::time::Duration;
 
@@ -15,24 +15,24 @@
 use crate::protocol::jobs::{JobId, TaskId};
 use crate::protocol::workers::{Command, Heartbeat, MachineId};
 
-/// How far a machine's life has come.
+/// The lifecycle phase of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// Provisioned by the cloud; no heartbeat has arrived yet.
     Booting,
-    /// A heartbeat has arrived, in this epoch or, going by its record, in an earlier one.
+    /// A heartbeat has arrived in this epoch, or in an earlier one according to its record.
     Up,
-    /// Its deletion was requested, and nothing is placed on it any more.
+    /// Its deletion was requested; nothing is placed on it any more.
     Deleting,
 }
 
-/// Whether replies and commands reach a machine's agent. Its heartbeats may arrive while they
-/// do not (a one-way partition): that a reply was sent is no proof that it was received, only
-/// its effect in later heartbeats is.
+/// Tracks whether replies and commands reach a machine's agent. In a one-way partition the agent's
+/// heartbeats arrive and the replies do not: only the effect of a reply in later heartbeats proves
+/// that it was received.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AckTracker {
-    /// Replies in a row that should have shown an effect and did not.
-    missed_in_a_row: u32,
+    /// Consecutive replies that should have shown an effect and did not.
+    consecutive_missed: u32,
     /// When the first of them was noticed.
     first_missed_at: Option<Instant>,
     /// When the last of them was noticed.
@@ -40,16 +40,15 @@
 }
 
 impl AckTracker {
-    /// Missed replies in a row, over at least [`Self::MIN_INTERVALS`], after which a one-way
-    /// partition is suspected: a single lost reply, or a burst of delayed copies, has no
-    /// consequence.
+    /// Consecutive missed replies, over at least [`Self::MIN_INTERVALS`], after which a one-way
+    /// partition is suspected. A single lost reply or a burst of delayed copies has no effect.
     const MAX_MISSED: u32 = 3;
     /// Heartbeat intervals that must have passed since the first missed reply.
     const MIN_INTERVALS: u32 = 2;
 
     /// Records that a heartbeat does not show the effect of an earlier reply.
     pub fn record_missed(&mut self, now: Instant) {
-        self.missed_in_a_row = self.missed_in_a_row.saturating_add(1);
+        self.consecutive_missed = self.consecutive_missed.saturating_add(1);
         self.first_missed_at.get_or_insert(now);
         self.last_missed_at = Some(now);
     }
@@ -59,20 +58,20 @@
         *self = AckTracker::default();
     }
 
-    /// Whether replies seem not to reach the agent. `interval`: the time between two heartbeats.
+    /// Whether replies appear not to reach the agent. `interval`: the time between two heartbeats.
     pub fn suspects_one_way_partition(&self, now: Instant, interval: Duration) -> bool {
-        self.missed_in_a_row >= Self::MAX_MISSED
+        self.consecutive_missed >= Self::MAX_MISSED
             && self.first_missed_at.is_some_and(|at| now >= at + interval * Self::MIN_INTERVALS)
     }
 
-    /// Whether a single start may be tried on a suspected machine: `pause` has passed since the
-    /// last missed reply.
+    /// Whether a single task start may be attempted on a suspected machine, because `pause` has
+    /// passed since the last missed reply.
     pub fn may_probe(&self, now: Instant, pause: Duration) -> bool {
         self.last_missed_at.is_none_or(|at| now >= at + pause)
     }
 }
 
-/// Names one heartbeat of a machine. Numbers of a later incarnation are higher.
+/// Identifies one heartbeat of a machine. Stamps of a later incarnation are greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatStamp {
     /// The agent's incarnation.
@@ -88,34 +87,34 @@
     }
 }
 
-/// The exchange of heartbeats and replies with a machine's agent.
+/// The state of the exchange of heartbeats and replies with a machine's agent.
 #[derive(Debug, Default)]
 pub struct AgentContact {
     /// The address at which the agent accepts pushed commands; empty while it is unknown.
     pub address: String,
     /// The newest heartbeat under this epoch's fencing token.
     pub last_heartbeat: Option<HeartbeatStamp>,
-    /// The newest heartbeat under an earlier fencing token, of which only the arrival was used.
+    /// The newest heartbeat under an earlier fencing token. Only its arrival is used.
     pub last_stale_heartbeat: Option<HeartbeatStamp>,
-    /// Heartbeats of earlier incarnations are ignored.
+    /// Heartbeats of incarnations earlier than this one are ignored.
     pub min_incarnation: u64,
     /// When the last heartbeat arrived.
     pub heartbeat_at: Option<Instant>,
-    /// When the last heartbeat arrived that was replied to, which renews the agent's lease.
+    /// When the last heartbeat that was replied to arrived. The reply renews the agent's lease.
     pub replied_at: Option<Instant>,
     /// Whether later heartbeats show an effect of the replies.
     pub acks: AckTracker,
-    /// Replies seem not to reach the agent: the machine's capacity is not counted on.
+    /// Whether replies appear not to reach the agent. The machine's capacity is then not relied on.
     pub one_way_partitioned: bool,
     /// When commands were last pushed to it.
     pub stops_pushed_at: Option<Instant>,
 }
 
-/// Whether the stored record of its node pool says that a machine may hold tasks. It must say so
-/// before the first start, so that a later leader knows which machines to reconcile.
+/// Whether the stored record of a machine's node pool says that the machine may hold tasks. It must
+/// say so before the first task start, so that a later leader knows which machines to reconcile.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UseRecord {
-    /// The record does not say so.
+    /// The stored record does not say so.
     NotRecorded,
     /// The write that says so is in flight.
     InFlight,
@@ -126,20 +125,20 @@
 /// How a machine appears in the scans of the cloud's inventory.
 #[derive(Debug, Clone, Copy)]
 pub struct Listing {
-    /// It was listed at least once.
+    /// Whether it was listed at least once.
     pub was_listed: bool,
-    /// Scans in a row that should have listed it and did not.
-    pub missed: u32,
+    /// Consecutive scans that should have listed it and did not.
+    pub missed_scans: u32,
 }
 
 /// Whether demand needs a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct MachineNeed {
-    /// Some demand counts on it; a machine that is not needed is left to run empty.
+    /// Whether some demand relies on it. A machine that is not needed is left to become empty.
     pub is_needed: bool,
-    /// Since when no demand has counted on it.
+    /// Since when no demand has relied on it.
     pub unneeded_since: Option<Instant>,
-    /// Its replicas are being moved elsewhere: nothing is placed on it.
+    /// Whether its replicas are being moved elsewhere. Nothing is placed on it then.
     pub is_draining: bool,
 }
 
@@ -154,37 +153,37 @@
     pub zone: String,
     /// Whether it is a spot machine, which the cloud may preempt.
     pub spot: bool,
-    /// The node pool whose record names it.
+    /// The node pool whose record lists it.
     pub node_pool: String,
-    /// How far its life has come.
+    /// Its lifecycle phase.
     pub phase: Phase,
-    /// When it was requested from the cloud, as far as is known: the basis of the boot limit and
-    /// of the least time that is billed.
+    /// When it was requested from the cloud, as far as is known. The boot limit and the minimum
+    /// billing period are counted from it.
     pub requested_at: Instant,
-    /// The exchange of heartbeats with its agent.
+    /// The state of the heartbeat exchange with its agent.
     pub agent: AgentContact,
-    /// The leader knows which tasks are on it: by a heartbeat under this epoch's fencing token,
-    /// or by the proof that there are none.
+    /// Whether the leader knows which tasks are on it, from a heartbeat under this epoch's fencing
+    /// token or because there provably are none.
     pub reconciled: bool,
     /// Whether its record says that it may hold tasks.
     pub use_record: UseRecord,
-    /// A deletion request is in flight.
+    /// Whether a deletion request is in flight.
     pub deletion_in_flight: bool,
-    /// When the cloud preempts it, once that is announced.
+    /// When the cloud will preempt it, if that was announced.
     pub preempted_at: Option<Instant>,
     /// The tasks that are, or may be, on it.
     pub slots: HashMap<TaskId, Slot>,
     /// The capacity that its slots leave free.
     pub free: Resources,
-    /// Orphan tasks are on it, whose job is unknown; nothing is placed beside them.
+    /// Whether it holds orphan tasks, whose job is unknown. Nothing else is placed on it then.
     pub has_orphan_tasks: bool,
     /// The images believed to be cached on it.
     pub images: ImageCache,
-    /// Jobs whose tasks have failed here since the last success, once for each failure.
+    /// Jobs whose tasks have failed here since the last success, with one entry for each failure.
     pub failures: Vec<JobId>,
-    /// Tasks of several jobs have failed here: nothing is placed on it, and it is replaced.
+    /// Whether tasks of several jobs have failed here. Nothing is placed on it, and it is replaced.
     pub cordoned: bool,
-    /// Since when no slot is on it.
+    /// Since when it has had no slot.
     pub idle_since: Instant,
     /// How it appears in the cloud's inventory.
     pub listing: Listing,
@@ -193,8 +192,8 @@
 }
 
 impl Machine {
-    /// A machine of a node pool with this request, on which no task was ever started. `capacity`:
-    /// that of its type.
+    /// Creates a machine of a node pool with this request, on which no task was ever started.
+    /// `capacity`: the capacity of its type.
     pub(crate) fn new(
         id: MachineId,
         request: &NodePoolRequest,
@@ -223,32 +222,32 @@
             failures: Vec::new(),
             cordoned: false,
             idle_since: now,
-            listing: Listing { was_listed: false, missed: 0 },
+            listing: Listing { was_listed: false, missed_scans: 0 },
             need: MachineNeed { is_needed: true, unneeded_since: None, is_draining: false },
         }
     }
 
-    /// Changes a new machine into one that may hold tasks of an earlier epoch, by its record.
-    pub(crate) fn mark_used_before(&mut self, requested_at: Instant) {
+    /// Marks a new machine as one that may hold tasks of an earlier epoch, according to its record.
+    pub(crate) fn mark_used_in_earlier_epoch(&mut self, requested_at: Instant) {
         self.phase = Phase::Up;
         self.requested_at = requested_at;
         self.reconciled = false;
         self.use_record = UseRecord::Recorded;
-        // It was listed long ago: a failover need not see it in the inventory first to conclude
-        // something from its absence.
-        self.listing = Listing { was_listed: true, missed: 1 };
+        // It was listed in an earlier epoch, so its absence from the inventory is meaningful even
+        // if no scan of this epoch has listed it.
+        self.listing = Listing { was_listed: true, missed_scans: 1 };
     }
 
     /// Records that a scan of the cloud's inventory lists it, at this address.
     pub(crate) fn record_listed(&mut self, address: &str) {
-        self.listing = Listing { was_listed: true, missed: 0 };
+        self.listing = Listing { was_listed: true, missed_scans: 0 };
         if self.agent.address.is_empty() {
             self.agent.address.push_str(address);
         }
     }
 
-    /// An effect that pushes commands to its agent, if the agent's address and incarnation are
-    /// known.
+    /// Returns an effect that pushes commands to its agent, if the agent's address and incarnation
+    /// are known.
     pub fn push_commands(
         &mut self,
         now: Instant,
@@ -261,7 +260,7 @@
         Some(Effect::PushCommands { address, fencing_token, incarnation, commands })
     }
 
-    /// Whether its capacity may be counted on: tasks may be placed on it, and replies reach its
+    /// Whether its capacity may be relied on: tasks may be placed on it, and replies reach its
     /// agent.
     pub fn has_usable_capacity(&self) -> bool {
         self.is_schedulable() && !self.agent.one_way_partitioned
--- a/src/coordination/fleet/machine_table.rs
+++ b/src/coordination/fleet/machine_table.rs
@@ -1,4 +1,4 @@
-//! The registered machines, and tombstones of those that were deleted.
+//! The registered machines, and tombstones of deleted machines.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,22 +6,22 @@
 use crate::maps::HashSet;
 use crate::protocol::workers::MachineId;
 
-/// The machines of all node pools, by name, and tombstones of those that were deleted: a
-/// delayed copy of a heartbeat must not register a deleted machine again.
+/// The machines of all node pools, ordered by name, and tombstones of deleted machines. The
+/// tombstones keep a delayed copy of a heartbeat from registering a deleted machine again.
 #[derive(Debug)]
 pub(crate) struct MachineTable {
     /// The registered machines; none of them has a tombstone.
     machines: BTreeMap<MachineId, Machine>,
     /// The names of deleted machines.
     tombstones: HashSet<MachineId>,
-    /// The same names, the oldest first.
+    /// The same names in the order of deletion, the oldest first.
     tombstone_order: VecDeque<MachineId>,
-    /// The number of names above which the oldest are dropped.
+    /// The maximum number of tombstones; beyond it the oldest are dropped.
     max_tombstones: usize,
 }
 
 impl MachineTable {
-    /// An empty table. `max_tombstones`: the number of deleted machines whose names are kept.
+    /// Creates an empty table. `max_tombstones`: the number of deleted machines whose names are kept.
     pub(crate) fn new(max_tombstones: usize) -> Self {
         MachineTable {
             machines: BTreeMap::new(),
@@ -36,7 +36,7 @@
         self.machines.get(machine)
     }
 
-    /// A machine to be changed, if it is registered.
+    /// Mutable access to a machine, if it is registered.
     pub(crate) fn get_mut(&mut self, machine: &MachineId) -> Option<&mut Machine> {
         self.machines.get_mut(machine)
     }
@@ -46,17 +46,17 @@
         self.machines.contains_key(machine)
     }
 
-    /// All machines, by name.
+    /// All machines, ordered by name.
     pub(crate) fn values(&self) -> impl Iterator<Item = &Machine> + Clone {
         self.machines.values()
     }
 
-    /// All machines to be changed, by name.
+    /// Mutable access to all machines, ordered by name.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Machine> {
         self.machines.values_mut()
     }
 
-    /// The machines from that name on, by name, also if none has exactly this name.
+    /// The machines from that name on, ordered by name. No machine needs to have exactly this name.
     pub(crate) fn starting_at(&self, machine: MachineId) -> impl Iterator<Item = &Machine> {
         self.machines.range(machine..).map(|(_, machine)| machine)
     }
@@ -71,7 +71,7 @@
         self.machines.len()
     }
 
-    /// Whether the machine was deleted, as far back as tombstones are kept.
+    /// Whether the machine was deleted and still has a tombstone.
     pub(crate) fn is_deleted(&self, machine: &MachineId) -> bool {
         self.tombstones.contains(machine)
     }
@@ -81,7 +81,7 @@
         self.machines.insert(machine.id.clone(), machine);
     }
 
-    /// Removes a deleted machine, and keeps a tombstone of it; `None` if it was not registered.
+    /// Removes a deleted machine and keeps a tombstone for it; `None` if it was not registered.
     pub(crate) fn remove_deleted(&mut self, machine: &MachineId) -> Option<Machine> {
         let removed = self.machines.remove(machine)?;
         if self.tombstones.insert(machine.clone()) {
--- a/src/coordination/fleet/node_pool.rs
+++ b/src/coordination/fleet/node_pool.rs
@@ -1,4 +1,4 @@
-//! Node pools: requests to the cloud for machines, and the machines that they have provided.
+//! Node pools: requests to the cloud for machines, and the machines that were provided.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 /// A node pool's record, and the state of its write and of its request to the cloud.
 #[derive(Debug)]
 pub(crate) struct NodePool {
-    /// The record as it is to be stored; the store may lag behind it.
+    /// The current record; the stored one may lag behind it.
     pub(crate) record: NodePoolRecord,
     /// The version of the record in the store; 0 before its first write.
     pub(crate) version: u64,
-    /// A write of the record is in flight.
+    /// Whether a write of the record is in flight.
     pub(crate) write_in_flight: bool,
-    /// The record has changed since that write was sent.
+    /// Whether the record has changed since that write was sent.
     pub(crate) rewrite_needed: bool,
-    /// The request for its machines is in flight.
+    /// Whether the request for its machines is in flight.
     pub(crate) request_in_flight: bool,
-    /// When the request was last sent, or its last result came in.
+    /// When the request was last sent, or its last result arrived.
     pub(crate) requested_at: Instant,
 }
 
 impl NodePool {
-    /// A pool with this record at this version.
+    /// Creates a pool with this record, stored at this version.
     pub(crate) fn new(record: NodePoolRecord, version: u64, now: Instant) -> Self {
         NodePool {
             record,
@@ -61,7 +61,7 @@
     }
 }
 
-/// All node pools, by name.
+/// All node pools, ordered by name.
 #[derive(Debug, Default)]
 pub(crate) struct NodePools {
     /// Each pool under the name in its record.
@@ -76,12 +76,12 @@
         self.pools.get(name)
     }
 
-    /// A pool to be changed, if there is one of that name.
+    /// Mutable access to a pool, if there is one of that name.
     pub(crate) fn get_mut(&mut self, name: &str) -> Option<&mut NodePool> {
         self.pools.get_mut(name)
     }
 
-    /// All pools, by name.
+    /// All pools, ordered by name.
     pub(crate) fn values(&self) -> impl Iterator<Item = &NodePool> {
         self.pools.values()
     }
@@ -91,7 +91,7 @@
         self.pools.keys().cloned().collect()
     }
 
-    /// Enters a pool under the name in its record.
+    /// Inserts a pool under the name in its record.
     pub(crate) fn insert(&mut self, pool: NodePool) {
         self.pools.insert(pool.name().to_owned(), pool);
     }
@@ -101,8 +101,8 @@
         self.pools.remove(name);
     }
 
-    /// A name for a new pool to be requested from the cloud: epoch and number, so that no
-    /// controller ever uses it twice.
+    /// A name for a new pool that is to be requested from the cloud. It consists of the epoch and a
+    /// number, so that no controller ever uses a name twice.
     pub(crate) fn next_name(&mut self, epoch: u64) -> String {
         self.last_number += 1;
         format!("{epoch}-{}", self.last_number)
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -1,5 +1,5 @@
-//! The life of a node pool: its record is written before the cloud is called, and the request is
-//! repeated under the pool's name until the cloud answers, so that it takes effect once.
+//! The lifecycle of a node pool. Its record is written before the cloud is called, and the request
+//! is repeated under the pool's name until the cloud answers. The name makes the request idempotent.
 
 use tokio::time::Instant;
 
@@ -16,8 +16,8 @@
 use crate::storage::records::{NodePoolRecord, node_pool_key};
 
 impl Leader {
-    /// Writes a node pool's record, or deletes it if no machine is left. One write at a time is in
-    /// flight; a change meanwhile causes another one after it.
+    /// Writes a node pool's record, or deletes it if no machine is left. Only one write at a time is
+    /// in flight; a change during a write causes another write after it.
     pub(crate) fn write_node_pool(&mut self, name: &str) {
         let Some(pool) = self.node_pools.get_mut(name) else { return };
         if pool.write_in_flight {
@@ -33,9 +33,9 @@
         } else {
             Change::Put { key, value: pool.record.encode(), lease: None }
         };
-        // Nothing starts on a machine before its use is recorded. The first jobs wait for the
-        // machines that were up before anything was requested: the first write of their records
-        // does not queue behind many admissions.
+        // No task starts on a machine before its use is recorded. The first jobs wait for the
+        // machines that were up before any were requested, so the first write of their records
+        // must not queue behind many admissions.
         let has_existing_machines = pool.version == 0 && !pool.is_pending();
         let class = if has_existing_machines { RequestClass::Admission } else { RequestClass::Completion };
         self.commit(PendingOperation::WriteNodePool(name.to_owned()), class, compares, vec![change]);
@@ -70,13 +70,14 @@
             Err(KvError::Fenced) => return,
             Err(error) => {
                 tracing::error!(node_pool = %name, ?error, "write of node pool record failed");
-                // Left as in flight, so that the record is not written again in this epoch.
+                // The write stays marked as in flight, so that the record is not written again in
+                // this epoch.
                 pool.write_in_flight = true;
                 return;
             }
         }
         if pool.rewrite_needed {
-            // Changes since the write was sent are not stored yet; the next write has them.
+            // Changes since the write was sent are not stored yet; the next write includes them.
             return self.write_node_pool(name);
         }
         if pool.is_empty() {
@@ -94,7 +95,7 @@
     }
 
     /// Requests a pool's machines from the cloud, unless its record is not stored yet, the request
-    /// is in flight, or this leader may no longer decide that.
+    /// is in flight, or this controller may no longer act as the leader.
     pub(crate) fn provision_node_pool(&mut self, now: Instant, name: &str) {
         let Ok(permit) = self.term.leader_permit(now) else { return };
         let Some(pool) = self.node_pools.get_mut(name) else { return };
@@ -111,8 +112,8 @@
         );
     }
 
-    /// Handles the cloud's answer to a pool's request: registers the machines, and notes whether
-    /// the cloud had as many as requested.
+    /// Handles the cloud's answer to a pool's request: registers the machines, and backs off from
+    /// the offer if there were fewer machines than requested.
     pub(crate) fn handle_node_pool_provisioned(&mut self, now: Instant, name: &str, result: CloudResult) {
         let Some(pool) = self.node_pools.get_mut(name) else { return };
         pool.request_in_flight = false;
@@ -128,8 +129,8 @@
                 pool.record.machines = Some(Vec::new());
                 true
             }
-            // The outcome is unknown: the same request is repeated, and its answer then names the
-            // machines that the first one got.
+            // The outcome is unknown. The same request is repeated, and its answer lists the machines
+            // that the first request obtained.
             _ => return,
         };
         let machine_type = self.catalog.id_of(&request.machine_type);
--- a/src/coordination/fleet/registry.rs
+++ b/src/coordination/fleet/registry.rs
@@ -1,11 +1,11 @@
-//! The registry: enters machines into the machine table, from node pools' records and as they
-//! show up without one.
+//! Registration of machines in the machine table: machines in node pools' records, and machines that
+//! are found without a record.
 
 use tokio::time::Instant;
 
 use crate::coordination::fleet::machine::{Machine, UseRecord};
 use crate::coordination::fleet::node_pool::NodePool;
-use crate::coordination::fleet::scale_in::MIN_BILLED;
+use crate::coordination::fleet::scale_in::MIN_BILLING_PERIOD;
 use crate::coordination::fleet::unregistered::PoolShape;
 use crate::coordination::leader::Leader;
 use crate::numeric::count_u32;
@@ -13,14 +13,15 @@
 use crate::protocol::workers::MachineId;
 use crate::storage::records::NodePoolRecord;
 
-/// Bytes that a stored list adds to each name.
-const BYTES_AROUND_NAME: usize = 3;
-/// Bytes of a node pool's record beside its two lists of names, at most.
-const BYTES_BESIDE_LISTS: usize = 512;
-/// The length assumed of a machine's name before any machine is registered, in bytes: longer
-/// than any name so far.
+/// The encoding overhead of each name in a stored list, in bytes.
+const NAME_OVERHEAD_BYTES: usize = 3;
+/// The maximum size of a node pool's record without its two lists of names, in bytes.
+const RECORD_OVERHEAD_BYTES: usize = 512;
+/// The length assumed for a machine's name before any machine is registered, in bytes. It exceeds
+/// the length of every name seen so far.
 const UNKNOWN_NAME_BYTES: usize = 16;
-/// A record names each machine twice: as belonging to the pool, and as used.
+/// How often a record contains a machine's name: in the list of the pool's machines, and in that of
+/// the used ones.
 const LISTS_PER_RECORD: usize = 2;
 
 impl Leader {
@@ -32,7 +33,7 @@
         self.check_failover_complete();
     }
 
-    /// Registers the machines that a node pool's record names and that are not registered yet.
+    /// Registers the machines in a node pool's record that are not registered yet.
     pub(crate) fn register_pool_machines(&mut self, now: Instant, name: &str) {
         let Some(pool) = self.node_pools.get(name) else { return };
         let request = pool.record.request.clone();
@@ -40,10 +41,10 @@
         let ids = pool.record.machines.clone().unwrap_or_default();
         let machine_type = self.catalog.id_of(&request.machine_type);
         let capacity = self.catalog.resources(machine_type);
-        // A machine that has had tasks has booted and worked before this epoch: the least time
-        // that is billed has passed. Counted anew from each failover, it kept hundreds of idle
-        // machines where leaders followed one another.
-        let billed_since = now.checked_sub(MIN_BILLED).unwrap_or(now);
+        // A machine that has held tasks booted before this epoch, so its minimum billing period
+        // counts as over. Restarting the period at each failover kept hundreds of idle machines
+        // when leaders changed in quick succession.
+        let billed_since = now.checked_sub(MIN_BILLING_PERIOD).unwrap_or(now);
         for id in ids {
             if self.machines.contains(&id) || self.machines.is_deleted(&id) {
                 continue;
@@ -51,18 +52,18 @@
             let was_used = used.contains(&id);
             let mut machine = Machine::new(id, &request, machine_type, capacity, now);
             if was_used {
-                machine.mark_used_before(billed_since);
+                machine.mark_used_in_earlier_epoch(billed_since);
             }
             self.machines.insert(machine);
             if was_used {
-                // The queue counts the capacity of unreconciled machines when it is ordered.
+                // The order of the queue depends on the capacity of unreconciled machines.
                 self.queue.invalidate();
             }
         }
     }
 
-    /// Notes a machine that no node pool's record names, to be registered first and then used
-    /// or deleted. Machines that show up together are registered together, see
+    /// Records a machine that is not in any node pool's record. It is registered before it is used
+    /// or deleted. Machines that are found together are registered together, see
     /// [`Leader::register_unregistered`].
     pub(crate) fn record_unregistered(
         &mut self,
@@ -83,11 +84,12 @@
         self.unregistered.add(now, id.clone(), shape);
     }
 
-    /// Registers the machines that no node pool's record names, those of one shape in one pool
-    /// with one write; there are many where machines were up before the first controller was.
+    /// Registers the machines that are not in any node pool's record. Those of one shape share a
+    /// pool and its write, since there are many of them if machines were up before the first
+    /// controller.
     ///
-    /// As no record has named them, no task was ever started on them. The first record already
-    /// says that they are used, which saves the write before their first start.
+    /// As they are in no record, no task was ever started on them. Their first record already says
+    /// that they are used, which saves another write before their first task starts.
     pub(crate) fn register_unregistered(&mut self, now: Instant) {
         let delay = self.config.settings.cluster.workers.heartbeat_interval() / 4;
         for (shape, mut ids) in self.unregistered.take_due(now, delay) {
@@ -116,8 +118,8 @@
         let record =
             NodePoolRecord { request, machines: Some(ids.to_vec()), machines_used: Default::default() };
         self.node_pools.insert(NodePool::new(record, 0, now));
-        // Registered before the record says that they are used: as machines without tasks of
-        // earlier epochs.
+        // Register them before the record says that they are used, so that they count as machines
+        // without tasks of earlier epochs.
         self.register_pool_machines(now, &name);
         for id in ids {
             if let Some(machine) = self.machines.get_mut(id) {
@@ -130,15 +132,15 @@
         self.write_node_pool(&name);
     }
 
-    /// The most machines in one node pool, such that its record fits into a value under the
-    /// present and the announced limits of the store. `longest_name`: bytes of the longest
-    /// machine name, if it is known.
+    /// The maximum number of machines in one node pool, such that its record fits into a value under
+    /// the current and the announced limits of the key-value store. `longest_name`: the length of the
+    /// longest machine name in bytes, if it is known.
     pub(crate) fn max_machines_per_pool(&self, longest_name: Option<usize>) -> u32 {
         let value_bytes = self.config.settings.cluster.kv.strictest().value_bytes();
         let last_name = || self.machines.last_name().map(|id| id.as_str().len());
         let name_bytes = longest_name.or_else(last_name).unwrap_or(UNKNOWN_NAME_BYTES);
-        let bytes_per_machine = LISTS_PER_RECORD * (name_bytes + BYTES_AROUND_NAME);
-        let max = value_bytes.saturating_sub(BYTES_BESIDE_LISTS) / bytes_per_machine;
+        let bytes_per_machine = LISTS_PER_RECORD * (name_bytes + NAME_OVERHEAD_BYTES);
+        let max = value_bytes.saturating_sub(RECORD_OVERHEAD_BYTES) / bytes_per_machine;
         u32::try_from(max).unwrap_or(MAX_MACHINES_PER_REQUEST).clamp(1, MAX_MACHINES_PER_REQUEST)
     }
 }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,4 +1,4 @@
-//! Scaling in: machines that are not needed, or of no use any more, are deleted in the cloud.
+//! Scaling in: deletes machines in the cloud that are not needed or no longer usable.
 
 use std::time::Duration;
 
@@ -12,24 +12,24 @@
 use crate::protocol::cloud::MAX_MACHINES_PER_DELETION;
 use crate::protocol::workers::MachineId;
 
-/// The least time that the cloud bills for a machine: deleting it earlier saves nothing.
-pub(crate) const MIN_BILLED: Duration = Duration::from_secs(60);
+/// The minimum time that the cloud bills for a machine. Deleting it earlier saves nothing.
+pub(crate) const MIN_BILLING_PERIOD: Duration = Duration::from_secs(60);
 
 /// Why a machine is deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ScaleInReason {
     /// Its agent has sent no heartbeat for longer than a boot may take.
     NeverStarted,
-    /// The failure detector takes it for dead.
+    /// The failure detector considers it dead.
     Dead,
-    /// It is cordoned, or the cloud has announced that it will be preempted; no task is on it.
+    /// It is cordoned or the cloud has announced its preemption, and no task is on it.
     CordonedOrPreempted,
-    /// No task has been on it for a while, and no demand counts on it.
+    /// No task has been on it for a while, and no demand relies on it.
     Idle,
 }
 
 impl ScaleInReason {
-    /// The word in the log, for which operators search.
+    /// The reason as it appears in the log, where operators search for it.
     fn as_str(self) -> &'static str {
         match self {
             ScaleInReason::NeverStarted => "never started",
@@ -41,16 +41,16 @@
 }
 
 impl Leader {
-    /// Deletes machines that are idle and not needed, and those that are of no use any more.
-    /// What is needed is what the tick has just recorded on each machine.
+    /// Deletes machines that are idle and not needed, and machines that are no longer usable.
+    /// Before this call, the autoscaler's tick records on each machine whether it is needed.
     pub(crate) fn scale_in(&mut self, now: Instant) {
         let detector = self.liveness.detector(now, &self.config, &self.machines);
         let mut to_delete = Vec::new();
         for machine in self.machines.values() {
             if machine.phase == Phase::Deleting {
-                // Its deletion failed, perhaps after the cloud has carried it out: it is
-                // repeated until it succeeds, but not at once.
-                if !machine.deletion_in_flight && !self.cloud_health.is_pausing(now) {
+                // Its deletion failed, possibly after the cloud carried it out. It is repeated
+                // until it succeeds, with a pause before each attempt.
+                if !machine.deletion_in_flight && !self.cloud_health.is_in_retry_pause(now) {
                     to_delete.push(machine.id.clone());
                 }
                 continue;
@@ -82,7 +82,7 @@
         match machine.phase {
             Phase::Deleting => None,
             Phase::Booting => {
-                let boot_limit = boot.mul_f64(tuning.boot_limit_boots).max(MIN_BILLED);
+                let boot_limit = boot.mul_f64(tuning.boot_limit_boots).max(MIN_BILLING_PERIOD);
                 (now > machine.requested_at + boot_limit).then_some(ScaleInReason::NeverStarted)
             }
             Phase::Up if detector.is_dead(machine) => Some(ScaleInReason::Dead),
@@ -91,7 +91,7 @@
             }
             Phase::Up => {
                 let is_long_idle = now > machine.idle_since + boot.mul_f64(tuning.idle_boots);
-                let is_billed = now > machine.requested_at + MIN_BILLED;
+                let is_billed = now > machine.requested_at + MIN_BILLING_PERIOD;
                 let is_cloud_up = !self.cloud_health.is_down(now);
                 let is_unneeded = !machine.need.is_needed;
                 (is_empty && is_long_idle && is_billed && is_cloud_up && is_unneeded)
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Requests the deletion of machines, unless this leader may no longer decide that.
+    /// Requests the deletion of machines, unless this controller may no longer act as the leader.
     pub(crate) fn delete_machines(&mut self, now: Instant, machines: &[MachineId]) {
         let Ok(permit) = self.term.leader_permit(now) else { return };
         for chunk in machines.chunks(MAX_MACHINES_PER_DELETION) {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The cloud has deleted machines: they and all tasks on them are provably gone.
+    /// Handles a successful deletion: the machines and all tasks on them are provably gone.
     pub(crate) fn handle_machines_deleted(&mut self, now: Instant, machines: &[MachineId]) {
         for id in machines {
             self.clear_slots(now, id);
@@ -131,7 +131,7 @@
         self.check_failover_complete();
     }
 
-    /// A deletion has failed, perhaps after the cloud has carried it out: `scale_in` repeats it.
+    /// Handles a failed deletion, which the cloud may have carried out: `scale_in` repeats it.
     pub(crate) fn handle_deletion_failed(&mut self, machines: &[MachineId]) {
         for id in machines {
             if let Some(machine) = self.machines.get_mut(id) {
--- a/src/coordination/fleet/unregistered.rs
+++ b/src/coordination/fleet/unregistered.rs
@@ -1,4 +1,4 @@
-//! Unregistered machines: those that exist and that no node pool's record names.
+//! Unregistered machines: machines that exist but are not in any node pool's record.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,18 +26,18 @@
     }
 }
 
-/// Machines to be registered. Those that show up within a short time share a record and its
-/// write; there are many where machines were up before the first controller was.
+/// Machines that wait to be registered. Those found within a short time share a record and its
+/// write, since there are many of them if machines were up before the first controller.
 #[derive(Debug, Default)]
 pub(crate) struct UnregisteredMachines {
     /// The machines that wait to be registered.
     machines: BTreeMap<MachineId, PoolShape>,
-    /// Since when the first of them waits; `None` if there is none.
+    /// Since when the first of them has waited; `None` if there is none.
     waiting_since: Option<Instant>,
 }
 
 impl UnregisteredMachines {
-    /// Adds a machine that has shown up.
+    /// Adds a machine that was found.
     pub(crate) fn add(&mut self, now: Instant, machine: MachineId, shape: PoolShape) {
         self.machines.insert(machine, shape);
         self.waiting_since.get_or_insert(now);
@@ -54,8 +54,8 @@
         self.machines.is_empty()
     }
 
-    /// Takes the machines out, grouped by shape, once the first of them has waited for `delay`;
-    /// before that there are none. Groups and the machines in a group are sorted.
+    /// Removes and returns all machines, grouped by shape, once the first of them has waited for
+    /// `delay`; returns none before that. Groups and the machines in a group are sorted.
     pub(crate) fn take_due(&mut self, now: Instant, delay: Duration) -> BTreeMap<PoolShape, Vec<MachineId>> {
         let mut groups: BTreeMap<PoolShape, Vec<MachineId>> = BTreeMap::new();
         if self.waiting_since.is_none_or(|since| now < since + delay) {
