--- a/src/coordination/fleet/autoscaler.rs
+++ b/src/coordination/fleet/autoscaler.rs
@@ -9,11 +9,11 @@
 /// The measured demand, the offers that the cloud refused, and the losses of spot machines.
 #[derive(Debug)]
 pub(crate) struct Autoscaler {
-    /// Demand by groups of jobs that may use the same machines.
+    /// Demand of each group of jobs that may use the same machines.
     pub(crate) demand: DemandTable,
-    /// Offers that the cloud has refused a short time ago.
+    /// Offers that the cloud refused recently.
     pub(crate) backoffs: OfferBackoffs,
-    /// How often spot machines are lost.
+    /// The rate at which spot machines are lost.
     pub(crate) spot_losses: SpotLosses,
     /// When the learned statistics were last stored for the next leader.
     pub(crate) statistics_saved_at: Instant,
--- a/src/coordination/fleet/autoscaling.rs
+++ b/src/coordination/fleet/autoscaling.rs
@@ -14,7 +14,7 @@
 
 /// The age at which the catalog is read again, in multiples of the inventory's lag.
 const CATALOG_AGE_LAGS: u32 = 10;
-/// The interval of reads while there is no catalog.
+/// The interval between reads while there is no catalog.
 const CATALOG_RETRY: Duration = Duration::from_secs(1);
 /// How often the learned statistics are stored within the longest boot time.
 const STATISTICS_WRITES_PER_BOOT: u32 = 5;
@@ -29,7 +29,7 @@
         }
         self.begin_due_inventory_scan(now);
         self.retry_pending_node_pools(now);
-        self.record_spot_machines();
+        self.record_spot_use();
         self.measure_demand(now);
         self.save_due_statistics(now);
         self.liveness.record(now, &self.config, &self.machines);
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Repeats the requests of node pools that the cloud has not answered, also of pools that an
-    /// earlier leader has requested.
+    /// Repeats the requests of node pools that the cloud has not answered, including those of an
+    /// earlier leader.
     fn retry_pending_node_pools(&mut self, now: Instant) {
         let is_due = |pool: &&NodePool| {
             let is_idle = !pool.write_in_flight && !pool.request_in_flight;
@@ -70,11 +70,11 @@
         }
     }
 
-    /// Adds a second in use of each spot machine that is up to the statistics of losses.
-    fn record_spot_machines(&mut self) {
+    /// Records in the loss statistics that the spot machines that are up were in use for a second.
+    fn record_spot_use(&mut self) {
         let up = self.machines.values().filter(|machine| machine.phase == Phase::Up);
         let spot_machines = up.filter(|machine| machine.spot).count();
-        self.autoscaler.spot_losses.record_second(spot_machines);
+        self.autoscaler.spot_losses.record_second_of_use(spot_machines);
     }
 
     /// Stores the learned statistics for the next leader if that is due.
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Notes on each machine whether demand counts on it, and if not, since when.
+    /// Records on each machine whether demand relies on it, and if not, since when.
     fn record_needed_machines(&mut self, now: Instant, needed: &HashSet<MachineId>) {
         for machine in self.machines.values_mut() {
             let is_needed = needed.contains(&machine.id);
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -1,5 +1,4 @@
-//! Demand: how much work there is, now and on average, for each group of jobs that may use the
-//! same machines.
+//! The current and the average demand of each group of jobs that may use the same machines.
 
 use std::time::Duration;
 
@@ -12,44 +11,44 @@
 use crate::protocol::cloud::MachineType;
 use crate::storage::records::DemandStatistics;
 
-/// The most groups whose demand is stored for the next leader.
+/// The maximum number of groups whose demand is stored for the next leader.
 const MAX_STORED_GROUPS: usize = 32;
-/// A group without work is removed once its mean is not above this, in units.
-const MIN_MEAN: f64 = 0.05;
-/// The most tasks that one machine is counted to take.
+/// A group without work is removed once its mean demand is not above this, in units.
+const MIN_RETAINED_MEAN: f64 = 0.05;
+/// The maximum number of tasks assumed to fit on one machine.
 const MAX_TASKS_PER_MACHINE: u32 = 10_000;
-/// The oldest measurement that is restored, in seconds.
-const MAX_AGE_S: f64 = 1e6;
-/// The number of recent jobs over which the sizes of jobs are averaged, roughly.
-const AVERAGED_JOBS: f64 = 100.0;
-/// The least time that one sample stands for, in seconds.
+/// The maximum age of a restored measurement, in seconds; older ones count as this old.
+const MAX_RESTORED_AGE_S: f64 = 1e6;
+/// The approximate number of recent jobs over which job sizes are averaged.
+const JOB_SIZE_WINDOW: f64 = 100.0;
+/// The minimum time that one sample represents, in seconds.
 const MIN_SAMPLE_S: f64 = 0.1;
-/// The weight of the typical task against that of a new job, in mean sizes of jobs.
+/// The weight of the typical task relative to that of a new job, in multiples of the mean job size.
 const TASK_SHAPE_INERTIA: f64 = 4.0;
 
-/// Jobs that may use the same machines.
+/// A group of jobs that may use the same machines.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct DemandGroup {
-    /// The types on which their tasks can run.
+    /// The machine types on which their tasks can run.
     pub(crate) machine_types: Vec<MachineTypeId>,
-    /// The zone to which they are bound.
+    /// The zone in which they must run, if any.
     pub(crate) zone: Option<String>,
     /// Whether they may use spot machines.
     pub(crate) spot: bool,
-    /// Whether they need GPUs; the unit of their demand is then a GPU instead of a CPU.
+    /// Whether they need GPUs. Their demand is then counted in GPUs instead of CPUs.
     pub(crate) gpus: bool,
-    /// Its jobs may wait for as long as machines take to boot: no headroom is kept for them
-    /// beyond their usual demand.
+    /// Whether they may wait for as long as machines take to boot. No headroom beyond their usual
+    /// demand is kept for them.
     pub(crate) delay_tolerant: bool,
 }
 
 /// Demand of one group over time, in units: CPUs, or GPUs for jobs that need them.
 ///
-/// The offered load is measured as if every task had started when it was submitted, and run
-/// for as long as its class is now known to run. Otherwise a backlog, as while the first
-/// machines boot, would be taken for lasting demand; and so would the owners' run time estimates
-/// that turned out too high, for the time that they stated. A terminal job is no demand,
-/// whatever run time was expected of it.
+/// The offered load is measured as if every task had started when it was submitted, and ran for
+/// the run time that is now expected of its class. Counting waiting tasks instead would mistake a
+/// backlog, such as the one that forms while the first machines boot, for lasting demand. Using
+/// the owners' run time estimates would keep counting a job with too high an estimate until the
+/// stated time has passed. A terminal job adds no demand, whatever run time was expected of it.
 #[derive(Debug, Clone)]
 pub(crate) struct Demand {
     /// Units of work that would be running now.
@@ -60,21 +59,21 @@
     mean_size: f64,
     /// The mean of the squared size: the demand of a large job arrives all at once.
     mean_square_size: f64,
-    /// The number of jobs so far.
+    /// The number of jobs measured so far.
     job_count: f64,
     /// When the measurement began.
     measured_since: Instant,
-    /// When the last sample entered the mean.
+    /// When the last sample was added to the mean.
     sampled_at: Instant,
-    /// Units of the tasks that are on machines.
+    /// Units of the tasks that are assigned to machines.
     pub(crate) active: f64,
-    /// Units of the tasks that wait, within the limits of their teams.
+    /// Units of the waiting tasks; each job counts for at most its team's limit.
     pub(crate) pending: f64,
-    /// Since when there has been no work at all; `None` while there is any.
+    /// Since when the group has had no work; `None` while it has any.
     pub(crate) idle_since: Option<Instant>,
-    /// Units that would work off the backlog in time.
+    /// Units that are needed to complete the backlog in time.
     pub(crate) backlog_rate: f64,
-    /// How long its jobs may wait for their first objective; zero for those that may not wait
+    /// How long its jobs may wait without missing their first objective; zero if they may not wait
     /// while machines boot.
     max_delay: Duration,
     /// The resources of a typical task.
@@ -91,7 +90,7 @@
 }
 
 impl Demand {
-    /// No demand; the measurement begins now.
+    /// Creates an empty demand whose measurement begins now.
     fn new(now: Instant) -> Self {
         Demand {
             offered_load: 0.0,
@@ -110,16 +109,17 @@
         }
     }
 
-    /// Adds a new job of this size to the mean sizes.
+    /// Adds the size of a new job to the averages.
     fn record_arrival(&mut self, units: f64) {
         self.job_count += 1.0;
         // At first a plain mean, later an exponential moving average.
-        let weight = 1.0 / self.job_count.min(AVERAGED_JOBS);
+        let weight = 1.0 / self.job_count.min(JOB_SIZE_WINDOW);
         self.mean_size += (units - self.mean_size) * weight;
         self.mean_square_size += (units * units - self.mean_square_size) * weight;
     }
 
-    /// Enters the offered load into the mean, in which older samples fade over `memory`.
+    /// Adds the offered load to the mean. `memory` is the time constant with which older samples
+    /// decay.
     fn sample(&mut self, now: Instant, memory: Duration) {
         if self.active + self.pending + self.offered_load > 0.0 {
             self.idle_since = None;
@@ -134,30 +134,30 @@
         self.sampled_at = now;
     }
 
-    /// The standard deviation of work that arrives in jobs of such sizes at random times, in
-    /// units: the square root of the mean times the size of the job that a unit of work
-    /// typically belongs to.
+    /// The standard deviation of the offered load, in units, for jobs of the measured sizes that
+    /// arrive independently of each other: the square root of the mean load times the mean job
+    /// size weighted by size.
     pub(crate) fn standard_deviation(&self) -> f64 {
         if self.mean_size <= 0.0 { 0.0 } else { (self.mean * self.mean_square_size / self.mean_size).sqrt() }
     }
 }
 
-/// What one job adds to the demand of its group. Units are CPUs or GPUs, as for the group.
+/// The contribution of one job to the demand of its group, in the units of the group (CPUs or GPUs).
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct JobLoad {
-    /// Units of its tasks on machines.
+    /// Units of its tasks that are assigned to machines.
     pub(crate) active: f64,
-    /// Units of its tasks that wait.
+    /// Units of its waiting tasks.
     pub(crate) pending: f64,
-    /// The most units that its team may use.
+    /// The maximum number of units that its team may use.
     pub(crate) limit: f64,
-    /// Units that would work off its waiting tasks in time.
+    /// Units that are needed to complete its waiting tasks in time.
     pub(crate) backlog_rate: f64,
-    /// Units that it requested at its submission.
+    /// Units that it requested when it was submitted, up to its team's limit.
     pub(crate) offered: f64,
-    /// It is measured for the first time.
+    /// Whether it is measured for the first time.
     pub(crate) is_new: bool,
-    /// It would still run if every task had started at once.
+    /// Whether it would still be running if every task had started when it was submitted.
     pub(crate) would_be_running: bool,
     /// How long its group's jobs may wait; zero if they may not wait while machines boot.
     pub(crate) max_delay: Duration,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Moves the typical task towards that of a new job; the larger the job, the further.
+    /// Moves the typical task towards that of a new job. Larger jobs have more weight.
     fn blend_task_shape(&mut self, load: &JobLoad) {
         let weight = (load.offered / (load.offered + self.mean_size * TASK_SHAPE_INERTIA)).clamp(0.0, 1.0);
         let blend = |old: f64, new: f64| if old > 0.0 { old + (new - old) * weight } else { new };
@@ -190,8 +190,8 @@
         };
     }
 
-    /// Units of the group's work that a machine of the type takes. `gpus`: whether the unit is a
-    /// GPU.
+    /// The units of the group's work that fit on a machine of the type. `gpus`: whether units are
+    /// GPUs.
     pub(crate) fn units_on(&self, machine_type: &MachineType, gpus: bool) -> f64 {
         let tasks = self.task_shape.times_in(&Resources::of_type(machine_type)).min(MAX_TASKS_PER_MACHINE);
         f64::from(tasks) * if gpus { self.task_shape.gpus } else { self.task_shape.cpus }
@@ -201,7 +201,7 @@
 /// The measured demand of all groups.
 #[derive(Debug, Default)]
 pub(crate) struct DemandTable {
-    /// Groups with demand, now or on average.
+    /// Groups with current or average demand.
     groups: HashMap<DemandGroup, Demand>,
 }
 
@@ -211,7 +211,7 @@
         self.groups.iter()
     }
 
-    /// Begins a measurement: resets what is counted anew from all jobs.
+    /// Begins a measurement: resets the values that are summed over all jobs.
     pub(crate) fn begin_measurement(&mut self) {
         for demand in self.groups.values_mut() {
             demand.offered_load = 0.0;
@@ -226,20 +226,21 @@
         self.groups.entry(group).or_insert_with(|| Demand::new(now)).add(load);
     }
 
-    /// Ends a measurement: enters it into the means, in which older samples fade over `memory`,
-    /// and removes groups without demand.
+    /// Ends a measurement: adds it to the means and removes groups without demand. `memory` is
+    /// the time constant with which older samples decay.
     ///
-    /// A group that may wait has a longer memory, as long as its jobs may wait but at most
-    /// `max_delay`. Its work evens out while it waits, and machines that are scaled out and in
-    /// for each of its jobs would spend their time on booting.
+    /// A delay-tolerant group has a longer time constant: the time that its jobs may wait, but at
+    /// most `max_delay`. Waiting evens out its load, and machines that are scaled out and in for
+    /// each of its jobs would spend their time booting.
     pub(crate) fn end_measurement(&mut self, now: Instant, memory: Duration, max_delay: Duration) {
         for demand in self.groups.values_mut() {
             demand.sample(now, memory.max(demand.max_delay.min(max_delay)));
         }
-        self.groups.retain(|_, demand| demand.mean > MIN_MEAN || demand.active + demand.pending > 0.0);
+        self.groups
+            .retain(|_, demand| demand.mean > MIN_RETAINED_MEAN || demand.active + demand.pending > 0.0);
     }
 
-    /// The statistics to be stored for the next leader, which could not measure them by itself.
+    /// The statistics to store for the next leader, which cannot measure them itself.
     pub(crate) fn to_stored(&self, now: Instant, catalog: &Catalog) -> Vec<DemandStatistics> {
         let stored = self.groups.iter().take(MAX_STORED_GROUPS);
         let name = |id: &MachineTypeId| catalog.get(*id).map(|machine_type| machine_type.name.clone());
@@ -259,13 +260,13 @@
             .collect()
     }
 
-    /// Restores the statistics that an earlier leader has stored, except those of groups with an
+    /// Restores the statistics that an earlier leader stored, except those of groups with an
     /// unknown machine type.
     pub(crate) fn restore(&mut self, now: Instant, stored: Vec<DemandStatistics>, catalog: &Catalog) {
         for statistics in stored {
             let types = statistics.types.iter().map(|name| catalog.find(name));
             let Some(machine_types) = types.collect::<Option<Vec<_>>>() else { continue };
-            let age = Duration::from_secs_f64(statistics.age_s.min(MAX_AGE_S));
+            let age = Duration::from_secs_f64(statistics.age_s.min(MAX_RESTORED_AGE_S));
             let demand = Demand {
                 mean: statistics.mean,
                 mean_size: statistics.mean_size,
--- a/src/coordination/fleet/demand_measurement.rs
+++ b/src/coordination/fleet/demand_measurement.rs
@@ -1,5 +1,5 @@
 //! The measurement of the demand of all jobs, once a second, and the learned statistics that
-//! outlive an epoch.
+//! persist across epochs.
 
 use std::time::Duration;
 
@@ -12,20 +12,21 @@
 use crate::protocol::jobs::{JobId, JobSpec};
 use crate::storage::records::{LEARNED_STATISTICS, LearnedStatistics};
 
-/// Jobs tolerate delay if they may wait for longer than this, in multiples of the longest boot time.
+/// Jobs are delay-tolerant if they may wait for longer than this, in multiples of the longest boot
+/// time.
 const DELAY_TOLERANT_BOOTS: f64 = 1.5;
-/// The least time in which a backlog is to be worked off, in multiples of the longest boot time.
+/// The minimum time planned for completing a backlog, in multiples of the longest boot time.
 const MIN_BACKLOG_BOOTS: u32 = 2;
-/// The most time in which a backlog is to be worked off, in multiples of the longest boot time.
+/// The maximum time planned for completing a backlog, in multiples of the longest boot time.
 const MAX_BACKLOG_BOOTS: u32 = 4;
-/// The part of the heartbeat interval that a task's start waits for on average.
+/// The average delay of a task's start, as a fraction of the heartbeat interval.
 const START_DELAY_INTERVALS: f64 = 0.5;
 
-/// What one job adds to the demand, and of which group.
+/// The demand of one job, and its group.
 struct JobDemand {
     /// The group of the job.
     group: DemandGroup,
-    /// What the job adds to it.
+    /// The job's contribution to the demand of the group.
     load: JobLoad,
 }
 
@@ -49,7 +50,7 @@
         self.autoscaler.demand.end_measurement(now, memory, self.config.tuning.start_within);
     }
 
-    /// What a job adds to the demand; `None` if its team is not in the settings.
+    /// Returns the demand of a job; `None` if its team is not in the settings.
     fn demand_of(&self, now: Instant, job: &Job) -> Option<JobDemand> {
         let spec = job.spec();
         let quota = self.quotas.get(job.team?);
@@ -62,7 +63,7 @@
         let run = Duration::from_secs_f64(run_s);
         let pending = units_per_task * f64::from(job.pending());
         let backlog_time = self.backlog_time(now, job, run);
-        // The part of a job beyond its team's limit cannot run at once.
+        // The part of a job that exceeds its team's limit cannot run at the same time.
         let offered =
             job.offered_load.unwrap_or_else(|| (units_per_task * f64::from(job.unfinished())).min(limit));
         let start_delay =
@@ -89,27 +90,28 @@
         Some(JobDemand { group, load })
     }
 
-    /// The time in which a job's waiting tasks are to be worked off.
+    /// The time planned for completing a job's waiting tasks.
     ///
-    /// That is the time in which the machines that are provisioned for them boot, or soon after:
-    /// with more machines, some would boot only to find nothing to do. It is longer if the job's
-    /// objectives allow that.
+    /// They should be done when the machines that are provisioned for them have booted, or soon
+    /// after. A shorter time would take more machines, of which some would have nothing left to do
+    /// once booted. The time is longer if the job's objectives allow that.
     fn backlog_time(&self, now: Instant, job: &Job, run: Duration) -> Duration {
         let boot = self.catalog.longest_boot();
         let latest_end = self.latest_start(job, now) + run;
         latest_end.saturating_duration_since(now).clamp(boot * MIN_BACKLOG_BOOTS, boot * MAX_BACKLOG_BOOTS)
     }
 
-    /// How long a job may wait for its first objective. The deadline of a job with dependencies
-    /// is left out: most of the time until then may have passed when the job is ready.
+    /// How long a job may wait without missing its first objective. The deadline of a job with
+    /// dependencies is ignored, since most of the time until then may have passed when the job
+    /// becomes ready.
     fn max_start_delay(&self, spec: &JobSpec) -> Duration {
         let after_ready = self.start_limits_after_ready(spec).min();
         let by_deadline = self.start_limits_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
         after_ready.into_iter().chain(by_deadline).min().unwrap_or_default()
     }
 
-    /// Stores what the next leader could not measure by itself: the demand so far, and the ratio
-    /// of run times to their estimates.
+    /// Stores the statistics that the next leader cannot measure itself: the demand so far, and the
+    /// ratio of run times to their estimates.
     pub(crate) fn save_statistics(&mut self, now: Instant) {
         let statistics = LearnedStatistics {
             groups: self.autoscaler.demand.to_stored(now, &self.catalog),
@@ -118,7 +120,7 @@
         self.write_singleton(LEARNED_STATISTICS, statistics.encode());
     }
 
-    /// Restores the statistics that an earlier leader has stored.
+    /// Restores the statistics that an earlier leader stored.
     pub(crate) fn restore_statistics(&mut self, now: Instant, statistics: LearnedStatistics) {
         self.run_estimates.restore(statistics.runtime_ratios);
         self.autoscaler.demand.restore(now, statistics.groups, &self.catalog);
--- a/src/coordination/fleet/instance_offers.rs
+++ b/src/coordination/fleet/instance_offers.rs
@@ -1,4 +1,4 @@
-//! The cloud's offers, and when a refused one may be requested again.
+//! The cloud's offers, and the backoff of offers that the cloud refused.
 
 use std::time::Duration;
 
@@ -14,39 +14,40 @@
     pub(crate) machine_type: MachineTypeId,
     /// The zone.
     pub(crate) zone: String,
-    /// Whether spot machines, in place of on-demand ones.
+    /// Whether the machines are spot machines instead of on-demand ones.
     pub(crate) spot: bool,
 }
 
-/// The pause of one offer.
+/// The backoff of one offer.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     /// When the offer may be requested again.
     until: Instant,
-    /// How long the pause is.
-    wait: Duration,
+    /// The length of the backoff.
+    duration: Duration,
 }
 
 /// Offers that the cloud could not fulfil, and until when they are not requested again.
 #[derive(Debug, Default)]
 pub(crate) struct OfferBackoffs {
-    /// The last pause of each refused offer, also after its end, since the next one depends on it.
+    /// The last backoff of each refused offer. It is kept after its end, since the length of the next
+    /// one depends on it.
     backoffs: HashMap<InstanceOffer, Backoff>,
 }
 
 impl OfferBackoffs {
-    /// Whether the offer was refused a short time ago and may not be requested again yet.
+    /// Whether the offer was refused recently and may not be requested again yet.
     pub(crate) fn is_backing_off(&self, now: Instant, offer: &InstanceOffer) -> bool {
         self.backoffs.get(offer).is_some_and(|backoff| now < backoff.until)
     }
 
-    /// Records that the cloud had fewer machines than requested. The first pause is half the
+    /// Records that the cloud had fewer machines than requested. The first backoff is half the
     /// type's boot time (`boot_s`, in seconds), later ones up to twice that.
     pub(crate) fn record_shortage(&mut self, now: Instant, offer: InstanceOffer, boot_s: f64) {
         let first = Duration::from_secs_f64(boot_s / 2.0);
         let longest = first * 2;
-        let wait = self.backoffs.get(&offer).map_or(first, |backoff| (backoff.wait * 2).min(longest));
-        self.backoffs.insert(offer, Backoff { until: now + wait, wait });
+        let duration = self.backoffs.get(&offer).map_or(first, |backoff| (backoff.duration * 2).min(longest));
+        self.backoffs.insert(offer, Backoff { until: now + duration, duration });
     }
 
     /// Records that the cloud had all machines that were requested.
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,5 +1,4 @@
-//! The fleet: machines and node pools, the cloud that provides them, demand, and scaling out and
-//! in.
+//! Fleet management: machines, node pools, the cloud client, demand measurement and autoscaling.
 
 pub mod autoscaler;
 pub mod autoscaling;
--- a/src/coordination/fleet/offer_selection.rs
+++ b/src/coordination/fleet/offer_selection.rs
@@ -1,4 +1,4 @@
-//! The selection of an offer: the cheapest way to cover a need with new machines.
+//! Selection of the cheapest offer that covers a need with new machines.
 
 use tokio::time::Instant;
 
@@ -9,35 +9,37 @@
 use crate::numeric::whole_u32;
 use crate::protocol::cloud::{MachineType, NodePoolRequest};
 
-/// The part of a machine that may be missing without another one being requested.
+/// The fraction of a machine that may be missing without another machine being requested.
 const TOLERATED_SHORTFALL: f64 = 0.05;
-/// Below this ratio of costs the cheaper candidate is chosen.
-const CLEARLY_CHEAPER: f64 = 0.99;
-/// Below this ratio of costs, and not clearly cheaper, candidates count as equally expensive.
-const EQUALLY_EXPENSIVE: f64 = 1.01;
+/// A candidate is clearly cheaper than another one if the ratio of their costs is below this.
+const CLEARLY_CHEAPER_RATIO: f64 = 0.99;
+/// Candidates of which neither is clearly cheaper count as equally expensive below this ratio of
+/// costs.
+const EQUALLY_EXPENSIVE_RATIO: f64 = 1.01;
 
-/// A way to cover a need, compared with others.
+/// A possible request to cover a need.
 struct Candidate {
-    /// The weighted price of all machines that the need would take.
+    /// The weighted price of all machines that are needed.
     cost: f64,
-    /// The machines in its zone, with those that are being requested.
+    /// The number of machines in its zone, including those that are being requested.
     machines_in_zone: usize,
-    /// What would be requested; its count is limited to one node pool.
+    /// The request; its count is limited to one node pool.
     request: ScaleOutRequest,
 }
 
 impl Candidate {
-    /// Whether this one is to be preferred: it is cheaper, or it evens out the zones at about the
-    /// same cost.
+    /// Whether this candidate is preferred: it is clearly cheaper, or it costs about the same and
+    /// its zone has fewer machines.
     fn is_better_than(&self, other: &Candidate) -> bool {
-        self.cost < other.cost * CLEARLY_CHEAPER
-            || (self.cost < other.cost * EQUALLY_EXPENSIVE && self.machines_in_zone < other.machines_in_zone)
+        self.cost < other.cost * CLEARLY_CHEAPER_RATIO
+            || (self.cost < other.cost * EQUALLY_EXPENSIVE_RATIO
+                && self.machines_in_zone < other.machines_in_zone)
     }
 }
 
 impl Leader {
-    /// The cheapest request that covers `units`, in addition to the requests chosen already; at
-    /// about the same cost the one whose zone has the fewest machines.
+    /// Returns the cheapest request that covers `units`, in addition to the requests in `chosen`.
+    /// Among requests of about the same cost it prefers the zone with the fewest machines.
     pub(super) fn choose_offer(
         &self,
         now: Instant,
@@ -76,7 +78,7 @@
         best.map(|best| best.request)
     }
 
-    /// The machines in a zone, with those that are being requested.
+    /// The number of machines in a zone, including those that are being requested.
     fn machines_in_zone(&self, zone: &str, chosen: &[ScaleOutRequest]) -> usize {
         let in_zone = chosen.iter().filter(|request| request.offer.zone == zone);
         let requested: usize =
@@ -84,7 +86,7 @@
         self.machines.values().filter(|machine| machine.zone == zone).count() + requested
     }
 
-    /// Whether the offer is being requested, or was refused a short time ago.
+    /// Whether the offer is being requested, or was refused recently.
     fn is_unavailable(&self, now: Instant, offer: &InstanceOffer, chosen: &[ScaleOutRequest]) -> bool {
         let is_same_offer = |request: &NodePoolRequest| {
             request.zone == offer.zone
@@ -99,15 +101,15 @@
             || self.autoscaler.backoffs.is_backing_off(now, offer)
     }
 
-    /// The weighted price of a CPU, by which machines are compared.
+    /// The weighted price per CPU, by which machines are compared.
     pub(crate) fn price_per_cpu(&self, id: MachineTypeId, spot: bool) -> f64 {
         self.catalog.get(id).map_or(f64::MAX, |machine_type| {
             self.weighted_price(machine_type, spot) / machine_type.cpus.max(1.0)
         })
     }
 
-    /// The price of a machine, by which offers are compared: that of spot machines is weighted
-    /// by the policy, since they may be lost.
+    /// The price of a machine, by which offers are compared. The policy weights the price of spot
+    /// machines, since they may be lost.
     fn weighted_price(&self, machine_type: &MachineType, spot: bool) -> f64 {
         if spot { machine_type.spot_price * self.config.tuning.spot_price_weight } else { machine_type.price }
     }
