--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -34,7 +34,7 @@
         match self {
             ScaleInReason::NeverStarted => "never started",
             ScaleInReason::Dead => "silent",
-            ScaleInReason::CordonedOrPreempted => "sick or taken",
+            ScaleInReason::CordonedOrPreempted => "cordoned or preempted",
             ScaleInReason::Idle => "idle",
         }
     }
