--- a/src/maps.rs
+++ b/src/maps.rs
@@ -1,15 +1,15 @@
-//! Hash maps and sets. In tests their iteration order is the same in every run, so that a
-//! seed that breaks an invariant breaks it again. Elsewhere they are the standard ones,
-//! whose random hash keys keep hostile input from forcing collisions.
+//! Hash maps and sets. Test builds use constant hash keys, so the iteration order is the same
+//! in every run and a seed that breaks an invariant is reproducible. Other builds use the
+//! standard types, whose random hash keys prevent hostile input from forcing collisions.
 
 #[cfg(not(test))]
 pub use std::collections::{HashMap, HashSet};
 
 #[cfg(test)]
-pub use repeatable::{HashMap, HashSet};
+pub use deterministic::{HashMap, HashSet};
 
 #[cfg(test)]
-mod repeatable {
+mod deterministic {
     use std::hash::{BuildHasherDefault, DefaultHasher};
 
     /// A hash map with constant hash keys.
--- a/src/storage/done_set.rs
+++ b/src/storage/done_set.rs
@@ -1,10 +1,10 @@
-//! Sets of done tasks: a bitmap in memory; ranges or a bitmap, as text, in records.
+//! Sets of done tasks: bitmaps in memory, stored in records as text (ranges or a bitmap).
 
 use thiserror::Error;
 
 /// Bits in each character of a stored bitmap.
 const BITS_PER_CHARACTER: u32 = 6;
-/// Characters of a stored bitmap: the index of each is the value of its bits.
+/// Characters of a stored bitmap; a character's index is the value of its bits.
 const DIGITS: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
 
 /// A stored set of done tasks that cannot be decoded: damaged text, or a task out of bounds.
@@ -24,7 +24,7 @@
 }
 
 impl DoneSet {
-    /// The empty set, of numbers below `bound`.
+    /// Creates an empty set of numbers below `bound`.
     pub fn new(bound: u32) -> Self {
         DoneSet { words: vec![0; bound.div_ceil(64) as usize], bound, count: 0 }
     }
@@ -44,7 +44,7 @@
         true
     }
 
-    /// Adds those numbers of another set that are from `start` to before `end`.
+    /// Adds the numbers of another set that lie in `start..end`.
     pub fn insert_range(&mut self, other: &DoneSet, start: u32, end: u32) {
         for n in (start..end.min(self.bound)).filter(|&n| other.contains(n)) {
             self.insert(n);
@@ -66,16 +66,16 @@
         self.count == self.bound
     }
 
-    /// Encodes the numbers from `start` to before `end`, relative to `start`, as ranges
+    /// Encodes the numbers in `start..end`, relative to `start`, as ranges
     /// (`r0-5,9`) or as a bitmap (`bAB_`), whichever is shorter.
     pub fn encode(&self, start: u32, end: u32) -> String {
         let end = end.min(self.bound);
         let bitmap_len = 1 + (end.saturating_sub(start)).div_ceil(BITS_PER_CHARACTER) as usize;
-        self.ranges(start, end, bitmap_len).unwrap_or_else(|| self.bitmap(start, end))
+        self.encode_ranges(start, end, bitmap_len).unwrap_or_else(|| self.encode_bitmap(start, end))
     }
 
-    /// The numbers as ranges, unless the text exceeds `longest` bytes.
-    fn ranges(&self, start: u32, end: u32, longest: usize) -> Option<String> {
+    /// Encodes the numbers as ranges; `None` if the text exceeds `max_len` bytes.
+    fn encode_ranges(&self, start: u32, end: u32, max_len: usize) -> Option<String> {
         let mut out = String::from("r");
         let mut n = start;
         while n < end {
@@ -95,19 +95,19 @@
                 out.push('-');
                 out.push_str(&(n - 1 - start).to_string());
             }
-            if out.len() > longest {
+            if out.len() > max_len {
                 return None;
             }
         }
         Some(out)
     }
 
-    /// The numbers as a bitmap, lowest bit first.
-    fn bitmap(&self, start: u32, end: u32) -> String {
+    /// Encodes the numbers as a bitmap, lowest bit first.
+    fn encode_bitmap(&self, start: u32, end: u32) -> String {
         let mut out = String::from("b");
-        for group in (start..end).step_by(BITS_PER_CHARACTER as usize) {
+        for first in (start..end).step_by(BITS_PER_CHARACTER as usize) {
             let bits = (0..BITS_PER_CHARACTER)
-                .filter(|i| group + i < end && self.contains(group + i))
+                .filter(|i| first + i < end && self.contains(first + i))
                 .fold(0, |b, i| b | 1 << i);
             out.push(char::from(DIGITS[bits as usize & 63]));
         }
@@ -118,8 +118,8 @@
     ///
     /// # Errors
     ///
-    /// [`InvalidDoneSet`] if the text is damaged or names a number out of bounds. Numbers that
-    /// precede the damage may have been added by then.
+    /// [`InvalidDoneSet`] if the text is damaged or names a number out of bounds. Numbers
+    /// before the damage may have been added already.
     pub fn decode_into(&mut self, start: u32, text: &str) -> Result<(), InvalidDoneSet> {
         let mut add = |n: u32| {
             let n = start.checked_add(n).filter(|&n| n < self.bound).ok_or(InvalidDoneSet)?;
@@ -135,9 +135,9 @@
             }
             Ok(())
         } else if let Some(bitmap) = text.strip_prefix('b') {
-            for (group, digit) in (0u32..).step_by(BITS_PER_CHARACTER as usize).zip(bitmap.bytes()) {
+            for (offset, digit) in (0u32..).step_by(BITS_PER_CHARACTER as usize).zip(bitmap.bytes()) {
                 let bits = DIGITS.iter().position(|&d| d == digit).ok_or(InvalidDoneSet)?;
-                (0..BITS_PER_CHARACTER).filter(|i| bits >> i & 1 == 1).try_for_each(|i| add(group + i))?;
+                (0..BITS_PER_CHARACTER).filter(|i| bits >> i & 1 == 1).try_for_each(|i| add(offset + i))?;
             }
             Ok(())
         } else {
--- a/src/storage/done_set/tests.rs
+++ b/src/storage/done_set/tests.rs
@@ -1,4 +1,4 @@
-//! Encoded sets are read back, and damaged ones are rejected.
+//! Done sets are decoded as they were encoded, and damaged text is rejected.
 
 use super::*;
 
@@ -7,11 +7,11 @@
     for step in [1, 2, 7, 500] {
         let mut set = DoneSet::new(1000);
         (0..1000).step_by(step).for_each(|n| assert!(set.insert(n)));
-        let mut back = DoneSet::new(1000);
+        let mut decoded = DoneSet::new(1000);
         for start in [0, 300, 600, 900] {
-            back.decode_into(start, &set.encode(start, start + 300)).expect("readable");
+            decoded.decode_into(start, &set.encode(start, start + 300)).expect("readable");
         }
-        assert_eq!(back, set, "every {step}th");
+        assert_eq!(decoded, set, "every {step}th");
     }
     assert_eq!(DoneSet::new(10).encode(0, 10), "r");
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What outlives a process: the client of the key-value store, and the records kept there.
+//! Persistent state: the client of the key-value store, and the records kept there.
 
 pub mod done_set;
 pub mod kv;
