--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,6 +1,6 @@
 //! The records that controllers keep in the key-value store: keys and encodings.
 //!
-//! * `leader`: who leads; the version of this key is the leader's epoch.
+//! * `leader`: the current leader; the version of this key is the leader's epoch.
 //! * `rec/ID`: a job's record ([`JobRecord`]): its description, whether it was cancelled or
 //!   completed and, for jobs of moderate size, its done tasks.
 //! * `set/ID/N`: the N-th block of done tasks of a larger job, where the block size follows
@@ -9,14 +9,14 @@
 //!   ([`Layout::NamedBlocks`]).
 //! * `live/ID`, `over/ID`: a job's summary row. A new leader scans `live/` at failover;
 //!   `over/` is the archive of terminal jobs.
-//! * `catalog`: the machine types as the cloud last listed them.
+//! * `catalog`: the machine types that the cloud listed last.
 //! * `experience`: what leaders have learned about demand and run times
 //!   ([`LearnedStatistics`]).
 //! * `hire/NAME`: a node pool request and, once the cloud has answered, its machines
 //!   ([`NodePoolRecord`]).
 //!
-//! Builds of different age read each other's records, so the encoded bytes must not change.
-//! `production_tests` compares them with bytes that a former build wrote.
+//! Different builds read each other's records, so the encoded bytes must not change.
+//! `production_tests` compares them with bytes that an earlier build wrote.
 
 mod job_record;
 mod keys;
--- a/src/storage/records/job_record.rs
+++ b/src/storage/records/job_record.rs
@@ -19,7 +19,7 @@
     Set(#[from] InvalidDoneSet),
 }
 
-/// What is stored about a job: all that a new leader needs to go on with it.
+/// The stored state of a job: everything that a new leader needs to continue the job.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobRecord {
     /// The job's description as its owner submitted it.
@@ -32,9 +32,9 @@
     pub completed: bool,
     /// Tasks that are done.
     pub done: DoneSet,
-    /// Started high-water mark: no task from this number on was ever started. It is raised
-    /// before the first start beyond it, so a new leader knows which tasks can be on no
-    /// machine and need not wait for the heartbeats that would show them.
+    /// Started high-water mark: no task with this number or a higher one has ever been
+    /// started. It is raised before the first start beyond it, so a new leader knows that
+    /// these tasks are on no machine and does not wait for heartbeats that might report them.
     pub started_high_water: u32,
     /// Tasks in each block of done tasks, if the record names the size.
     pub block_tasks: Option<u32>,
@@ -46,8 +46,8 @@
 }
 
 impl JobRecord {
-    /// The record of a job that was just submitted, at this time of day in milliseconds
-    /// since the Unix epoch.
+    /// Creates the record of a newly submitted job; `submitted_ms` is the time of day in
+    /// milliseconds since the Unix epoch.
     pub fn new(spec: JobSpec, submitted_ms: u64) -> Self {
         let done = DoneSet::new(spec.task_count);
         JobRecord {
@@ -63,13 +63,13 @@
         }
     }
 
-    /// How the job's done tasks are stored where no value may exceed `value_kb` KiB.
+    /// How the job's done tasks are stored if no value may exceed `value_kb` KiB.
     pub fn layout(&self, value_kb: f64) -> Layout {
         self.block_tasks.map_or_else(|| Layout::derived(self.spec.task_count, value_kb), Layout::NamedBlocks)
     }
 
-    /// Encodes the record where no value may exceed `value_kb` KiB. Done tasks are included
-    /// if the layout keeps them in the record.
+    /// Encodes the record for a store whose values are at most `value_kb` KiB. Done tasks are
+    /// included if the layout keeps them in the record.
     pub fn encode(&self, value_kb: f64) -> Value {
         let inline = self.layout(value_kb) == Layout::Inline;
         let done = inline.then(|| self.done.encode(0, self.spec.task_count));
@@ -81,7 +81,7 @@
         self.encode_fields().build()
     }
 
-    /// All fields but the done tasks.
+    /// Encodes all fields except the done tasks.
     fn encode_fields(&self) -> MapBuilder {
         MapBuilder::new()
             .set("spec", self.spec.encode().build())
@@ -94,7 +94,7 @@
             .set_some("settledAt", self.completed_ms)
     }
 
-    /// Encodes one block of done tasks where no value may exceed `value_kb` KiB.
+    /// Encodes one block of done tasks for a store whose values are at most `value_kb` KiB.
     pub fn encode_block(&self, block: u32, value_kb: f64) -> Value {
         let (start, end) = self.layout(value_kb).range(block);
         MapBuilder::new().set("from", start).set("done", self.done.encode(start, end)).build()
@@ -139,9 +139,9 @@
         Ok(self.done.decode_into(start, fields.text("done")?)?)
     }
 
-    /// The job's terminal state, if the record says that it has one. A cancellation that
-    /// arrives after the last task was done is never written, so the two exclude each other;
-    /// were both there, the completion came first.
+    /// The job's terminal state, if the record has one. A cancellation that arrives after the
+    /// last task was done is never written, so a job is not both completed and cancelled. If
+    /// a record nevertheless says both, the completion came first.
     pub fn terminal_state(&self) -> Option<JobState> {
         match (self.completed, self.cancelled) {
             (true, _) => Some(JobState::Done),
@@ -150,13 +150,13 @@
         }
     }
 
-    /// Whether the job's tasks may have to wait for other jobs. A job that has started was
-    /// ready before, so its dependencies are done.
+    /// Whether the job may still have to wait for its dependencies. A job starts only once
+    /// its dependencies are done, so a job that has started does not wait.
     pub fn may_wait_for_dependencies(&self) -> bool {
         !self.spec.dependencies.is_empty() && self.started_high_water == 0 && self.terminal_state().is_none()
     }
 
-    /// The status that a user may be given from the record alone.
+    /// The job's status as far as the record alone shows it.
     pub fn status(&self) -> JobStatus {
         let state = self.terminal_state().unwrap_or(JobState::Queued);
         let done = if self.completed { self.spec.task_count } else { self.done.len() };
@@ -169,14 +169,14 @@
     }
 }
 
-/// The started high-water mark of a record. Records of builds that did not write it say
-/// nothing about starts: any task of them may have started.
+/// Decodes the started high-water mark. Records of builds that did not write it say nothing
+/// about starts, so any of the job's tasks may have started.
 fn decode_started_high_water(fields: &Fields<'_>, spec: &JobSpec) -> Result<u32, Malformed> {
     let mark = fields.opt_count("begun")?;
     Ok(mark.and_then(|mark| u32::try_from(mark).ok()).unwrap_or(spec.task_count))
 }
 
-/// The block size that a record names, if it does.
+/// Decodes the block size, if the record names one.
 fn decode_block_tasks(fields: &Fields<'_>) -> Result<Option<u32>, Malformed> {
     let Some(size) = fields.opt_count("block")? else { return Ok(None) };
     match u32::try_from(size) {
--- a/src/storage/records/keys.rs
+++ b/src/storage/records/keys.rs
@@ -4,10 +4,10 @@
 
 /// Key of the election: its value names the leader, its version is the leader's epoch.
 pub const LEADER: &str = "leader";
-/// Key of the machine types as the cloud last listed them.
+/// Key of the machine types that the cloud listed last.
 pub const CATALOG: &str = "catalog";
-/// Key of the statistics that leaders have learned. Scheduling is better with them, but
-/// nothing depends on them for correctness.
+/// Key of the statistics that leaders have learned. They improve scheduling, but correctness
+/// does not depend on them.
 pub const LEARNED_STATISTICS: &str = "experience";
 /// Prefix of the summary rows of jobs that are not terminal; a new leader scans it.
 pub const LIVE_ROWS: &str = "live/";
--- a/src/storage/records/layout.rs
+++ b/src/storage/records/layout.rs
@@ -5,26 +5,26 @@
 
 /// Bytes in one KiB.
 const BYTES_PER_KIB: f64 = 1024.0;
-/// Part of the largest value that a bitmap of one block may take. The rest of the value is
-/// room for the job's description.
-const BITMAP_PART: f64 = 0.5;
+/// Fraction of the largest value that a bitmap of one block may take. The rest of the value
+/// is left for the job's description.
+const BITMAP_FRACTION: f64 = 0.5;
 /// Tasks in each character of a bitmap.
 const TASKS_PER_CHARACTER: u32 = 6;
 
-/// Tasks in one block of done tasks where no value may exceed `value_kb` KiB: so many that
-/// even a bitmap of the block takes at most half a value.
+/// Tasks in one block of done tasks if no value may exceed `value_kb` KiB. Even a bitmap of
+/// the block takes at most half a value.
 pub fn block_size(value_kb: f64) -> u32 {
-    let bitmap_bytes = whole_u32(value_kb * BYTES_PER_KIB * BITMAP_PART);
+    let bitmap_bytes = whole_u32(value_kb * BYTES_PER_KIB * BITMAP_FRACTION);
     bitmap_bytes.saturating_mul(TASKS_PER_CHARACTER).max(TASKS_PER_CHARACTER)
 }
 
 /// How a job's done tasks are stored.
 ///
-/// The layouts that a record does not name are those of every build so far; such builds
-/// derive them from the store's limits in force. Builds before this one read a record that
-/// names its block size wrongly. Such a record is written only once the store has refused
-/// a value that its limits in force allow, which happens only after the last of those
-/// builds has been replaced.
+/// `Inline` and `Blocks` are not named in the record; every build derives them from the
+/// store's limits in force. Earlier builds, which do not know `NamedBlocks`, misread a record
+/// that names its block size. Such a record is written only after the store has refused a
+/// value that its limits in force allow, which happens only after the last of those builds
+/// has been replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Layout {
     /// Within the job's record.
@@ -36,8 +36,8 @@
 }
 
 impl Layout {
-    /// The layout of a record that names none, for a job of `tasks` tasks where no value may
-    /// exceed `value_kb` KiB.
+    /// The layout of a record that names no block size, for a job of `tasks` tasks if no value
+    /// may exceed `value_kb` KiB.
     pub fn derived(tasks: u32, value_kb: f64) -> Self {
         let size = block_size(value_kb);
         if tasks <= size { Layout::Inline } else { Layout::Blocks(size) }
@@ -56,7 +56,7 @@
         self.block_tasks().map_or(0, |size| tasks.div_ceil(size))
     }
 
-    /// First task of a block, and the one after its last.
+    /// First task of a block, and the task after its last one.
     pub fn range(self, block: u32) -> (u32, u32) {
         let size = self.block_tasks().unwrap_or(u32::MAX);
         let start = block.saturating_mul(size);
--- a/src/storage/records/learned_statistics.rs
+++ b/src/storage/records/learned_statistics.rs
@@ -16,9 +16,9 @@
     pub spot: bool,
     /// Whether these jobs need GPUs.
     pub gpus: bool,
-    /// Whether these jobs may wait for as long as machines take to boot.
+    /// Whether these jobs may wait until new machines have booted.
     pub delay_tolerant: bool,
-    /// Mean of the work that would run at once had every task started when submitted.
+    /// Mean amount of work that would run at once if every task started when submitted.
     pub mean: f64,
     /// Mean size of a job.
     pub mean_size: f64,
@@ -26,7 +26,7 @@
     pub mean_square_size: f64,
     /// Number of jobs that the mean sizes were measured on.
     pub job_count: f64,
-    /// For how long the demand has been measured, in seconds.
+    /// Time over which the demand has been measured, in seconds.
     pub age_s: f64,
 }
 
@@ -63,13 +63,13 @@
     }
 }
 
-/// What a leader has measured and leaves to the next one. A new leader that cannot read it
-/// starts to measure anew.
+/// Statistics that a leader has measured and passes on to the next one. A new leader that
+/// cannot read them starts again without any.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct LearnedStatistics {
     /// Demand by group of jobs.
     pub groups: Vec<DemandStatistics>,
-    /// By job class: run time as a multiple of the owners' estimates.
+    /// Run time as a multiple of the owners' estimates, by job class.
     pub runtime_ratios: Vec<(String, f64)>,
 }
 
@@ -102,7 +102,7 @@
     }
 }
 
-/// A job class, and its run time as a multiple of the owners' estimates.
+/// Decodes a job class and its run time as a multiple of the owners' estimates.
 fn decode_runtime_ratio(value: &Value) -> Result<(String, f64), Malformed> {
     let fields = Fields::of(value)?;
     Ok((fields.text("class")?.to_owned(), fields.amount("ratio")?))
--- a/src/storage/records/node_pool.rs
+++ b/src/storage/records/node_pool.rs
@@ -9,17 +9,17 @@
 use crate::protocol::workers::MachineId;
 
 /// A node pool request and what is known about its machines. The record is written before
-/// the cloud is asked, so that every leader knows of each request that may have been carried
-/// out.
+/// the request is sent to the cloud, so that every leader knows of each request that may have
+/// been carried out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePoolRecord {
-    /// What the cloud is asked for.
+    /// The request to the cloud.
     pub request: NodePoolRequest,
     /// The machines that the cloud has granted; `None` until it has answered.
     pub machines: Option<Vec<MachineId>>,
-    /// Machines to which starts may have been sent. A machine is entered here before its
-    /// first start, so a new leader knows that no other machine can hold tasks and need not
-    /// wait for a heartbeat of any other.
+    /// Machines to which task starts may have been sent. A machine is added before its first
+    /// start, so a new leader knows that no other machine holds tasks and does not wait for
+    /// heartbeats of other machines.
     pub machines_used: BTreeSet<MachineId>,
 }
 
--- a/src/storage/records/production_tests.rs
+++ b/src/storage/records/production_tests.rs
@@ -1,6 +1,6 @@
-//! The records that a former build (commit 652c9af, before job dependencies) wrote are
-//! decoded; and records of jobs that the former build can know are encoded to the same bytes,
-//! so that it can read them.
+//! Compatibility with the records that an earlier build (commit 652c9af, before job
+//! dependencies) wrote: they are decoded, and jobs that the earlier build supports are encoded
+//! to the same bytes, so that it can read them.
 
 use super::*;
 use crate::protocol::cbor::{decode, encode};
@@ -8,7 +8,7 @@
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::jobs::{JobSpec, JobState, JobStatus};
 
-/// The bytes that a text of hexadecimal digits stands for; other characters are skipped.
+/// Decodes hexadecimal digits to bytes; other characters are skipped.
 pub fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex.bytes().filter(u8::is_ascii_hexdigit).collect();
     let text = |pair| std::str::from_utf8(pair).expect("two digits");
@@ -59,23 +59,23 @@
     }
 }
 
-/// A record that names no block size has the layout that follows from the limits in force,
-/// whatever limits are announced; and so has what is encoded for the former build to read.
+/// A record that names no block size has the layout derived from the limits in force, whatever
+/// limits are announced. Records that the earlier build must read are encoded the same way.
 #[test]
 fn blocks_of_done_tasks_are_decoded_and_encoded_byte_for_byte() {
     let value = stored!("record-large");
     let large = record(sample("job-000414", "red", 60_000, 1.0), 1_750_000_000_789, (0..60_000).step_by(3));
     let large = JobRecord { started_high_water: 60_000, ..large };
-    let mut back = JobRecord::decode(&value).expect("readable");
-    let layout = back.layout(VALUE_KB);
+    let mut decoded = JobRecord::decode(&value).expect("readable");
+    let layout = decoded.layout(VALUE_KB);
     assert_eq!(layout.blocks(60_000), 3);
     let blocks = [stored!("block-0"), stored!("block-1"), stored!("block-2")];
     for (at, block) in (0..).zip(&blocks) {
-        assert_eq!(layout.block_key(&back.spec.id, at), format!("set/job-000414/{at}"));
-        back.add_block(block).expect("readable");
+        assert_eq!(layout.block_key(&decoded.spec.id, at), format!("set/job-000414/{at}"));
+        decoded.add_block(block).expect("readable");
         assert_eq!(encode(&large.encode_block(at, VALUE_KB)), encode(block));
     }
-    assert_eq!(back, large);
+    assert_eq!(decoded, large);
     assert_eq!(encode(&large.encode(VALUE_KB)), encode(&value));
 }
 
@@ -89,7 +89,7 @@
     let unanswered = NodePoolRecord::decode(&stored!("rental-unanswered")).expect("readable");
     assert_eq!(unanswered.machines, None);
     let catalog = decode_catalog(&stored!("catalog")).expect("readable");
-    assert_eq!(catalog.iter().map(|kind| kind.name.as_str()).collect::<Vec<_>>(), ["g8"]);
+    assert_eq!(catalog.iter().map(|machine_type| machine_type.name.as_str()).collect::<Vec<_>>(), ["g8"]);
     let statistics = LearnedStatistics::decode(&stored!("experience")).expect("readable");
     assert_eq!((statistics.groups[0].mean, statistics.runtime_ratios[0].1), (2.5, 1.25));
     let status = JobStatus::decode(&stored!("status")).expect("readable");
--- a/src/storage/records/rows.rs
+++ b/src/storage/records/rows.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 ///
-/// [`Malformed`] if the value is no map, or has no known state.
+/// [`Malformed`] if the value is not a map or has no known state.
 pub fn decode_row(value: &Value) -> Result<JobState, Malformed> {
     JobState::parse(Fields::of(value)?.text("standing")?).ok_or(Malformed::Invalid("standing"))
 }
--- a/src/storage/records/tests.rs
+++ b/src/storage/records/tests.rs
@@ -1,4 +1,4 @@
-//! Records are read back as written, and fit the largest value that the store takes.
+//! Records are decoded as they were encoded, and fit into the largest value of the store.
 
 use std::collections::BTreeSet;
 
@@ -8,22 +8,22 @@
 use crate::protocol::jobs::tests::sample;
 use crate::protocol::workers::MachineId;
 
-/// The worst case of the done set: a hundred thousand tasks, every second one done. No
-/// value may exceed the limit, and all tasks must be read back.
+/// The worst case for the size of a done set: a hundred thousand tasks, every second one done.
+/// No value may exceed the limit, and all done tasks must be decoded again.
 #[test]
 fn done_tasks_of_a_hundred_thousand_task_job_fit_the_largest_value() {
     let value_kb = 8.0;
     let mut record = JobRecord::new(sample("job-1", "red", 100_000, 1.0), 0);
     (0..100_000).step_by(2).for_each(|n| assert!(record.done.insert(n)));
-    let mut back = JobRecord::decode(&record.encode(value_kb)).expect("readable");
+    let mut decoded = JobRecord::decode(&record.encode(value_kb)).expect("readable");
     let count = record.layout(value_kb).blocks(100_000);
     for block in 0..count {
         let value = record.encode_block(block, value_kb);
         assert!(max_json_size(&value) < 8 * 1024, "block {block} takes {}", max_json_size(&value));
-        back.add_block(&value).expect("readable");
+        decoded.add_block(&value).expect("readable");
     }
     assert!(count >= 2);
-    assert_eq!(back, record);
+    assert_eq!(decoded, record);
 }
 
 #[test]
@@ -39,8 +39,7 @@
     assert_eq!(JobRecord::decode(&value).expect("readable"), record);
 }
 
-/// A record that names its block size has block keys of its own, apart from those that the
-/// job had before.
+/// A record that names its block size uses other block keys than the job had before.
 #[test]
 fn a_layout_with_named_block_size_is_read_back_under_any_limits() {
     let spec = sample("job-1", "red", 100, 1.0);
@@ -49,17 +48,17 @@
     for value_kb in [0.01, 8.0] {
         let layout = record.layout(value_kb);
         assert_eq!(layout, Layout::NamedBlocks(48));
-        let mut back = JobRecord::decode(&record.encode(value_kb)).expect("readable");
+        let mut decoded = JobRecord::decode(&record.encode(value_kb)).expect("readable");
         let keys: Vec<String> =
             (0..layout.blocks(100)).map(|n| layout.block_key(&record.spec.id, n)).collect();
         assert_eq!(keys, ["set/job-1/48-0", "set/job-1/48-1", "set/job-1/48-2"]);
         for block in 0..3 {
-            back.add_block(&record.encode_block(block, value_kb)).expect("readable");
+            decoded.add_block(&record.encode_block(block, value_kb)).expect("readable");
         }
-        assert_eq!(back, record);
+        assert_eq!(decoded, record);
     }
-    let none = MapBuilder::new().set("spec", record.spec.encode().build()).set("block", 0).build();
-    assert!(JobRecord::decode(&none).is_err());
+    let zero_block_size = MapBuilder::new().set("spec", record.spec.encode().build()).set("block", 0).build();
+    assert!(JobRecord::decode(&zero_block_size).is_err());
 }
 
 #[test]
