--- a/src/storage/in_memory_kv.rs
+++ b/src/storage/in_memory_kv.rs
@@ -1,6 +1,6 @@
-//! Test double of the key-value store for the library's tests: in memory, for tests that
-//! drive it on a clock of their own, or served over HTTP on a free loopback port, with
-//! scripted faults.
+//! Test double of the key-value store for the library's tests. Tests with their own clock call
+//! it directly in memory; other tests use it over HTTP on a free loopback port, with scripted
+//! faults.
 
 mod store;
 
@@ -18,28 +18,28 @@
 use crate::settings::{KvLimits, KvSettings};
 use crate::transport::codec::{Limits, Request, Response};
 use crate::transport::server::{Handler, ServerOptions, serve};
-// `store` finds these by way of its parent.
+// `store` imports these from its parent module.
 use crate::{protocol, settings};
 
 /// How the next commit fails.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Script {
-    /// It is carried out, but its response is unusable.
+    /// It is committed, but its response is unusable.
     LoseAnswer,
-    /// Its response is unusable, and it is carried out when the next commit arrives.
+    /// Its response is unusable, and it is committed when the next commit arrives.
     Delay,
-    /// 503: it is not carried out.
+    /// It gets status 503 and is not committed.
     Refuse,
 }
 
-/// The store in memory. A test on a clock of its own drives it directly.
+/// The store in memory. Tests with their own clock call it directly.
 pub struct InMemoryKv {
     store: KvStore,
-    /// Body of a commit that is to be carried out when the next one arrives.
+    /// Body of a commit that is applied when the next one arrives.
     delayed: Option<Value>,
     /// How the next commits fail.
     script: VecDeque<Script>,
-    /// Number of changes that each commit asked for.
+    /// Number of changes in each requested commit.
     commit_sizes: Vec<usize>,
 }
 
@@ -50,7 +50,7 @@
     Limit(KvLimits),
 }
 
-/// The store served over HTTP. It ends with the test's runtime.
+/// The store served over HTTP. It stops with the test's runtime.
 #[derive(Clone)]
 pub struct FakeKvServer {
     messages: mpsc::Sender<Message>,
@@ -63,7 +63,7 @@
         let _ = self.messages.send(Message::Http(request, reply)).await;
         match response.await {
             Ok(response) => response,
-            // A watch gets no response: it waits, as in an outage.
+            // A watch gets no response, as in an outage, and waits.
             Err(_) => std::future::pending().await,
         }
     }
@@ -78,16 +78,16 @@
         tokio::spawn(state.serve_messages(inbox));
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let patience = Duration::from_secs(30);
+        let timeout = Duration::from_secs(30);
         let limits = Limits { head: 8192, body: 1 << 20 };
         let options =
-            ServerOptions { limits, max_connections: 16, idle_timeout: patience, io_timeout: patience };
+            ServerOptions { limits, max_connections: 16, idle_timeout: timeout, io_timeout: timeout };
         let server = FakeKvServer { messages, address };
         tokio::spawn(serve(listener, options, server.clone()));
         server
     }
 
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -102,7 +102,7 @@
         assert!(self.messages.send(Message::Limit(limits)).await.is_ok());
     }
 
-    /// Number of changes that each commit asked for.
+    /// Number of changes in each requested commit.
     pub async fn commit_sizes(&self) -> Vec<usize> {
         let (reply, sizes) = oneshot::channel();
         assert!(self.messages.send(Message::CommitSizes(reply)).await.is_ok());
@@ -111,9 +111,9 @@
 }
 
 impl InMemoryKv {
-    /// An empty store whose pages hold at most this many keys, whatever is asked for.
-    pub fn with_pages_of(most: usize) -> Self {
-        let store = KvStore::new(0, None, most);
+    /// Creates an empty store whose pages hold at most this many keys, whatever is requested.
+    pub fn with_pages_of(max_keys: usize) -> Self {
+        let store = KvStore::new(0, None, max_keys);
         InMemoryKv { store, delayed: None, script: VecDeque::new(), commit_sizes: Vec::new() }
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Status and body of the response to a request; `None` for a watch, which waits. Panics
-    /// on requests that are malformed: the controllers never send any.
+    /// if the request is malformed, since controllers never send malformed requests.
     pub fn answer(&mut self, request: &Request) -> Option<(u16, Value)> {
         let target = request.target.as_str();
         if target.starts_with("/watch") {
@@ -221,20 +221,20 @@
     kv_client_within(address, limits(txn_ops))
 }
 
-/// Limits of which tests reach only the size of transactions.
+/// Limits that tests do not reach, except for the changes in one transaction.
 pub fn limits(txn_ops: usize) -> KvSettings {
     KvSettings { rps: 10_000.0, write_rps: 10_000.0, value_kb: 8.0, txn_ops, next: None }
 }
 
 /// A client with the real actor under these limits, for the test double at this address.
 pub fn kv_client_within(address: SocketAddr, limits: KvSettings) -> KvClient {
-    let (leads, leading) = tokio::sync::watch::channel(true);
-    // The actor would stop if this end were dropped.
-    std::mem::forget(leads);
-    kv::start(address, &limits, 1, Duration::from_millis(50), leading)
+    let (leader_sender, is_leader) = tokio::sync::watch::channel(true);
+    // The actor stops when this sender is dropped.
+    std::mem::forget(leader_sender);
+    kv::start(address, &limits, 1, Duration::from_millis(50), is_leader)
 }
 
-/// A transaction of one put, on condition that the key has this version.
+/// A transaction of one put that requires the key to have this version.
 pub fn put(epoch: u64, key: &str, version: u64) -> Transaction {
     Transaction {
         class: RequestClass::Admission,
--- a/src/storage/in_memory_kv/store.rs
+++ b/src/storage/in_memory_kv/store.rs
@@ -1,10 +1,10 @@
 //! The data of the key-value store's test doubles: entries, leases, pages and transactions,
 //! without network, clock or faults.
 //!
-//! The library's tests and the soak both use this file: the soak, another crate, includes it
-//! by `#[path]`, so that the library need not offer a test double as public API. That is why
-//! `protocol` and `settings` are named by way of the parent module, where each of the two
-//! crates brings its own path to them into scope.
+//! Both the library's tests and the soak test, which is another crate, use this file. The soak
+//! test includes it by `#[path]`, so that the library does not have to export a test double.
+//! `protocol` and `settings` are imported from the parent module, because their paths differ
+//! between the two crates.
 
 use std::collections::BTreeMap;
 
@@ -14,31 +14,31 @@
 use super::protocol::kv::{Change, Compare};
 use super::settings::KvLimits;
 
-/// Most keys that a page may be asked for.
+/// Maximum number of keys that a request may ask for in one page.
 pub const MAX_PAGE: usize = 1000;
 
-/// The value of a key.
+/// An entry of the store, without its key.
 #[derive(Debug, Clone)]
 pub struct Stored {
-    /// What was put.
+    /// The value that was put last.
     pub value: Value,
     /// Revision of the last put.
     pub version: u64,
-    /// The lease that the key ends with, if any.
+    /// The lease whose end removes the key, if any.
     pub lease: Option<u64>,
 }
 
 /// Status and body of a response.
 pub type StatusAndBody = (u16, Value);
 
-/// What an attempt to commit a transaction came to.
+/// Outcome of an attempt to commit a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitOutcome {
     /// Committed, at the store's revision.
     Committed,
     /// Not committed: these keys have other versions than expected.
     Conflict(Vec<String>),
-    /// Not committed: beyond the limits on values and transactions.
+    /// Not committed: it exceeds the limits on values and transactions.
     TooLarge,
     /// Not committed: it attaches a key to a lease that does not exist.
     UnknownLease,
@@ -47,7 +47,7 @@
 /// An attempt to commit a transaction.
 #[derive(Debug)]
 pub struct CommitAttempt {
-    /// What it came to.
+    /// Whether it was committed, and if not, why.
     pub outcome: CommitOutcome,
     /// Keys of the transaction's changes, in their order.
     pub keys: Vec<String>,
@@ -56,16 +56,16 @@
 /// The data of a store.
 #[derive(Debug)]
 pub struct KvStore {
-    /// All keys.
+    /// All entries, by key.
     pub entries: BTreeMap<String, Stored>,
-    /// Raised by each change.
+    /// Incremented by each commit and by each key that is removed with its lease.
     pub revision: u64,
-    /// Leases that exist, with their time to live in milliseconds. When one expires is for the
-    /// owner of the store to decide.
+    /// Leases that exist, with their time to live in milliseconds. The owner of the store
+    /// decides when they expire.
     pub leases: BTreeMap<u64, u64>,
     /// Limits on values and transactions, if any are enforced.
     pub limits: Option<KvLimits>,
-    /// Most keys in one page, whatever is asked for.
+    /// Maximum number of keys in one page, whatever is requested.
     pub max_page: usize,
     leases_granted: u64,
     /// Revisions at which keys were last put, deleted or removed with their lease.
@@ -73,7 +73,7 @@
 }
 
 impl KvStore {
-    /// An empty store at this revision, with pages of at most `max_page` keys.
+    /// Creates an empty store at this revision, with pages of at most `max_page` keys.
     pub fn new(revision: u64, limits: Option<KvLimits>, max_page: usize) -> Self {
         KvStore {
             entries: BTreeMap::new(),
@@ -155,7 +155,7 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed`] if the body is no transaction; nothing is changed then.
+    /// [`Malformed`] if the body is not a transaction; the store is not changed then.
     pub fn commit(&mut self, body: &Value) -> Result<CommitAttempt, Malformed> {
         let fields = Fields::of(body)?;
         let compares = fields.list("if")?.iter().map(decode_compare).collect::<Result<Vec<_>, _>>()?;
@@ -225,7 +225,7 @@
     }
 }
 
-/// A rejection for this reason.
+/// The response that rejects a request for this reason.
 pub fn error_response(reason: &str) -> StatusAndBody {
     (400, MapBuilder::new().set("error", reason).build())
 }
--- a/src/storage/kv.rs
+++ b/src/storage/kv.rs
@@ -4,8 +4,8 @@
 //! The actor keeps requests below the store's rate limits, with lease renewals first
 //! (`rates`, `queue`); packs changes of several callers into one transaction (`batch`);
 //! makes each transaction depend on the leader's epoch, which serves as fencing token; and
-//! finds out whether a transaction without a usable response was committed before it reports
-//! a result (`outcome`).
+//! before it reports the result of a transaction without a usable response, determines whether
+//! the transaction was committed (`outcome`).
 
 mod actor;
 mod batch;
@@ -27,17 +27,17 @@
 use crate::transport::client::{ClientError, HttpCall};
 use crate::transport::codec::Response;
 
-/// Field of a stored value that identifies the write it came from.
+/// Field of a stored value that identifies the write that stored the value.
 const WRITE_MARKER: &str = "by";
-/// Keys requested at once in a scan.
-const SCAN_PAGE: usize = 500;
-/// Bytes that a comparison takes in a transaction beside its key, rounded up.
+/// Number of keys requested per page of a scan.
+const SCAN_PAGE_SIZE: usize = 500;
+/// Bytes that a comparison takes in a transaction in addition to its key, rounded up.
 const COMPARE_OVERHEAD_BYTES: usize = 48;
-/// Bytes that a change takes in a transaction beside its key and value, rounded up.
+/// Bytes that a change takes in a transaction in addition to its key and value, rounded up.
 const CHANGE_OVERHEAD_BYTES: usize = 64;
 
-/// Priority of a request, the highest first: what is sent first when the rate limits are
-/// exhausted.
+/// Priority of a request, the highest first. If the rate limits are exhausted, requests of
+/// higher priority are sent first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestClass {
     /// The leader's lease and election.
@@ -46,38 +46,38 @@
     Cancellation,
     /// Submissions, and reads that a user waits for.
     Admission,
-    /// Completions of jobs, cancellations that follow from a dependency's, and raises of the
+    /// Completions of jobs, cancellations due to a cancelled dependency, and raises of the
     /// started high-water mark, without which no further task may start.
     Completion,
     /// Done tasks of jobs.
     Progress,
-    /// What nobody waits for, such as scans and repairs.
+    /// Requests that nobody waits for, such as scans and repairs.
     Background,
 }
 
 /// Why a request to the key-value store failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KvError {
-    /// The epoch is over: from now on this epoch changes nothing. An earlier attempt without
-    /// a response may have been committed before that, so this says nothing about what is
-    /// stored.
+    /// The epoch is over, and none of its changes can be committed any more. An earlier
+    /// attempt without a response may have been committed before, so this error does not
+    /// tell what is stored.
     Fenced,
     /// A key has another version than the caller expected.
     Conflict,
-    /// The request was not carried out, or the response is missing or unusable; for reads
-    /// only.
+    /// The request was not carried out, or the response is missing or unusable. Only reads
+    /// return this error.
     Unavailable,
-    /// The store rejects this request, and would reject every repetition.
+    /// The store rejects this request and would reject every retry.
     Rejected,
 }
 
-/// One caller's changes, committed together or not at all.
+/// One caller's changes, which are committed atomically.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Transaction {
     /// Priority of the transaction.
     pub class: RequestClass,
-    /// Epoch of the leader that asks for the changes. They are committed only while the key
-    /// of the election has this version.
+    /// Epoch of the leader that requests the changes. They are committed only while the
+    /// election key has this version.
     pub epoch: u64,
     /// Versions that keys must have for the changes to be committed.
     pub compares: Vec<Compare>,
@@ -88,7 +88,7 @@
 /// Result of an HTTP exchange with the store.
 type HttpResult = Result<Response, ClientError>;
 
-/// Handle of the actor. Clones share the actor; it stops when all of them are dropped.
+/// Handle to the actor. Clones share the actor, which stops when all of them are dropped.
 #[derive(Debug, Clone)]
 pub struct KvClient {
     requests: mpsc::Sender<Request>,
@@ -97,12 +97,12 @@
 }
 
 impl KvClient {
-    /// The store's limits in force, as far as is known.
+    /// The store's limits in force, as far as known.
     pub fn limits(&self) -> KvLimits {
         *self.limits.borrow()
     }
 
-    /// Sends a request as it is, without retries.
+    /// Sends a request unchanged, without retries.
     ///
     /// # Errors
     ///
@@ -116,12 +116,12 @@
         response.await.unwrap_or(Err(ClientError::NotSent))
     }
 
-    /// How long each request may take.
+    /// Timeout of each request.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// Reads what the target names; `None` if it does not exist.
+    /// Reads the resource at the target; `None` if it does not exist.
     async fn read(&self, class: RequestClass, target: String) -> Result<Option<Value>, KvError> {
         let call = HttpCall { method: "GET", target, body: Vec::new(), timeout: self.deadline };
         match self.send_raw(class, call).await {
@@ -146,7 +146,7 @@
     }
 
     /// Reads one page of the keys with a prefix, in order: at most `most` keys after the key
-    /// `from`, or from the first one on if `from` is empty.
+    /// `from`, or the first keys if `from` is empty.
     ///
     /// # Errors
     ///
@@ -164,7 +164,7 @@
     }
 
     /// Reads all keys with the prefix, page by page. Pages are read at different times, so
-    /// the result need not be a consistent snapshot.
+    /// the result may not be a consistent snapshot.
     ///
     /// # Errors
     ///
@@ -173,7 +173,7 @@
         let mut found: Vec<Entry> = Vec::new();
         loop {
             let from = found.last().map(|entry| entry.key.clone()).unwrap_or_default();
-            let page = self.read_page(prefix, &from, SCAN_PAGE).await?;
+            let page = self.read_page(prefix, &from, SCAN_PAGE_SIZE).await?;
             let more = page.more;
             found.extend(page.entries);
             if !more {
@@ -183,10 +183,11 @@
     }
 
     /// Commits a transaction, and retries until its outcome is known or its epoch is over.
-    /// Returns the store's revision of the commit, which is the version of each key put.
+    /// Returns the store's revision of the commit, which is the new version of each key that
+    /// the transaction puts.
     ///
-    /// Each value put is given a marker, by which a later attempt recognizes that an earlier
-    /// one without a response was committed.
+    /// Each value is stored with a marker. A later attempt uses it to recognize that an
+    /// earlier attempt without a response was committed.
     ///
     /// # Errors
     ///
@@ -209,8 +210,8 @@
     }
 }
 
-/// A number that no other write has. Where tests simulate the network, it follows from the
-/// simulation's seed.
+/// Generates a number that is unique to one write. In tests that simulate the network, it is
+/// derived from the simulation's seed.
 fn new_write_marker() -> u64 {
     #[cfg(test)]
     if let Some(marker) = crate::transport::simulated_network::next_write_marker() {
@@ -235,8 +236,8 @@
     change.key().len() + CHANGE_OVERHEAD_BYTES + value
 }
 
-/// Builds a value whose write marker is set: for the election, which writes its key itself
-/// and marks it with its incarnation.
+/// Builds a value with this write marker. The election, which writes its key itself, uses its
+/// incarnation as the marker.
 pub fn with_write_marker(builder: MapBuilder, marker: &str) -> Value {
     builder.set(WRITE_MARKER, marker).build()
 }
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -1,5 +1,5 @@
-//! The actor: sends what the rate limits allow, the highest priority first, and receives the
-//! responses.
+//! The actor: sends requests as the rate limits allow, the highest priority first, and handles
+//! the responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,47 +20,47 @@
 
 /// Largest response accepted: a page of 512 KiB and its framing.
 const RESPONSE_LIMITS: Limits = Limits { head: 8 * 1024, body: 640 * 1024 };
-/// Most requests in flight at once.
+/// Maximum number of requests in flight.
 const MAX_IN_FLIGHT: usize = 8;
-/// Requests in flight that all other classes leave for renewals.
+/// Number of requests in flight that all other classes leave to renewals.
 const RENEWAL_SLOTS: usize = 2;
-/// Requests that callers may have handed over without the actor having received them.
-const REQUEST_CHANNEL: usize = 256;
-/// Responses that may wait for the actor to receive them.
-const RESPONSE_CHANNEL: usize = 64;
-/// Waiting requests from which on the actor receives no more; callers then wait.
+/// Capacity of the channel on which the actor receives requests.
+const REQUEST_CHANNEL_CAPACITY: usize = 256;
+/// Capacity of the channel on which the actor receives responses.
+const RESPONSE_CHANNEL_CAPACITY: usize = 64;
+/// Number of queued requests at which the actor stops receiving more; callers then wait.
 const MAX_QUEUED: usize = 512;
-/// How long the actor sleeps when there is nothing to wait for but events.
+/// How long the actor sleeps if it waits only for events.
 const IDLE_SLEEP: Duration = Duration::from_secs(3600);
-/// Requests whose deadline is more than this many times the usual one are long polls.
-const LONG_POLL_DEADLINES: u32 = 2;
-/// Part of the deadline for which nothing but renewals is sent after a failed commit.
-const PAUSE_DIVISOR: u32 = 10;
+/// A request whose timeout is more than this many times the usual deadline is a long poll.
+const LONG_POLL_DEADLINE_FACTOR: u32 = 2;
+/// After a failed commit, only renewals are sent for the deadline divided by this number.
+const PAUSE_DEADLINE_DIVISOR: u32 = 10;
 
 /// Whether a request counts against [`MAX_IN_FLIGHT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Slot {
-    /// It does.
+    /// It counts.
     Taken,
-    /// It does not, as it is a long poll, which would keep others waiting.
+    /// It does not count: a long poll would keep other requests waiting.
     LongPoll,
 }
 
-/// A response, or the lack of one, and the connection if it can be used again.
+/// A finished request: its result, and the connection if it can be reused.
 enum Finished {
-    /// To a request that was sent as it is.
+    /// A request that was sent unchanged.
     Raw { reply: oneshot::Sender<HttpResult>, result: HttpResult, connection: Option<Connection>, slot: Slot },
-    /// To the commit of a batch.
+    /// The commit of a batch.
     Commit { batch: Vec<PendingTransaction>, result: HttpResult, connection: Option<Connection> },
-    /// To the read that shows whether an earlier attempt was committed.
+    /// The read that shows whether an earlier attempt was committed.
     ReadBack { pending: PendingTransaction, result: HttpResult, connection: Option<Connection> },
 }
 
-/// What the actor can do next.
-enum Next {
-    /// Send the first waiting request, which has so many puts and deletes.
+/// What the actor does next.
+enum NextAction {
+    /// Send the first waiting request, which has this number of puts and deletes.
     Send { writes: usize },
-    /// Wait for so long, or for an event.
+    /// Wait for this duration or until an event.
     Wait(Duration),
     /// Wait for an event.
     WaitForEvent,
@@ -73,15 +73,15 @@
     pub(super) queues: RequestQueues,
     rates: RateLimits,
     in_flight: usize,
-    /// Most puts and deletes in one transaction, under the limits in force and the announced
-    /// ones.
+    /// Maximum number of puts and deletes in one transaction that both the limits in force and
+    /// the announced limits allow.
     max_changes: usize,
-    /// The limits that will be in force at some time.
+    /// The limits that are announced to take effect at some later time.
     announced: KvLimits,
-    /// The limits in force as far as is known.
+    /// The limits in force, as far as known.
     limits_in_force: watch::Sender<KvLimits>,
     deadline: Duration,
-    /// After a failed commit nothing but renewals is sent until then.
+    /// Only renewals are sent before this time. A failed commit sets it.
     pause_until: Instant,
     /// Limits how often failed commits are logged.
     pub(super) log_throttle: LogThrottle,
@@ -92,7 +92,7 @@
 ///
 /// * `state`: the store's limits, in force and announced.
 /// * `controllers`: number of controllers in the cluster, which share the store's rates.
-/// * `deadline`: how long each request may take.
+/// * `deadline`: timeout of each request.
 /// * `is_leader`: whether this controller leads. The actor stops when its sender is dropped.
 pub fn start(
     address: SocketAddr,
@@ -101,8 +101,8 @@
     deadline: Duration,
     is_leader: watch::Receiver<bool>,
 ) -> KvClient {
-    let (requests, inbox) = mpsc::channel(REQUEST_CHANNEL);
-    let (finished, responses) = mpsc::channel(RESPONSE_CHANNEL);
+    let (requests, inbox) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
+    let (finished, responses) = mpsc::channel(RESPONSE_CHANNEL_CAPACITY);
     let in_force = state.in_force();
     let (limits_in_force, limits) = watch::channel(in_force);
     let actor = Actor {
@@ -152,35 +152,35 @@
         }
     }
 
-    /// Sends all that may be sent now; returns how long to wait for the rate limits, if that
-    /// is what the next request waits for.
+    /// Sends all requests that may be sent now. Returns how long the next request must wait
+    /// for the rate limits or the end of a pause; `None` if it waits for an event.
     fn dispatch(&mut self, now: Instant) -> Option<Duration> {
         loop {
-            match self.next(now) {
-                Next::Send { writes } => self.send_first(now, writes)?,
-                Next::Wait(duration) => return Some(duration),
-                Next::WaitForEvent => return None,
+            match self.next_action(now) {
+                NextAction::Send { writes } => self.send_first(now, writes)?,
+                NextAction::Wait(duration) => return Some(duration),
+                NextAction::WaitForEvent => return None,
             }
         }
     }
 
-    /// Renewals may use every slot and all of the rates; the other classes leave some, so that
-    /// a backlog cannot cost the lease.
-    fn next(&mut self, now: Instant) -> Next {
-        let Some((class, request)) = self.queues.first() else { return Next::WaitForEvent };
+    /// Decides what to do next. Renewals may use every slot and the whole rates; the other
+    /// classes leave a reserve, so that a backlog cannot make the lease expire.
+    fn next_action(&mut self, now: Instant) -> NextAction {
+        let Some((class, request)) = self.queues.first() else { return NextAction::WaitForEvent };
         let writes = request.write_count();
         if class != RequestClass::Renewal {
             if self.in_flight >= MAX_IN_FLIGHT - RENEWAL_SLOTS {
-                return Next::WaitForEvent;
+                return NextAction::WaitForEvent;
             }
             if now < self.pause_until {
-                return Next::Wait(self.pause_until - now);
+                return NextAction::Wait(self.pause_until - now);
             }
         }
         let wait = self.rates.request_wait(now, class);
         match wait.or_else(|| self.rates.write_wait(now, class, writes)) {
-            Some(wait) => Next::Wait(wait),
-            None => Next::Send { writes },
+            Some(wait) => NextAction::Wait(wait),
+            None => NextAction::Send { writes },
         }
     }
 
@@ -198,14 +198,14 @@
     }
 
     fn send_raw(&mut self, call: HttpCall, reply: oneshot::Sender<HttpResult>) {
-        let is_long_poll = call.timeout > self.deadline * LONG_POLL_DEADLINES;
+        let is_long_poll = call.timeout > self.deadline * LONG_POLL_DEADLINE_FACTOR;
         let slot = if is_long_poll { Slot::LongPoll } else { Slot::Taken };
         self.in_flight += usize::from(slot == Slot::Taken);
         let prepared = self.pool.prepare(call);
         self.spawn(prepared, move |result, connection| Finished::Raw { reply, result, connection, slot });
     }
 
-    /// Sends a transaction, and with it as many others as fit.
+    /// Sends a transaction, batched with as many waiting ones as fit.
     fn send_batch(&mut self, now: Instant, first: PendingTransaction) {
         let mut batch = Batch::new(first);
         batch.fill(now, &mut self.queues, &mut self.rates, self.max_changes);
@@ -229,7 +229,7 @@
         self.spawn(prepared, move |result, connection| Finished::ReadBack { pending, result, connection });
     }
 
-    /// Runs a call in a task of its own, which hands the result back to the actor.
+    /// Runs a call in its own task, which sends the result to the actor.
     fn spawn(
         &self,
         prepared: PreparedCall,
@@ -246,8 +246,8 @@
         match finished {
             Finished::Raw { reply, result, connection, slot } => {
                 self.in_flight -= usize::from(slot == Slot::Taken);
-                // These requests carry no value of a size near the limit, so only 429 says
-                // something about the limits.
+                // These requests carry no value near the size limit, so only status 429 can
+                // show that the limits have changed.
                 if let Ok(response) = &result
                     && response.status == 429
                 {
@@ -269,8 +269,8 @@
         }
     }
 
-    /// Takes the announced limits for those in force if the store refuses what the present
-    /// ones allow: that is the only notice of the change. They stay in force.
+    /// Switches to the announced limits if the store refuses a request that the current limits
+    /// allow, which is the only notice of the change. There is no switch back.
     pub(super) fn record_refusal(&mut self, status: u16) {
         let refused = matches!(status, 400 | 429);
         if !refused || *self.limits_in_force.borrow() == self.announced {
@@ -281,8 +281,8 @@
         self.rates.set_limits(self.announced);
     }
 
-    /// Sends nothing but renewals for a while after a failure.
+    /// Pauses all requests except renewals for a short time after a failure.
     pub(super) fn pause(&mut self) {
-        self.pause_until = Instant::now() + self.deadline / PAUSE_DIVISOR;
+        self.pause_until = Instant::now() + self.deadline / PAUSE_DEADLINE_DIVISOR;
     }
 }
--- a/src/storage/kv/batch.rs
+++ b/src/storage/kv/batch.rs
@@ -1,4 +1,4 @@
-//! Packing of several callers' transactions into one request.
+//! Batches: transactions of several callers in one request.
 
 use ciborium::value::Value;
 use tokio::time::Instant;
@@ -8,9 +8,9 @@
 use crate::protocol::kv::{Compare, encode_compare_and_swap};
 use crate::storage::records::LEADER;
 
-/// Most bytes in one batch, with some room below the store's 64 KiB.
+/// Maximum size of a batch in bytes, with some margin below the store's limit of 64 KiB.
 const MAX_BATCH_BYTES: usize = 48 * 1024;
-/// Most comparisons in a batch for each put or delete that it may hold.
+/// Maximum number of comparisons in a batch, per put or delete that it may hold.
 const COMPARES_PER_CHANGE: usize = 4;
 
 /// Transactions of one epoch that are committed together, in one request.
@@ -18,13 +18,13 @@
     transactions: Vec<PendingTransaction>,
     epoch: u64,
     changes: usize,
-    /// Including the comparison with the epoch.
+    /// Number of comparisons, including the one with the epoch.
     compares: usize,
     bytes: usize,
 }
 
 impl Batch {
-    /// A batch of this transaction alone.
+    /// Creates a batch of this transaction alone.
     pub(super) fn new(first: PendingTransaction) -> Self {
         Batch {
             epoch: first.transaction.epoch,
@@ -36,7 +36,7 @@
     }
 
     /// Adds waiting transactions of the same epoch as far as the limits allow: at most
-    /// `max_changes` puts and deletes, and what the write rate has left.
+    /// `max_changes` puts and deletes, and no more than the write rate allows now.
     pub(super) fn fill(
         &mut self,
         now: Instant,
@@ -74,19 +74,19 @@
         self.changes
     }
 
-    /// Body of the request that commits the batch: only if the leader's key still has the
-    /// epoch as its version, which makes the epoch a fencing token.
+    /// Encodes the request that commits the batch. The commit requires that the leader's key
+    /// still has the epoch as its version, which makes the epoch a fencing token.
     pub(super) fn encode(&self) -> Value {
-        let fence = Compare { key: LEADER.to_owned(), version: self.epoch };
+        let epoch_compare = Compare { key: LEADER.to_owned(), version: self.epoch };
         let transactions = || self.transactions.iter().map(|pending| &pending.transaction);
         let compares = transactions().flat_map(|transaction| &transaction.compares);
         encode_compare_and_swap(
-            std::iter::once(&fence).chain(compares),
+            std::iter::once(&epoch_compare).chain(compares),
             transactions().flat_map(|transaction| &transaction.changes),
         )
     }
 
-    /// The transactions, in the order in which they were packed.
+    /// The transactions, in the order in which they were added.
     pub(super) fn into_transactions(self) -> Vec<PendingTransaction> {
         self.transactions
     }
--- a/src/storage/kv/outcome.rs
+++ b/src/storage/kv/outcome.rs
@@ -1,5 +1,5 @@
-//! What became of a transaction, and what follows: report it, retry it, or read back whether
-//! an earlier attempt was committed.
+//! Handling of commit results: a transaction is reported to its caller, retried, or its first
+//! key is read back to determine whether an earlier attempt was committed.
 
 use ciborium::value::Value;
 use tokio::time::Instant;
@@ -14,7 +14,7 @@
 use crate::transport::client::ClientError;
 use crate::transport::codec::Response;
 
-/// What one attempt to commit a batch came to.
+/// Outcome of one attempt to commit a batch.
 #[derive(Debug, PartialEq)]
 enum Outcome {
     /// Committed, at this revision of the store.
@@ -23,22 +23,22 @@
     Conflicted(HashSet<String>),
     /// Not committed: rejected as malformed or too large.
     Rejected,
-    /// Not committed, but a retry may be.
+    /// Not committed, but a retry may succeed.
     NotApplied,
-    /// Committed, or not, or yet to be.
+    /// It may have been committed, or may yet be.
     Unknown,
 }
 
 impl Outcome {
-    fn of(result: &HttpResult) -> Self {
+    fn from_result(result: &HttpResult) -> Self {
         match result {
-            Ok(response) => Self::of_response(response),
+            Ok(response) => Self::from_response(response),
             Err(ClientError::NotSent) => Outcome::NotApplied,
             Err(_) => Outcome::Unknown,
         }
     }
 
-    fn of_response(response: &Response) -> Self {
+    fn from_response(response: &Response) -> Self {
         let body = || decode(&response.body).ok();
         match response.status {
             200 => {
@@ -63,7 +63,7 @@
         if let Ok(response) = result {
             self.record_refusal(response.status);
         }
-        match Outcome::of(result) {
+        match Outcome::from_result(result) {
             Outcome::Committed(revision) => report_all(batch, Ok(revision)),
             Outcome::Conflicted(failed) if failed.contains(LEADER) => {
                 report_all(batch, Err(KvError::Fenced));
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Some keys had other versions than expected: retries those transactions that did not
-    /// name them, each alone.
+    /// Handles a batch that was not committed because the `failed` keys have other versions
+    /// than expected. Transactions that do not compare these keys are retried, each alone.
     fn handle_conflict(&mut self, batch: Vec<PendingTransaction>, failed: &HashSet<String>) {
         for mut pending in batch {
             let has_conflict =
@@ -99,7 +99,7 @@
             if !has_conflict {
                 self.queues.push_front(pending);
             } else if pending.is_outcome_unknown() {
-                // The other version may come from an earlier attempt of this transaction.
+                // An earlier attempt of this transaction may have written the other version.
                 self.read_back(pending);
             } else {
                 pending.report(Err(KvError::Conflict));
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Queues the transactions of a batch again, before all others and in their order, once
-    /// `update` has noted what the attempt came to.
+    /// Applies `update`, which records the outcome of the attempt, to each transaction of a
+    /// batch, and queues them again in the same order, in front of all others of their class.
     fn retry(&mut self, batch: Vec<PendingTransaction>, update: impl Fn(&mut PendingTransaction)) {
         self.pause();
         for mut pending in batch.into_iter().rev() {
@@ -142,8 +142,8 @@
     }
 }
 
-/// Whether an earlier attempt of the transaction was committed, by the present entry of its
-/// first key; `None` if the response does not say.
+/// Result of a transaction, determined from the current entry of its first key: whether an
+/// earlier attempt was committed. `None` if the response does not show it.
 fn read_back_result(pending: &PendingTransaction, result: &HttpResult) -> Option<Result<u64, KvError>> {
     let response = result.as_ref().ok()?;
     let change = pending.transaction.changes.first();
@@ -156,14 +156,14 @@
             if entry.key != change.key() {
                 return None;
             }
-            let is_ours = write_marker_of(&entry.value) == Some(pending.write_marker.as_str());
-            Some(if is_ours { Ok(entry.version) } else { Err(KvError::Conflict) })
+            let is_own_write = write_marker_of(&entry.value) == Some(pending.write_marker.as_str());
+            Some(if is_own_write { Ok(entry.version) } else { Err(KvError::Conflict) })
         }
         _ => None,
     }
 }
 
-/// The marker that [`super::KvClient::compare_and_swap`] put into a value.
+/// The marker that [`super::KvClient::compare_and_swap`] added to a value.
 fn write_marker_of(value: &Value) -> Option<&str> {
     Fields::of(value).ok()?.opt_text(WRITE_MARKER).ok()?
 }
--- a/src/storage/kv/queue.rs
+++ b/src/storage/kv/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait to be sent, in one queue for each class.
+//! Requests that wait to be sent, in one queue per class.
 
 use std::collections::VecDeque;
 
@@ -17,18 +17,18 @@
     RequestClass::Background,
 ];
 
-/// What a caller asks of the actor.
+/// A caller's request to the actor.
 pub(super) enum Request {
-    /// A request that is sent as it is.
+    /// A request that is sent unchanged and without retries.
     Raw {
         /// Priority of the request.
         class: RequestClass,
         /// The HTTP request.
         call: HttpCall,
-        /// Where its result goes.
+        /// Receives the result.
         reply: oneshot::Sender<HttpResult>,
     },
-    /// A transaction, to be retried until its outcome is known.
+    /// A transaction that is retried until its outcome is known.
     Commit(Box<PendingTransaction>),
 }
 
@@ -49,10 +49,10 @@
     }
 }
 
-/// What the attempts so far allow the next one.
+/// What earlier attempts to commit a transaction imply for the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Attempts {
-    /// May be committed together with transactions of others.
+enum AttemptState {
+    /// May be committed together with transactions of other callers.
     Batchable,
     /// Must be committed alone: a batch with it was rejected or had a conflict.
     Alone,
@@ -69,39 +69,39 @@
     pub(super) size: usize,
     /// Marker in the values of this transaction and of no other.
     pub(super) write_marker: String,
-    attempts: Attempts,
+    attempt_state: AttemptState,
     reply: oneshot::Sender<Result<u64, KvError>>,
 }
 
 impl PendingTransaction {
-    /// A transaction that has not been sent yet; `size` is in bytes.
+    /// Creates a transaction that has not been sent yet; `size` is in bytes.
     pub(super) fn new(
         transaction: Transaction,
         size: usize,
         write_marker: String,
         reply: oneshot::Sender<Result<u64, KvError>>,
     ) -> Self {
-        PendingTransaction { transaction, size, write_marker, attempts: Attempts::Batchable, reply }
+        PendingTransaction { transaction, size, write_marker, attempt_state: AttemptState::Batchable, reply }
     }
 
-    /// Whether it may be committed together with transactions of others.
+    /// Whether it may be committed together with transactions of other callers.
     pub(super) fn is_batchable(&self) -> bool {
-        self.attempts == Attempts::Batchable
+        self.attempt_state == AttemptState::Batchable
     }
 
     /// Whether an earlier attempt may have been committed, or may yet be.
     pub(super) fn is_outcome_unknown(&self) -> bool {
-        self.attempts == Attempts::OutcomeUnknown
+        self.attempt_state == AttemptState::OutcomeUnknown
     }
 
-    /// From now on it is committed alone.
+    /// Requires that the transaction is committed alone from now on.
     pub(super) fn isolate(&mut self) {
-        self.attempts = self.attempts.max(Attempts::Alone);
+        self.attempt_state = self.attempt_state.max(AttemptState::Alone);
     }
 
-    /// The last attempt may have been committed, or may yet be.
+    /// Records that the last attempt may have been committed, or may yet be.
     pub(super) fn mark_outcome_unknown(&mut self) {
-        self.attempts = Attempts::OutcomeUnknown;
+        self.attempt_state = AttemptState::OutcomeUnknown;
     }
 
     /// Reports the result to the caller, who may have stopped waiting.
@@ -128,7 +128,7 @@
         self.queues[request.class() as usize].push_back(request);
     }
 
-    /// Adds a transaction that is to be retried before all others of its class.
+    /// Adds a transaction that is to be retried, in front of all others of its class.
     pub(super) fn push_front(&mut self, pending: PendingTransaction) {
         self.queues[pending.transaction.class as usize].push_front(Request::Commit(Box::new(pending)));
     }
@@ -144,8 +144,8 @@
         self.queues.iter_mut().find(|queue| !queue.is_empty())?.pop_front()
     }
 
-    /// Takes out those transactions that `accepts` chooses, asked in the order in which they
-    /// are to be sent; all other requests keep their order.
+    /// Removes and returns the transactions that `accepts` selects. They are passed to it in
+    /// the order in which they are to be sent; all other requests keep their order.
     pub(super) fn take_transactions(
         &mut self,
         mut accepts: impl FnMut(RequestClass, &PendingTransaction) -> bool,
--- a/src/storage/kv/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -1,4 +1,5 @@
-//! The actor against a key-value store over HTTP: fencing, unknown outcomes, batches, limits.
+//! Tests of the actor with a key-value store over HTTP: fencing, unknown outcomes, batches and
+//! limits.
 
 use tokio::time::Instant;
 
@@ -9,7 +10,7 @@
 use crate::storage::rate_limit::{LogThrottle, TokenBucket};
 use crate::storage::records::LEADER;
 
-/// A client of a store whose leader has epoch 7 and where the next commits fail as scripted.
+/// A store whose leader has epoch 7 and whose next commits fail as scripted, and its client.
 async fn client_and_server(script: &[Script]) -> (KvClient, FakeKvServer) {
     let server = FakeKvServer::start(script).await;
     server.seed(LEADER, Value::Null, 7).await;
@@ -54,10 +55,10 @@
     assert!(commits.iter().all(|&ops| ops <= 4) && commits.len() < 10, "{commits:?}");
 }
 
-/// A steady stream of done tasks and completions uses up the tokens as they refill: two jobs
-/// submitted together are still admitted at once.
+/// A steady stream of done tasks and completions uses up the tokens as they refill. Two jobs
+/// submitted together must still be admitted at once.
 #[test]
-fn admissions_find_tokens_left_by_a_stream_of_other_writes() {
+fn admissions_have_tokens_during_a_stream_of_other_writes() {
     let mut now = Instant::now();
     let mut writes = TokenBucket::new(12.0, 9.6, now);
     let mut written = 0;
@@ -74,8 +75,8 @@
     assert!(writes.allows(now, 4.0, write_reserve(RequestClass::Admission, writes.burst())));
 }
 
-/// The only notice that the announced limits are in force is a refusal of what the former
-/// ones allowed.
+/// The only notice that the announced limits are in force is that the store refuses a request
+/// that the former limits allowed.
 #[tokio::test]
 async fn a_refusal_puts_the_announced_limits_into_force() {
     let (_, server) = client_and_server(&[]).await;
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn log_throttle_counts_what_it_suppresses() {
+fn log_throttle_counts_suppressed_failures() {
     let now = Instant::now();
     let mut throttle = LogThrottle::default();
     assert_eq!(throttle.should_log(now), Some(1));
