--- a/src/transport/call.rs
+++ b/src/transport/call.rs
@@ -1,4 +1,4 @@
-//! An HTTP request to an outside system, and how it may fail.
+//! HTTP requests to external systems and their errors.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::codec::CodecError;
 
-/// A request to an outside system.
+/// An HTTP request to an external system.
 #[derive(Debug, Clone)]
 pub struct HttpCall {
     /// HTTP method.
@@ -19,20 +19,20 @@
     pub timeout: Duration,
 }
 
-/// How a request failed. Only [`ClientError::NotSent`] proves that it was not carried out;
-/// after each other failure the outcome is unknown.
+/// Why a request failed. Only [`ClientError::NotSent`] proves that the server did not carry
+/// it out; after any other error the outcome is unknown.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No connection could be made, so nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     #[error("could not connect")]
     NotSent,
     /// The timeout of the call ran out.
-    #[error("no answer in time")]
+    #[error("request timed out")]
     TimedOut,
     /// The connection failed or was closed before the whole response had arrived.
     #[error("connection lost: {0}")]
     ConnectionLost(std::io::Error),
-    /// The response is no valid HTTP, or larger than the limits allow.
-    #[error("unreadable answer: {0}")]
+    /// The response is not valid HTTP or exceeds the limits.
+    #[error("invalid response: {0}")]
     InvalidResponse(#[from] CodecError),
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -1,8 +1,8 @@
-//! HTTP client for outside systems; each request has a timeout.
+//! HTTP client for external systems; each request has a timeout.
 //!
-//! A [`ConnectionPool`] is owned by one actor. The actor prepares a request, which takes an idle
-//! connection along if there is one, runs it in a task of its own, and is given the
-//! connection back with the outcome. So no state is shared between tasks.
+//! A [`ConnectionPool`] is owned by one actor. Preparing a request takes an idle connection out
+//! of the pool, if there is one. The request runs in its own task, which returns the connection
+//! to the actor together with the outcome, so tasks share no state.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 pub use super::call::{ClientError, HttpCall};
 use super::codec::{Decoder, Limits, Response, encode_request};
 
-/// Bytes read from a connection at once.
-const READ_BYTES: usize = 8192;
+/// Size in bytes of the buffer for one read from a connection.
+const READ_BUFFER_BYTES: usize = 8192;
 
-/// The outcome of a request, and its connection if another request may be sent on it.
+/// The result of a request, and its connection if it can be reused for another request.
 type Outcome = (Result<Response, ClientError>, Option<Connection>);
 
-/// An open connection and what has been received on it but not yet decoded.
+/// An open connection and the bytes received on it that are not yet decoded.
 #[derive(Debug)]
 pub struct Connection {
     stream: TcpStream,
@@ -36,7 +36,7 @@
     max_idle: usize,
 }
 
-/// A request with the connection that it will use, to be run in a task of its own.
+/// A request with the connection that it will use, to be run in its own task.
 #[derive(Debug)]
 pub struct PreparedCall {
     address: SocketAddr,
@@ -58,8 +58,8 @@
         PreparedCall { address: self.address, limits: self.limits, connection: self.idle.pop(), call }
     }
 
-    /// Takes back the connection that [`PreparedCall::run`] returned. It is closed if the
-    /// pool already holds as many idle connections as it may.
+    /// Returns the connection from [`PreparedCall::run`] to the pool. The connection is closed
+    /// if the pool is full.
     pub fn put_back(&mut self, connection: Option<Connection>) {
         if let Some(connection) = connection
             && self.idle.len() < self.max_idle
@@ -70,21 +70,21 @@
 }
 
 impl PreparedCall {
-    /// A request outside any pool, on a connection of its own.
+    /// A request that opens its own connection and uses no pool.
     pub fn without_pool(address: SocketAddr, limits: Limits, call: HttpCall) -> Self {
         PreparedCall { address, limits, connection: None, call }
     }
 
-    /// Sends the request and waits for the response. Returns the connection too if another
-    /// request may be sent on it; after a timeout it is closed, so that a late response
-    /// cannot be taken for that of another request.
+    /// Sends the request and waits for the response. Also returns the connection if it can be
+    /// reused. After a timeout the connection is closed, so that a late response cannot be
+    /// mistaken for the response to another request.
     ///
     /// # Errors
     ///
-    /// The first part is a [`ClientError`] if no response arrived within the call's timeout.
+    /// The result is a [`ClientError`] if no valid response arrived within the call's timeout.
     pub async fn run(self) -> (Result<Response, ClientError>, Option<Connection>) {
-        let deadline = self.call.timeout;
-        match timeout(deadline, self.exchange()).await {
+        let duration = self.call.timeout;
+        match timeout(duration, self.exchange()).await {
             Ok(outcome) => outcome,
             Err(_) => (Err(ClientError::TimedOut), None),
         }
@@ -99,9 +99,9 @@
         let bytes = encode_request(call.method, &call.target, &address.to_string(), &call.body);
         if let Some(mut idle) = connection.filter(Connection::has_no_unread_bytes) {
             match idle.exchange(&bytes).await {
-                // The server may have closed an idle connection meanwhile. A GET changes
-                // nothing and is sent again on a new connection. For other methods the
-                // outcome is unknown, and the caller has to find it out.
+                // The server may have closed the idle connection in the meantime. A GET
+                // changes nothing and is sent again on a new connection. For other methods
+                // the outcome is unknown, and the caller has to determine it.
                 Err(ClientError::ConnectionLost(_)) if call.method == "GET" => {}
                 result => return idle.into_outcome(result),
             }
@@ -121,9 +121,9 @@
         Ok(Connection { stream, decoder: Decoder::new(limits) })
     }
 
-    /// Whether nothing has been received since the last response, and the connection is
-    /// still open. Anything received, such as a duplicate of that response or a message
-    /// with which the server closes, would be taken for the response to the next request.
+    /// Whether the connection is open and nothing has been received since the last response.
+    /// Unread bytes, such as a duplicate of that response or a message that the server sent
+    /// before it closed, would be mistaken for the response to the next request.
     fn has_no_unread_bytes(&self) -> bool {
         let mut byte = [0u8; 1];
         matches!(self.stream.try_read(&mut byte), Err(error) if error.kind() == ErrorKind::WouldBlock)
@@ -132,7 +132,7 @@
     /// Sends an encoded request and reads the response.
     async fn exchange(&mut self, request: &[u8]) -> Result<Response, ClientError> {
         self.stream.write_all(request).await.map_err(ClientError::ConnectionLost)?;
-        let mut chunk = [0u8; READ_BYTES];
+        let mut chunk = [0u8; READ_BUFFER_BYTES];
         loop {
             if let Some(response) = self.decoder.next_response()? {
                 return Ok(response);
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Keeps the connection if the server leaves it open and sent nothing after the
+    /// Keeps the connection if the server keeps it open and has sent nothing after the
     /// response.
     fn into_outcome(self, result: Result<Response, ClientError>) -> Outcome {
         let stays_open = result.as_ref().is_ok_and(|response| !response.close);
--- a/src/transport/client/tests.rs
+++ b/src/transport/client/tests.rs
@@ -6,8 +6,8 @@
 
 const LIMITS: Limits = Limits { head: 1024, body: 1024 };
 
-fn call(target: &str, deadline: Duration) -> HttpCall {
-    HttpCall { method: "POST", target: target.into(), body: Vec::new(), timeout: deadline }
+fn call(target: &str, timeout: Duration) -> HttpCall {
+    HttpCall { method: "POST", target: target.into(), body: Vec::new(), timeout }
 }
 
 /// Reads one request and returns its target; empty if the connection was closed.
@@ -35,8 +35,8 @@
     result.map(|response| response.status)
 }
 
-/// A duplicate of a response on an idle connection must not be taken for the response to the
-/// next request: a compare-and-swap would count as committed that was not.
+/// A duplicate of a response on an idle connection must not be mistaken for the response to
+/// the next request: a failed compare-and-swap would count as committed.
 #[tokio::test]
 async fn a_duplicated_response_is_not_taken_for_the_next_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -62,7 +62,7 @@
     assert!(second.await.is_ok());
 }
 
-/// A response that comes after the timeout is lost with its connection.
+/// A response that arrives after the timeout is discarded with its connection.
 #[tokio::test]
 async fn a_response_after_the_timeout_is_not_taken_for_the_next_one() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
--- a/src/transport/codec.rs
+++ b/src/transport/codec.rs
@@ -1,31 +1,31 @@
 //! An incremental HTTP/1.1 decoder and the matching encoders, shared by the server and the
 //! client.
 //!
-//! The decoder is given bytes as they arrive, so a message may be split at any place. Every
+//! The decoder accepts bytes as they arrive; a message may be split at any position. Every
 //! length is checked against the limits before memory is allocated for it.
 
 use thiserror::Error;
 
-/// Most headers in a message; one with more is refused.
+/// Maximum number of headers in a message; a message with more is rejected.
 const MAX_HEADERS: usize = 48;
-/// What follows the data of each chunk of a body.
+/// Terminates the data of each chunk of a chunked body.
 const CHUNK_END: &[u8] = b"\r\n";
-/// Memory in bytes reserved for the head of a response that is encoded.
+/// Buffer capacity in bytes for the head of an encoded response.
 const RESPONSE_HEAD_BYTES: usize = 160;
-/// Memory in bytes reserved for the head of a request that is encoded, without its target.
+/// Buffer capacity in bytes for the head of an encoded request, without its target.
 const REQUEST_HEAD_BYTES: usize = 128;
 
-/// Largest message accepted on a connection.
+/// Maximum size of a message accepted on a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Largest head (first line and headers) in bytes.
+    /// Maximum size of the head (first line and headers) in bytes.
     pub head: usize,
-    /// Largest body in bytes, after its chunks are joined.
+    /// Maximum size of the body in bytes, after its chunks are joined.
     pub body: usize,
 }
 
-/// Why a message cannot be decoded. Each case ends the connection, since it is unknown where
-/// the next message starts.
+/// Why a message cannot be decoded. Any of these errors ends the connection, because the
+/// start of the next message is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CodecError {
     /// The first line or a header is malformed, or there are too many headers.
@@ -37,14 +37,14 @@
     /// The body is larger than [`Limits::body`].
     #[error("message body too large")]
     BodyTooLarge,
-    /// The length of the body is unclear: contradicting or malformed lengths, an unsupported
-    /// encoding, or malformed chunks.
+    /// The length of the body cannot be determined: conflicting or malformed lengths, an
+    /// unsupported transfer encoding, or malformed chunks.
     #[error("body framing is ambiguous or unsupported")]
     BadFraming,
 }
 
 impl CodecError {
-    /// The HTTP status with which a server refuses such a message.
+    /// The HTTP status with which a server rejects such a message.
     pub fn status(self) -> u16 {
         match self {
             CodecError::BadHead | CodecError::BadFraming => 400,
@@ -54,7 +54,7 @@
     }
 }
 
-/// An HTTP request, as far as this program needs it.
+/// The parts of an HTTP request that this program uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
     /// HTTP method, as sent.
@@ -67,14 +67,14 @@
     pub close: bool,
 }
 
-/// An HTTP response, as far as this program needs it.
+/// The parts of an HTTP response that this program uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// Seconds after which to retry, if the response advises that.
+    /// `Retry-After` in seconds, if the response has that header.
     pub retry_after_s: Option<u32>,
     /// Whether the connection is closed after the response.
     pub close: bool,
@@ -89,7 +89,7 @@
     Chunked,
 }
 
-/// The head of a message, as far as this program needs it.
+/// The parts of a message head that the decoder uses.
 struct Head {
     /// Size of the head in bytes, blank line included.
     size: usize,
@@ -98,7 +98,7 @@
     expect_continue: bool,
 }
 
-/// A body and where its message ends in the buffer.
+/// A body and the offset in the buffer at which its message ends.
 struct Body {
     bytes: Vec<u8>,
     message_end: usize,
@@ -107,7 +107,7 @@
 /// Decodes messages from the bytes of one connection.
 #[derive(Debug)]
 pub struct Decoder {
-    /// What was received and belongs to no decoded message yet.
+    /// Received bytes that are not part of a decoded message yet.
     buffer: Vec<u8>,
     limits: Limits,
 }
@@ -118,12 +118,12 @@
         Decoder { buffer: Vec::new(), limits }
     }
 
-    /// Appends bytes that were received.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether no part of a further message has been received.
+    /// Whether no bytes of another message have been received.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Takes the next request; `None` until all of it has been received.
+    /// Removes the next request from the buffer; `None` until all of it has been received.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] if the bytes are no such message or exceed a limit. The connection has
-    /// to be closed then.
+    /// [`CodecError`] if the bytes are not a valid request or exceed a limit. The connection
+    /// must then be closed.
     pub fn next_request(&mut self) -> Result<Option<Request>, CodecError> {
         if self.buffer.is_empty() {
             return Ok(None);
@@ -160,12 +160,12 @@
         Ok(Some(Request { method, target, body, close: head.close }))
     }
 
-    /// Takes the next response; `None` until all of it has been received.
+    /// Removes the next response from the buffer; `None` until all of it has been received.
     ///
     /// # Errors
     ///
-    /// [`CodecError`] if the bytes are no such message or exceed a limit. The connection has
-    /// to be closed then.
+    /// [`CodecError`] if the bytes are not a valid response or exceed a limit. The connection
+    /// must then be closed.
     pub fn next_response(&mut self) -> Result<Option<Response>, CodecError> {
         if self.buffer.is_empty() {
             return Ok(None);
@@ -181,7 +181,7 @@
         Ok(Some(Response { status, body, retry_after_s, close: head.close }))
     }
 
-    /// The size of a head in bytes; `None` until all of it has been received.
+    /// The size of the head in bytes; `None` until all of it has been received.
     fn head_size(&self, parsed: httparse::Result<usize>) -> Result<Option<usize>, CodecError> {
         let (received, complete) = match parsed {
             Ok(httparse::Status::Complete(size)) => (size, Some(size)),
@@ -208,13 +208,13 @@
         Ok(bytes.map(|bytes| Body { bytes: bytes.to_vec(), message_end }))
     }
 
-    /// Joins the chunks of a body, up to the empty one that ends it.
+    /// Joins the chunks of a body, up to the empty last chunk.
     fn chunked_body(&self, start: usize) -> Result<Option<Body>, CodecError> {
         let mut bytes = Vec::new();
         let mut position = start;
         loop {
-            let room = self.limits.body.saturating_sub(bytes.len());
-            let Some((chunk, end)) = self.chunk(position, room)? else { return Ok(None) };
+            let max_length = self.limits.body.saturating_sub(bytes.len());
+            let Some((chunk, end)) = self.chunk(position, max_length)? else { return Ok(None) };
             bytes.extend_from_slice(chunk);
             position = end;
             if chunk.is_empty() {
@@ -223,14 +223,14 @@
         }
     }
 
-    /// The data of the chunk at a position, at most `room` bytes, and the position behind
+    /// The data of the chunk at `position`, at most `max_length` bytes, and the position after
     /// the chunk; `None` until all of it has been received.
-    fn chunk(&self, position: usize, room: usize) -> Result<Option<(&[u8], usize)>, CodecError> {
+    fn chunk(&self, position: usize, max_length: usize) -> Result<Option<(&[u8], usize)>, CodecError> {
         let rest = self.buffer.get(position..).unwrap_or_default();
         let (size_line, length) = match httparse::parse_chunk_size(rest) {
             Ok(httparse::Status::Complete(found)) => found,
-            // Chunk extensions count against the limit of the head. Without a limit a sender
-            // could make the buffer grow without ever sending a body.
+            // Chunk extensions are bounded by the limit on the head. Without a bound a sender
+            // could make the buffer grow without sending any body data.
             Ok(httparse::Status::Partial) if rest.len() > self.limits.head => {
                 return Err(CodecError::BadFraming);
             }
@@ -238,25 +238,26 @@
             Err(_) => return Err(CodecError::BadFraming),
         };
         let length = usize::try_from(length).map_err(|_| CodecError::BodyTooLarge)?;
-        if length > room {
+        if length > max_length {
             return Err(CodecError::BodyTooLarge);
         }
         let data = position + size_line;
         let end = data + length + CHUNK_END.len();
         let Some(chunk) = self.buffer.get(data..end) else { return Ok(None) };
-        // After the last chunk this also refuses trailers, which are not supported.
+        // After the last chunk this also rejects trailers, which are not supported.
         let chunk = chunk.strip_suffix(CHUNK_END).ok_or(CodecError::BadFraming)?;
         Ok(Some((chunk, end)))
     }
 }
 
-/// The value of a header, if it is there and is text.
+/// The trimmed value of a header; `None` if it is absent or not UTF-8.
 fn header<'a>(headers: &'a [httparse::Header<'_>], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(found.value).ok().map(str::trim)
 }
 
-/// Reads the headers that concern the framing of the message and the connection.
+/// Reads the headers that determine the framing of the message and the state of the
+/// connection.
 fn read_headers(
     headers: &[httparse::Header<'_>],
     size: usize,
@@ -264,7 +265,7 @@
 ) -> Result<Head, CodecError> {
     let mut length = None;
     let mut chunked = false;
-    // Version 0 is HTTP/1.0, where a connection is closed unless the sender says otherwise.
+    // Minor version 0 is HTTP/1.0, where the connection closes unless the sender asks to keep it.
     let mut close = version == Some(0);
     let mut expect_continue = false;
     for header in headers {
@@ -283,8 +284,8 @@
         }
     }
     let framing = match (length, chunked) {
-        // With both, two readers may disagree on where the message ends. That is how
-        // requests are smuggled past one of them.
+        // With both headers, two parsers may disagree on where the message ends, which allows
+        // request smuggling.
         (Some(_), true) => return Err(CodecError::BadFraming),
         (None, true) => Framing::Chunked,
         (length, false) => Framing::Length(length.unwrap_or(0)),
@@ -292,9 +293,10 @@
     Ok(Head { size, framing, close, expect_continue })
 }
 
-/// Reads a `Content-Length` in bytes; a repeated one has to agree with the earlier.
+/// Reads a `Content-Length` in bytes; a repeated header must have the same value as the
+/// `earlier` one.
 fn read_content_length(value: &str, earlier: Option<usize>) -> Result<usize, CodecError> {
-    // "+5" parses as a number but is no valid length.
+    // "+5" parses as a number but is not a valid length.
     if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
         return Err(CodecError::BadFraming);
     }
@@ -317,7 +319,7 @@
     }
 }
 
-/// Encodes a response. A body is declared as CBOR.
+/// Encodes a response. A non-empty body has the content type CBOR.
 pub fn encode_response(response: &Response) -> Vec<u8> {
     let mut out = Vec::with_capacity(RESPONSE_HEAD_BYTES + response.body.len());
     out.extend_from_slice(b"HTTP/1.1 ");
@@ -340,7 +342,8 @@
     out
 }
 
-/// Encodes a request. `host` is the address it goes to; a body is declared as CBOR.
+/// Encodes a request. `host` is the server's address; a non-empty body has the content type
+/// CBOR.
 pub fn encode_request(method: &str, target: &str, host: &str, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::with_capacity(REQUEST_HEAD_BYTES + target.len() + body.len());
     for part in [method, " ", target, " HTTP/1.1\r\nHost: ", host] {
--- a/src/transport/codec/tests.rs
+++ b/src/transport/codec/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_request_split_at_every_byte_is_read_whole() {
+fn a_request_split_at_any_byte_is_decoded() {
     let bytes = encode_request("POST", "/api/jobs", "h", b"hello");
     for cut in 0..bytes.len() {
         let mut decoder = Decoder::new(LIMITS);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn chunked_bodies_are_joined_and_bounded() {
+fn chunked_bodies_are_joined_and_limited() {
     let head = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     let whole = decode_one(format!("{head}3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n").as_bytes());
     assert_eq!(whole.expect("valid").expect("whole").body, b"abcde");
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn hostile_framing_is_refused() {
+fn hostile_framing_is_rejected() {
     let cases: [(&str, CodecError); 6] = [
         ("POST / HTTP/1.1\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n", CodecError::BadFraming),
         ("POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\nhello", CodecError::BadFraming),
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_response_keeps_its_retry_advice() {
+fn a_response_round_trips_with_retry_after() {
     let sent = Response { status: 503, body: b"x".to_vec(), retry_after_s: Some(2), close: true };
     let mut decoder = Decoder::new(LIMITS);
     decoder.push(&encode_response(&sent));
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,9 +1,9 @@
-//! Bytes on sockets: the HTTP/1.1 codec, a small server, a client for outside systems, and
-//! the gRPC link between controllers. Knows nothing of jobs or machines.
+//! Network I/O: the HTTP/1.1 codec, a small server, a client for external systems, and the
+//! gRPC link between controllers. Independent of jobs and machines.
 //!
-//! `call` and `peer_message` hold the types of what is sent, apart from the code that sends
-//! it, so that the simulated network of the tests (`scripted`) needs neither the client nor
-//! the peer link.
+//! `call` and `peer_message` define the messages separately from the code that sends them, so
+//! that the simulated network of the tests (`simulated_network`) depends on neither the client
+//! nor the peer link.
 
 mod call;
 pub mod client;
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -1,8 +1,8 @@
-//! The gRPC link between controllers: a server for other controllers' calls, and a client
+//! The gRPC link between controllers: a server for calls from other controllers, and a client
 //! for one other controller.
 //!
-//! The names of `proto/peer.proto` (`withdraw`, `report`, `lead`) are mapped to the field's
-//! terms here and nowhere else.
+//! Only this module uses the names of `proto/peer.proto` (`withdraw`, `report`, `lead`). The
+//! rest of the program calls them cancellation, heartbeat and leader query.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 /// Code generated from `proto/peer.proto`.
 mod wire {
-    // Generated code follows neither this program's lints nor its rules for comments.
+    // Generated code follows neither the lints nor the documentation rules of this crate.
     #![allow(clippy::all, clippy::pedantic, clippy::unwrap_used, missing_docs, rust_2018_idioms)]
     tonic::include_proto!("shedtally.peer.v1");
 }
@@ -23,10 +23,10 @@
 use wire::peer_server::{Peer, PeerServer};
 use wire::{JobRequest, LeadRequest, Reply, ReportRequest, SubmitRequest};
 
-/// Answers other controllers' calls. Cloned for every connection.
+/// Handles calls from other controllers. Cloned for every connection.
 pub trait PeerHandler: Clone + Send + Sync + 'static {
-    /// Answers one call. With `relay` set, a controller that does not lead relays the call to
-    /// the leader, on behalf of a caller that cannot reach it.
+    /// Handles one call. With `relay` set, a controller that does not lead relays the call to
+    /// the leader, on behalf of a caller that cannot reach the leader.
     fn handle(&self, call: PeerCall, relay: bool) -> impl Future<Output = PeerReply> + Send;
 }
 
@@ -72,12 +72,12 @@
             body: reply.body,
             retry_after_s: reply.retry_after_s.unwrap_or(0),
             epoch: reply.lease.map_or(0, |lease| lease.epoch),
-            lease_left_ms: reply.lease.map_or(0, |lease| milliseconds(lease.remaining)),
+            lease_left_ms: reply.lease.map_or(0, |lease| remaining_ms(lease.remaining)),
         }
     }
 }
 
-/// Reads a reply; `None` if its status is not one of HTTP's from 200 to 599.
+/// Decodes a reply; `None` if its status is not an HTTP status from 200 to 599.
 fn decode_reply(reply: Reply) -> Option<PeerReply> {
     let status = u16::try_from(reply.status).ok().filter(|s| (200..600).contains(s))?;
     let retry_after_s = Some(reply.retry_after_s).filter(|&s| s > 0);
@@ -86,18 +86,19 @@
     Some(PeerReply { status, body: reply.body, retry_after_s, lease })
 }
 
-/// The milliseconds left of a lease. Rounded down, so that sending it cannot extend the lease;
-/// at least 1, since 0 on the wire means that the reply has no lease.
-fn milliseconds(remaining: Duration) -> u32 {
+/// Converts the remaining time of a lease to milliseconds. Rounds down, so that sending it
+/// cannot extend the lease, but returns at least 1, since 0 on the wire means that the reply
+/// has no lease.
+fn remaining_ms(remaining: Duration) -> u32 {
     u32::try_from(remaining.as_millis()).unwrap_or(u32::MAX).max(1)
 }
 
-/// Serves other controllers until the listener fails. `body_limit` is the largest body in
-/// bytes of a relayed request; a message may take twice that with its framing.
+/// Serves other controllers until the listener fails. `body_limit` is the maximum body size in
+/// bytes of a relayed request; a whole message with its framing may be twice as large.
 ///
 /// # Errors
 ///
-/// The transport's error if the address cannot be listened on or the listener fails.
+/// The transport's error if the server cannot listen on the address or the listener fails.
 pub async fn serve<H: PeerHandler>(
     address: SocketAddr,
     body_limit: usize,
@@ -107,8 +108,8 @@
     Server::builder().tcp_nodelay(true).add_service(service).serve(address).await
 }
 
-/// A link to one other controller. Connects at the first call, and again when the
-/// connection was lost. Clones share the connection.
+/// A client for one other controller. Connects on the first call, and reconnects after the
+/// connection is lost. Clones share the connection.
 #[derive(Debug, Clone)]
 pub struct PeerLink {
     client: PeerClient<Channel>,
@@ -117,8 +118,8 @@
 }
 
 impl PeerLink {
-    /// A link to the controller at an address, without connecting yet. `timeout` bounds the
-    /// time to connect and the time without an acknowledgement on an open connection.
+    /// Creates a link to the controller at an address without connecting yet. `timeout` limits
+    /// the time to connect and the time without an acknowledgement on an open connection.
     ///
     /// # Errors
     ///
@@ -139,8 +140,9 @@
         })
     }
 
-    /// Calls the other controller; `None` if it could not be reached, refused the call as
-    /// malformed, or gave no valid reply within the timeout. The outcome is unknown then.
+    /// Calls the other controller. Returns `None` if the controller could not be reached,
+    /// rejected the call as malformed, or gave no valid reply within the timeout; the outcome
+    /// is then unknown.
     pub async fn call(&self, call: PeerCall, relay: bool, timeout: Duration) -> Option<PeerReply> {
         #[cfg(test)]
         match tokio::time::timeout(timeout, super::simulated_network::peer(self.address, &call, relay)).await
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -4,7 +4,7 @@
 use crate::storage::records::production_tests::bytes;
 
 #[test]
-fn a_remaining_lease_is_sent_and_never_extended() {
+fn encoding_never_extends_a_remaining_lease() {
     let left = Duration::from_micros(1_234_900);
     let lease = Some(RemainingLease { epoch: 7, remaining: left });
     let sent = PeerReply { status: 200, body: vec![1], retry_after_s: Some(3), lease };
@@ -12,29 +12,29 @@
     let reply = decode_reply(Reply::decode(bytes.as_slice()).expect("a message")).expect("a reply");
     assert_eq!(reply.lease, Some(RemainingLease { epoch: 7, remaining: Duration::from_millis(1234) }));
     assert_eq!(PeerReply { lease, ..reply }, sent);
-    // Less than a millisecond is still a lease, not none.
+    // Less than a millisecond is sent as 1, since 0 means no lease.
     let lease = Some(RemainingLease { epoch: 7, remaining: Duration::from_micros(1) });
     assert_eq!(Reply::from(PeerReply { lease, ..sent }).lease_left_ms, 1);
 }
 
-/// The bytes that a build without the lease fields sends.
+/// Earlier builds send replies without the lease fields.
 #[test]
-fn a_reply_of_an_earlier_build_is_read_as_without_a_lease() {
+fn a_reply_without_lease_fields_decodes_without_a_lease() {
     let earlier: &[u8] = &[0x08, 0xc8, 0x01, 0x12, 0x01, 0x2a, 0x18, 0x03];
     let reply = decode_reply(Reply::decode(earlier).expect("a message")).expect("a reply");
     assert_eq!(reply, PeerReply { status: 200, body: vec![0x2a], retry_after_s: Some(3), lease: None });
 }
 
 #[test]
-fn a_reply_whose_status_is_not_one_of_http_is_refused() {
+fn a_reply_with_an_invalid_http_status_is_rejected() {
     for status in [0, 199, 600, 70_000] {
         let reply = Reply { status, body: Vec::new(), retry_after_s: 0, epoch: 0, lease_left_ms: 0 };
         assert_eq!(decode_reply(reply), None, "{status}");
     }
 }
 
-/// Messages of the build before job dependencies (commit 652c9af) are read, and the same
-/// bytes are written.
+/// Messages of the build before job dependencies (commit 652c9af) are decoded, and encode to
+/// the same bytes.
 #[test]
 fn messages_of_the_previous_build_are_read_and_written_unchanged() {
     macro_rules! sent {
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,7 +1,7 @@
 //! A small HTTP server: one task per connection, requests answered in order.
 //!
 //! The number of connections, the size of heads and bodies, and idle times are all bounded,
-//! so a hostile or slow client costs at most the buffers of one connection.
+//! so a hostile or slow client uses at most the buffers of one connection.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -14,63 +14,63 @@
 
 use super::codec::{Decoder, Limits, Request, Response, encode_response};
 
-/// Bytes read from a connection at once.
-const READ_BYTES: usize = 4096;
-/// After a failure to accept, the server waits for this part of [`ServerOptions::io_timeout`].
+/// Size in bytes of the buffer for one read from a connection.
+const READ_BUFFER_BYTES: usize = 4096;
+/// After `accept` fails, the server waits for [`ServerOptions::io_timeout`] divided by this.
 const ACCEPT_RETRY_DIVISOR: u32 = 50;
-/// Seconds after which a client that was refused for lack of a free connection may retry.
+/// `Retry-After` in seconds for a client that is refused at the connection limit.
 const REFUSED_RETRY_AFTER_S: u32 = 1;
 
-/// Bounds of a server.
+/// Limits and timeouts of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerOptions {
-    /// Largest request accepted.
+    /// Maximum size of a request.
     pub limits: Limits,
-    /// Most connections at once; further ones are refused with status 503. At least one
-    /// connection is served whatever the number.
+    /// Maximum number of concurrent connections; further ones are refused with status 503.
+    /// At least one connection is served, even if this is 0.
     pub max_connections: usize,
-    /// How long a connection may be idle between two requests.
+    /// Maximum time that a connection may be idle between two requests.
     pub idle_timeout: Duration,
     /// Timeout for a whole request to arrive after its first byte, and for a response to be
     /// sent.
     pub io_timeout: Duration,
 }
 
-/// Answers requests. Cloned once for every connection.
+/// Handles requests. Cloned once for every connection.
 pub trait Handler: Clone + Send + 'static {
-    /// Answers one request.
+    /// Handles one request.
     fn handle(&self, request: Request) -> impl Future<Output = Response> + Send;
 }
 
 /// Accepts and serves connections. Never returns: a failure to accept is retried.
 pub async fn serve<H: Handler>(listener: TcpListener, options: ServerOptions, handler: H) {
-    // A counting semaphore: each message is one free connection. A connection that is
-    // accepted takes one, and its task puts it back at the end.
+    // The channel is a counting semaphore: each message is a permit for one connection. The
+    // server takes a permit for each connection, whose task returns the permit at its end.
     let max_connections = options.max_connections.max(1);
-    let (release, mut free) = mpsc::channel::<()>(max_connections);
+    let (return_permit, mut permits) = mpsc::channel::<()>(max_connections);
     for _ in 0..max_connections {
-        let _ = release.try_send(());
+        let _ = return_permit.try_send(());
     }
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                // Mostly the process is out of file descriptors: wait until some
-                // connections have ended.
+                // The usual cause is that the process has run out of file descriptors: wait
+                // until some connections have closed.
                 tracing::error!(%error, "connection not accepted");
                 tokio::time::sleep(options.io_timeout / ACCEPT_RETRY_DIVISOR).await;
                 continue;
             }
         };
         let _ = stream.set_nodelay(true);
-        if free.try_recv().is_err() {
+        if permits.try_recv().is_err() {
             tokio::spawn(refuse_connection(stream, options.io_timeout));
             continue;
         }
-        let (release, handler) = (release.clone(), handler.clone());
+        let (return_permit, handler) = (return_permit.clone(), handler.clone());
         tokio::spawn(async move {
             serve_connection(stream, options, handler).await;
-            let _ = release.try_send(());
+            let _ = return_permit.try_send(());
         });
     }
 }
@@ -81,7 +81,7 @@
     let _ = timeout(send_timeout, stream.write_all(&encode_response(&response))).await;
 }
 
-/// Answers the requests of a connection until one side closes it.
+/// Handles the requests of a connection until one side closes it.
 async fn serve_connection<H: Handler>(mut stream: TcpStream, options: ServerOptions, handler: H) {
     let mut decoder = Decoder::new(options.limits);
     loop {
@@ -91,7 +91,7 @@
                 let response = handler.handle(request).await;
                 Response { close: response.close || client_closes, ..response }
             }
-            Received::Unreadable { status } => {
+            Received::Invalid { status } => {
                 Response { status, body: Vec::new(), retry_after_s: None, close: true }
             }
             Received::Disconnected => return,
@@ -103,18 +103,18 @@
     }
 }
 
-/// What waiting for a request came to.
+/// Outcome of waiting for a request.
 enum Received {
     /// A whole request.
     Request(Request),
-    /// An invalid or incomplete request, to be refused with this HTTP status.
-    Unreadable { status: u16 },
+    /// An invalid or incomplete request, to be rejected with this HTTP status.
+    Invalid { status: u16 },
     /// No request: the client closed the connection, or was idle for too long.
     Disconnected,
 }
 
 async fn read_request(stream: &mut TcpStream, decoder: &mut Decoder, options: &ServerOptions) -> Received {
-    let mut chunk = [0u8; READ_BYTES];
+    let mut chunk = [0u8; READ_BUFFER_BYTES];
     // Set once the first byte of the request has been received.
     let mut request_deadline = None;
     let mut sent_continue = false;
@@ -122,7 +122,7 @@
         match decoder.next_request() {
             Ok(Some(request)) => return Received::Request(request),
             Ok(None) => {}
-            Err(error) => return Received::Unreadable { status: error.status() },
+            Err(error) => return Received::Invalid { status: error.status() },
         }
         if !decoder.is_empty() && request_deadline.is_none() {
             request_deadline = Some(Instant::now() + options.io_timeout);
@@ -138,16 +138,16 @@
             Ok(Ok(0) | Err(_)) => return Received::Disconnected,
             Ok(Ok(read)) => decoder.push(&chunk[..read]),
             Err(_) if decoder.is_empty() => return Received::Disconnected,
-            Err(_) => return Received::Unreadable { status: 408 },
+            Err(_) => return Received::Invalid { status: 408 },
         }
     }
 }
 
-/// Listens on an address from the settings.
+/// Opens a listener on an address from the settings.
 ///
 /// # Errors
 ///
-/// The system's error if the address is in use or not one of this machine.
+/// The operating system's error if the address is in use or does not belong to this machine.
 pub async fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
--- a/src/transport/server/tests.rs
+++ b/src/transport/server/tests.rs
@@ -9,25 +9,26 @@
     }
 }
 
-async fn start(connections: usize) -> SocketAddr {
+async fn start(max_connections: usize) -> SocketAddr {
     let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a free port");
     let address = listener.local_addr().expect("bound");
     let long = Duration::from_secs(30);
     let limits = Limits { head: 1024, body: 64 };
     tokio::spawn(serve(
         listener,
-        ServerOptions { limits, max_connections: connections, idle_timeout: long, io_timeout: long },
+        ServerOptions { limits, max_connections, idle_timeout: long, io_timeout: long },
         Echo,
     ));
     address
 }
 
-/// Sends bytes and reads until the server closes or `enough` bytes came.
-async fn exchange(stream: &mut TcpStream, bytes: &[u8], enough: usize) -> String {
+/// Sends bytes and reads until the server closes the connection or at least `min_bytes` bytes
+/// have been received.
+async fn exchange(stream: &mut TcpStream, bytes: &[u8], min_bytes: usize) -> String {
     stream.write_all(bytes).await.expect("sent");
     let mut out = Vec::new();
     let mut chunk = [0u8; 512];
-    while out.len() < enough {
+    while out.len() < min_bytes {
         match stream.read(&mut chunk).await {
             Ok(0) | Err(_) => break,
             Ok(read) => out.extend_from_slice(&chunk[..read]),
@@ -37,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn hostile_requests_get_their_status_and_a_closed_connection() {
+async fn a_hostile_request_gets_an_error_status_and_closes_the_connection() {
     let address = start(8).await;
     for (bytes, status) in [
         ("nonsense\r\n\r\n".to_owned(), "400"),
@@ -52,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_beyond_the_limit_is_refused_and_an_ended_one_makes_room() {
+async fn a_connection_beyond_the_limit_is_refused_until_another_closes() {
     let address = start(1).await;
     let mut first = TcpStream::connect(address).await.expect("connected");
     let hello = b"GET / HTTP/1.1\r\n\r\n";
@@ -62,7 +63,7 @@
     assert!(refused.starts_with("HTTP/1.1 503") && refused.contains("Retry-After: 1"), "{refused}");
     let bye = exchange(&mut first, b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", usize::MAX).await;
     assert!(bye.contains("Connection: close"));
-    // The connection's task makes room for another one at its end; let it finish.
+    // The task of the closed connection returns its permit at its end; let it finish.
     tokio::task::yield_now().await;
     let mut third = TcpStream::connect(address).await.expect("connected");
     assert!(exchange(&mut third, hello, 12).await.starts_with("HTTP/1.1 200"));
--- a/src/transport/simulated_network.rs
+++ b/src/transport/simulated_network.rs
@@ -1,6 +1,6 @@
-//! A simulated network for tests. Requests to outside systems and to other controllers go
-//! to the test that installed the network on its thread, with the address they were sent
-//! to, instead of to sockets. With the runtime's clock paused a whole cluster then runs in
+//! A simulated network for tests. Requests to external systems and other controllers do not
+//! use sockets: they are delivered, with their destination address, to the test that installed
+//! the network on its thread. With the runtime's clock paused, a whole cluster runs in
 //! simulated time.
 
 use std::cell::RefCell;
@@ -13,38 +13,39 @@
 use super::peer_message::{PeerCall, PeerReply};
 use crate::numeric::whole_ms;
 
-/// A request on the simulated network. If `reply` is dropped the request is lost: its sender
+/// A request on the simulated network. If `reply` is dropped, the request is lost: its sender
 /// waits until its own timeout.
 #[derive(Debug)]
 pub enum SimulatedRequest {
-    /// An HTTP request to an outside system.
+    /// An HTTP request to an external system.
     Http {
-        /// The address it is sent to.
+        /// The destination address.
         to: SocketAddr,
         /// The request.
         call: HttpCall,
-        /// Takes the response or the failure.
+        /// Receives the response or the error.
         reply: oneshot::Sender<Result<Response, ClientError>>,
     },
     /// A call to another controller.
     Peer {
-        /// The address it is sent to.
+        /// The destination address.
         to: SocketAddr,
         /// The call.
         call: PeerCall,
         /// Whether a controller that does not lead should relay it to the leader.
         relay: bool,
-        /// Takes the reply.
+        /// Receives the reply.
         reply: oneshot::Sender<PeerReply>,
     },
 }
 
 /// A network that a test has installed.
 struct SimulatedNetwork {
-    /// To the test. Closed once the test is over; the network counts as removed then.
+    /// Delivers requests to the test. Once the test ends and this channel closes, the network
+    /// counts as removed.
     requests: mpsc::UnboundedSender<SimulatedRequest>,
     installed_at: tokio::time::Instant,
-    /// Number of write markers given out.
+    /// Number of write markers issued.
     write_markers: u64,
 }
 
@@ -59,7 +60,7 @@
 }
 
 /// Simulated time of day: milliseconds on the runtime's clock since the network was
-/// installed. `None` without a network, where the machine's time of day applies.
+/// installed. `None` without a network; the caller then uses the machine's time of day.
 pub fn time_of_day_ms() -> Option<u64> {
     let installed_at = NETWORK.with(|network| {
         let network = network.borrow();
@@ -69,19 +70,19 @@
 }
 
 /// A marker for a write: the same in each run of a test, different for each write. `None`
-/// without a network, where random markers apply.
+/// without a network; the caller then uses a random marker.
 pub fn next_write_marker() -> Option<u64> {
     NETWORK.with(|network| {
         let mut network = network.borrow_mut();
         let network = network.as_mut().filter(|network| network.is_open())?;
         network.write_markers += 1;
-        // Spread over all bits, as random markers are.
+        // The multiplication spreads the counter over all bits, like a random marker.
         Some(network.write_markers.wrapping_mul(0x9e37_79b9_7f4a_7c15))
     })
 }
 
-/// Installs a network on this thread, in place of an earlier one. What is sent from this
-/// thread from now on arrives at the receiver, until that is dropped.
+/// Installs a network on this thread and replaces an earlier one. Requests sent from this
+/// thread are delivered to the returned receiver until it is dropped.
 pub fn install() -> mpsc::UnboundedReceiver<SimulatedRequest> {
     let (requests, received) = mpsc::unbounded_channel();
     let installed_at = tokio::time::Instant::now();
@@ -91,14 +92,14 @@
     received
 }
 
-/// Sends a request on the simulated network; `false` without a network.
+/// Sends a request on the simulated network; returns `false` without a network.
 fn send(request: SimulatedRequest) -> bool {
     NETWORK.with(|network| {
         network.borrow().as_ref().is_some_and(|network| network.requests.send(request).is_ok())
     })
 }
 
-/// Waits for the reply to a request; for ever if the test dropped it.
+/// Waits for the reply to a request; never returns if the test dropped the request.
 async fn reply_to<T>(reply: oneshot::Receiver<T>) -> T {
     match reply.await {
         Ok(reply) => reply,
@@ -106,16 +107,16 @@
     }
 }
 
-/// Sends an HTTP request on the simulated network; `None` without a network, where the
-/// caller uses a socket.
+/// Sends an HTTP request on the simulated network. `None` without a network; the caller then
+/// uses a socket.
 pub(super) async fn http(to: SocketAddr, call: &HttpCall) -> Option<Result<Response, ClientError>> {
     let (reply, received) = oneshot::channel();
     let sent = send(SimulatedRequest::Http { to, call: call.clone(), reply });
     if sent { Some(reply_to(received).await) } else { None }
 }
 
-/// Sends a call to another controller on the simulated network; `None` without a network,
-/// where the caller uses gRPC.
+/// Sends a call to another controller on the simulated network. `None` without a network; the
+/// caller then uses gRPC.
 pub(super) async fn peer(to: SocketAddr, call: &PeerCall, relay: bool) -> Option<PeerReply> {
     let (reply, received) = oneshot::channel();
     let sent = send(SimulatedRequest::Peer { to, call: call.clone(), relay, reply });
