--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -1,17 +1,17 @@
-//! CBOR: encoding, decoding and checked access to the fields of maps.
+//! CBOR: encoding, decoding and typed access to the fields of maps.
 
 use ciborium::value::Value;
 use thiserror::Error;
 
-/// Deepest nesting of values that is decoded. A hostile body with deeper nesting is refused
+/// Maximum nesting depth of a decoded value. A hostile body with deeper nesting is rejected
 /// before it can exhaust the stack.
 const MAX_DEPTH: usize = 32;
 
-/// Why a body or one of its fields was refused.
+/// Why a body or one of its fields was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Malformed {
-    /// The body is not CBOR, is nested too deeply, has bytes after the value, or is another
-    /// value where a map is expected.
+    /// The body is not CBOR, is nested too deeply or has bytes after the value, or a value is
+    /// not a map where a map is expected.
     #[error("not a CBOR map")]
     NotAMap,
     /// A required field, named by its key on the wire, is absent or null.
@@ -26,8 +26,8 @@
 ///
 /// # Errors
 ///
-/// [`Malformed::NotAMap`] if the bytes are no CBOR, are nested too deeply or go on after the
-/// value.
+/// [`Malformed::NotAMap`] if the bytes are not CBOR, are nested too deeply or continue after
+/// the value.
 pub fn decode(bytes: &[u8]) -> Result<Value, Malformed> {
     let mut rest = bytes;
     let value = ciborium::de::from_reader_with_recursion_limit(&mut rest, MAX_DEPTH)
@@ -61,7 +61,7 @@
         self
     }
 
-    /// Appends an entry if there is a value; leaves the key out if there is none.
+    /// Appends an entry if there is a value; omits the key otherwise.
     #[must_use]
     pub fn set_some(self, key: &str, value: Option<impl Into<Value>>) -> Self {
         match value {
@@ -76,25 +76,25 @@
     }
 }
 
-/// An array of texts.
+/// A CBOR array of text strings.
 pub fn text_array<'a>(items: impl IntoIterator<Item = &'a str>) -> Value {
     Value::Array(items.into_iter().map(Value::from).collect())
 }
 
-/// Read access to the fields of a map. A field that is null counts as absent, and of a key
-/// that stands twice the first entry counts.
+/// Read access to the fields of a map. A field that is null counts as absent. If a key occurs
+/// twice, the first entry is used.
 ///
-/// Each type of field has two methods: `opt_…` for a field that may be absent, and one
-/// without the prefix for a required field.
+/// Each type of field has two methods: `opt_…` for an optional field, and one without the
+/// prefix for a required field.
 #[derive(Debug, Clone, Copy)]
 pub struct Fields<'a>(&'a [(Value, Value)]);
 
 impl<'a> Fields<'a> {
-    /// The fields of a value that has to be a map.
+    /// The fields of a value that must be a map.
     ///
     /// # Errors
     ///
-    /// [`Malformed::NotAMap`] if it is another value.
+    /// [`Malformed::NotAMap`] if the value is not a map.
     pub fn of(value: &'a Value) -> Result<Self, Malformed> {
         match value {
             Value::Map(entries) => Ok(Fields(entries)),
@@ -121,7 +121,7 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed::Invalid`] if it is present and no text.
+    /// [`Malformed::Invalid`] if it is present and not text.
     pub fn opt_text(&self, key: &'static str) -> Result<Option<&'a str>, Malformed> {
         self.read(key, Value::as_text)
     }
@@ -130,61 +130,61 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no text.
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is not text.
     pub fn text(&self, key: &'static str) -> Result<&'a str, Malformed> {
         self.opt_text(key)?.ok_or(Malformed::Missing(key))
     }
 
-    /// An optional field that holds a truth value.
+    /// An optional field that holds a boolean.
     ///
     /// # Errors
     ///
-    /// [`Malformed::Invalid`] if it is present and no truth value.
+    /// [`Malformed::Invalid`] if it is present and not a boolean.
     pub fn opt_bool(&self, key: &'static str) -> Result<Option<bool>, Malformed> {
         self.read(key, Value::as_bool)
     }
 
-    /// A required field that holds a truth value.
+    /// A required field that holds a boolean.
     ///
     /// # Errors
     ///
-    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no truth value.
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is not a boolean.
     pub fn bool(&self, key: &'static str) -> Result<bool, Malformed> {
         self.opt_bool(key)?.ok_or(Malformed::Missing(key))
     }
 
-    /// An optional field that holds a whole number that is not negative.
+    /// An optional field that holds a non-negative integer.
     ///
     /// # Errors
     ///
-    /// [`Malformed::Invalid`] if it is present and no such number.
+    /// [`Malformed::Invalid`] if it is present and not such a number.
     pub fn opt_count(&self, key: &'static str) -> Result<Option<u64>, Malformed> {
         self.read(key, |v| u64::try_from(v.as_integer()?).ok())
     }
 
-    /// A required field that holds a whole number that is not negative.
+    /// A required field that holds a non-negative integer.
     ///
     /// # Errors
     ///
-    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no such number.
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is not such a number.
     pub fn count(&self, key: &'static str) -> Result<u64, Malformed> {
         self.opt_count(key)?.ok_or(Malformed::Missing(key))
     }
 
-    /// An optional field that holds a finite number that is not negative; whole numbers count too.
+    /// An optional field that holds a finite non-negative number, float or integer.
     ///
     /// # Errors
     ///
-    /// [`Malformed::Invalid`] if it is present and no such number.
+    /// [`Malformed::Invalid`] if it is present and not such a number.
     pub fn opt_amount(&self, key: &'static str) -> Result<Option<f64>, Malformed> {
         self.read(key, |v| number(v).filter(|n| n.is_finite() && *n >= 0.0))
     }
 
-    /// A required field that holds a finite number that is not negative; whole numbers count too.
+    /// A required field that holds a finite non-negative number, float or integer.
     ///
     /// # Errors
     ///
-    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no such number.
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is not such a number.
     pub fn amount(&self, key: &'static str) -> Result<f64, Malformed> {
         self.opt_amount(key)?.ok_or(Malformed::Missing(key))
     }
@@ -193,7 +193,7 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed::Invalid`] if it is present and no array.
+    /// [`Malformed::Invalid`] if it is present and not an array.
     pub fn opt_list(&self, key: &'static str) -> Result<Option<&'a [Value]>, Malformed> {
         self.read(key, |v| v.as_array().map(Vec::as_slice))
     }
@@ -202,16 +202,17 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is no array.
+    /// [`Malformed::Missing`] if it is absent, [`Malformed::Invalid`] if it is not an array.
     pub fn list(&self, key: &'static str) -> Result<&'a [Value], Malformed> {
         self.opt_list(key)?.ok_or(Malformed::Missing(key))
     }
 
-    /// An optional field that holds an array of texts.
+    /// An optional field that holds an array of text strings.
     ///
     /// # Errors
     ///
-    /// [`Malformed::Invalid`] if it is present and no array, or one of its items is no text.
+    /// [`Malformed::Invalid`] if it is present and not an array, or one of its items is not
+    /// text.
     pub fn opt_texts(&self, key: &'static str) -> Result<Option<Vec<String>>, Malformed> {
         self.read(key, |v| v.as_array()?.iter().map(|item| item.as_text().map(str::to_owned)).collect())
     }
@@ -227,17 +228,17 @@
     }
 }
 
-/// Most bytes that JSON takes for one escaped byte (`\u001f`).
+/// Maximum size in bytes of one escaped byte in JSON (`\u001f`).
 const JSON_ESCAPE_BYTES: usize = 6;
-/// Most bytes that JSON takes for a float.
+/// Maximum size in bytes of a float in JSON.
 const JSON_FLOAT_BYTES: usize = 24;
-/// Bytes that JSON takes for the longest of `true`, `false` and `null`.
+/// Size in bytes of the longest of `true`, `false` and `null` in JSON.
 const JSON_LITERAL_BYTES: usize = 5;
-/// Bytes counted for a value that has no JSON form; none is ever sent.
+/// Size in bytes assumed for a value that has no JSON form; such a value is never sent.
 const JSON_OTHER_BYTES: usize = 64;
 
-/// An upper bound in bytes of a value's size as JSON, the form in which the platform counts
-/// its limits. Each byte that JSON may have to escape is counted as escaped.
+/// An upper bound in bytes of a value's size as JSON, in which the platform measures its size
+/// limits. Each byte that JSON may have to escape is counted as escaped.
 pub fn max_json_size(value: &Value) -> usize {
     match value {
         Value::Text(text) => 2 + text.bytes().map(json_byte_size).sum::<usize>(),
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -6,31 +6,32 @@
 use super::wire_words::{field, value as word};
 use super::workers::MachineId;
 
-/// Most machines in one node pool request.
+/// Maximum number of machines in one node pool request.
 pub const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Most machines in one deletion request.
+/// Maximum number of machines in one deletion request.
 pub const MAX_MACHINES_PER_DELETION: usize = 100;
-/// Most machines on one page of the cloud's inventory.
+/// Maximum number of machines on one page of the cloud's inventory.
 pub const MAX_MACHINES_PER_INVENTORY_PAGE: usize = 500;
 
-/// An entry of the cloud's catalog: what a machine of this type offers and costs.
+/// An entry of the cloud's catalog: the resources and prices of a machine type.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineType {
     /// Unique name of the type.
     pub name: String,
     /// CPUs of one machine; may be fractional.
     pub cpus: f64,
-    /// GPUs of one machine; 0 if the catalog names none.
+    /// GPUs of one machine; 0 if the catalog does not list them.
     pub gpus: f64,
     /// Memory of one machine in GB.
     pub memory_gb: f64,
-    /// Local cache for images in GB; 0 if the catalog names none.
+    /// Size in GB of the local image cache; 0 if the catalog does not list it.
     pub cache_gb: f64,
     /// Rate at which a machine fetches images, in GB per second; 0 if unknown.
     pub fetch_gb_per_s: f64,
-    /// Price of an on-demand machine, in the cloud's unit; only compared with other prices.
+    /// Price of an on-demand machine, in the cloud's unit; only used in comparisons with other
+    /// prices.
     pub price: f64,
-    /// Price of a spot machine, in the same unit; `price` if the catalog names none.
+    /// Price of a spot machine, in the same unit; equals `price` if the catalog does not list it.
     pub spot_price: f64,
     /// Time that a machine takes to boot, in seconds; 0 if unknown.
     pub boot_s: f64,
@@ -72,23 +73,23 @@
     }
 }
 
-/// Writes a catalog in the form of the cloud's own reply. It is stored in this form too.
+/// Encodes a catalog in the form of the cloud's own reply. It is stored in this form too.
 pub fn encode_catalog(types: &[MachineType]) -> Value {
     let types = types.iter().map(MachineType::encode).collect();
     MapBuilder::new().set(field::MACHINE_TYPES, Value::Array(types)).build()
 }
 
-/// Reads a catalog from the cloud's reply or from its stored record.
+/// Decodes a catalog from the cloud's reply or from its stored record.
 ///
 /// # Errors
 ///
 /// [`Malformed`] if the value or one of its machine types lacks a required field or holds
-/// an invalid one: a catalog is taken whole or not at all.
+/// an invalid one: a catalog is accepted completely or not at all.
 pub fn decode_catalog(value: &Value) -> Result<Vec<MachineType>, Malformed> {
     Fields::of(value)?.list(field::MACHINE_TYPES)?.iter().map(MachineType::decode).collect()
 }
 
-/// A node pool request: asks the cloud to rent machines.
+/// A node pool request, which asks the cloud to rent machines.
 ///
 /// Its name makes it idempotent: a repeated request with the same name rents nothing new.
 /// A name is never used for a second request.
@@ -100,14 +101,14 @@
     pub machine_type: String,
     /// Zone to rent in.
     pub zone: String,
-    /// Whether to rent spot machines in place of on-demand ones.
+    /// Whether to rent spot machines instead of on-demand machines.
     pub spot: bool,
     /// Number of machines; at most [`MAX_MACHINES_PER_REQUEST`].
     pub machine_count: u32,
 }
 
 impl NodePoolRequest {
-    /// Writes the request as it is sent to the cloud and as it is stored.
+    /// Encodes the request in the form that is sent to the cloud and stored.
     pub fn encode(&self) -> Value {
         MapBuilder::new()
             .set(field::NODE_POOL, self.name.as_str())
@@ -118,7 +119,7 @@
             .build()
     }
 
-    /// Reads what [`NodePoolRequest::encode`] wrote.
+    /// Decodes a request written by [`NodePoolRequest::encode`].
     ///
     /// # Errors
     ///
@@ -140,7 +141,7 @@
     value.as_text().and_then(MachineId::parse).ok_or(Malformed::Invalid(field::MACHINES))
 }
 
-/// Reads the machines that the cloud rented for a node pool request.
+/// Decodes the machines that the cloud rented for a node pool request.
 ///
 /// # Errors
 ///
@@ -149,7 +150,7 @@
     Fields::of(value)?.list(field::MACHINES)?.iter().map(decode_machine_id).collect()
 }
 
-/// Writes a deletion request; at most [`MAX_MACHINES_PER_DELETION`] machines at once.
+/// Encodes a deletion request for at most [`MAX_MACHINES_PER_DELETION`] machines.
 pub fn encode_deletion(machines: &[MachineId]) -> Value {
     MapBuilder::new().set(field::MACHINES, text_array(machines.iter().map(MachineId::as_str))).build()
 }
@@ -157,7 +158,7 @@
 /// State of a machine in the cloud's inventory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedState {
-    /// It boots.
+    /// It is booting.
     Starting,
     /// It is up, which does not prove that its worker runs.
     Running,
@@ -185,7 +186,7 @@
     pub address: String,
     /// Name of its machine type.
     pub machine_type: String,
-    /// Zone that it stands in.
+    /// Zone of the machine.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
@@ -219,7 +220,7 @@
     pub more: bool,
 }
 
-/// Reads one page of the cloud's inventory.
+/// Decodes one page of the cloud's inventory.
 ///
 /// # Errors
 ///
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -9,25 +9,25 @@
 use super::wire_words::{field, value as word};
 use crate::maps::HashSet;
 
-/// Most tasks that one job may have.
+/// Maximum number of tasks in one job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Longest name taken from a user, in bytes. Keeps a record well inside one value of the
-/// key-value store.
+/// Maximum length of a name in a submission, in bytes. Keeps a record well below the maximum
+/// size of a value in the key-value store.
 const MAX_NAME_BYTES: usize = 128;
-/// Most machine types that a job may list.
+/// Maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 16;
-/// What every job's identifier starts with.
+/// Prefix of every job's identifier.
 const ID_PREFIX: &str = "job-";
-/// Longest part of a job's identifier after the prefix, in bytes.
+/// Maximum length of a job's identifier after the prefix, in bytes.
 const MAX_ID_BYTES: usize = 64;
 
-/// A job's identifier, in the one form that the platform allows: `job-` and 1 to 64 ASCII
+/// A job's identifier, in the only form that the platform allows: `job-` and 1 to 64 ASCII
 /// letters, digits, hyphens and underscores.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId(Arc<str>);
 
 impl JobId {
-    /// Checks an identifier; `None` if it is invalid.
+    /// Parses an identifier; `None` if it is invalid.
     pub fn parse(text: &str) -> Option<Self> {
         let rest = text.strip_prefix(ID_PREFIX)?;
         let valid = (1..=MAX_ID_BYTES).contains(&rest.len())
@@ -57,7 +57,7 @@
 }
 
 impl TaskId {
-    /// Reads `JOB/INDEX`; `None` if either part is invalid.
+    /// Parses `JOB/INDEX`; `None` if either part is invalid.
     pub fn parse(text: &str) -> Option<Self> {
         let (job, index) = text.split_once('/')?;
         let index = index.parse().ok().filter(|&i| i < MAX_TASKS)?;
@@ -71,7 +71,7 @@
     }
 }
 
-/// How the tasks of a job end.
+/// Kind of a job, which determines when its tasks end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobKind {
     /// A job array: independent tasks, each of which runs to its end.
@@ -100,7 +100,7 @@
 /// Priority of a job, from lowest to highest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Runs on what the others leave free.
+    /// Uses only resources that the other priorities leave free.
     BestEffort,
     /// The usual priority.
     Standard,
@@ -131,18 +131,18 @@
     }
 }
 
-/// A job as its user submitted it. Never changes after the submission.
+/// A job as its user submitted it. Does not change after the submission.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobSpec {
     /// Identifier, chosen by the user. It makes a submission idempotent.
     pub id: JobId,
-    /// Class of the job: a name under which its owner runs similar jobs.
+    /// Class of the job: a name that its owner gives to similar jobs.
     pub class: String,
-    /// Team that the job's use of machines counts for.
+    /// Team that the job's use of machines is accounted to.
     pub team: String,
-    /// Whether the tasks run to their end or until the job is cancelled.
+    /// Whether the tasks run to completion or until the job is cancelled.
     pub kind: JobKind,
-    /// Priority against other jobs.
+    /// Priority relative to other jobs.
     pub priority: Priority,
     /// Number of tasks, or of replicas of a service; 1 to [`MAX_TASKS`].
     pub task_count: u32,
@@ -170,15 +170,16 @@
     pub estimated_run_s: f64,
     /// Time between two checkpoints of a task, in seconds; 0 if it saves none.
     pub checkpoint_interval_s: f64,
-    /// Time that a task takes to save a checkpoint, in seconds.
+    /// Time that a task needs to save a checkpoint, in seconds.
     pub checkpoint_save_s: f64,
     /// Time from the submission to the deadline, in seconds; `None` without a deadline.
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each named once.
+    /// Jobs that must be done before any task of this job starts, without duplicates.
     pub dependencies: Vec<JobId>,
 }
 
-/// Reads the jobs that a job waits for. Absent, null and empty mean the same.
+/// Decodes the jobs that a job depends on. An absent, null or empty list means no
+/// dependencies; duplicates are dropped.
 fn decode_dependencies(fields: &Fields<'_>) -> Result<Vec<JobId>, Malformed> {
     let names = fields.opt_texts(field::DEPENDENCIES)?.unwrap_or_default();
     let mut jobs = Vec::with_capacity(names.len());
@@ -192,7 +193,7 @@
     Ok(jobs)
 }
 
-/// Reads the machine types that a job may run on. An empty list would allow none and is
+/// Decodes the machine types that a job may run on. An empty list would allow no type and is
 /// invalid.
 fn decode_machine_types(fields: &Fields<'_>) -> Result<Option<Vec<String>>, Malformed> {
     let Some(types) = fields.opt_texts(field::MACHINE_TYPES)? else { return Ok(None) };
@@ -220,12 +221,12 @@
 }
 
 impl JobSpec {
-    /// Reads and checks a submission, or the same fields of a stored record.
+    /// Decodes and validates a submission, or the same fields of a stored record.
     ///
     /// # Errors
     ///
-    /// [`Malformed`], which names the first field that is missing or invalid. Only what may
-    /// be null may be left out: a job is not accepted with a guess in place of a field.
+    /// [`Malformed`], which names the first field that is missing or invalid. Only fields that
+    /// may be null may be omitted: no default is assumed for a missing required field.
     pub fn decode(value: &Value) -> Result<Self, Malformed> {
         let fields = Fields::of(value)?;
         let machine_types = decode_machine_types(&fields)?;
@@ -256,8 +257,9 @@
         })
     }
 
-    /// Writes the same fields as in a submission. Stored records hold them, and controllers
-    /// of other versions read them: neither the words nor their order may change.
+    /// Encodes the same fields as in a submission. Stored records hold them, and controllers of
+    /// other versions read them, so neither the field names and values nor their order may
+    /// change.
     pub fn encode(&self) -> MapBuilder {
         let machine_types =
             self.machine_types.as_ref().map(|types| text_array(types.iter().map(String::as_str)));
@@ -291,9 +293,9 @@
 /// State of a job as its user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobState {
-    /// None of its tasks runs.
+    /// None of its tasks is running.
     Queued,
-    /// Some of its tasks run.
+    /// Some of its tasks are running.
     Running,
     /// All its tasks are done. Terminal.
     Done,
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Reads the word of [`JobState::as_str`]; `None` if it is no state.
+    /// Parses the word that [`JobState::as_str`] returns; `None` if it is not a state.
     pub fn parse(word: &str) -> Option<Self> {
         JobState::ALL.into_iter().find(|state| state.as_str() == word)
     }
@@ -334,12 +336,12 @@
     pub state: JobState,
     /// Number of tasks that are done.
     pub done_tasks: u32,
-    /// Number of tasks that run.
+    /// Number of running tasks.
     pub running_tasks: u32,
 }
 
 impl JobStatus {
-    /// Reads what [`JobStatus::encode`] wrote.
+    /// Decodes a status written by [`JobStatus::encode`].
     ///
     /// # Errors
     ///
@@ -355,7 +357,7 @@
         })
     }
 
-    /// Writes the reply to a poll.
+    /// Encodes the reply to a poll.
     pub fn encode(&self) -> Value {
         MapBuilder::new()
             .set(field::ID, self.id.as_str())
@@ -366,7 +368,7 @@
     }
 }
 
-/// Writes the body of a refusal: a short reason.
+/// Encodes the body of an error response: a short reason.
 pub fn encode_error(reason: &str) -> Value {
     MapBuilder::new().set(field::ERROR, reason).build()
 }
--- a/src/protocol/jobs/tests.rs
+++ b/src/protocol/jobs/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A valid submission to vary in tests.
+/// A valid submission that tests can modify.
 pub fn sample(id: &str, team: &str, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         id: JobId::parse(id).expect("valid id"),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_submission_survives_its_record() {
+fn a_job_spec_round_trips_through_its_record() {
     let mut spec = sample("job-000412", "vision", 16, 8.0);
     spec.machine_types = Some(vec!["g8".into()]);
     spec.deadline_s = Some(900.0);
@@ -36,14 +36,14 @@
     assert_eq!(JobSpec::decode(&spec.encode().build()), Ok(spec));
 }
 
-/// Only what may be null may be left out: a job is not accepted with a guess
-/// in place of what its user forgot to say.
+/// Only fields that may be null may be omitted: no default is assumed for a required field that
+/// the user left out.
 #[test]
 fn a_job_that_lacks_a_field_is_malformed() {
     let Value::Map(fields) = sample("job-1", "vision", 1, 1.0).encode().build() else { panic!("a map") };
-    for left_out in 0..fields.len() {
+    for omitted in 0..fields.len() {
         let mut rest = fields.clone();
-        let (name, _) = rest.remove(left_out);
+        let (name, _) = rest.remove(omitted);
         let name = name.as_text().expect("a name").to_owned();
         match JobSpec::decode(&Value::Map(rest)) {
             Err(Malformed::Missing(missing)) => assert_eq!(missing, name),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn bad_fields_are_named() {
+fn an_invalid_field_is_named_in_the_error() {
     let good = sample("job-1", "vision", 1, 1.0).encode();
     let cases: [(&str, Value, &'static str); 12] = [
         ("nameId", "task-1".into(), "nameId"),
@@ -79,9 +79,9 @@
     }
 }
 
-/// Absent, null and an empty list mean the same; a job named twice counts once.
+/// An absent, null or empty list means no dependencies; a job that is listed twice is kept once.
 #[test]
-fn awaited_jobs_are_a_set() {
+fn dependencies_are_deduplicated() {
     let spec = sample("job-1", "vision", 1, 1.0);
     let awaits = |value: Value| {
         JobSpec::decode(&spec.encode().set("awaits", value).build()).expect("valid").dependencies
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn task_names_are_checked() {
+fn task_ids_are_validated() {
     assert!(TaskId::parse("job-1/99999").is_some());
     for bad in ["job-1", "job-1/100000", "job-1/-1", "x/1", "job-/1", "job-1/1/2"] {
         assert!(TaskId::parse(bad).is_none(), "{bad}");
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -10,11 +10,12 @@
 pub struct Entry {
     /// The key.
     pub key: String,
-    /// The value; null if the store sent none.
+    /// The value; null if the store sent no value.
     pub value: Value,
     /// Revision of the last change of this key; never 0.
     pub version: u64,
-    /// Identifier of the lease at whose expiry the store deletes the key, if any.
+    /// Identifier of the lease that the key is attached to, if any. The store deletes the key
+    /// when the lease expires.
     pub lease: Option<u64>,
 }
 
@@ -27,7 +28,7 @@
         key: String,
         /// The new value.
         value: Value,
-        /// Identifier of the lease to attach the key to; `None` for a key that stays.
+        /// Identifier of the lease to attach the key to; `None` for a key without a lease.
         lease: Option<u64>,
     },
     /// Deletes a key.
@@ -38,7 +39,7 @@
 }
 
 impl Change {
-    /// The key that is changed.
+    /// The key that the change applies to.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { key, .. } | Change::Delete { key } => key,
@@ -62,7 +63,7 @@
 pub struct Compare {
     /// The key.
     pub key: String,
-    /// The version expected; 0 means that the key must not exist.
+    /// The expected version; 0 means that the key must not exist.
     pub version: u64,
 }
 
@@ -72,7 +73,7 @@
     }
 }
 
-/// Writes a compare-and-swap: all changes are applied if all versions match, else none.
+/// Encodes a compare-and-swap: if all versions match, all changes are applied, otherwise none.
 pub fn encode_compare_and_swap<'a>(
     compares: impl IntoIterator<Item = &'a Compare>,
     changes: impl IntoIterator<Item = &'a Change>,
@@ -85,27 +86,27 @@
         .build()
 }
 
-/// Reads the revision that a compare-and-swap was committed with.
+/// Decodes the revision at which a compare-and-swap was committed.
 ///
 /// # Errors
 ///
-/// [`Malformed`] if the revision is missing or no whole number.
+/// [`Malformed`] if the revision is missing or not a non-negative integer.
 pub fn decode_commit_revision(value: &Value) -> Result<u64, Malformed> {
     Fields::of(value)?.count(field::REVISION)
 }
 
-/// Reads which keys made a compare-and-swap fail; never empty.
+/// Decodes the keys whose version check made a compare-and-swap fail; never empty.
 ///
 /// # Errors
 ///
-/// [`Malformed`] if the list is missing, empty or no list of texts.
+/// [`Malformed`] if the list is missing, is empty or has an item that is not text.
 pub fn decode_failed_compares(value: &Value) -> Result<Vec<String>, Malformed> {
     let failed = Fields::of(value)?.opt_texts(field::FAILED_COMPARES)?;
     let failed = failed.ok_or(Malformed::Missing(field::FAILED_COMPARES))?;
     if failed.is_empty() { Err(Malformed::Invalid(field::FAILED_COMPARES)) } else { Ok(failed) }
 }
 
-/// Reads one entry.
+/// Decodes one entry.
 ///
 /// # Errors
 ///
@@ -131,7 +132,7 @@
     pub revision: u64,
 }
 
-/// Reads one page of a scan.
+/// Decodes one page of a scan.
 ///
 /// # Errors
 ///
@@ -145,26 +146,26 @@
     })
 }
 
-/// Writes the request for a lease that lives `ttl_ms` milliseconds unless it is renewed.
+/// Encodes a request for a lease that expires after `ttl_ms` milliseconds unless it is renewed.
 pub fn encode_lease_request(ttl_ms: u64) -> Value {
     MapBuilder::new().set(field::LEASE_TTL_MS, ttl_ms).build()
 }
 
-/// Reads the identifier of a lease that was granted.
+/// Decodes the identifier of a granted lease.
 ///
 /// # Errors
 ///
-/// [`Malformed`] if the identifier is missing or no whole number.
+/// [`Malformed`] if the identifier is missing or not a non-negative integer.
 pub fn decode_lease_id(value: &Value) -> Result<u64, Malformed> {
     Fields::of(value)?.count(field::LEASE)
 }
 
-/// Reads the revision that a watch has reached. The events themselves are not read: the
-/// caller reads the current state of what changed.
+/// Decodes the revision that a watch has reached. The events themselves are ignored: the
+/// caller reads the current state of the watched keys.
 ///
 /// # Errors
 ///
-/// [`Malformed`] if the revision is missing or no whole number.
+/// [`Malformed`] if the revision is missing or not a non-negative integer.
 pub fn decode_watch_revision(value: &Value) -> Result<u64, Malformed> {
     Fields::of(value)?.count(field::REVISION)
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,10 +1,10 @@
-//! The platform's messages: what is exchanged with users, workers, the cloud and the
+//! The platform's messages: those exchanged with users, workers, the cloud and the
 //! key-value store.
 //!
-//! Each of them has words of its own for the things of the field ("sheet" for a task,
-//! "bench" for a machine, "baton" for a fencing token). The words are mapped to the
-//! field's terms once, in `wire_words`; the other modules hold the message types and
-//! their only encoders and decoders. No other layer spells a word of the wire.
+//! The platform uses its own names on the wire ("sheet" for a task, "bench" for a machine,
+//! "baton" for a fencing token). `wire_words` maps each name to the standard term. The other
+//! modules hold the message types with their only encoders and decoders. Other layers do not
+//! use the wire names.
 
 pub mod cbor;
 pub mod cloud;
@@ -13,7 +13,7 @@
 mod wire_words;
 pub mod workers;
 
-/// Largest body in bytes of a message exchanged with users and workers.
+/// Maximum body size in bytes of a message exchanged with users and workers.
 pub const BODY_LIMIT: usize = 64 * 1024;
-/// Largest head in bytes (request line or status line, and headers) of an HTTP message.
+/// Maximum head size in bytes (request line or status line, and headers) of an HTTP message.
 pub const HEAD_LIMIT: usize = 8 * 1024;
--- a/src/protocol/wire_words.rs
+++ b/src/protocol/wire_words.rs
@@ -1,10 +1,11 @@
-//! The words of the wire, each written down once and named by the field's term.
+//! The words used on the wire, each defined once as a constant that is named by the standard
+//! term.
 //!
-//! Users, workers, the cloud and the key-value store call things by names of their own
-//! ("sheet" for a task, "bench" for a machine). These names are part of the protocol and
-//! of stored records and must never change. The encoders and decoders of the other
-//! modules of `protocol` use the constants below for both directions; no other source
-//! file spells such a word. `tests` holds the whole table.
+//! The messages of users, workers, the cloud and the key-value store use their own names
+//! ("sheet" for a task, "bench" for a machine). These names are part of the protocol and of
+//! stored records and must never change. The encoders and decoders of the other modules of
+//! `protocol` use the constants below for both directions; no other source file contains such
+//! a word as a literal. `tests` holds the whole table.
 
 /// Keys of CBOR maps.
 pub(super) mod field {
@@ -12,11 +13,11 @@
     pub(crate) const ADDRESS: &str = "address";
     /// Seconds since the machine was rented.
     pub(crate) const AGE_S: &str = "heldS";
-    /// Attempt number of a task: each start of the same task has a higher one.
+    /// Attempt number of a task; each start of the same task has a higher number.
     pub(crate) const ATTEMPT: &str = "try";
     /// Seconds that a machine of some type takes to boot.
     pub(crate) const BOOT_S: &str = "startupS";
-    /// Size in GB of a machine's cache of images.
+    /// Size in GB of a machine's image cache.
     pub(crate) const CACHE_GB: &str = "localGb";
     /// The puts and deletes of a compare-and-swap.
     pub(crate) const CHANGES: &str = "apply";
@@ -24,7 +25,7 @@
     pub(crate) const CHECKPOINT_INTERVAL_S: &str = "bookmarkS";
     /// Whether a task that was stopped had saved a checkpoint.
     pub(crate) const CHECKPOINT_SAVED: &str = "saved";
-    /// Seconds that a task takes to save a checkpoint.
+    /// Seconds that a task needs to save a checkpoint.
     pub(crate) const CHECKPOINT_SAVE_S: &str = "stashS";
     /// The commands for a worker.
     pub(crate) const COMMANDS: &str = "orders";
@@ -38,13 +39,13 @@
     pub(crate) const DEADLINE_S: &str = "dueS";
     /// The key that a change deletes.
     pub(crate) const DELETE: &str = "remove";
-    /// Jobs that have to be done before a job may start.
+    /// Jobs that must be done before a job may start.
     pub(crate) const DEPENDENCIES: &str = "awaits";
     /// Number of tasks of a job that are done.
     pub(crate) const DONE_TASKS: &str = "done";
     /// Entries on one page of a scan of the key-value store.
     pub(crate) const ENTRIES: &str = "entries";
-    /// Why a request was refused.
+    /// Why a request was rejected.
     pub(crate) const ERROR: &str = "error";
     /// Seconds that one task is expected to run.
     pub(crate) const ESTIMATED_RUN_S: &str = "reckonS";
@@ -52,23 +53,23 @@
     pub(crate) const EXIT_CAUSE: &str = "cause";
     /// Keys whose version check failed.
     pub(crate) const FAILED_COMPARES: &str = "failed";
-    /// The epoch of the leader that commands a worker.
+    /// Fencing token: the epoch of the leader that sends commands to a worker.
     pub(crate) const FENCING_TOKEN: &str = "baton";
     /// GB per second at which a machine fetches images.
     pub(crate) const FETCH_GB_PER_S: &str = "fetchGbPerS";
     /// GPUs of a machine, or of one task.
     pub(crate) const GPUS: &str = "accelerators";
-    /// Seconds that a stopped task has for saving its checkpoint.
+    /// Seconds that a task has to save its checkpoint when it is stopped.
     pub(crate) const GRACE_S: &str = "leewayS";
     /// Identifier of a job, or of a machine in the cloud's inventory.
     pub(crate) const ID: &str = "nameId";
     /// Name of the image that a job's tasks run.
     pub(crate) const IMAGE: &str = "bundle";
-    /// Size in GB of that image.
+    /// Size in GB of the image that a job's tasks run.
     pub(crate) const IMAGE_GB: &str = "pullGb";
-    /// Incarnation of a worker: each start of its process has a higher one.
+    /// Incarnation of a worker; each start of its process has a higher number.
     pub(crate) const INCARNATION: &str = "shift";
-    /// Class of a job, as its owner names it.
+    /// Class of a job: a name that its owner gives to similar jobs.
     pub(crate) const JOB_CLASS: &str = "docket";
     /// Kind of a job: one of the `KIND_*` words in [`super::value`].
     pub(crate) const JOB_KIND: &str = "form";
@@ -78,7 +79,7 @@
     pub(crate) const LEADER: &str = "foreman";
     /// Identifier of a lease in the key-value store.
     pub(crate) const LEASE: &str = "permit";
-    /// Milliseconds that a lease lives unless it is renewed.
+    /// Milliseconds after which a lease expires unless it is renewed.
     pub(crate) const LEASE_TTL_MS: &str = "lifeMs";
     /// Identifier of the machine that sends a heartbeat.
     pub(crate) const MACHINE: &str = "bench";
@@ -98,7 +99,7 @@
     pub(crate) const NAME: &str = "name";
     /// Name of a node pool request.
     pub(crate) const NODE_POOL: &str = "hire";
-    /// Whether all tasks of a job have to run in one zone.
+    /// Whether all tasks of a job must run in one zone.
     pub(crate) const ONE_ZONE: &str = "together";
     /// Seconds until a spot machine is preempted.
     pub(crate) const PREEMPTION_NOTICE_S: &str = "recallS";
@@ -110,11 +111,11 @@
     pub(crate) const PUT: &str = "write";
     /// Revision of the whole key-value store.
     pub(crate) const REVISION: &str = "ledger";
-    /// Number of tasks of a job that run.
+    /// Number of running tasks of a job.
     pub(crate) const RUNNING_TASKS: &str = "running";
     /// Sequence number of a heartbeat within an incarnation.
     pub(crate) const SEQUENCE: &str = "tick";
-    /// Whether spot machines are meant, or allowed for a job.
+    /// Whether a machine or request is for spot, or whether a job allows spot machines.
     pub(crate) const SPOT: &str = "loaners";
     /// Price of a spot machine.
     pub(crate) const SPOT_PRICE: &str = "spotPrice";
@@ -126,7 +127,7 @@
     pub(crate) const TASK: &str = "sheet";
     /// Tasks: their number in a job, their statuses in a heartbeat.
     pub(crate) const TASKS: &str = "sheets";
-    /// The team that a job's use of machines counts for.
+    /// The team that a job's use of machines is accounted to.
     pub(crate) const TEAM: &str = "crew";
     /// The value under a key of the key-value store.
     pub(crate) const VALUE: &str = "data";
@@ -138,31 +139,31 @@
     pub(crate) const ZONES: &str = "halls";
 }
 
-/// Values of fields that hold one of a few words.
+/// Values of fields that hold one word of a fixed set.
 pub(super) mod value {
-    /// A command: remove what is left of a task that has exited.
+    /// A command: remove an exited attempt from the worker's list.
     pub(crate) const COMMAND_REAP: &str = "reap";
     /// A command: start a task.
     pub(crate) const COMMAND_START: &str = "start";
     /// A command: stop a task.
     pub(crate) const COMMAND_STOP: &str = "stop";
     /// Exit cause: another attempt of the same task is on the machine.
-    pub(crate) const EXIT_BUSY: &str = "in_use";
+    pub(crate) const EXIT_ATTEMPT_PRESENT: &str = "in_use";
     /// Exit cause: the task is complete. Not the field [`super::field::DONE_TASKS`].
     pub(crate) const EXIT_DONE: &str = "done";
     /// Exit cause: the machine had too few free resources.
-    pub(crate) const EXIT_NO_ROOM: &str = "no_room";
+    pub(crate) const EXIT_INSUFFICIENT_RESOURCES: &str = "no_room";
     /// Exit cause: the task was stopped.
     pub(crate) const EXIT_STOPPED: &str = "halted";
-    /// Exit cause: the worker could not find out what the task is.
+    /// Exit cause: the worker could not determine what the task is.
     pub(crate) const EXIT_UNKNOWN: &str = "unknown";
     /// State of a job: cancelled by its user.
     pub(crate) const JOB_CANCELLED: &str = "cancelled";
     /// State of a job: all its tasks are done.
     pub(crate) const JOB_DONE: &str = EXIT_DONE;
-    /// State of a job: none of its tasks runs yet.
+    /// State of a job: none of its tasks is running.
     pub(crate) const JOB_QUEUED: &str = "queued";
-    /// State of a job: some of its tasks run.
+    /// State of a job: some of its tasks are running.
     pub(crate) const JOB_RUNNING: &str = TASK_RUNNING;
     /// Kind of a job: independent tasks, each of which runs to its end.
     pub(crate) const KIND_ARRAY: &str = "array";
@@ -172,7 +173,7 @@
     pub(crate) const MACHINE_FAILED: &str = "failed";
     /// State of a machine: it is up.
     pub(crate) const MACHINE_RUNNING: &str = TASK_RUNNING;
-    /// State of a machine: it boots.
+    /// State of a machine: it is booting.
     pub(crate) const MACHINE_STARTING: &str = "starting";
     /// The lowest priority.
     pub(crate) const PRIORITY_BEST_EFFORT: &str = "best_effort";
@@ -182,15 +183,15 @@
     pub(crate) const PRIORITY_HIGH: &str = "high";
     /// The usual priority.
     pub(crate) const PRIORITY_STANDARD: &str = "standard";
-    /// State of a task: it has ended; the exit cause is in its own field.
+    /// State of a task: it has exited; [`super::field::EXIT_CAUSE`] holds the cause.
     pub(crate) const TASK_EXITED: &str = "exited";
     /// State of a task: its image is being fetched.
     pub(crate) const TASK_FETCHING: &str = "fetching";
-    /// State of a task: it waits for other tasks of its job. Read as running.
+    /// State of a task: it waits for other tasks of its job. Decoded as running.
     pub(crate) const TASK_GATHERING: &str = "gathering";
-    /// State of a task: it runs.
+    /// State of a task: it is running.
     pub(crate) const TASK_RUNNING: &str = "running";
-    /// State of a task: it saves a checkpoint before it stops.
+    /// State of a task: it is saving a checkpoint before it stops.
     pub(crate) const TASK_SAVING: &str = "flushing";
 }
 
--- a/src/protocol/wire_words/tests.rs
+++ b/src/protocol/wire_words/tests.rs
@@ -1,13 +1,13 @@
-//! The table of all wire words, and checks that each is spelled in one place.
+//! The table of all wire words, and checks that each word is defined in only one place.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
 use super::{field, value};
 
-/// Every key of a map: the constant, the word on the wire, the field's term for it. The word
-/// is spelled out here a second time on purpose: a constant that changes by mistake would
-/// change the protocol and make stored records unreadable.
+/// Every key of a map: the constant, the word on the wire and the standard term. The word is
+/// deliberately repeated here: a constant that is changed by mistake would change the protocol
+/// and make stored records unreadable.
 const FIELDS: &[(&str, &str, &str)] = &[
     (field::ADDRESS, "address", "address"),
     (field::AGE_S, "heldS", "age in seconds"),
@@ -75,14 +75,14 @@
     (field::ZONES, "halls", "zones"),
 ];
 
-/// Every word that stands as a value, in the same form.
+/// Every word that is used as a value, in the same form.
 const VALUES: &[(&str, &str, &str)] = &[
     (value::COMMAND_REAP, "reap", "command: reap"),
     (value::COMMAND_START, "start", "command: start"),
     (value::COMMAND_STOP, "stop", "command: stop"),
-    (value::EXIT_BUSY, "in_use", "exit cause: attempt present"),
+    (value::EXIT_ATTEMPT_PRESENT, "in_use", "exit cause: attempt present"),
     (value::EXIT_DONE, "done", "exit cause: done"),
-    (value::EXIT_NO_ROOM, "no_room", "exit cause: no room"),
+    (value::EXIT_INSUFFICIENT_RESOURCES, "no_room", "exit cause: insufficient resources"),
     (value::EXIT_STOPPED, "halted", "exit cause: stopped"),
     (value::EXIT_UNKNOWN, "unknown", "exit cause: unknown"),
     (value::JOB_CANCELLED, "cancelled", "job state: cancelled"),
@@ -105,9 +105,9 @@
     (value::TASK_SAVING, "flushing", "task state: saving"),
 ];
 
-/// The words of the platform's own language, which nothing but the wire may use. The others
-/// ("name", "running") are ordinary words that other layers use for things of their own.
-const THEMED: &[&str] = &[
+/// Words that only the wire format may use. The other wire words ("name", "running") are
+/// ordinary terms that other layers also use for their own purposes.
+const WIRE_ONLY_WORDS: &[&str] = &[
     "accelerators",
     "awaits",
     "baton",
@@ -163,14 +163,14 @@
     "verb",
 ];
 
-/// Themed words that another layer uses with a meaning of its own: folder, word, reason.
+/// Uses of [`WIRE_ONLY_WORDS`] in another layer with a different meaning: folder, word, reason.
 const EXCEPTIONS: &[(&str, &str, &str)] = &[
     ("src/coordination/controller", "build", "a `status` figure: the version of the program"),
     ("src/storage", "standing", "the key of stored summary rows, which belongs to the records"),
 ];
 
-/// Test code beside the files named `…tests.rs` and the folders named `tests`: stands in for
-/// the key-value store and so speaks its language independently of the constants.
+/// Test code outside files named `…tests.rs` and folders named `tests`. It simulates the
+/// key-value store and therefore spells the wire words independently of the constants.
 const TEST_DOUBLES: &[&str] = &["src/storage/in_memory_kv.rs", "src/storage/in_memory_kv/store.rs"];
 
 fn words() -> impl Iterator<Item = &'static (&'static str, &'static str, &'static str)> {
@@ -183,7 +183,7 @@
         || TEST_DOUBLES.iter().any(|double| path == Path::new(double))
 }
 
-/// The Rust files below a folder, with paths relative to the crate.
+/// Collects the Rust files below a folder, with paths relative to the crate root.
 fn rust_files(folder: &Path, found: &mut Vec<PathBuf>) {
     let crate_root = Path::new(env!("CARGO_MANIFEST_DIR"));
     for entry in std::fs::read_dir(crate_root.join(folder)).expect("a folder of the sources") {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Each source file outside tests and this module with its code; comment lines are left out.
+/// Each source file outside tests and `wire_words`, with its code without comment lines.
 fn sources() -> Vec<(PathBuf, String)> {
     let mut paths = Vec::new();
     rust_files(Path::new("src"), &mut paths);
@@ -213,12 +213,12 @@
     paths.into_iter().map(read).collect()
 }
 
-fn spells(code: &str, word: &str) -> bool {
+fn contains_literal(code: &str, word: &str) -> bool {
     code.contains(&format!("\"{word}\""))
 }
 
 #[test]
-fn constants_hold_the_words_of_the_wire() {
+fn constants_match_the_wire_words() {
     for (constant, word, term) in words() {
         assert_eq!(constant, word, "{term}");
     }
@@ -233,14 +233,14 @@
         module.split("= \"").skip(1).filter_map(|rest| rest.split('"').next()).collect();
     let listed: BTreeSet<_> = words().map(|(_, word, _)| *word).collect();
     assert_eq!(spelled, listed);
-    for word in THEMED {
-        assert!(listed.contains(word), "{word} is in no table");
+    for word in WIRE_ONLY_WORDS {
+        assert!(listed.contains(word), "{word} is in neither table");
     }
 }
 
-/// Within the keys and within the values, each word is written down once.
+/// No word is defined twice within the keys or within the values.
 #[test]
-fn the_module_spells_each_word_once() {
+fn the_module_defines_each_word_once() {
     let (fields, values) = include_str!("../wire_words.rs").split_once("pub(super) mod value").expect("both");
     for (text, table) in [(fields, FIELDS), (values, VALUES)] {
         for (_, word, _) in table {
@@ -250,24 +250,24 @@
 }
 
 #[test]
-fn no_other_file_of_the_protocol_spells_a_wire_word() {
+fn no_other_protocol_file_contains_a_wire_word() {
     for (path, code) in sources().into_iter().filter(|(path, _)| path.starts_with("src/protocol")) {
         for (_, word, term) in words() {
-            assert!(!spells(&code, word), "{} spells \"{word}\" ({term})", path.display());
+            assert!(!contains_literal(&code, word), "{} contains \"{word}\" ({term})", path.display());
         }
     }
 }
 
 #[test]
-fn no_other_layer_spells_a_themed_word() {
+fn no_other_layer_contains_a_wire_only_word() {
     let mut used: BTreeSet<&(&str, &str, &str)> = BTreeSet::new();
     for (path, code) in sources() {
-        for word in THEMED.iter().filter(|word| spells(&code, word)) {
+        for word in WIRE_ONLY_WORDS.iter().filter(|word| contains_literal(&code, word)) {
             let exception =
                 EXCEPTIONS.iter().find(|(folder, excepted, _)| excepted == word && path.starts_with(folder));
-            assert!(exception.is_some(), "{} spells \"{word}\"", path.display());
+            assert!(exception.is_some(), "{} contains \"{word}\"", path.display());
             used.extend(exception);
         }
     }
-    assert_eq!(used.len(), EXCEPTIONS.len(), "an exception that nothing needs any longer");
+    assert_eq!(used.len(), EXCEPTIONS.len(), "an exception is no longer needed");
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the workers: heartbeats, their replies, pushed commands.
+//! Messages to and from the workers: heartbeats, their replies and pushed commands.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,22 +10,22 @@
 use super::jobs::TaskId;
 use super::wire_words::{field, value as word};
 
-/// A worker gives up on a heartbeat's reply after this time and turns to another
+/// Time after which a worker stops waiting for the reply to a heartbeat and tries another
 /// controller.
 pub const HEARTBEAT_REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Most tasks read from one heartbeat; a body of 64 KiB cannot hold more.
+/// Maximum number of tasks in one heartbeat; a body of 64 KiB cannot hold more.
 const MAX_TASKS_PER_HEARTBEAT: usize = 4096;
-/// Longest identifier of a machine, in bytes.
+/// Maximum length of a machine's identifier, in bytes.
 const MAX_MACHINE_ID_BYTES: usize = 96;
 
-/// A machine's identifier, as given by the cloud: 1 to 96 ASCII letters, digits, hyphens,
+/// A machine's identifier, assigned by the cloud: 1 to 96 ASCII letters, digits, hyphens,
 /// underscores and dots.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct MachineId(Arc<str>);
 
 impl MachineId {
-    /// Checks an identifier; `None` if it is invalid.
+    /// Parses an identifier; `None` if it is invalid.
     pub fn parse(text: &str) -> Option<Self> {
         let valid = (1..=MAX_MACHINE_ID_BYTES).contains(&text.len())
             && text.bytes().all(|b| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.'));
@@ -49,18 +49,18 @@
 pub enum ExitCause {
     /// The task is complete.
     Done,
-    /// It was stopped by a command or by its machine's preemption.
+    /// It was stopped by a command or by the preemption of its machine.
     Stopped {
         /// Whether it saved a checkpoint that the next attempt can resume from.
         saved: bool,
     },
-    /// It failed, or exited for a cause that this version does not know.
+    /// It failed, or exited for a cause that this version does not recognize.
     Error,
     /// It was not started: the machine had too few free resources.
     InsufficientResources,
     /// It was not started: another attempt of it was still on the machine.
     AttemptPresent,
-    /// It was not started: the worker could not find out what the task is.
+    /// It was not started: the worker could not determine what the task is.
     Unknown,
 }
 
@@ -71,10 +71,10 @@
             word::EXIT_STOPPED => {
                 ExitCause::Stopped { saved: fields.opt_bool(field::CHECKPOINT_SAVED)?.unwrap_or(false) }
             }
-            word::EXIT_NO_ROOM => ExitCause::InsufficientResources,
-            word::EXIT_BUSY => ExitCause::AttemptPresent,
+            word::EXIT_INSUFFICIENT_RESOURCES => ExitCause::InsufficientResources,
+            word::EXIT_ATTEMPT_PRESENT => ExitCause::AttemptPresent,
             word::EXIT_UNKNOWN => ExitCause::Unknown,
-            // A cause that this version does not know is a failure of some kind.
+            // A cause that this version does not recognize is treated as a failure.
             _ => ExitCause::Error,
         })
     }
@@ -87,14 +87,14 @@
     Fetching,
     /// It runs, or waits on the machine for other tasks of its job.
     Running,
-    /// It saves a checkpoint before it stops.
+    /// It is saving a checkpoint before it stops.
     Saving,
-    /// It has exited. The worker keeps listing it until it is commanded to reap it.
+    /// It has exited. The worker lists it until a command tells the worker to reap it.
     Exited(ExitCause),
 }
 
 impl TaskState {
-    /// Whether the attempt has ended; the worker lists it until it is reaped.
+    /// Whether the attempt has exited; the worker lists it until it is reaped.
     pub fn has_exited(self) -> bool {
         matches!(self, TaskState::Exited(_))
     }
@@ -110,7 +110,7 @@
     }
 }
 
-/// Status of one attempt of a task, as listed in a heartbeat.
+/// Status of one attempt of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskStatus {
     /// The task.
@@ -133,15 +133,15 @@
     }
 }
 
-/// A worker's heartbeat: what its machine is and the status of each task on it.
+/// A worker's heartbeat: describes its machine and the status of each task on it.
 ///
-/// Heartbeats of a machine are ordered by (`incarnation`, `sequence`); an older one that
-/// arrives late is recognised by these.
+/// Heartbeats of a machine are ordered by (`incarnation`, `sequence`), which identifies an
+/// older one that arrives late.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
     /// The machine that the worker runs on.
     pub machine: MachineId,
-    /// Address at which the worker takes pushed commands.
+    /// Address at which the worker accepts pushed commands.
     pub address: String,
     /// Name of the machine's type.
     pub machine_type: String,
@@ -162,13 +162,13 @@
 }
 
 impl Heartbeat {
-    /// Reads and checks a heartbeat.
+    /// Decodes and validates a heartbeat.
     ///
     /// # Errors
     ///
     /// [`Malformed`] if a required field is missing, a field is invalid or more than 4,096
-    /// tasks are listed. One invalid task makes the whole heartbeat invalid: a list that
-    /// lacks a task would look like proof that it is not on the machine.
+    /// tasks are listed. One invalid task makes the whole heartbeat invalid: a task missing
+    /// from the list would count as proof that the task is not on the machine.
     pub fn decode(value: &Value) -> Result<Self, Malformed> {
         let fields = Fields::of(value)?;
         let tasks = fields.opt_list(field::TASKS)?.unwrap_or_default();
@@ -191,7 +191,7 @@
     }
 }
 
-/// What a worker is to do with one attempt of a task.
+/// A command to a worker for one attempt of a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
     /// Start the attempt.
@@ -207,7 +207,7 @@
         task: TaskId,
         /// Number of the attempt.
         attempt: u64,
-        /// Seconds that it has for saving a checkpoint; 0 stops it at once.
+        /// Seconds that the attempt has to save a checkpoint; 0 stops it at once.
         grace_s: f64,
     },
     /// Remove the exited attempt from the worker's list.
@@ -239,7 +239,7 @@
     Value::Array(commands.iter().map(Command::encode).collect())
 }
 
-/// Writes the reply to a heartbeat: the leader's fencing token and commands.
+/// Encodes the reply to a heartbeat: the leader's fencing token and commands.
 pub fn encode_heartbeat_reply(fencing_token: u64, commands: &[Command]) -> Value {
     MapBuilder::new()
         .set(field::FENCING_TOKEN, fencing_token)
@@ -247,13 +247,13 @@
         .build()
 }
 
-/// Writes a redirect that names the leading controller; an empty map if none is known.
+/// Encodes a redirect to the leading controller; an empty map if no leader is known.
 pub fn encode_redirect(leader: Option<&str>) -> Value {
     MapBuilder::new().set_some(field::LEADER, leader).build()
 }
 
-/// Writes commands that are pushed to a worker between two heartbeats. They are meant for
-/// one incarnation of the worker; a later one must not carry them out.
+/// Encodes commands that are pushed to a worker between two heartbeats. They apply to one
+/// incarnation of the worker; a later incarnation must not carry them out.
 pub fn encode_pushed_commands(fencing_token: u64, incarnation: u64, commands: &[Command]) -> Value {
     MapBuilder::new()
         .set(field::FENCING_TOKEN, fencing_token)
