--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -1,9 +1,9 @@
-//! `audit`: compares all stored records with their summary rows, and repairs the cases in
-//! which the right state can be derived.
+//! `audit`: compares all stored records with their summary rows, and repairs the
+//! inconsistencies whose correct state can be derived.
 //!
-//! What is judged, and how it is repaired, is in `coordination::recovery::reconciler`; a
-//! leader makes the same comparison in the background. A repair holds the leader's lease,
-//! so that no controller can lead meanwhile, and writes under its epoch.
+//! `coordination::recovery::reconciler` classifies and repairs inconsistencies; a leader runs
+//! the same comparison in the background. An audit with repairs holds the leader's lease, so
+//! that no controller can lead in the meantime, and writes under the epoch of that lease.
 
 use std::io::Write;
 use std::time::Duration;
@@ -20,32 +20,32 @@
 use crate::storage::records::LEADER;
 use crate::transport::client::HttpCall;
 
-/// A request to the state service is given up after the leader's lease divided by this. It
-/// is longer than a controller's own, as no renewal waits behind it.
+/// A request to the state service times out after the leader's lease divided by this. The
+/// timeout is longer than a controller's because no lease renewal waits for the request.
 const KV_DEADLINES_PER_LEASE: u32 = 3;
 
-/// What an audit has counted so far.
+/// Running totals of an audit.
 #[derive(Debug, Default)]
 struct AuditCounts {
-    /// Jobs that a record or a row names.
+    /// Jobs that have a record or a row.
     jobs: u32,
-    /// Findings that are not repaired.
+    /// Inconsistencies that were not repaired.
     inconsistent: u32,
     /// Jobs whose tasks wait for other jobs.
     waiting_for_dependencies: u32,
-    /// Records that name the size of their blocks of done tasks.
+    /// Records that state the size of their blocks of done tasks.
     naming_blocks: u32,
 }
 
-/// Compares what the store holds and writes one line a finding to `out`; with `repair` also
-/// repairs what can be derived soundly.
+/// Compares all records and rows in the store and writes one line per inconsistency to `out`.
+/// With `repair`, also repairs those whose correct state can be derived.
 ///
-/// The status is [`ExitStatus::Success`] only if nothing inconsistent is left.
+/// Returns [`ExitStatus::Success`] only if no inconsistency is left.
 ///
 /// # Errors
 ///
 /// [`CliError::StateServiceUnavailable`] if the store cannot be read,
-/// [`CliError::ControllerLeads`] if a repair is asked for while a controller leads, and
+/// [`CliError::ControllerLeads`] if a repair is requested while a controller leads, and
 /// [`CliError::Output`] if `out` cannot be written.
 pub(super) async fn audit(
     config: Config,
@@ -54,15 +54,15 @@
 ) -> Result<ExitStatus, CliError> {
     let cluster = &config.settings.cluster;
     let lease_ttl = config.tuning.lease;
-    // The client stops once this sender is dropped: kept to the end of the audit. An audit
-    // never takes the leader's share of the request rate.
-    let (_is_leader, is_leader_seen) = watch::channel(false);
+    // The sender lives until the end of the audit because the client stops when it is
+    // dropped. It stays false: an audit never takes the leader's share of the request rate.
+    let (_is_leader_sender, is_leader_receiver) = watch::channel(false);
     let kv = kv::start(
         config.settings.services.kv,
         &cluster.kv,
         cluster.size,
         lease_ttl / KV_DEADLINES_PER_LEASE,
-        is_leader_seen,
+        is_leader_receiver,
     );
 
     let epoch = if repair { Some(acquire_leadership(&kv, lease_ttl).await?) } else { None };
@@ -76,20 +76,21 @@
     Ok(if counts.inconsistent == 0 { ExitStatus::Success } else { ExitStatus::Failure })
 }
 
-/// Takes the leader's lease under a name of its own, and returns the epoch. Waits for one
-/// lease time at most.
+/// Acquires the leader's lease under a name unique to this audit, and returns the epoch.
+/// Waits for at most one lease duration.
 ///
-/// The election's channels end with this function, so its task ends when it reports the next
-/// change, at the latest the first renewal. From then on the lease runs out by itself unless
-/// it is released before, and the store refuses writes of an epoch whose lease has expired.
+/// This function drops the election's channels when it returns, so the election task ends
+/// when it reports its next role change, at the latest at the first renewal. After that the
+/// lease expires unless it is released first, and the store refuses writes of an epoch whose
+/// lease has expired.
 async fn acquire_leadership(kv: &KvClient, lease_ttl: Duration) -> Result<u64, CliError> {
     let name = format!("audit-{:08x}", rand::random::<u32>());
     let (role_sender, mut roles) = mpsc::channel(4);
-    let (_resigned_epoch, resigned_epoch_seen) = watch::channel(0);
+    let (_resigned_epoch_sender, resigned_epoch_receiver) = watch::channel(0);
     let election = Election::new(&name, &name, lease_ttl);
-    // An audit serves no other controllers.
+    // An audit runs no gRPC server for other controllers.
     let address = String::new();
-    tokio::spawn(election::run(election, kv.clone(), address, role_sender, resigned_epoch_seen));
+    tokio::spawn(election::run(election, kv.clone(), address, role_sender, resigned_epoch_receiver));
     match tokio::time::timeout(lease_ttl, roles.recv()).await {
         Ok(Some(Role::Leader { epoch, .. })) => Ok(epoch),
         Ok(Some(Role::Follower { leader, .. })) => Err(CliError::ControllerLeads { leader }),
@@ -97,19 +98,19 @@
     }
 }
 
-/// Gives the audit's lease back, so that controllers need not wait for its expiry.
+/// Releases the audit's lease, so that controllers need not wait for it to expire.
 async fn release_leadership(kv: &KvClient) {
     if let Ok(Some(entry)) = kv.get(kv::RequestClass::Renewal, LEADER).await
         && let Some(lease) = entry.lease
     {
         let target = format!("/leases/{lease}");
         let call = HttpCall { method: "DELETE", target, body: Vec::new(), timeout: kv.deadline() };
-        // If it fails the lease expires by itself.
+        // If the request fails, the lease expires on its own.
         let _ = kv.send_raw(kv::RequestClass::Renewal, call).await;
     }
 }
 
-/// Examines every job that a record or a row names; repairs under `epoch` if there is one.
+/// Examines every job that has a record or a row. With an `epoch`, also repairs under it.
 async fn audit_jobs(
     kv: &KvClient,
     epoch: Option<u64>,
@@ -129,7 +130,7 @@
     Ok(())
 }
 
-/// What operators read of a finding; `None` if the job is consistent.
+/// The text that operators see for a finding; `None` if the job is consistent.
 fn describe_finding(finding: &Finding) -> Option<String> {
     match finding {
         Finding::Consistent => None,
@@ -141,8 +142,9 @@
     }
 }
 
-/// Whether the job was repaired. Without an epoch, for ambiguous findings, and if record
-/// and rows have changed since they were read, nothing is written.
+/// Repairs a job, and returns whether it was repaired. Writes nothing if there is no epoch,
+/// if the finding is ambiguous, or if the record or the rows have changed since they were
+/// read.
 async fn repair_job(kv: &KvClient, epoch: Option<u64>, examined: &Examined) -> bool {
     match epoch.and_then(|epoch| examined.repair(epoch)) {
         Some(transaction) => kv.compare_and_swap(transaction).await.is_ok(),
@@ -154,8 +156,8 @@
     writeln!(out, "{job}: {problem}{}", if repaired { "; repaired" } else { "" })
 }
 
-/// Reports the records of node pools that cannot be decoded. They are never repaired: which
-/// machines they stand for is not known.
+/// Reports node pool records that cannot be decoded. They are never repaired, since it is
+/// not known which machines they describe.
 async fn audit_node_pools(
     kv: &KvClient,
     counts: &mut AuditCounts,
@@ -168,7 +170,7 @@
     Ok(())
 }
 
-/// Writes the totals; those of waiting jobs and named blocks only if there are any.
+/// Writes the totals. The line on waiting jobs and block sizes is left out if both are 0.
 fn write_summary(counts: &AuditCounts, out: &mut impl Write) -> std::io::Result<()> {
     let AuditCounts { jobs, inconsistent, waiting_for_dependencies, naming_blocks } = counts;
     if waiting_for_dependencies + naming_blocks > 0 {
@@ -180,7 +182,8 @@
     writeln!(out, "{jobs} jobs, {inconsistent} inconsistent")
 }
 
-/// Whatever the cause, an audit that cannot read has nothing to say about the records.
+/// Maps any read error to [`CliError::StateServiceUnavailable`]: without all reads an audit
+/// cannot judge the records, whatever the cause.
 fn unavailable(_: KvError) -> CliError {
     CliError::StateServiceUnavailable
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -7,12 +7,13 @@
 use super::load_config;
 use crate::settings::{KvLimits, KvSettings};
 
-/// Reads the settings, and the policy if one is named, and prints that they are sound,
-/// with the state service's limits.
+/// Reads and validates the settings and, if given, the policy. Prints that they are valid,
+/// and the limits of the state service.
 ///
 /// # Errors
 ///
-/// [`CliError::Settings`] or [`CliError::Policy`] names the file and what is wrong in it.
+/// [`CliError::Settings`] or [`CliError::Policy`], which names the file and what is wrong in
+/// it.
 pub(super) fn check(file: &Path, policy: Option<&Path>) -> Result<ExitStatus, CliError> {
     let config = load_config(file, policy)?;
     println!("{}: ok", file.display());
@@ -23,8 +24,8 @@
     Ok(ExitStatus::Success)
 }
 
-/// One line with the state service's present limits, and with those announced for later if
-/// there are any.
+/// One line with the state service's present limits and, if there are any, the limits
+/// announced for later.
 pub(super) fn describe_limits(state: &KvSettings) -> String {
     let describe = |limits: KvLimits| {
         format!(
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why a command could not be carried out.
+//! Errors of commands.
 
 use std::net::SocketAddr;
 
@@ -9,37 +9,37 @@
 use crate::settings::SettingsError;
 use crate::transport::client::ClientError;
 
-/// An error that ends a command. Its text is the one line that operators see on standard
-/// error, behind the program's name.
+/// An error that ends a command. Its text is printed as one line to standard error, after the
+/// program's name.
 #[derive(Debug, Error)]
 pub(super) enum CliError {
     /// Neither `--config` nor a subcommand was given.
     #[error("--config FILE or a command is needed; see --help")]
     NoCommand,
-    /// The settings file cannot be read or used.
+    /// The settings file cannot be read or is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The policy file cannot be read or used.
+    /// The policy file cannot be read or is invalid.
     #[error(transparent)]
     Policy(#[from] PolicyError),
     /// The asynchronous runtime could not be built.
-    #[error("cannot start: {0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     Runtime(#[source] std::io::Error),
     /// The address for workers and users (`serve_on`) cannot be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address that was to be bound.
+        /// The address that could not be bound.
         address: SocketAddr,
-        /// The operating system's reason.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The controller actor ended, which it does only if the election task has.
-    #[error("the controller's own parts have ended")]
+    /// The controller actor ended, which happens only if the election task has ended.
+    #[error("the controller stopped because its election task ended")]
     ControllerEnded,
-    /// The state service gave no usable answer.
+    /// The state service gave no usable response.
     #[error("the state service does not answer")]
     StateServiceUnavailable,
-    /// A repair was refused, as it needs the leader's lease, and a controller holds it.
+    /// A repair was refused because it needs the leader's lease, which a controller holds.
     #[error("{leader} leads; stop the controllers before a repair")]
     ControllerLeads {
         /// The name of the controller that leads.
@@ -50,24 +50,24 @@
     Output(#[source] std::io::Error),
     /// The controller did not answer a request for its metrics.
     #[error("{address}: {source}")]
-    NoAnswer {
-        /// The address that was asked.
+    NoResponse {
+        /// The controller's address.
         address: SocketAddr,
-        /// How the request failed.
+        /// Why the request failed.
         source: ClientError,
     },
-    /// The controller answered a request for its metrics with something else.
-    #[error("{address}: no figures in the answer (status {status})")]
+    /// The controller's response to a request for its metrics contains none.
+    #[error("{address}: no metrics in the response (HTTP status {status})")]
     NoMetrics {
-        /// The address that was asked.
+        /// The controller's address.
         address: SocketAddr,
-        /// The HTTP status of its answer.
+        /// The HTTP status of the response.
         status: u16,
     },
 }
 
 impl CliError {
-    /// The exit code that tells scripts whether to mend the input or to try again.
+    /// The exit code, from which scripts can tell whether to correct the input or to retry.
     pub(super) fn exit_status(&self) -> ExitStatus {
         match self {
             CliError::NoCommand | CliError::Settings(_) | CliError::Policy(_) => ExitStatus::BadInput,
@@ -77,7 +77,7 @@
             | CliError::StateServiceUnavailable
             | CliError::ControllerLeads { .. }
             | CliError::Output(_)
-            | CliError::NoAnswer { .. }
+            | CliError::NoResponse { .. }
             | CliError::NoMetrics { .. } => ExitStatus::Failure,
         }
     }
--- a/src/cli/exit_status.rs
+++ b/src/cli/exit_status.rs
@@ -2,16 +2,16 @@
 
 use std::process::ExitCode;
 
-/// How a command ended. The numbers are documented in `docs/operations.md`, and scripts of
-/// operators rely on them.
+/// The outcome of a command. The numbers are documented in `docs/operations.md`, and
+/// operators' scripts rely on them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum ExitStatus {
-    /// The command did what was asked. For `audit`: all records are consistent at its end.
+    /// The command succeeded. For `audit`: all records are consistent when it returns.
     Success = 0,
-    /// The command could not be carried out, or `audit` leaves inconsistent records behind.
+    /// The command failed, or `audit` left inconsistent records unrepaired.
     Failure = 1,
-    /// The arguments, the settings file or the policy cannot be used; nothing was started.
+    /// The arguments, the settings file or the policy are invalid; nothing was started.
     BadInput = 2,
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,8 +1,9 @@
-//! The command line: arguments, dispatch to one file a subcommand, and exit codes.
+//! The command line: argument parsing, dispatch to the subcommands (one file each), and exit
+//! codes.
 //!
-//! | command | file | what it does |
+//! | command | file | action |
 //! | --- | --- | --- |
-//! | `--config FILE` | `serve` | runs a controller until it is killed |
+//! | `--config FILE` | `serve` | runs a controller until the process is killed |
 //! | `check` | `check` | validates settings and policy |
 //! | `status` | `status` | prints the metrics of a running controller |
 //! | `audit` | `audit` | compares stored records with their summary rows, and repairs them |
@@ -29,15 +30,15 @@
 use error::CliError;
 use exit_status::ExitStatus;
 
-/// A cluster scheduler. Run with --config, it is one of several controllers
-/// and goes on until it is killed.
+/// A cluster scheduler. With --config, runs as one of several controllers until
+/// it is killed.
 #[derive(Debug, Parser)]
 #[command(name = "shedtally", version, about, args_conflicts_with_subcommands = true)]
 struct Arguments {
-    /// Run as a controller with this settings file
+    /// Run a controller with this settings file
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// Use this policy instead of the default one
+    /// Policy file; parameters that it does not set keep their default values
     #[arg(long, value_name = "FILE", requires = "config")]
     policy: Option<PathBuf>,
     #[command(subcommand)]
@@ -46,33 +47,33 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Check a settings file, and a policy, and say what is wrong with them
+    /// Validate a settings file and, if given, a policy, and report the first error
     Check {
         /// The settings file
         file: PathBuf,
-        /// A policy to check against it
+        /// Policy file to validate against the settings
         #[arg(long, value_name = "FILE")]
         policy: Option<PathBuf>,
     },
-    /// Compare all records and rows; exit code 0 only if they are consistent
+    /// Compare all stored records with their rows; exit code 0 only if they are consistent
     Audit {
         /// The settings file of a controller
         file: PathBuf,
-        /// Repair what can be derived soundly; refused while a controller leads
+        /// Repair inconsistencies whose correct state is certain; refused while a controller leads
         #[arg(long)]
         repair: bool,
     },
-    /// Print the figures of the controller that these settings are for
+    /// Print the metrics of the running controller that uses these settings
     Status {
         /// The settings file of the controller
         file: PathBuf,
     },
 }
 
-/// Runs the program with these arguments, of which the first is its own name.
+/// Runs the program. The first argument is the program's name.
 ///
-/// Prints errors on standard error. With `--config` it returns only if the controller
-/// could not start or one of its actors ended.
+/// Prints errors to standard error. With `--config`, returns only if the controller cannot
+/// start or if its main actor ends.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let status = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => dispatch(arguments).unwrap_or_else(|error| {
@@ -84,14 +85,14 @@
     status.into()
 }
 
-/// Prints what clap made of the arguments. Help and version count as its errors too, but go
-/// to standard output.
+/// Prints clap's message: a usage error to standard error, or the help or version text, which
+/// clap also returns as an error, to standard output.
 fn print_usage(error: &clap::Error) -> ExitStatus {
     let _ = error.print();
     if error.use_stderr() { ExitStatus::BadInput } else { ExitStatus::Success }
 }
 
-/// Carries out the command that the arguments name.
+/// Runs the command that the arguments select.
 fn dispatch(arguments: Arguments) -> Result<ExitStatus, CliError> {
     match (arguments.command, arguments.config) {
         (Some(Command::Check { file, policy }), _) => check::check(&file, policy.as_deref()),
@@ -112,16 +113,16 @@
     }
 }
 
-/// Reads and validates settings, and the policy against them; without a policy file the
-/// default policy holds.
+/// Reads and validates the settings file, then the policy against these settings. Without a
+/// policy file, the default policy applies.
 fn load_config(file: &Path, policy: Option<&Path>) -> Result<Config, CliError> {
     let settings = Settings::load(file)?;
     let tuning = Tuning::load(&settings.cluster, policy)?;
     Ok(Config { settings, tuning })
 }
 
-/// Runs a command to its end on a single-threaded runtime. Tasks that it has spawned are
-/// dropped when it ends.
+/// Runs a command to completion on a single-threaded runtime. Tasks that it spawned are
+/// dropped when it returns.
 fn block_on(command: impl Future<Output = Result<ExitStatus, CliError>>) -> Result<ExitStatus, CliError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CliError::Runtime)?;
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,21 +1,21 @@
-//! `--config FILE`: composes a controller of its actors and runs it.
+//! `--config FILE`: starts the actors of a controller and runs it.
 //!
-//! [`serve`] reads as a list of actors to start. Each is a task on one single-threaded
-//! runtime; they share nothing but the channels and handles named there:
+//! [`serve`] starts each actor as a task on one single-threaded runtime. Actors share only
+//! the channels and handles that [`serve`] creates:
 //!
 //! | actor | inputs | outputs | ends |
 //! | --- | --- | --- | --- |
-//! | key-value client | requests of its handle, `is_leader` (how much of the request rate is this controller's) | replies | when the controller actor has dropped `is_leader`, or no handle is left |
-//! | cloud client | requests of its handle, `lease_expiry` (nothing is sent after it) | replies | when the controller actor has dropped its handle |
-//! | election | key-value client, `resigned_epoch` (an epoch that the controller gave up early) | `roles` | when `roles` has no receiver any more |
-//! | controller | `roles`, requests and heartbeats of the servers, its own events | `is_leader`, `lease_expiry`, `resigned_epoch`, replies | when the election has ended |
-//! | gRPC server | calls of other controllers | requests and heartbeats to the controller | when its listener fails; that is logged, and the rest goes on |
-//! | HTTP server | requests of workers, users and health checks | requests and heartbeats to the controller | never by itself |
+//! | key-value client | requests of its handle, `is_leader` (determines this controller's share of the request rate) | replies | when the controller actor drops `is_leader`, or the last handle is dropped |
+//! | cloud client | requests of its handle, `lease_expiry` (no request is sent after it) | replies | when the controller actor drops its handle |
+//! | election | key-value client, `resigned_epoch` (an epoch that the controller resigned before its lease expired) | `roles` | when the receiver of `roles` is dropped |
+//! | controller | `roles`, requests and heartbeats of the servers, its own events | `is_leader`, `lease_expiry`, `resigned_epoch`, replies | when the election ends |
+//! | gRPC server | calls of other controllers | requests and heartbeats to the controller | when its listener fails; the failure is logged and the other actors keep running |
+//! | HTTP server | requests of workers, users and health checks | requests and heartbeats to the controller | never on its own |
 //!
-//! Only the controller actor is awaited, the other tasks are detached: when it ends, the
-//! runtime is dropped and they with it. In normal operation it never ends. There is no
-//! orderly shutdown: a controller may be killed at any time, since all state that must
-//! outlive it is in the state service, and its lease runs out by itself.
+//! Only the controller actor is awaited; the other tasks are detached. When it ends, which
+//! does not happen in normal operation, the runtime and with it all other tasks are dropped.
+//! There is no graceful shutdown: a controller may be killed at any time, since all state
+//! that must outlive it is in the state service, and its lease expires on its own.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -41,42 +41,44 @@
 use crate::transport::server::ServerOptions;
 use crate::transport::{peer, server};
 
-/// A request to the state service is given up after the leader's lease divided by this, so
-/// that a renewal without an answer can be repeated before the lease expires.
+/// A request to the state service times out after the leader's lease divided by this, so
+/// that an unanswered renewal can be retried before the lease expires.
 const KV_DEADLINES_PER_LEASE: u32 = 6;
-/// A request to the cloud is given up after this time.
+/// Timeout of a request to the cloud.
 const CLOUD_DEADLINE: Duration = Duration::from_secs(4);
-/// Role changes that may wait for the controller actor.
-const QUEUED_ROLES: usize = 16;
-/// An HTTP connection is closed after this many worker leases without a request: a worker
-/// that has been silent for so long has no lease either.
+/// Capacity of the channel of role changes to the controller actor.
+const ROLE_CHANNEL_CAPACITY: usize = 16;
+/// An HTTP connection is closed after this many worker leases without a request: the lease of
+/// a worker that has been silent for so long has expired.
 const LEASES_PER_IDLE_TIMEOUT: u32 = 2;
-/// A request must arrive, and its answer be taken, within a worker's lease divided by this.
+/// Receiving a request and sending its response each time out after a worker's lease divided
+/// by this.
 const TRANSFER_TIMEOUTS_PER_LEASE: u32 = 4;
 
-/// Runs a controller until one of its actors ends, which none does in normal operation.
+/// Runs a controller until its controller actor ends, which does not happen in normal
+/// operation.
 ///
 /// # Errors
 ///
 /// [`CliError::Listen`] if the address for workers and users cannot be bound,
-/// [`CliError::ControllerEnded`] if the controller actor ended. It never returns `Ok`.
+/// [`CliError::ControllerEnded`] if the controller actor ends. Never returns `Ok`.
 pub(super) async fn serve(config: Config) -> Result<ExitStatus, CliError> {
     let config = Arc::new(config);
     let settings = &config.settings;
     let listener = bind(settings.listen).await?;
 
-    // Named after what flows: the election tells the controller its role, and the controller
-    // tells the others what follows from it.
-    let (role_sender, roles) = mpsc::channel(QUEUED_ROLES);
-    let (is_leader, is_leader_seen) = watch::channel(false);
-    let (lease_expiry, lease_expiry_seen) = watch::channel(Instant::now());
-    let (resigned_epoch, resigned_epoch_seen) = watch::channel(0);
+    // The election sends role changes to the controller, which sends the values derived from
+    // its role to the other actors.
+    let (role_sender, roles) = mpsc::channel(ROLE_CHANNEL_CAPACITY);
+    let (is_leader, is_leader_receiver) = watch::channel(false);
+    let (lease_expiry, lease_expiry_receiver) = watch::channel(Instant::now());
+    let (resigned_epoch, resigned_epoch_receiver) = watch::channel(0);
 
-    let kv = start_kv_client(&config, is_leader_seen);
-    let cloud = start_cloud_client(settings, lease_expiry_seen);
+    let kv = start_kv_client(&config, is_leader_receiver);
+    let cloud = start_cloud_client(settings, lease_expiry_receiver);
     let incarnation = new_incarnation();
     log_start(settings, &incarnation);
-    start_election(&config, &incarnation, kv.clone(), role_sender, resigned_epoch_seen);
+    start_election(&config, &incarnation, kv.clone(), role_sender, resigned_epoch_receiver);
     let (controller, inputs, handle) =
         Controller::new(config.clone(), kv, cloud, is_leader, lease_expiry, resigned_epoch, roles);
     start_peer_server(settings.peer_listen, handle.clone());
@@ -86,14 +88,14 @@
     Err(CliError::ControllerEnded)
 }
 
-/// Binds the address for workers and users before anything is started: with one that is in
-/// use the process must end and not take part in the election.
+/// Binds the address for workers and users before any actor is started: if the address is in
+/// use, the process must exit without taking part in the election.
 async fn bind(address: SocketAddr) -> Result<TcpListener, CliError> {
     server::listen(address).await.map_err(|source| CliError::Listen { address, source })
 }
 
-/// A random name of this run of the process. It tells the leader records of this run from
-/// those of earlier ones under the same controller name.
+/// A random identifier of this process. It distinguishes the leader records of this process
+/// from those of earlier processes with the same controller name.
 fn new_incarnation() -> String {
     format!("{:016x}", rand::random::<u64>())
 }
@@ -126,8 +128,8 @@
     tokio::spawn(election::run(election, kv, address, roles, resigned_epoch));
 }
 
-/// Serves other controllers. Without this server a controller goes on: its workers and users
-/// still reach it.
+/// Starts the gRPC server for other controllers. If it fails the controller keeps running,
+/// since workers and users can still reach it.
 fn start_peer_server(address: SocketAddr, handle: ControllerHandle) {
     tokio::spawn(async move {
         if let Err(error) = peer::serve(address, BODY_LIMIT, handle).await {
@@ -136,7 +138,7 @@
     });
 }
 
-/// Serves workers, users and health checks.
+/// Starts the HTTP server for workers, users and health checks.
 fn start_http_server(listener: TcpListener, cluster: &Cluster, handle: ControllerHandle) {
     let worker_lease = cluster.workers.lease();
     let options = ServerOptions {
@@ -148,15 +150,15 @@
     tokio::spawn(server::serve(listener, options, handle));
 }
 
-/// Sends log lines to standard error, at the level that `LOG_LEVEL` names: `error`, `debug`,
-/// or, for anything else and by default, `info`.
+/// Configures logging to standard error at the level set by `LOG_LEVEL`: `error`, `debug`, or
+/// `info` for any other value and by default.
 pub(super) fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => tracing::Level::ERROR,
         Ok("debug") => tracing::Level::DEBUG,
         _ => tracing::Level::INFO,
     };
-    // Of libraries only errors are of use to operators.
+    // Libraries log only errors: their other messages are of no use to operators.
     let levels = Targets::new().with_default(tracing::Level::ERROR).with_target("shedtally", level);
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
--- a/src/cli/status.rs
+++ b/src/cli/status.rs
@@ -10,13 +10,13 @@
 use crate::transport::client::{HttpCall, PreparedCall};
 use crate::transport::codec::Limits;
 
-/// Asks the controller that these settings are for (at `serve_on`) for its metrics, and
-/// prints them. Waits for an answer for at most one heartbeat interval.
+/// Requests the metrics of the controller that listens on these settings' `serve_on` address,
+/// and prints them. Waits for the response for at most one heartbeat interval.
 ///
 /// # Errors
 ///
-/// [`CliError::NoAnswer`] if the controller cannot be reached or is late,
-/// [`CliError::NoMetrics`] if its answer is not a 200 with CBOR.
+/// [`CliError::NoResponse`] if the controller cannot be reached or does not respond in time,
+/// [`CliError::NoMetrics`] if its response is not a 200 with a CBOR body.
 pub(super) async fn status(settings: Settings) -> Result<ExitStatus, CliError> {
     let address = settings.listen;
     let call = HttpCall {
@@ -26,24 +26,24 @@
         timeout: settings.cluster.workers.heartbeat_interval(),
     };
     let limits = Limits { head: HEAD_LIMIT, body: BODY_LIMIT };
-    let (answer, _) = PreparedCall::without_pool(address, limits, call).run().await;
-    let answer = answer.map_err(|source| CliError::NoAnswer { address, source })?;
-    match decode(&answer.body) {
-        Ok(metrics) if answer.status == 200 => {
+    let (response, _) = PreparedCall::without_pool(address, limits, call).run().await;
+    let response = response.map_err(|source| CliError::NoResponse { address, source })?;
+    match decode(&response.body) {
+        Ok(metrics) if response.status == 200 => {
             print_metrics("", &metrics);
             Ok(ExitStatus::Success)
         }
-        _ => Err(CliError::NoMetrics { address, status: answer.status }),
+        _ => Err(CliError::NoMetrics { address, status: response.status }),
     }
 }
 
-/// Prints one line a metric, the names of nested maps joined by dots. Values of other types
-/// (null, bytes, arrays) are left out.
+/// Prints one line per metric, with the names of nested maps joined by dots. Nulls, bytes,
+/// arrays and tags are left out.
 fn print_metrics(name: &str, value: &Value) {
     match value {
         Value::Map(entries) => {
-            for (key, inner) in entries {
-                print_metrics(&nested_name(name, key), inner);
+            for (key, nested) in entries {
+                print_metrics(&nested_name(name, key), nested);
             }
         }
         Value::Text(text) => println!("{name}: {text}"),
@@ -54,7 +54,8 @@
     }
 }
 
-/// The name of a map's entry, behind that of the map unless it is the outermost.
+/// The name of a map's entry, prefixed with the name of the map unless the map is the
+/// outermost.
 fn nested_name(outer: &str, key: &Value) -> String {
     let key = key.as_text().unwrap_or("?");
     if outer.is_empty() { key.to_owned() } else { format!("{outer}.{key}") }
