--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -1,50 +1,50 @@
 //! The grammar of the policy language. A line's tokens are parsed and evaluated in one pass.
 //!
 //! ```text
-//! line   = [ name "=" value ] [ "#" comment ]
-//! value  = "if" test "then" value "else" value | sum
-//! test   = compare { ("and" | "or") compare }
-//! compare = sum ("<" | "<=" | ">" | ">=" | "==") sum
-//! sum    = product { ("+" | "-") product }
-//! product = atom { ("*" | "/") atom }
-//! atom   = number [ unit ] | variable | ("min" | "max") "(" value { "," value } ")" | "(" value ")" | "-" atom
+//! line       = [ name "=" value ] [ "#" comment ]
+//! value      = "if" condition "then" value "else" value | sum
+//! condition  = comparison { ("and" | "or") comparison }
+//! comparison = sum ("<" | "<=" | ">" | ">=" | "==") sum
+//! sum        = product { ("+" | "-") product }
+//! product    = atom { ("*" | "/") atom }
+//! atom       = number [ unit ] | variable | ("min" | "max") "(" value { "," value } ")" | "(" value ")" | "-" atom
 //! ```
 //!
-//! Both branches of an `if` are evaluated, so that an error in the one not taken is found
-//! before the settings change.
+//! Both branches of an `if` are evaluated, so that an error in the branch not taken is
+//! reported at once, before a change of the settings selects it.
 
 use super::tokens::{ExpressionError, Token, TokenKind, fail, tokenize};
 use super::values::{Type, Value, add, divide, multiply, subtract};
 
-/// Deeper nesting is refused before it can exhaust the stack.
+/// Maximum nesting depth. Deeper nesting is rejected so that it cannot exhaust the stack.
 const MAX_DEPTH: usize = 32;
 
-/// A line `name = expression` whose expression is not evaluated yet.
+/// A line `name = expression` whose expression has not been parsed or evaluated yet.
 #[derive(Debug)]
 pub(super) struct Assignment {
-    /// The name to set.
+    /// The name of the parameter to set.
     pub(super) name: String,
-    /// Where the name starts in the line, in bytes counted from 0.
+    /// First column of the name, in bytes counted from 0.
     pub(super) name_column: usize,
-    /// Where the expression starts in the line, in bytes counted from 0.
+    /// First column of the expression, in bytes counted from 0.
     pub(super) value_column: usize,
-    /// The expression; the last token is the end of the line.
+    /// The tokens of the expression; the last one is the end of the line.
     expression: Vec<Token>,
 }
 
 impl Assignment {
-    /// Reads one line; `None` if it is empty or a comment.
+    /// Parses one line; `None` if it is empty or a comment.
     ///
     /// # Errors
     ///
-    /// If the line has a character or number that is not of the language, or does not begin
-    /// with a name and `=`.
+    /// If the line contains a character or number that is not part of the language, or does
+    /// not begin with a name and `=`.
     pub(super) fn parse(line: &str) -> Result<Option<Self>, ExpressionError> {
         let mut tokens = tokenize(line)?.into_iter();
         let (name, name_column) = match tokens.next() {
             Some(Token { kind: TokenKind::Name(name), column }) => (name, column),
             Some(Token { kind: TokenKind::End, .. }) | None => return Ok(None),
-            Some(Token { column, .. }) => return fail(column, "expected a name to set"),
+            Some(Token { column, .. }) => return fail(column, "expected the name of a parameter"),
         };
         match tokens.next() {
             Some(Token { kind: TokenKind::Symbol("="), .. }) => {}
@@ -56,13 +56,13 @@
         Ok(Some(Assignment { name, name_column, value_column, expression }))
     }
 
-    /// Evaluates the expression. `variables` gives the value of a variable, if there is one
-    /// of that name.
+    /// Evaluates the expression. `variables` returns the value of a variable, or `None` if
+    /// there is no variable of that name.
     ///
     /// # Errors
     ///
-    /// If the expression is not of the grammar, its types do not fit, a variable does not
-    /// exist, something is divided by zero, or it is nested deeper than [`MAX_DEPTH`].
+    /// If the expression does not match the grammar, has mismatched types, reads an unknown
+    /// variable, divides by zero, or is nested deeper than [`MAX_DEPTH`].
     pub(super) fn evaluate(
         &self,
         variables: &dyn Fn(&str) -> Option<Value>,
@@ -76,27 +76,29 @@
     }
 }
 
-/// A recursive-descent parser that evaluates as it goes: one method a rule of the grammar.
+/// A recursive-descent parser, with one method per grammar rule, that evaluates while it
+/// parses.
 struct Parser<'a> {
     tokens: &'a [Token],
     /// Index of the next token.
     position: usize,
-    /// How deeply the next token is nested; at most [`MAX_DEPTH`].
+    /// Nesting depth of the next token; at most [`MAX_DEPTH`].
     depth: usize,
     variables: &'a dyn Fn(&str) -> Option<Value>,
 }
 
-/// A symbol or word that was taken.
+/// A symbol or word that [`Parser::accept`] consumed.
 struct Accepted {
     text: &'static str,
     column: usize,
 }
 
-/// What a parser without tokens sees.
+/// The next token of a parser that has no tokens.
 const END: Token = Token { kind: TokenKind::End, column: 0 };
 
 impl<'a> Parser<'a> {
-    /// The next token; the end of the line for ever once it is reached.
+    /// The next token, without consuming it. Past the last token, returns the last one, which
+    /// is the end of the line.
     fn peek(&self) -> &'a Token {
         self.tokens.get(self.position).or(self.tokens.last()).unwrap_or(&END)
     }
@@ -107,7 +109,7 @@
         token
     }
 
-    /// Takes the next token if it is one of these symbols or words.
+    /// Consumes the next token if it is one of these symbols or words.
     fn accept(&mut self, wanted: &[&'static str]) -> Option<Accepted> {
         let Token { kind, column } = self.peek();
         let found = match kind {
@@ -120,7 +122,7 @@
         Some(Accepted { text, column: *column })
     }
 
-    /// Takes the next token, which must be this symbol or word.
+    /// Consumes the next token, which must be this symbol or word.
     fn expect(&mut self, wanted: &'static str) -> Result<(), ExpressionError> {
         match self.accept(&[wanted]) {
             Some(_) => Ok(()),
@@ -128,23 +130,23 @@
         }
     }
 
-    /// Goes one level deeper, if that is allowed. Whoever calls it goes back up by
-    /// `depth -= 1`; after an error nothing is parsed any more.
-    fn descend(&mut self, column: usize) -> Result<(), ExpressionError> {
+    /// Increments the nesting depth, and fails if it exceeds the maximum. The caller undoes
+    /// this by `depth -= 1`, except after an error, which ends parsing.
+    fn enter_nested(&mut self, column: usize) -> Result<(), ExpressionError> {
         self.depth += 1;
         if self.depth > MAX_DEPTH { fail(column, "nested too deeply") } else { Ok(()) }
     }
 
     fn value(&mut self) -> Result<Value, ExpressionError> {
-        self.descend(self.peek().column)?;
-        let value = if self.accept(&["if"]).is_some() { self.choice()? } else { self.sum()? };
+        self.enter_nested(self.peek().column)?;
+        let value = if self.accept(&["if"]).is_some() { self.conditional()? } else { self.sum()? };
         self.depth -= 1;
         Ok(value)
     }
 
-    /// What follows `if`.
-    fn choice(&mut self) -> Result<Value, ExpressionError> {
-        let test = self.test()?;
+    /// The rest of an `if` expression, after `if`.
+    fn conditional(&mut self) -> Result<Value, ExpressionError> {
+        let condition = self.condition()?;
         self.expect("then")?;
         let if_true = self.value()?;
         self.expect("else")?;
@@ -154,20 +156,20 @@
             let reason = format!("one branch is a {}, the other a {}", if_true.kind, if_false.kind);
             return fail(else_column, reason);
         }
-        Ok(if test { if_true } else { if_false })
+        Ok(if condition { if_true } else { if_false })
     }
 
     /// Comparisons joined by `and` and `or`, from left to right.
-    fn test(&mut self) -> Result<bool, ExpressionError> {
-        let mut result = self.compare()?;
+    fn condition(&mut self) -> Result<bool, ExpressionError> {
+        let mut result = self.comparison()?;
         while let Some(Accepted { text, .. }) = self.accept(&["and", "or"]) {
-            let next = self.compare()?;
+            let next = self.comparison()?;
             result = if text == "and" { result && next } else { result || next };
         }
         Ok(result)
     }
 
-    fn compare(&mut self) -> Result<bool, ExpressionError> {
+    fn comparison(&mut self) -> Result<bool, ExpressionError> {
         let left = self.sum()?;
         let Some(Accepted { text, column }) = self.accept(&["<", "<=", ">", ">=", "=="]) else {
             return fail(self.peek().column, "expected a comparison");
@@ -209,8 +211,8 @@
         match kind {
             TokenKind::Number(number) => Ok(self.with_unit(*number)),
             TokenKind::Name(name) => match name.as_str() {
-                "min" => self.extreme(f64::min),
-                "max" => self.extreme(f64::max),
+                "min" => self.min_or_max(f64::min),
+                "max" => self.min_or_max(f64::max),
                 name => match (self.variables)(name) {
                     Some(value) => Ok(value),
                     None => fail(*column, format!("there is no figure `{name}`")),
@@ -221,7 +223,7 @@
                 self.expect(")")?;
                 Ok(value)
             }
-            TokenKind::Symbol("-") => self.negated(*column),
+            TokenKind::Symbol("-") => self.negation(*column),
             TokenKind::Symbol(_) | TokenKind::End => fail(*column, "expected a value"),
         }
     }
@@ -238,22 +240,25 @@
         }
     }
 
-    /// What follows a sign, negated. `column`: that of the sign.
-    fn negated(&mut self, column: usize) -> Result<Value, ExpressionError> {
-        self.descend(column)?;
+    /// The negation of the value after a minus sign. `column` is the column of the sign.
+    fn negation(&mut self, column: usize) -> Result<Value, ExpressionError> {
+        self.enter_nested(column)?;
         let value = self.atom()?;
         self.depth -= 1;
         Ok(Value { number: -value.number, ..value })
     }
 
-    /// The arguments of `min` or `max`, reduced by it.
-    fn extreme(&mut self, choose: fn(f64, f64) -> f64) -> Result<Value, ExpressionError> {
+    /// The result of `min` or `max` for its arguments; `choose` is the function.
+    fn min_or_max(&mut self, choose: fn(f64, f64) -> f64) -> Result<Value, ExpressionError> {
         self.expect("(")?;
         let mut best = self.value()?;
         while let Some(Accepted { column, .. }) = self.accept(&[","]) {
             let next = self.value()?;
             if next.kind != best.kind {
-                return fail(column, format!("a {} stands beside a {}", next.kind, best.kind));
+                return fail(
+                    column,
+                    format!("a {} and a {} cannot be arguments of one function", next.kind, best.kind),
+                );
             }
             best.number = choose(best.number, next.number);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,9 @@
-//! The policy: what operators tune, written in a small typed expression language.
+//! The policy: the scheduler's tuning parameters, written in a small typed expression
+//! language.
 //!
-//! A policy is a text file of lines `name = expression`, at most one for a name; `#` starts a
-//! comment. Names that a file leaves out keep their value from `default.policy`, which also
-//! explains each of them.
+//! A policy is a text file of lines `name = expression`, at most one per name; `#` starts a
+//! comment. Parameters that a file does not set keep their value from `default.policy`, which
+//! also explains each of them.
 //!
 //! ```text
 //! lease = max(workers.lease / 8, 3 s)
@@ -10,23 +11,23 @@
 //! ```
 //!
 //! - **Types.** A value is a number, a time (`500 ms`, `3 s`, `2 min`, `1 h`) or a rate.
-//!   Values of different types are neither added nor compared; a time times a rate is a
-//!   number, a number by a time is a rate.
-//! - **Operators.** `+ - * /`, a sign, parentheses, `min(…)`, `max(…)`, and
-//!   `if … then … else …` with comparisons joined by `and` and `or`. These two bind equally
-//!   and from left to right.
-//! - **Variables.** Figures of the settings file, listed in `variables`.
+//!   Values of different types cannot be added or compared. A time times a rate is a number;
+//!   a number divided by a time is a rate.
+//! - **Operators.** `+ - * /`, unary minus, parentheses, `min(…)`, `max(…)`, and
+//!   `if … then … else …` with comparisons joined by `and` and `or`, which have equal
+//!   precedence and associate to the left.
+//! - **Variables.** Numbers from the settings file, listed in `variables`.
 //!
 //! A policy is evaluated once, before the controller starts; there are no loops and no
-//! state. Each parameter has a type and bounds (`parameters`), and one that is out of them
-//! is refused with its file, line and column. No value can break a safety invariant: what
-//! those rest on is not configurable.
+//! state. Each parameter has a type and bounds (`parameters`). A value that violates them is
+//! rejected with its file, line and column. No value can break a safety invariant: what the
+//! invariants depend on is not configurable.
 //!
-//! - `tokens`: splitting a line, and errors with a column
+//! - `tokens`: the tokenizer, and errors with a column
 //! - `expression`: grammar, parser and evaluation
 //! - `values`: types and arithmetic
-//! - `parameters`: the names that a policy sets
-//! - `variables`: the names that a policy reads
+//! - `parameters`: the parameters that a policy can set
+//! - `variables`: the variables that a policy can read
 
 mod expression;
 mod parameters;
@@ -44,12 +45,12 @@
 use parameters::Parameter;
 use tokens::ExpressionError;
 
-/// The policy in force where no file is given. It sets every parameter.
+/// The policy that applies without a policy file. It sets every parameter.
 const DEFAULT: &str = include_str!("default.policy");
 /// The default policy's name in errors.
 const DEFAULT_NAME: &str = "default.policy";
 
-/// Why a policy cannot be used.
+/// An error in a policy.
 #[derive(Debug, Error)]
 pub enum PolicyError {
     /// The file cannot be read.
@@ -57,10 +58,10 @@
     Unreadable {
         /// The policy file.
         file: PathBuf,
-        /// The operating system's reason.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// A line does not parse, cannot be evaluated, or sets a value that is refused.
+    /// A line does not parse, cannot be evaluated, or sets an invalid value.
     #[error("{}:{line}:{column}: {reason}", file.display())]
     Invalid {
         /// The policy file.
@@ -69,61 +70,61 @@
         line: usize,
         /// The column in bytes, counted from 1.
         column: usize,
-        /// What is wrong there.
+        /// What is wrong.
         reason: String,
     },
 }
 
-/// The parameters in force, as a policy sets them.
+/// The values of all parameters.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Tuning {
     /// Time to live of the leader's lease.
     pub lease: Duration,
-    /// Machines that are scored for each placement (power-of-k sampling).
+    /// Number of machines scored for each placement (power-of-k sampling).
     pub sampled_machines: usize,
-    /// Weight, in a machine's score, of the work that would be lost with a spot instance.
+    /// Weight, in a machine's score, of the work expected to be lost with a spot instance.
     pub spot_risk: f64,
-    /// Most work that a task may lose when it is preempted for another team's guarantee, in
-    /// seconds of run time; 0: never preempted for that.
+    /// Maximum work that a task may lose when it is preempted for another team's guarantee, in
+    /// seconds of run time; 0 disables such preemption.
     pub preempt_loss_s: f64,
-    /// Most work that a task may lose when it is preempted for one of higher priority, in
-    /// seconds of run time; 0: never preempted for that.
+    /// Maximum work that a task may lose when it is preempted for a task of higher priority,
+    /// in seconds of run time; 0 disables such preemption.
     pub preempt_lower_loss_s: f64,
     /// Capacity to scale out to, as a multiple of the mean demand.
     pub mean_ratio: f64,
-    /// The same multiple for work that may wait longer than machines take to boot.
+    /// The same multiple for work that may wait longer than a machine takes to boot.
     pub delay_tolerant_ratio: f64,
-    /// Capacity kept beyond the mean, in standard deviations of demand.
+    /// Additional capacity beyond the multiple of the mean, in standard deviations of demand.
     pub headroom: f64,
-    /// How long demand is remembered, as a multiple of the longest boot time.
+    /// Time over which demand statistics are taken, as a multiple of the longest boot time.
     pub demand_memory_boots: f64,
-    /// Factor on spot prices when offers are compared; above 1, spot instances count as
-    /// dearer than they are.
+    /// Factor applied to spot prices when offers are compared; above 1, spot instances count
+    /// as more expensive than they are.
     pub spot_price_weight: f64,
-    /// Idle time before a machine that is not needed is returned, in boot times.
+    /// Idle time after which an unneeded machine is returned, as a multiple of its boot time.
     pub idle_boots: f64,
-    /// Time after which a machine that has not come up is given up, in boot times.
+    /// Time after which a machine that has not come up is deleted, as a multiple of its boot
+    /// time.
     pub boot_limit_boots: f64,
     /// Time without a heartbeat after which a machine is replaced.
     pub suspicion_timeout: Duration,
-    /// Time within which every job should start its first task, if there is capacity at
-    /// all. From half of it on, a job that has not started goes before all others.
+    /// Time within which every job should start its first task if any capacity exists. A job
+    /// that has not started after half of this time is scheduled before all others.
     pub start_within: Duration,
-    /// How long done tasks are gathered before they are written to records.
+    /// Time for which done tasks are collected before they are written to records.
     pub done_task_batch_delay: Duration,
-    /// Interval of the reconciliation of rows with records.
+    /// Interval between reconciliations of rows with records.
     pub reconcile_interval: Duration,
 }
 
 impl Tuning {
-    /// The default policy, with what `file` sets differently.
+    /// Loads the default policy and overrides it with the parameters that `file` sets.
     ///
     /// # Errors
     ///
     /// [`PolicyError::Unreadable`] if the file cannot be read, [`PolicyError::Invalid`] for
-    /// the first line in it that cannot be used with these settings. The default policy
-    /// itself may be refused too, if the settings are such that a parameter gets out of its
-    /// bounds.
+    /// its first line that is invalid with these settings. The default policy itself is
+    /// rejected if these settings put one of its parameters out of bounds.
     pub fn load(cluster: &Cluster, file: Option<&Path>) -> Result<Self, PolicyError> {
         let mut tuning = Tuning::default();
         tuning.apply(cluster, DEFAULT, Path::new(DEFAULT_NAME))?;
@@ -135,7 +136,7 @@
         Ok(tuning)
     }
 
-    /// Sets what a policy's text sets. `file` is only named in errors.
+    /// Applies the text of a policy. `file` is used only in errors.
     fn apply(&mut self, cluster: &Cluster, text: &str, file: &Path) -> Result<(), PolicyError> {
         let mut names_set = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -149,7 +150,7 @@
         Ok(())
     }
 
-    /// Sets what one line sets, if anything. `names_set`: what earlier lines have set.
+    /// Applies one line. `names_set` holds the parameters that earlier lines set.
     fn apply_line(
         &mut self,
         cluster: &Cluster,
--- a/src/policy/parameters.rs
+++ b/src/policy/parameters.rs
@@ -1,4 +1,4 @@
-//! The table of parameters that a policy sets, with their types and bounds.
+//! The table of parameters that a policy can set, with their types and bounds.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -7,15 +7,16 @@
 use super::values::{Type, Value};
 use crate::settings::Workers;
 
-/// A day in seconds: the upper bound of times that nothing in the settings bounds.
+/// One day in seconds: the upper bound of times that no setting bounds.
 const DAY_S: f64 = 86_400.0;
 
-/// A parameter that a policy may set.
+/// A parameter that a policy can set.
 pub(super) struct Parameter {
-    /// Its name in the policy language.
+    /// The name in the policy language.
     pub(super) name: &'static str,
     kind: Type,
-    /// The values allowed, which may depend on the workers' protocol; times in seconds.
+    /// The allowed values, times in seconds. They may depend on the settings of the workers'
+    /// protocol.
     bounds: fn(&Workers) -> RangeInclusive<f64>,
     /// Stores a value that is within the bounds.
     store: fn(&mut Tuning, f64),
@@ -23,10 +24,10 @@
 
 /// All parameters, in the order of the default policy.
 pub(super) const PARAMETERS: &[Parameter] = &[
-    // A shorter lease would be ended by a single slow answer; under a longer one workers
-    // would give up before a new leader can reach them.
+    // A shorter lease would expire after a single slow response; with a longer one, workers'
+    // leases would expire before a new leader could reach the workers.
     time("lease", |w| w.lease_s * 0.08..=w.lease_s * 0.5, |t, value| t.lease = seconds(value)),
-    number("sample", |_| 1.0..=100.0, |t, value| t.sampled_machines = whole(value)),
+    number("sample", |_| 1.0..=100.0, |t, value| t.sampled_machines = truncate(value)),
     number("spot_risk", |_| 0.0..=100.0, |t, value| t.spot_risk = value),
     time(
         "begin_within",
@@ -71,27 +72,27 @@
     Duration::from_secs_f64(value)
 }
 
-/// The value without its fraction.
+/// The value without its fractional part.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "bounds are checked before, and are far below the type's: only the fraction is lost"
 )]
-fn whole(value: f64) -> usize {
+fn truncate(value: f64) -> usize {
     value as usize
 }
 
 impl Parameter {
-    /// The parameter of this name, if there is one.
+    /// The parameter with this name, if it exists.
     pub(super) fn find(name: &str) -> Option<&'static Parameter> {
         PARAMETERS.iter().find(|parameter| parameter.name == name)
     }
 
-    /// Sets this parameter in `tuning` if the value has its type and is within its bounds.
+    /// Sets this parameter in `tuning` if the value has the right type and is within bounds.
     ///
     /// # Errors
     ///
-    /// What is wrong with the value, for the policy's author.
+    /// What is wrong with the value, in words for the author of the policy.
     pub(super) fn set(&self, tuning: &mut Tuning, value: Value, workers: &Workers) -> Result<(), String> {
         let Parameter { name, kind, .. } = self;
         if value.kind != *kind {
--- a/src/policy/tokens.rs
+++ b/src/policy/tokens.rs
@@ -1,25 +1,26 @@
-//! The tokens of the policy language, and the errors that name a place in a line.
+//! The tokenizer of the policy language, and errors that refer to a column of a line.
 
-/// The symbols of the language. One that begins with another comes before it.
+/// The symbols of the language. A symbol precedes its own prefixes, so that the longest one
+/// matches.
 const SYMBOLS: [&str; 13] = ["<=", ">=", "==", "<", ">", "=", "+", "-", "*", "/", "(", ")", ","];
 
-/// Why a line is refused.
+/// An error in a line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ExpressionError {
-    /// Where in its line, in bytes counted from 0.
+    /// The column in the line, in bytes counted from 0.
     pub(super) column: usize,
-    /// What is wrong there, for the policy's author.
+    /// What is wrong, in words for the author of the policy.
     pub(super) reason: String,
 }
 
 impl ExpressionError {
-    /// An error at this column of the line, in bytes counted from 0.
+    /// Creates an error at this column of the line, in bytes counted from 0.
     pub(super) fn new(column: usize, reason: impl Into<String>) -> Self {
         ExpressionError { column, reason: reason.into() }
     }
 }
 
-/// Refuses the line at this column, in bytes counted from 0.
+/// Returns an error at this column of the line, in bytes counted from 0.
 ///
 /// # Errors
 ///
@@ -28,12 +29,12 @@
     Err(ExpressionError::new(column, reason))
 }
 
-/// What a token is.
+/// The kind of a token, with its value.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum TokenKind {
-    /// A number without its unit, which is a name of its own.
+    /// A number. Its unit, if any, is a separate [`TokenKind::Name`].
     Number(f64),
-    /// A variable, a function, a unit or a word such as `if`; the parser tells them apart.
+    /// A variable, function, unit or keyword such as `if`; the parser distinguishes them.
     Name(String),
     /// One of the symbols of the language.
     Symbol(&'static str),
@@ -41,20 +42,20 @@
     End,
 }
 
-/// A token and its place.
+/// A token and its position.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Token {
-    /// What it is.
+    /// The kind of the token.
     pub(super) kind: TokenKind,
-    /// Where it starts in the line, in bytes counted from 0.
+    /// Its first column in the line, in bytes counted from 0.
     pub(super) column: usize,
 }
 
-/// Splits a line into tokens, of which the last is [`TokenKind::End`].
+/// Splits a line into tokens. The last one is [`TokenKind::End`].
 ///
 /// # Errors
 ///
-/// At the first character or number that is not of the language.
+/// At the first character or number that is not part of the language.
 pub(super) fn tokenize(line: &str) -> Result<Vec<Token>, ExpressionError> {
     let mut tokens = Vec::new();
     let mut column = 0;
@@ -75,14 +76,15 @@
     Ok(tokens)
 }
 
-/// The token that `text` starts with, and its length in bytes. `first`: its first character.
+/// Reads the token that `text` starts with, and returns its length in bytes too. `first` is the
+/// first character of `text`.
 fn read_token(text: &str, first: char) -> Result<(TokenKind, usize), String> {
     if first.is_ascii_digit() {
-        let digits = leading(text, |c| c.is_ascii_digit() || c == '.');
+        let digits = matching_prefix(text, |c| c.is_ascii_digit() || c == '.');
         let number = digits.parse().map_err(|_| "this is not a number".to_owned())?;
         Ok((TokenKind::Number(number), digits.len()))
     } else if first.is_ascii_alphabetic() {
-        let name = leading(text, |c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
+        let name = matching_prefix(text, |c| c.is_ascii_alphanumeric() || c == '_' || c == '.');
         Ok((TokenKind::Name(name.to_owned()), name.len()))
     } else if let Some(symbol) = SYMBOLS.into_iter().find(|symbol| text.starts_with(symbol)) {
         Ok((TokenKind::Symbol(symbol), symbol.len()))
@@ -91,8 +93,8 @@
     }
 }
 
-/// The longest start of `text` that consists of characters of a class.
-fn leading(text: &str, belongs: fn(char) -> bool) -> &str {
-    let end = text.find(|c| !belongs(c)).unwrap_or(text.len());
+/// The longest prefix of `text` whose characters all match.
+fn matching_prefix(text: &str, matches: fn(char) -> bool) -> &str {
+    let end = text.find(|c| !matches(c)).unwrap_or(text.len());
     &text[..end]
 }
--- a/src/policy/values.rs
+++ b/src/policy/values.rs
@@ -28,9 +28,9 @@
 /// A typed value.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Value {
-    /// Its type, which implies its unit.
+    /// The type, which implies the unit.
     pub(super) kind: Type,
-    /// Its amount: times in seconds, rates per second.
+    /// The amount: times in seconds, rates per second.
     pub(super) number: f64,
 }
 
@@ -58,11 +58,12 @@
     Ok(Value { number: left.number - right.number, ..left })
 }
 
-/// A number times anything keeps the other's type; a time times a rate is a number.
+/// The product of two values. A number times another value has that value's type; a time
+/// times a rate is a number.
 ///
 /// # Errors
 ///
-/// At `column`, if the product has no type, as that of two times.
+/// At `column`, if the product has no type, such as the product of two times.
 pub(super) fn multiply(left: Value, right: Value, column: usize) -> Result<Value, ExpressionError> {
     let kind = match (left.kind, right.kind) {
         (Type::Number, kind) | (kind, Type::Number) => kind,
@@ -72,8 +73,9 @@
     Ok(Value { kind, number: left.number * right.number })
 }
 
-/// The ratio of two values of one type is a number; a number by a time is a rate, and the
-/// other way round.
+/// The ratio of two values. A value divided by a number keeps its type, and the ratio of two
+/// values of one type is a number. A number divided by a time is a rate, and a number divided
+/// by a rate is a time.
 ///
 /// # Errors
 ///
--- a/src/policy/variables.rs
+++ b/src/policy/variables.rs
@@ -1,9 +1,9 @@
-//! The variables that a policy's expressions may read.
+//! The variables that policy expressions can read.
 
 use super::values::{Type, Value};
 use crate::settings::Cluster;
 
-/// The value of a variable, from the settings; `None` if there is none of this name.
+/// The value of a variable, taken from the settings; `None` if there is no such variable.
 pub(super) fn value_of(cluster: &Cluster, name: &str) -> Option<Value> {
     let (kind, number) = match name {
         "workers.report" => (Type::Time, cluster.workers.heartbeat_interval_s),
