--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -1,7 +1,8 @@
-//! How the cost of the leader's hot paths grows with the size of the fleet: `cargo bench`.
+//! Measures how the cost of the leader's hot paths grows with the size of the fleet. Run with
+//! `cargo bench`.
 //!
-//! Absolute times mean little on a shared machine. Each cost is printed as a multiple of the
-//! same cost on the smallest fleet, measured in the same run: 1.0 means that it does not grow.
+//! Absolute times are unreliable on a shared machine. Each cost is therefore printed as a
+//! multiple of the same cost on the smallest fleet in the same run: 1.0 means no growth.
 
 #![allow(clippy::cast_possible_truncation, reason = "counts are small here")]
 
@@ -55,14 +56,14 @@
 
 /// Epoch of the leader.
 const EPOCH: u64 = 7;
-/// Added to an operation's number, it is the version that its write gets.
+/// The write of an operation gets the operation's number plus this as its version.
 const VERSION_OFFSET: u64 = 100;
-/// Numbers of machines.
+/// Numbers of machines in the measured fleets.
 const FLEET_SIZES: [usize; 3] = [50, 500, 4000];
-/// Tasks that fit on each machine, with a little room left.
+/// Tasks that fit on each machine; they leave a small remainder free.
 const TASKS_PER_MACHINE: usize = 3;
 
-/// A leader and a fleet whose machines do what it commands.
+/// A leader and a fleet whose machines execute its commands.
 struct Fixture {
     /// The leader that is measured.
     leader: Leader,
@@ -70,7 +71,7 @@
     now: Instant,
     /// Sequence number of the last heartbeat.
     sequence: u64,
-    /// By machine, the start commands of its tasks and the tasks' states.
+    /// For each machine, the start commands and states of its tasks.
     running: Vec<Vec<(Command, TaskState)>>,
     /// Number of jobs submitted.
     jobs: u32,
@@ -81,7 +82,7 @@
     MachineId::parse(&format!("vm-{machine:06}")).expect("valid")
 }
 
-/// A job array of tasks that fit [`TASKS_PER_MACHINE`] times on a machine.
+/// A job array with tasks of which [`TASKS_PER_MACHINE`] fit on a machine.
 fn spec(job: u32, tasks: u32) -> JobSpec {
     JobSpec {
         id: JobId::parse(&format!("job-{job}")).expect("valid"),
@@ -109,10 +110,10 @@
 }
 
 impl Fixture {
-    /// A leader that has just read the records of a fleet of this many machines.
+    /// Creates a leader that has just read the records of a fleet of this many machines.
     fn new(machines: usize) -> Self {
-        let settings = Settings::parse(SETTINGS, Path::new("bench.toml")).expect("sound settings");
-        let tuning = Tuning::load(&settings.cluster, None).expect("a sound policy");
+        let settings = Settings::parse(SETTINGS, Path::new("bench.toml")).expect("valid settings");
+        let tuning = Tuning::load(&settings.cluster, None).expect("valid policy");
         let now = Instant::now();
         let machine_type = MachineType {
             name: "m8".into(),
@@ -142,7 +143,7 @@
         Fixture { leader, now, sequence: 0, running: vec![Vec::new(); machines], jobs: 0 }
     }
 
-    /// Lets every write succeed at once.
+    /// Completes all pending writes successfully.
     fn commit_writes(&mut self) {
         loop {
             let effects = self.leader.drain_effects();
@@ -157,14 +158,14 @@
         }
     }
 
-    /// Submits a job of so many tasks.
+    /// Submits a job with this many tasks.
     fn submit(&mut self, tasks: u32) {
         self.jobs += 1;
         self.leader.submit(self.now, 0, ReplyId(u64::from(self.jobs)), spec(self.jobs, tasks));
         self.commit_writes();
     }
 
-    /// One heartbeat of a machine, which then executes the commands of the response.
+    /// Sends a heartbeat of a machine, and executes the commands of the response.
     fn heartbeat(&mut self, machine: usize) {
         self.sequence += 1;
         let tasks = self.running[machine].iter().filter_map(|(command, state)| match command {
@@ -191,13 +192,13 @@
                 match &command {
                     Command::Start { .. } => self.running[machine].push((command, TaskState::Running)),
                     Command::Stop { task, .. } | Command::Reap { task, .. } => self.running[machine]
-                        .retain(|(o, _)| !matches!(o, Command::Start { task: t, .. } if t == task)),
+                        .retain(|(start, _)| !matches!(start, Command::Start { task: t, .. } if t == task)),
                 }
             }
         }
     }
 
-    /// One heartbeat of each machine.
+    /// Sends a heartbeat of each machine.
     fn all_heartbeats(&mut self) {
         for machine in 0..self.running.len() {
             self.heartbeat(machine);
@@ -205,24 +206,24 @@
         self.commit_writes();
     }
 
-    /// Lets time pass on the leader's clock.
+    /// Advances the leader's clock.
     fn advance_clock(&mut self, seconds: f64) {
         self.now += Duration::from_secs_f64(seconds);
     }
 }
 
-/// What is measured.
+/// The measured operations.
 const COST_NAMES: [&str; 5] = [
     "a failover, per machine",
     "a heartbeat that changes nothing",
     "a heartbeat that places a task",
     "a poll",
-    "a second's tick, whole",
+    "a tick (one per second), in total",
 ];
 
-/// The least time for one operation, in seconds, in several rounds. A round returns the time of
-/// all of its operations, and their number.
-fn least_cost(rounds: u32, mut round: impl FnMut() -> (Duration, usize)) -> f64 {
+/// The minimum time per operation over several rounds, in seconds. A round returns the total
+/// time of its operations, and their number.
+fn min_cost(rounds: u32, mut round: impl FnMut() -> (Duration, usize)) -> f64 {
     (0..rounds)
         .map(|_| {
             let (duration, operations) = round();
@@ -233,7 +234,7 @@
 
 /// Costs in seconds, in the order of [`COST_NAMES`].
 fn costs(machines: usize) -> [f64; COST_NAMES.len()] {
-    let failover = least_cost(5, || {
+    let failover = min_cost(5, || {
         let started = Clock::now();
         let mut fixture = Fixture::new(machines);
         fixture.all_heartbeats();
@@ -241,8 +242,8 @@
     });
     let mut fixture = Fixture::new(machines);
     fixture.all_heartbeats();
-    // Every machine is full but for a rest that no task fits in, and the backlog is several
-    // times as large: on the largest fleet a thousand jobs with 34,000 tasks.
+    // Every machine is full except for a remainder that no task fits into, and the backlog is
+    // several times as large: on the largest fleet a thousand jobs with 34,000 tasks.
     for _ in 0..machines / 2 {
         fixture.submit(40);
     }
@@ -253,13 +254,13 @@
         fixture.all_heartbeats();
     }
     assert!(fixture.running.iter().all(|tasks| tasks.len() == TASKS_PER_MACHINE), "every machine is full");
-    let unchanged = least_cost(9, || {
+    let unchanged = min_cost(9, || {
         fixture.advance_clock(0.1);
         let started = Clock::now();
         fixture.all_heartbeats();
         (started.elapsed(), machines)
     });
-    let placing = least_cost(5, || {
+    let placing = min_cost(5, || {
         for tasks in &mut fixture.running {
             tasks[0].1 = TaskState::Exited(ExitCause::Done);
         }
@@ -273,7 +274,7 @@
         fixture.all_heartbeats();
         (duration, machines)
     });
-    let poll = least_cost(9, || {
+    let poll = min_cost(9, || {
         let ids: Vec<JobId> = (1..=fixture.jobs).map(|n| spec(n, 1).id).collect();
         let started = Clock::now();
         for id in &ids {
@@ -281,7 +282,7 @@
         }
         (started.elapsed(), ids.len())
     });
-    let tick = least_cost(9, || {
+    let tick = min_cost(9, || {
         fixture.advance_clock(1.1);
         let started = Clock::now();
         fixture.leader.tick(fixture.now);
@@ -292,16 +293,16 @@
     [failover, unchanged, placing, poll, tick]
 }
 
-/// Measures all fleets and prints the ratios.
+/// Measures all fleet sizes and prints the ratios.
 fn main() {
     let all = FLEET_SIZES.map(costs);
     println!("cost on a fleet of {FLEET_SIZES:?} machines, as a multiple of the first");
-    for (at, name) in COST_NAMES.iter().enumerate() {
-        let ratios = all.map(|costs| format!("{:7.2}", costs[at] / all[0][at]));
+    for (index, name) in COST_NAMES.iter().enumerate() {
+        let ratios = all.map(|costs| format!("{:7.2}", costs[index] / all[0][index]));
         println!("{name:34}{}", ratios.join(" "));
     }
-    let in_heartbeats = all.map(|costs| format!("{:7.1}", costs[4] / costs[1]));
-    println!("{:34}{}  (in heartbeats that change nothing)", "a second's tick", in_heartbeats.join(" "));
+    let ticks = all.map(|costs| format!("{:7.1}", costs[4] / costs[1]));
+    println!("{:34}{}  (in heartbeats that change nothing)", "a tick (one per second)", ticks.join(" "));
     let placing = all.map(|costs| format!("{:7.1}", costs[2] / costs[1]));
     println!(
         "{:34}{}  (in heartbeats that change nothing)",
--- a/build.rs
+++ b/build.rs
@@ -1,5 +1,6 @@
 //! Compiles the gRPC protocol between controllers (`proto/peer.proto`) in pure Rust, so that
-//! a build needs no system `protoc`. `transport::peer` includes the generated code.
+//! a build does not need `protoc` to be installed. `transport::peer` includes the generated
+//! code.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,34 +1,34 @@
-//! shedtally: a cluster scheduler run as several equal controllers over a small state
+//! shedtally: a cluster scheduler that runs as several equal controllers on top of a state
 //! service.
 //!
-//! One controller leads at a time and decides what runs where; the others forward users and
-//! workers to it and take over when its lease expires. All state that must outlive a process
-//! is in the state service, a consensus-backed key-value store that is not part of this
-//! program.
+//! One controller at a time is the leader and decides which task runs on which machine. The
+//! others forward requests of users and workers to it, and take over when its lease expires.
+//! All state that must outlive a process is in the state service, a consensus-backed
+//! key-value store that is not part of this program.
 //!
 //! # Layers
 //!
 //! Each layer uses only those below it.
 //!
-//! | folder | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`cli`] | the command line; composes a controller of its actors |
-//! | [`coordination`] | who leads, and what the leader decides |
+//! | [`cli`] | the command line; starts the actors of a controller |
+//! | [`coordination`] | leader election, and the leader's decisions |
 //! | [`storage`] | the key-value store's client with its rate limit, and the stored records |
-//! | [`protocol`] | messages of the platform's protocols and their codecs |
-//! | [`transport`] | HTTP and gRPC: bytes on sockets, without knowledge of jobs or machines |
+//! | [`protocol`] | messages of the platform's protocols, and their codecs |
+//! | [`transport`] | HTTP and gRPC connections, independent of jobs and machines |
 //!
-//! Beside the layers are [`settings`] (the platform's settings file) and [`policy`] (what
-//! operators tune), which all but `transport` and `protocol` may read, and `maps` (hash maps
-//! whose order tests can repeat).
+//! Outside the layers are [`settings`] (the platform's settings file) and [`policy`] (tuning
+//! parameters set by operators), which all layers except `transport` and `protocol` may use,
+//! and `maps` (hash maps with an order that tests can reproduce).
 //!
 //! # Coordination
 //!
-//! | folder | what it owns |
+//! | module | responsibility |
 //! | --- | --- |
 //! | [`coordination::election`] | the leader's lease, its renewal and the epoch |
-//! | [`coordination::authority`] | what may be done under an epoch, and how long an answer is valid |
-//! | [`coordination::leader`] | the leader's state machine: events and time in, effects out |
+//! | [`coordination::authority`] | which actions an epoch permits, and how long a response is valid |
+//! | [`coordination::leader`] | the leader's state machine: takes events and the time, returns effects |
 //! | [`coordination::jobs`] | jobs, their admission, dependencies and record writes |
 //! | [`coordination::workers`] | heartbeats, commands, slots and the failure detector |
 //! | [`coordination::fleet`] | machines, the cloud's inventory, demand, scale out and scale in |
@@ -36,8 +36,8 @@
 //! | [`coordination::recovery`] | failover, snapshots, reconciliation of rows with records |
 //! | [`coordination::controller`] | the actor: routing, relays between controllers, metrics |
 //!
-//! The state machines of `coordination` do no input or output, so tests run them, and whole
-//! simulated clusters of them, in simulated time.
+//! The state machines of `coordination` perform no I/O, so tests run them, and entire clusters
+//! of them, in simulated time.
 
 #![cfg_attr(
     test,
@@ -52,7 +52,7 @@
         clippy::wildcard_imports,
         reason = "see `Cargo.toml`, lints"
     )
-)] // A test may panic: that is how it fails.
+)] // Tests fail by panicking, so they may unwrap.
 
 pub mod cli;
 pub mod coordination;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `shedtally`. All of it is in the library, where tests reach it; see
+//! The `shedtally` program. Its code is in the library, where tests can use it; see
 //! `shedtally::cli` for commands and exit codes.
 
 use std::process::ExitCode;
--- a/src/settings/load.rs
+++ b/src/settings/load.rs
@@ -10,19 +10,20 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unreadable`] if the file cannot be read, else as [`Settings::parse`].
+    /// [`SettingsError::Unreadable`] if the file cannot be read, and the errors of
+    /// [`Settings::parse`].
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(file)
             .map_err(|source| SettingsError::Unreadable { file: file.to_owned(), source })?;
         Self::parse(&text, file)
     }
 
-    /// Parses and validates the text of a settings file. `file` is only named in errors.
+    /// Parses and validates the text of a settings file. `file` is used only in errors.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Malformed`] if the text does not parse into the structures,
-    /// [`SettingsError::InvalidField`] for the first field whose value is refused.
+    /// [`SettingsError::Malformed`] if the text cannot be parsed into the structures,
+    /// [`SettingsError::InvalidField`] for the first field with an invalid value.
     pub fn parse(text: &str, file: &Path) -> Result<Self, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Malformed {
             file: file.to_owned(),
@@ -37,8 +38,8 @@
     }
 }
 
-/// The parser's message in one line: without its excerpt of the file, but with the number
-/// of the line and the field set there, where they are known.
+/// The parser's message in one line: without the excerpt of the file, but with the line number
+/// and the field set in that line, if they are known.
 fn describe_parse_error(text: &str, error: &toml::de::Error) -> String {
     let message = error.message().replace('\n', " ");
     let Some(span) = error.span() else { return message };
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,14 +1,14 @@
-//! The platform's settings file: read once at the start, validated as a whole, and not
-//! changed while a controller runs.
+//! The platform's settings file. It is read and validated once at startup, and its values do
+//! not change while a controller runs.
 //!
-//! The structures mirror the TOML file; where the file has words of its own they are
-//! mapped to this program's terms by `#[serde(rename)]`, and stand nowhere else. Unknown
-//! fields are ignored, as the platform may add some. Every error names the file and the
-//! field.
+//! The structures mirror the TOML file. Where the file's field names differ from this
+//! program's terms, `#[serde(rename)]` maps them; identifiers elsewhere use only the program's
+//! terms. Unknown fields are ignored, since the platform may add some. Every error names the
+//! file and, where it is known, the field.
 //!
-//! - `schema`: the structures, with units and defaults of each field
+//! - `schema`: the structures, with the unit and default of each field
 //! - `load`: reading and parsing the file
-//! - `validate`: which values are refused
+//! - `validate`: validation of the values
 
 mod load;
 mod schema;
@@ -23,7 +23,7 @@
     Settings, Team, Workers,
 };
 
-/// Why a settings file cannot be used.
+/// An error in a settings file.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -31,7 +31,7 @@
     Unreadable {
         /// The settings file.
         file: PathBuf,
-        /// The operating system's reason.
+        /// The operating system's error.
         source: std::io::Error,
     },
     /// The file is not TOML, lacks a field, or has a field of the wrong type.
@@ -39,10 +39,10 @@
     Malformed {
         /// The settings file.
         file: PathBuf,
-        /// The parser's message in one line, with the line and the field where they are known.
+        /// The parser's message in one line, with the line and the field if they are known.
         reason: String,
     },
-    /// A field has a value that is refused.
+    /// A field has an invalid value.
     #[error("{}: field `{field}` {reason}", file.display())]
     InvalidField {
         /// The settings file.
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -1,7 +1,7 @@
-//! The structures of the settings file, and the figures that follow directly from them.
+//! The structures of the settings file, and values derived directly from them.
 //!
-//! Field names that differ from the file's are mapped here by `#[serde(rename)]`. A field
-//! without a default must be in the file.
+//! Names that differ from those in the file are mapped by `#[serde(rename)]`; documentation
+//! gives the file's name in parentheses. A field without a default is required.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,57 +11,57 @@
 /// One controller's settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
-    /// This controller's name (`host_name`): not empty, and unique in the cluster. One
-    /// process at a time runs under it.
+    /// This controller's name (`host_name`): not empty, and unique in the cluster. Only one
+    /// process at a time runs under a name.
     #[serde(rename = "host_name")]
     pub name: String,
     /// The availability zone that this controller runs in (`domain`).
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where workers, users and health checks connect by HTTP (`serve_on`).
+    /// Address of the HTTP server for workers, users and health checks (`serve_on`).
     #[serde(rename = "serve_on")]
     pub listen: SocketAddr,
-    /// Where other controllers connect by gRPC (`internal_addr`).
+    /// Address of the gRPC server for other controllers (`internal_addr`).
     #[serde(rename = "internal_addr")]
     pub peer_listen: SocketAddr,
-    /// The other controllers (`known`). Default: none. There may be fewer than the cluster
-    /// has; then nothing is concluded from what the others say of themselves.
+    /// The other controllers (`known`). Default: none. The list may be incomplete; if it is,
+    /// nothing is inferred from what the listed controllers report about themselves.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
     /// The external services that controllers use (`external`).
     #[serde(rename = "external")]
     pub services: Services,
-    /// What all controllers of the cluster have in common.
+    /// Settings that all controllers of the cluster share.
     pub cluster: Cluster,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name (`host_name`), as in its own settings.
+    /// The controller's name (`host_name`), as in its own settings.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Its gRPC address.
+    /// The controller's gRPC address.
     pub address: SocketAddr,
 }
 
 /// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// The cloud provider's interface for renting machines.
+    /// The cloud provider's API for renting machines.
     pub cloud: SocketAddr,
-    /// The state service: the consensus-backed key-value store.
+    /// The state service (`state`): the consensus-backed key-value store.
     #[serde(rename = "state")]
     pub kv: SocketAddr,
 }
 
-/// What all controllers of a cluster have in common.
+/// Settings that all controllers of a cluster share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Cluster {
-    /// Number of controllers, this one included; at least 1.
+    /// Number of controllers, including this one; at least 1.
     pub size: u32,
-    /// Largest difference between two hosts' clocks, in milliseconds (`skew_ms`). Default:
-    /// 0. Validated only: leases are measured on each process's own monotonic clock.
+    /// Largest difference between two hosts' clocks, in milliseconds (`skew_ms`). Default: 0.
+    /// Validated but not used: each process measures leases on its own monotonic clock.
     #[serde(rename = "skew_ms", default)]
     pub clock_skew_ms: f64,
     /// The teams that share the cluster. Default: none.
@@ -70,119 +70,120 @@
     /// The users' service-level objectives. Default: none.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Intervals of the workers' protocol.
+    /// Time limits of the workers' protocol.
     pub workers: Workers,
-    /// Limits of the state service.
+    /// Limits of the state service (`state`).
     #[serde(rename = "state")]
     pub kv: KvSettings,
-    /// Limits of the cloud's interface.
+    /// Limits of the cloud's API.
     pub cloud: CloudLimits,
-    /// What the controller's process may use (`quota`).
+    /// Resource limits of the controller process (`quota`).
     #[serde(rename = "quota")]
     pub limits: ProcessLimits,
 }
 
-/// A team's quota: what it is guaranteed, and what it may use at most.
+/// A team's quota: its guaranteed and its maximum resources.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// The name by which jobs refer to the team; unique.
+    /// The unique name by which jobs refer to the team.
     pub name: String,
-    /// Guaranteed CPUs. Default: 0, no guarantee.
+    /// Guaranteed CPUs. Default: 0 (no guarantee).
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs in use at once. Default: 0, no limit.
+    /// Maximum CPUs in use at once. Default: 0 (no limit).
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed GPUs. Default: 0, no guarantee.
+    /// Guaranteed GPUs. Default: 0 (no guarantee).
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs in use at once. Default: 0, no limit.
+    /// Maximum GPUs in use at once. Default: 0 (no limit).
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// A service-level objective of the users, for a class of jobs or for all.
+/// A service-level objective for one class of jobs or for all jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is aimed at: `wait` (a start within `within_s` of being ready), `finished` (an
-    /// end within `within_s` of being ready) or `deadline` (an end within `times` the job's
-    /// own deadline). Others are ignored.
+    /// The kind of objective: `wait` (jobs start within `within_s` of being ready), `finished`
+    /// (jobs end within `within_s` of being ready) or `deadline` (jobs end within `times` their
+    /// own deadline). Other kinds are ignored.
     pub kind: String,
-    /// The class of jobs that it is for. Default: all classes.
+    /// The class of jobs that the objective applies to. Default: all classes.
     pub class: Option<String>,
-    /// The time aimed at, in seconds. Without it a `wait` or `finished` objective is ignored.
+    /// The target time, in seconds. Without it, a `wait` or `finished` objective is ignored.
     pub within_s: Option<f64>,
-    /// The share of jobs that should reach the objective. Not used: every job is scheduled as
-    /// if it had to.
+    /// The share of jobs that should meet the objective. Not used: every job is scheduled as
+    /// if it had to meet it.
     pub share: Option<f64>,
-    /// The multiple of a job's deadline aimed at. Default: 1.
+    /// The target multiple of a job's deadline. Default: 1.
     pub times: Option<f64>,
 }
 
-/// Intervals of the workers' protocol.
+/// Time limits of the workers' protocol.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Time between two heartbeats of a worker, in seconds; above 0.
+    /// Time between two heartbeats of a worker, in seconds (`report_s`); above 0.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// A worker's lease, in seconds; longer than `report_s`. A worker that has had no answer
-    /// for so long kills its tasks.
+    /// A worker's lease, in seconds; longer than `report_s`. A worker that has received no
+    /// response for this long kills its tasks.
     pub lease_s: f64,
-    /// Time within which all tasks of a cancelled job must have ended, in seconds from the
-    /// cancellation's confirmation; above 0.
+    /// Time within which all tasks of a cancelled job must end, in seconds after the
+    /// cancellation was confirmed; above 0.
     pub cancel_s: f64,
 }
 
-/// Limits of the state service: those that hold at first, and those announced for later.
+/// Limits of the state service: the initial ones, and those announced for later.
 #[derive(Debug, Clone, Deserialize)]
 pub struct KvSettings {
     /// Requests per second, of all controllers together; above 0.
     pub rps: f64,
     /// Puts and deletes per second, of all controllers together; above 0.
     pub write_rps: f64,
-    /// Largest value, in KiB; above 0.
+    /// Maximum size of a value, in KiB; above 0.
     pub value_kb: f64,
-    /// Most puts and deletes in one transaction; at least 4.
+    /// Maximum number of puts and deletes in one transaction; at least 4.
     pub txn_ops: usize,
-    /// Limits that will hold from some moment on. When that is, nobody announces. Default:
-    /// the limits do not change.
+    /// Limits that take effect at a later time, which is not announced. Default: the limits do
+    /// not change.
     pub next: Option<AnnouncedLimits>,
 }
 
-/// Limits that the state service will have. Those not named stay as in [`KvSettings`].
+/// Announced limits of the state service. Those not set stay as in [`KvSettings`].
 #[derive(Debug, Clone, Deserialize)]
 pub struct AnnouncedLimits {
-    /// Requests per second. Default: as now.
+    /// Requests per second. Default: unchanged.
     pub rps: Option<f64>,
-    /// Puts and deletes per second. Default: as now.
+    /// Puts and deletes per second. Default: unchanged.
     pub write_rps: Option<f64>,
-    /// Largest value, in KiB. Default: as now.
+    /// Maximum size of a value, in KiB. Default: unchanged.
     pub value_kb: Option<f64>,
-    /// Most puts and deletes in one transaction. Default: as now.
+    /// Maximum number of puts and deletes in one transaction. Default: unchanged.
     pub txn_ops: Option<usize>,
 }
 
-/// One complete set of limits of the state service.
+/// A complete set of limits of the state service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct KvLimits {
     /// Requests per second, of all controllers together.
     pub rps: f64,
     /// Puts and deletes per second, of all controllers together.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most puts and deletes in one transaction.
+    /// Maximum number of puts and deletes in one transaction.
     pub txn_ops: usize,
 }
 
 impl KvSettings {
-    /// The limits that hold when the service begins.
+    /// The initial limits, which hold until the announced ones take effect.
     pub fn in_force(&self) -> KvLimits {
         let KvSettings { rps, write_rps, value_kb, txn_ops, .. } = *self;
         KvLimits { rps, write_rps, value_kb, txn_ops }
     }
 
-    /// The limits that hold once they have changed; the present ones if none are announced.
+    /// The limits that hold once the announced ones have taken effect; the initial ones if none
+    /// are announced.
     pub fn announced(&self) -> KvLimits {
         let present = self.in_force();
         let Some(next) = &self.next else { return present };
@@ -194,7 +195,8 @@
         }
     }
 
-    /// The smaller of both: what is allowed before and after the limits change.
+    /// The smaller of the initial and the announced value of each limit: what is allowed both
+    /// before and after the change.
     pub fn strictest(&self) -> KvLimits {
         let (present, announced) = (self.in_force(), self.announced());
         KvLimits {
@@ -207,7 +209,7 @@
 }
 
 impl KvLimits {
-    /// The largest value in bytes, rounded down.
+    /// The maximum size of a value in bytes, rounded down.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -218,16 +220,16 @@
     }
 }
 
-/// Limits of the cloud's interface.
+/// Limits of the cloud's API.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
     /// Requests per second; above 0.
     pub rps: f64,
-    /// How old the cloud's list of machines may be, in seconds; 0 or more.
+    /// Maximum age of the cloud's list of machines, in seconds; 0 or more.
     pub list_lag_s: f64,
 }
 
-/// What the controller's process may use. Queues, caches and tables are sized from these.
+/// Resource limits of the controller process. Queues, caches and tables are sized from them.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
     /// CPU cores (`core_share`); above 0, and usually a fraction.
@@ -236,23 +238,24 @@
     /// Memory, in MB (`ram_mb`); above 0.
     #[serde(rename = "ram_mb")]
     pub memory_mb: f64,
-    /// Open sockets, incoming and outgoing (`sockets`); at least 16.
+    /// Open sockets for incoming and outgoing connections (`sockets`); at least 16.
     #[serde(rename = "sockets")]
     pub max_connections: usize,
 }
 
 impl ProcessLimits {
-    /// Sockets kept for outgoing connections, besides [`Self::OUTGOING_RATIO`].
-    const OUTGOING: usize = 16;
-    /// One in so many sockets is kept for outgoing connections.
-    const OUTGOING_RATIO: usize = 16;
+    /// Sockets reserved for outgoing connections, in addition to those reserved by
+    /// [`Self::OUTGOING_DIVISOR`].
+    const MIN_OUTGOING: usize = 16;
+    /// One in this many sockets is reserved for outgoing connections.
+    const OUTGOING_DIVISOR: usize = 16;
 
-    /// Connections for workers, users and health checks: every worker of the fleet holds one
-    /// at the leader. The rest is for the state service, the cloud, commands pushed to
-    /// workers and the other controllers, whose numbers grow less than the fleet. Never less
-    /// than half of all.
+    /// Maximum number of incoming connections, from workers, users and health checks; at least
+    /// half of all sockets. Every worker of the fleet holds a connection to the leader. The
+    /// remaining sockets are for the state service, the cloud, commands pushed to workers and
+    /// the other controllers, whose number grows more slowly than the fleet.
     pub fn incoming(&self) -> usize {
-        let outgoing = self.max_connections / Self::OUTGOING_RATIO + Self::OUTGOING;
+        let outgoing = self.max_connections / Self::OUTGOING_DIVISOR + Self::MIN_OUTGOING;
         self.max_connections.saturating_sub(outgoing).max(self.max_connections / 2)
     }
 }
@@ -263,7 +266,7 @@
         Duration::from_secs_f64(self.lease_s)
     }
 
-    /// Time within which all tasks of a cancelled job must have ended (`cancel_s`).
+    /// Time within which all tasks of a cancelled job must end (`cancel_s`).
     pub fn cancellation(&self) -> Duration {
         Duration::from_secs_f64(self.cancel_s)
     }
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Settings of an invented three-controller cluster.
+/// Settings of a controller in a two-controller cluster.
 pub const SAMPLE: &str = r#"
 host_name = "c-0"
 domain = "z1"
@@ -59,16 +59,16 @@
     Settings::parse(SAMPLE, Path::new("sample.toml")).expect("the sample is valid")
 }
 
-/// Every machine of a large fleet holds a connection at the leader.
+/// Every machine of a large fleet holds a connection to the leader.
 #[test]
-fn most_sockets_are_for_workers_and_users() {
+fn most_sockets_are_for_incoming_connections() {
     let incoming = |max_connections| ProcessLimits { max_connections, ..sample().cluster.limits }.incoming();
     assert_eq!([16, 100, 800, 3200].map(incoming), [8, 78, 734, 2984]);
 }
 
-/// What is announced replaces only what it names; without it, everything stays.
+/// Announced limits replace only the limits that they set; without them no limit changes.
 #[test]
-fn announced_limits_stand_beside_the_present_ones() {
+fn announced_limits_override_the_present_ones() {
     let parse = |text: &str| Settings::parse(text, Path::new("s.toml")).map(|s| s.cluster.kv);
     let present = parse(SAMPLE).expect("valid");
     assert_eq!(present.announced(), present.in_force());
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -1,7 +1,7 @@
-//! Which settings are refused.
+//! Validation of the settings.
 //!
-//! The checks run in a fixed order, and the first that fails is reported. Numbers are
-//! checked before relations between them, so that no relation sees a NaN.
+//! The checks run in a fixed order, and the first failure is reported. Numbers are checked
+//! before the relations between them, so that no relation is evaluated with a NaN.
 
 use std::collections::HashSet;
 
@@ -10,47 +10,49 @@
 const POSITIVE: &str = "must be a number above 0";
 const NOT_NEGATIVE: &str = "must be a number of at least 0";
 
-/// Numbers must be below this. The bound keeps every duration computed from them in range.
+/// Exclusive upper bound of numbers. It keeps every duration computed from them in range.
 const NUMBER_LIMIT: f64 = 1e9;
-/// A transaction of fewer changes cannot hold what belongs together.
+/// Smallest allowed maximum of changes per transaction. A smaller transaction cannot hold all
+/// changes that must be committed together.
 const MIN_TRANSACTION_CHANGES: usize = 4;
-/// With fewer sockets, the connections and queues sized from them are too few to be of use.
+/// Smallest allowed number of sockets. With fewer, the numbers of connections and the queues
+/// derived from it are too small to be useful.
 const MIN_CONNECTIONS: usize = 16;
 
-/// A field with a value that is refused.
+/// A field with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct InvalidField {
-    /// The field's path in the file, in the file's words.
+    /// The field's path, with the names used in the file.
     pub(super) field: String,
     /// What the value must be.
     pub(super) reason: &'static str,
 }
 
-/// Passes if `holds`, else names the field.
+/// Returns an error for `field` unless `holds`.
 fn require(holds: bool, field: impl Into<String>, reason: &'static str) -> Result<(), InvalidField> {
     if holds { Ok(()) } else { Err(InvalidField { field: field.into(), reason }) }
 }
 
 impl Settings {
-    /// Checks all values.
+    /// Validates all values.
     ///
     /// # Errors
     ///
-    /// The first field whose value is refused.
+    /// The first field with an invalid value.
     pub(super) fn validate(&self) -> Result<(), InvalidField> {
         let cluster = &self.cluster;
         check_positive_numbers(cluster)?;
         check_non_negative_numbers(cluster)?;
         check_workers(&cluster.workers)?;
-        check_state(&cluster.kv)?;
+        check_transaction_size(&cluster.kv)?;
         check_cluster_size(cluster)?;
-        check_limits(&cluster.limits)?;
+        check_connections(&cluster.limits)?;
         self.check_controller_names()?;
         check_teams(&cluster.teams)
     }
 
-    /// The names of this controller and its peers: the leader record tells controllers apart
-    /// by nothing else.
+    /// Checks that the names of this controller and its peers are distinct: the leader record
+    /// identifies a controller only by its name.
     fn check_controller_names(&self) -> Result<(), InvalidField> {
         require(!self.name.is_empty(), "host_name", "must not be empty")?;
         let mut names = HashSet::from([self.name.as_str()]);
@@ -59,7 +61,7 @@
     }
 }
 
-/// Numbers of which 0 makes no sense: intervals, rates, sizes and shares.
+/// Checks numbers that must not be 0: intervals, rates, sizes and shares.
 fn check_positive_numbers(cluster: &Cluster) -> Result<(), InvalidField> {
     let announced = cluster.kv.announced();
     let numbers = [
@@ -82,7 +84,7 @@
     Ok(())
 }
 
-/// Numbers that may be 0.
+/// Checks numbers that may be 0.
 fn check_non_negative_numbers(cluster: &Cluster) -> Result<(), InvalidField> {
     let numbers =
         [("cluster.skew_ms", cluster.clock_skew_ms), ("cluster.cloud.list_lag_s", cluster.cloud.list_lag_s)];
@@ -92,14 +94,15 @@
     Ok(())
 }
 
-/// A lease is extended by heartbeats, so one must fit into it.
+/// Checks that a worker's lease is longer than its heartbeat interval, since heartbeats extend
+/// the lease.
 fn check_workers(workers: &Workers) -> Result<(), InvalidField> {
     let lease_outlasts_heartbeat = workers.lease_s > workers.heartbeat_interval_s;
     require(lease_outlasts_heartbeat, "cluster.workers.lease_s", "must be longer than report_s")
 }
 
-/// The size of transactions, before and after the limits change.
-fn check_state(state: &KvSettings) -> Result<(), InvalidField> {
+/// Checks the maximum size of transactions, both initial and announced.
+fn check_transaction_size(state: &KvSettings) -> Result<(), InvalidField> {
     const REASON: &str = "must be at least 4";
     let (present, announced) = (state.in_force().txn_ops, state.announced().txn_ops);
     require(present >= MIN_TRANSACTION_CHANGES, "cluster.state.txn_ops", REASON)?;
@@ -110,11 +113,11 @@
     require(cluster.size > 0, "cluster.size", "must be at least 1")
 }
 
-fn check_limits(limits: &ProcessLimits) -> Result<(), InvalidField> {
+fn check_connections(limits: &ProcessLimits) -> Result<(), InvalidField> {
     require(limits.max_connections >= MIN_CONNECTIONS, "cluster.quota.sockets", "must be at least 16")
 }
 
-/// Each team in the file's order: its name, then its numbers.
+/// Checks each team in the order of the file: its name, then its numbers.
 fn check_teams(teams: &[Team]) -> Result<(), InvalidField> {
     let mut names = HashSet::new();
     for (index, team) in teams.iter().enumerate() {
