--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -1,6 +1,6 @@
-//! Tests of the leader against scripted workers, state service and cloud, on a clock that
-//! only the test advances ([`harness`]); and of whole clusters in simulated time
-//! ([`simulation`]).
+//! Tests of the leader against scripted workers, a scripted state service and a scripted cloud,
+//! on a clock that only the test advances ([`harness`]); and tests of whole clusters in
+//! simulated time ([`simulation`]).
 
 mod cancellation;
 mod dag;
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -1,24 +1,24 @@
-//! The concurrent faults that the users named, each injected into a whole cluster: no rule may
-//! be violated, and each test shows that the faults did overlap. The table in `docs/design.md`
-//! has the argument for each.
+//! Combinations of concurrent faults that users have asked about, each injected into a whole
+//! cluster. No rule may be violated, and each test checks that the faults did overlap. The table
+//! in `docs/design.md` explains for each combination why the rules hold.
 
 use super::random_faults::in_simulated_time;
 use super::simulation::{ClusterShape, Fault, Simulation};
 
 use Fault::*;
 
-/// The last fault has ended by then, in seconds of simulated time.
-const CALM: f64 = 130.0;
-/// The simulation ends then, in seconds of simulated time.
+/// All faults have ended by this time, in seconds of simulated time.
+const FAULTS_END: f64 = 130.0;
+/// When the simulation ends, in seconds of simulated time.
 const END: f64 = 300.0;
 
-/// Runs the concurrent faults with three controllers, and with five.
+/// Runs concurrent faults on clusters of the usual shape.
 fn run_concurrent_faults(faults: &[(f64, Fault)], overlapped: impl Fn(&Simulation) -> bool) {
     run_concurrent_faults_in(ClusterShape::usual, faults, overlapped);
 }
 
-/// The same on clusters of a shape; `overlapped` tells by what happened that the faults did
-/// overlap.
+/// Runs concurrent faults with three controllers and with five, on clusters of the given shape.
+/// `overlapped` decides from the counters of a simulation whether the faults did overlap.
 fn run_concurrent_faults_in(
     shape: impl Fn(usize) -> ClusterShape,
     faults: &[(f64, Fault)],
@@ -26,7 +26,7 @@
 ) {
     for (seed, controllers) in [(1, 3), (2, 5)] {
         let simulation = in_simulated_time(async {
-            let mut simulation = Simulation::shaped(seed, shape(controllers), faults.to_vec(), CALM);
+            let mut simulation = Simulation::shaped(seed, shape(controllers), faults.to_vec(), FAULTS_END);
             simulation.run(END).await;
             simulation.check_end();
             simulation
@@ -41,47 +41,48 @@
 
 #[test]
 fn delayed_transactions_arrive_after_newer_ones_and_a_failover() {
-    let late = LateWrites { share: 0.4, lasts: 90.0 };
-    let crash = Crash { controller: None, back: 0.3 };
+    let late = LateWrites { probability: 0.4, lasts: 90.0 };
+    let crash = Crash { controller: None, restart_after: 0.3 };
     run_concurrent_faults(
         &[(25.0, late), (60.0, crash), (80.0, crash), (90.0, CancelNow { count: 3, hang: 0.0 })],
-        |simulation| simulation.late_changes > 20 && simulation.leaders.len() >= 3,
+        |simulation| simulation.late_transactions > 20 && simulation.leaders.len() >= 3,
     );
 }
 
-/// Chains of dependent jobs are cancelled at their first jobs, and right after it the leader is
-/// lost, the state service is out, or the leader alone is cut off from it; meanwhile the limits
-/// of the state service fall.
+/// Users cancel the first jobs of chains of dependent jobs. Right after that, the leader crashes,
+/// the state service is down, or it refuses or loses the requests of the leader alone; meanwhile
+/// the limits of the state service are lowered.
 #[test]
 fn dependencies_are_cancelled_while_the_leader_or_the_state_service_is_lost() {
     let cancel = CancelNow { count: 4, hang: 0.0 };
     let lost = [
-        Crash { controller: None, back: 3.0 },
+        Crash { controller: None, restart_after: 3.0 },
         Outage { lasts: 55.0 },
-        Refused { lasts: 60.0, peers: false },
-        Cut { lasts: 60.0, peers: true },
+        StateServiceRefuses { lasts: 60.0, peers: false },
+        StateServiceUnreachable { lasts: 60.0, peers: true },
     ];
     for fault in lost {
-        let faults = [(40.0, cancel), (40.3, fault), (41.0, LimitsFall), (55.0, cancel), (55.2, fault)];
+        let faults = [(40.0, cancel), (40.3, fault), (41.0, LimitsLowered), (55.0, cancel), (55.2, fault)];
         let shape = |controllers| ClusterShape {
-            extra_requests: 1.0,
+            extra_request_rate: 1.0,
             writes: 11.0,
             ..ClusterShape::busy(controllers).with_dependencies()
         };
         run_concurrent_faults_in(shape, &faults, |simulation| {
-            simulation.cancellations >= 3 && simulation.beyond_limits > 0
+            simulation.cancellations >= 3 && simulation.over_limits > 0
         });
     }
 }
 
-/// A transaction is carried out and only its reply is lost, while others read what it wrote.
+/// Transactions are carried out and only their replies are lost, while other controllers read
+/// what they wrote.
 #[test]
 fn transaction_replies_are_lost_while_controllers_are_partitioned() {
-    let lost = LostAnswers { share: 0.6, lasts: 90.0 };
+    let lost = LostAnswers { probability: 0.6, lasts: 90.0 };
     let cancel = CancelNow { count: 4, hang: 0.0 };
-    let at_end = CancelAtEnd { share: 0.4, lasts: 90.0 };
-    let apart = PeersRefuse { lasts: 80.0 };
-    let faults = [(25.0, lost), (25.0, at_end), (30.0, apart), (45.0, cancel), (70.0, cancel)];
+    let at_end = CancelAtEnd { probability: 0.4, lasts: 90.0 };
+    let unreachable = PeersUnreachable { lasts: 80.0 };
+    let faults = [(25.0, lost), (25.0, at_end), (30.0, unreachable), (45.0, cancel), (70.0, cancel)];
     run_concurrent_faults_in(ClusterShape::busy, &faults, |simulation| {
         simulation.cancellations > 0 && simulation.repeated_answers > 1000
     });
@@ -89,16 +90,16 @@
 
 #[test]
 fn leadership_moves_back_and_forth_and_a_controller_restarts_within_a_second() {
-    let back_at_once = Crash { controller: None, back: 0.2 };
+    let quick_restart = Crash { controller: None, restart_after: 0.2 };
     run_concurrent_faults(
         &[
-            (40.0, back_at_once),
-            (41.0, back_at_once),
-            (55.0, CrashAll { back: 0.4 }),
-            (57.0, Crash { controller: Some(0), back: 0.1 }),
-            (57.3, Crash { controller: Some(1), back: 0.1 }),
+            (40.0, quick_restart),
+            (41.0, quick_restart),
+            (55.0, CrashAll { restart_after: 0.4 }),
+            (57.0, Crash { controller: Some(0), restart_after: 0.1 }),
+            (57.3, Crash { controller: Some(1), restart_after: 0.1 }),
             (58.0, CancelNow { count: 2, hang: 5.0 }),
-            (75.0, CrashAll { back: 3.0 }),
+            (75.0, CrashAll { restart_after: 3.0 }),
         ],
         |simulation| simulation.leaders.len() >= 3,
     );
@@ -106,7 +107,7 @@
 
 #[test]
 fn a_command_delayed_by_a_hung_machine_is_applied_when_it_resumes() {
-    let hung = |lasts| Hung { share: 0.6, lasts };
+    let hung = |lasts| Hung { probability: 0.6, lasts };
     run_concurrent_faults(
         &[(40.0, hung(3.0)), (50.0, hung(6.0)), (60.0, CancelNow { count: 4, hang: 15.0 })],
         |simulation| simulation.cancellations > 0,
@@ -115,16 +116,16 @@
 
 #[test]
 fn a_cancellation_a_poll_and_a_resubmission_coincide_with_the_last_task_end() {
-    let crash = Crash { controller: None, back: 2.0 };
+    let crash = Crash { controller: None, restart_after: 2.0 };
     run_concurrent_faults(
-        &[(20.0, CancelAtEnd { share: 1.0, lasts: 100.0 }), (60.0, crash), (90.0, crash)],
+        &[(20.0, CancelAtEnd { probability: 1.0, lasts: 100.0 }), (60.0, crash), (90.0, crash)],
         |simulation| simulation.cancellations > 5,
     );
 }
 
 #[test]
 fn the_state_service_refuses_the_leader_then_all_while_users_cancel() {
-    let refused = Refused { lasts: 14.0, peers: false };
+    let refused = StateServiceRefuses { lasts: 14.0, peers: false };
     run_concurrent_faults(
         &[
             (40.0, refused),
@@ -142,7 +143,7 @@
 fn a_refused_leader_and_a_cancellation_at_once_then_an_outage() {
     run_concurrent_faults(
         &[
-            (45.0, Refused { lasts: 14.0, peers: false }),
+            (45.0, StateServiceRefuses { lasts: 14.0, peers: false }),
             (45.0, CancelNow { count: 4, hang: 0.0 }),
             (46.0, Outage { lasts: 60.0 }),
         ],
@@ -152,28 +153,29 @@
 
 #[test]
 fn tasks_of_a_job_end_far_apart_across_failovers() {
-    let crash = Crash { controller: None, back: 5.0 };
+    let crash = Crash { controller: None, restart_after: 5.0 };
     let changes: Vec<_> = (0..7).map(|n| (30.0 + 12.0 * f64::from(n), crash)).collect();
     run_concurrent_faults(&changes, |simulation| simulation.leaders.len() >= 7);
 }
 
 #[test]
 fn jobs_are_cancelled_through_another_controller_while_the_leader_is_isolated() {
-    let alone = |hangs| match hangs {
-        true => Cut { lasts: 35.0, peers: true },
-        false => Refused { lasts: 35.0, peers: true },
+    let isolated = |requests_hang| match requests_hang {
+        true => StateServiceUnreachable { lasts: 35.0, peers: true },
+        false => StateServiceRefuses { lasts: 35.0, peers: true },
     };
     let cancel = CancelNow { count: 3, hang: 0.0 };
-    for hangs in [false, true] {
-        run_concurrent_faults(&[(40.0, alone(hangs)), (46.0, cancel), (50.0, cancel)], |simulation| {
-            simulation.leaders.len() >= 2 && simulation.cancellations >= 2
-        });
+    for requests_hang in [false, true] {
+        run_concurrent_faults(
+            &[(40.0, isolated(requests_hang)), (46.0, cancel), (50.0, cancel)],
+            |simulation| simulation.leaders.len() >= 2 && simulation.cancellations >= 2,
+        );
     }
 }
 
 #[test]
 fn more_work_than_capacity_at_all_priorities_across_failovers() {
-    let crash = Crash { controller: None, back: 4.0 };
+    let crash = Crash { controller: None, restart_after: 4.0 };
     run_concurrent_faults(
         &[(30.0, Burst { jobs: 25 }), (50.0, crash), (70.0, Burst { jobs: 10 }), (71.0, crash)],
         |simulation| simulation.starts > 100,
@@ -182,22 +184,22 @@
 
 #[test]
 fn zone_bound_jobs_lose_their_machines() {
-    let die = Die { share: 0.5 };
+    let lost = MachinesLost { probability: 0.5 };
     run_concurrent_faults(
-        &[(40.0, die), (60.0, die), (61.0, Crash { controller: None, back: 3.0 }), (80.0, die)],
+        &[(40.0, lost), (60.0, lost), (61.0, Crash { controller: None, restart_after: 3.0 }), (80.0, lost)],
         |simulation| simulation.leaders.len() >= 2,
     );
 }
 
 #[test]
 fn a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease() {
-    let cut = ZoneCut { lasts: 32.0 };
-    // Whether or not the controller in the zone leads.
-    let crash = Crash { controller: None, back: 6.0 };
-    run_concurrent_faults(&[(40.0, cut), (48.0, CancelNow { count: 3, hang: 0.0 })], |simulation| {
+    let partition = ZonePartition { lasts: 32.0 };
+    // The rules must hold whether or not the controller in the zone leads.
+    let crash = Crash { controller: None, restart_after: 6.0 };
+    run_concurrent_faults(&[(40.0, partition), (48.0, CancelNow { count: 3, hang: 0.0 })], |simulation| {
         simulation.cancellations > 0
     });
-    run_concurrent_faults(&[(35.0, crash), (40.0, crash), (48.0, cut), (55.0, crash)], |simulation| {
+    run_concurrent_faults(&[(35.0, crash), (40.0, crash), (48.0, partition), (55.0, crash)], |simulation| {
         simulation.leaders.len() >= 2
     });
 }
@@ -206,9 +208,9 @@
 fn heartbeats_of_earlier_incarnations_and_attempts_arrive_after_newer_ones() {
     run_concurrent_faults(
         &[
-            (20.0, LateHeartbeats { share: 0.5, lasts: 100.0 }),
-            (40.0, Hung { share: 0.4, lasts: 25.0 }),
-            (70.0, OneWayPartition { share: 0.4, lasts: 25.0 }),
+            (20.0, LateHeartbeats { probability: 0.5, lasts: 100.0 }),
+            (40.0, Hung { probability: 0.4, lasts: 25.0 }),
+            (70.0, OneWayPartition { probability: 0.4, lasts: 25.0 }),
         ],
         |simulation| simulation.late_copies > 50,
     );
@@ -216,10 +218,10 @@
 
 #[test]
 fn a_heartbeat_is_delayed_until_a_new_leader_has_acted() {
-    let crash = Crash { controller: None, back: 1.0 };
-    let late = LateHeartbeats { share: 0.7, lasts: 100.0 };
+    let crash = Crash { controller: None, restart_after: 1.0 };
+    let late = LateHeartbeats { probability: 0.7, lasts: 100.0 };
     run_concurrent_faults(
-        &[(20.0, late), (45.0, crash), (60.0, crash), (75.0, CrashAll { back: 8.0 })],
+        &[(20.0, late), (45.0, crash), (60.0, crash), (75.0, CrashAll { restart_after: 8.0 })],
         |simulation| simulation.leaders.len() >= 4,
     );
 }
@@ -227,7 +229,7 @@
 #[test]
 fn all_controllers_are_down_for_longer_than_a_worker_lease() {
     run_concurrent_faults(
-        &[(45.0, CrashAll { back: 27.0 }), (44.0, CancelNow { count: 3, hang: 0.0 })],
+        &[(45.0, CrashAll { restart_after: 27.0 }), (44.0, CancelNow { count: 3, hang: 0.0 })],
         |simulation| simulation.lost_leases > 0,
     );
 }
@@ -237,11 +239,11 @@
     run_concurrent_faults(
         &[
             (30.0, Burst { jobs: 20 }),
-            (50.0, HeartbeatsLost { share: 0.5, lasts: 30.0 }),
-            (51.0, Crash { controller: None, back: 5.0 }),
+            (50.0, HeartbeatsLost { probability: 0.5, lasts: 30.0 }),
+            (51.0, Crash { controller: None, restart_after: 5.0 }),
             (54.0, CancelNow { count: 4, hang: 0.0 }),
-            (80.0, Hung { share: 0.5, lasts: 17.0 }),
-            (81.0, Crash { controller: None, back: 5.0 }),
+            (80.0, Hung { probability: 0.5, lasts: 17.0 }),
+            (81.0, Crash { controller: None, restart_after: 5.0 }),
             (84.0, CancelNow { count: 4, hang: 10.0 }),
         ],
         |simulation| simulation.leaders.len() >= 3 && simulation.cancellations >= 3,
@@ -250,12 +252,12 @@
 
 #[test]
 fn a_failover_while_machines_are_unreachable_or_one_way_partitioned() {
-    let crash = Crash { controller: None, back: 5.0 };
+    let crash = Crash { controller: None, restart_after: 5.0 };
     run_concurrent_faults(
         &[
-            (40.0, OneWayPartition { share: 0.5, lasts: 40.0 }),
+            (40.0, OneWayPartition { probability: 0.5, lasts: 40.0 }),
             (42.0, crash),
-            (85.0, HeartbeatsLost { share: 0.5, lasts: 15.0 }),
+            (85.0, HeartbeatsLost { probability: 0.5, lasts: 15.0 }),
             (86.0, crash),
         ],
         |simulation| simulation.leaders.len() >= 3,
@@ -264,7 +266,7 @@
 
 #[test]
 fn ten_failovers_in_two_minutes_with_an_outage_among_them() {
-    let crash = Crash { controller: None, back: 0.5 };
+    let crash = Crash { controller: None, restart_after: 0.5 };
     let mut faults: Vec<_> = (0..12).map(|n| (25.0 + 8.0 * f64::from(n), crash)).collect();
     faults.extend([(60.0, Outage { lasts: 20.0 }), (58.0, CancelNow { count: 3, hang: 0.0 })]);
     run_concurrent_faults(&faults, |simulation| simulation.leaders.len() >= 6);
@@ -272,7 +274,7 @@
 
 #[test]
 fn machines_without_heartbeat_replies_receive_pushed_commands() {
-    let lost = HeartbeatsLost { share: 0.7, lasts: 30.0 };
+    let lost = HeartbeatsLost { probability: 0.7, lasts: 30.0 };
     run_concurrent_faults(&[(40.0, lost), (44.0, CancelNow { count: 4, hang: 0.0 })], |simulation| {
         simulation.cancellations >= 2
     });
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -1,79 +1,81 @@
-//! Random overlapping faults on a whole cluster, with the rules checked from outside; and for
-//! each rule, a script that violates it and must be caught.
+//! Random overlapping faults on a whole cluster, with the rules checked from outside; and tests
+//! of the checker: for each rule, a script that violates it and must be caught.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::simulation::{ClusterShape, Fault, Origin, Question, Simulation, Trace};
+use super::simulation::{ClusterShape, Fault, Origin, RequestKind, Simulation, Trace};
 use super::*;
 use crate::protocol::cbor::{MapBuilder, encode};
 use crate::transport::codec::Response;
 
 /// Environment variable: the number of seeds to run, more for a longer search.
-pub const SEEDS: &str = "SHEDTALLY_SEEDS";
+pub const SEEDS_VARIABLE: &str = "SHEDTALLY_SEEDS";
 /// Environment variable: the first seed.
-pub const FIRST: &str = "SHEDTALLY_FIRST_SEED";
+pub const FIRST_SEED_VARIABLE: &str = "SHEDTALLY_FIRST_SEED";
 
-/// The last fault has ended by then, in seconds of simulated time.
-const CALM: f64 = 170.0;
-/// The simulation ends then, unless jobs are unfinished; seconds of simulated time.
+/// All faults have ended by this time, in seconds of simulated time.
+const FAULTS_END: f64 = 170.0;
+/// When the simulation ends, unless jobs are unfinished; in seconds of simulated time.
 const END: f64 = 330.0;
 
 /// The whole number in an environment variable, or a default.
-pub fn number(variable: &str, default: u64) -> u64 {
+pub fn env_number(variable: &str, default: u64) -> u64 {
     std::env::var(variable).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// Some dozen faults within two minutes, in any order and overlapping.
+/// A dozen or so random faults within two minutes, in any order and overlapping.
 fn random_faults(seed: u64) -> Vec<(f64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x7e57);
     let count = rng.random_range(8..20);
     (0..count)
         .map(|_| {
             let at = rng.random_range(25.0..120.0);
-            let back = [0.1, 0.4, 3.0, 8.0][rng.random_range(0..4)];
-            let (share, lasts) = (rng.random_range(0.1..0.5), rng.random_range(2.0..48.0));
+            let restart_after = [0.1, 0.4, 3.0, 8.0][rng.random_range(0..4)];
+            let (probability, lasts) = (rng.random_range(0.1..0.5), rng.random_range(2.0..48.0));
             let peers = rng.random_bool(0.5);
             let controller = rng.random_bool(0.3).then(|| rng.random_range(0..3));
             let fault = match rng.random_range(0..24) {
-                0 | 1 => Fault::Crash { controller: None, back },
-                2 => Fault::Crash { controller: Some(rng.random_range(0..3)), back },
-                3 => Fault::CrashAll { back: back * rng.random_range(1.0..4.0) },
+                0 | 1 => Fault::Crash { controller: None, restart_after },
+                2 => Fault::Crash { controller: Some(rng.random_range(0..3)), restart_after },
+                3 => Fault::CrashAll { restart_after: restart_after * rng.random_range(1.0..4.0) },
                 4 => Fault::Outage { lasts },
-                5 => Fault::Refused { lasts, peers },
-                6 => Fault::Cut { lasts, peers },
-                7 => Fault::OneWayPartition { share, lasts },
-                8 => Fault::HeartbeatsLost { share, lasts },
-                9 => Fault::Hung { share, lasts },
-                10 => Fault::Die { share: share / 2.0 },
+                5 => Fault::StateServiceRefuses { lasts, peers },
+                6 => Fault::StateServiceUnreachable { lasts, peers },
+                7 => Fault::OneWayPartition { probability, lasts },
+                8 => Fault::HeartbeatsLost { probability, lasts },
+                9 => Fault::Hung { probability, lasts },
+                10 => Fault::MachinesLost { probability: probability / 2.0 },
                 11 => Fault::CloudDown { lasts },
-                12 => Fault::LateWrites { share, lasts },
-                13 => Fault::LateHeartbeats { share, lasts },
+                12 => Fault::LateWrites { probability, lasts },
+                13 => Fault::LateHeartbeats { probability, lasts },
                 14 => Fault::CancelNow { count: rng.random_range(1..5), hang: lasts / 2.0 },
-                15 => Fault::CancelAtEnd { share: 0.6, lasts },
+                15 => Fault::CancelAtEnd { probability: 0.6, lasts },
                 16 => Fault::Burst { jobs: rng.random_range(5..25) },
                 17 | 18 => Fault::Stall { controller, lasts: rng.random_range(0.2..25.0) },
-                19 => Fault::LostAnswers { share, lasts },
-                20 => Fault::DoubledWrites { share, lasts },
-                21 => Fault::SlowAnswers { share, lasts },
-                22 => Fault::PeersRefuse { lasts },
-                _ => Fault::ZoneCut { lasts },
+                19 => Fault::LostAnswers { probability, lasts },
+                20 => Fault::DuplicatedWrites { probability, lasts },
+                21 => Fault::SlowAnswers { probability, lasts },
+                22 => Fault::PeersUnreachable { lasts },
+                _ => Fault::ZonePartition { lasts },
             };
             (at, fault)
         })
         .chain(
-            [(30.0 + (seed % 90) as f64, Fault::LimitsFall)].into_iter().filter(|_| shape(seed).limits_fall),
+            [(30.0 + (seed % 90) as f64, Fault::LimitsLowered)]
+                .into_iter()
+                .filter(|_| shape(seed).limits_lowered),
         )
         .collect()
 }
 
-/// Two clusters in three have jobs with dependencies, and a state service whose limits fall.
+/// Two clusters in three have jobs with dependencies, and a state service whose limits are lowered.
 fn shape(seed: u64) -> ClusterShape {
     let shape = ClusterShape::usual(if seed.is_multiple_of(2) { 5 } else { 3 });
     if seed.is_multiple_of(3) { shape } else { shape.with_dependencies() }
 }
 
-/// Prints the simulated time before each line of a log.
+/// Writes the simulated time at the start of each log line.
 struct Clock;
 
 impl tracing_subscriber::fmt::time::FormatTime for Clock {
@@ -84,31 +86,33 @@
 }
 
 /// Environment variable: if set, the log of the controllers is printed.
-const LOG: &str = "SHEDTALLY_LOG";
+const LOG_VARIABLE: &str = "SHEDTALLY_LOG";
 
-/// Runs in a runtime of its own with paused time, so that no task outlives its simulation.
+/// Runs a simulation in a runtime of its own with paused time, so that no task outlives it.
 pub fn in_simulated_time<T>(work: impl Future<Output = T>) -> T {
     let subscriber =
         tracing_subscriber::fmt().with_timer(Clock).with_ansi(false).with_writer(std::io::stderr);
-    let _log = std::env::var(LOG).is_ok().then(|| tracing::subscriber::set_default(subscriber.finish()));
+    let _log =
+        std::env::var(LOG_VARIABLE).is_ok().then(|| tracing::subscriber::set_default(subscriber.finish()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
     runtime.expect("a runtime").block_on(work)
 }
 
-/// Runs a seed's cluster through these faults, to the end.
-pub fn play(seed: u64, faults: Vec<(f64, Fault)>) -> Simulation {
+/// Runs the cluster of a seed with these faults to the end, and checks the end state.
+pub fn run_seed(seed: u64, faults: Vec<(f64, Fault)>) -> Simulation {
     in_simulated_time(async {
-        let mut simulation = Simulation::shaped(seed, shape(seed), faults, CALM);
+        let mut simulation = Simulation::shaped(seed, shape(seed), faults, FAULTS_END);
         run_to_the_end(&mut simulation).await;
         simulation.check_end();
         simulation
     })
 }
 
-/// Runs until no job is unfinished, but not for ever.
+/// Runs until `END`, and then until no job is unfinished or twice that time is over.
 async fn run_to_the_end(simulation: &mut Simulation) {
     simulation.run(END).await;
-    // A backlog is worked off as fast as the quotas of the teams allow.
+    // A backlog may remain at `END`, since the quotas of the teams limit how fast it is worked
+    // off.
     let mut until = END;
     while simulation.has_unfinished_jobs() && until < 2.0 * END {
         until += 20.0;
@@ -116,51 +120,51 @@
     }
 }
 
-/// The trace of the random faults of a seed.
-pub fn traced(seed: u64) -> Trace {
+/// The trace of a seed's simulation with its random faults.
+pub fn record_trace(seed: u64) -> Trace {
     in_simulated_time(async {
-        let mut simulation = Simulation::shaped(seed, shape(seed), random_faults(seed), CALM);
+        let mut simulation = Simulation::shaped(seed, shape(seed), random_faults(seed), FAULTS_END);
         simulation.trace.start();
         run_to_the_end(&mut simulation).await;
         simulation.trace
     })
 }
 
-/// No rule is violated, whatever faults overlap. A seed that violates one is printed; it
-/// violates the rule again when it is repeated.
+/// No rule is violated, whichever faults overlap. A seed that violates one is printed; running
+/// the seed again reproduces the violation.
 #[test]
 fn no_rule_breaks_in_random_overlapping_faults() {
-    let first = number(FIRST, 1);
-    let mut broken = Vec::new();
-    for seed in first..first + number(SEEDS, 6) {
-        let simulation = play(seed, random_faults(seed));
+    let first = env_number(FIRST_SEED_VARIABLE, 1);
+    let mut failures = Vec::new();
+    for seed in first..first + env_number(SEEDS_VARIABLE, 6) {
+        let simulation = run_seed(seed, random_faults(seed));
         assert!(simulation.starts > 20, "seed {seed}: {} starts", simulation.starts);
         if !simulation.violations.is_empty() {
-            broken.push(format!("seed {seed}: {:#?}\n{:#?}", simulation.violations, random_faults(seed)));
+            failures.push(format!("seed {seed}: {:#?}\n{:#?}", simulation.violations, random_faults(seed)));
         }
     }
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-// Tests of the checker: each rule must catch a script that violates it, as a wrong scheduler
+// Tests of the checker: each rule must catch a script that violates it as a faulty scheduler
 // would.
 
-/// Runs a script on a cluster without faults; the checker must find that rule violated.
+/// Runs a script on a cluster without faults; the checker must report a violation of the rule.
 fn assert_caught(rule: &str, script: impl FnOnce(&mut Simulation)) {
-    let broken = in_simulated_time(async {
+    let failures = in_simulated_time(async {
         let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
         script(&mut simulation);
         simulation.violations
     });
-    assert!(broken.iter().any(|b| b.starts_with(rule)), "{rule} is not caught: {broken:?}");
+    assert!(failures.iter().any(|b| b.starts_with(rule)), "{rule} is not caught: {failures:?}");
 }
 
-/// The origin of an answer of the first controller to a request sent at that time.
+/// The origin of an answer of the first controller to a request sent at this time.
 fn answer_origin(at: Instant, order: u64) -> Origin {
     Origin { sent: at, process: (0, 1), order }
 }
 
-/// Submits `job-1` with four tasks and lets its user be answered that it is queued.
+/// Submits `job-1` with four tasks and tells its user that it is queued.
 fn submit_job(simulation: &mut Simulation, change: impl FnOnce(&mut JobSpec)) -> Instant {
     let now = Instant::now();
     let mut spec = sample("job-1", "red", 4, 4.0);
@@ -170,8 +174,8 @@
     now
 }
 
-/// Less than the delay that any rule allows.
-const SOON: Duration = Duration::from_secs(1);
+/// A delay shorter than any that a rule allows.
+const SHORT_DELAY: Duration = Duration::from_secs(1);
 
 #[test]
 fn the_checker_catches_wrong_starts() {
@@ -223,20 +227,20 @@
     assert_caught("ran_cancelled", |simulation| {
         let (now, _) = cancelled(simulation);
         simulation.check_cancelled(now + Duration::from_secs(40));
-        assert!(simulation.violations.is_empty(), "there is time left");
+        assert!(simulation.violations.is_empty(), "the time limit has not passed yet");
         simulation.check_cancelled(now + Duration::from_secs(46));
     });
     assert_caught("started_cancelled", |simulation| {
         let (now, name) = cancelled(simulation);
         let start = Command::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 9 };
         let body = crate::protocol::workers::encode_heartbeat_reply(1, &[start]);
-        simulation.carry_out(now + SOON, &name, &body);
-        assert!(simulation.violations.is_empty(), "it may have been on its way");
-        simulation.carry_out(now + SOON * 5, &name, &body);
+        simulation.carry_out(now + SHORT_DELAY, &name, &body);
+        assert!(simulation.violations.is_empty(), "the start may have been in flight");
+        simulation.carry_out(now + SHORT_DELAY * 5, &name, &body);
         assert!(simulation.violations.is_empty(), "the same attempt has no effect");
         let start = Command::Start { task: TaskId { job: id("job-1"), index: 0 }, attempt: 10 };
         simulation.carry_out(
-            now + SOON * 5,
+            now + SHORT_DELAY * 5,
             &name,
             &crate::protocol::workers::encode_heartbeat_reply(1, &[start]),
         );
@@ -245,17 +249,17 @@
 
 #[test]
 fn the_checker_catches_wrong_answers() {
-    let second_answer = |rule: &str, first: &'static str, status: u16, standing: Option<&'static str>| {
+    let second_answer = |rule: &str, first: &'static str, status: u16, state: Option<&'static str>| {
         assert_caught(rule, |simulation| {
             let now = submit_job(simulation, |_| {});
             simulation.note_answer(now, "job-1", answer_origin(now, 0), 200, Some(first), false);
             simulation.violations.clear();
             simulation.note_answer(
-                now + SOON * 2,
+                now + SHORT_DELAY * 2,
                 "job-1",
-                answer_origin(now + SOON, 1),
+                answer_origin(now + SHORT_DELAY, 1),
                 status,
-                standing,
+                state,
                 false,
             );
         });
@@ -266,37 +270,43 @@
     second_answer("went_back", "done", 200, Some("running"));
     second_answer("went_back", "cancelled", 200, Some("queued"));
     second_answer("went_back", "queued", 200, Some("cancelled"));
-    // Requested before the terminal state was first answered, and answered after it: wrong
-    // only if from the process that had given the terminal state, since another cannot know of
-    // it.
-    for (process, overtaken) in [((0, 1), 0), ((0, 2), 1), ((1, 1), 1)] {
+    // An answer that was requested before the terminal state was first reported and arrives
+    // after it violates the rule only if it comes from the process that reported the terminal
+    // state, since another cannot know of it.
+    for (process, reordered_answers) in [((0, 1), 0), ((0, 2), 1), ((1, 1), 1)] {
         let simulation = in_simulated_time(async {
             let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
             let now = submit_job(&mut simulation, |_| {});
-            let last = answer_origin(now + SOON, 1);
-            simulation.note_answer(now + SOON * 2, "job-1", last, 200, Some("cancelled"), false);
+            let last = answer_origin(now + SHORT_DELAY, 1);
+            simulation.note_answer(now + SHORT_DELAY * 2, "job-1", last, 200, Some("cancelled"), false);
             simulation.violations.clear();
             let earlier = Origin { process, order: 2, ..answer_origin(now, 2) };
-            simulation.note_answer(now + SOON * 3, "job-1", earlier, 200, Some("queued"), false);
+            simulation.note_answer(now + SHORT_DELAY * 3, "job-1", earlier, 200, Some("queued"), false);
             simulation
         });
-        assert_eq!(simulation.violations.len(), 1 - overtaken, "{:?}", simulation.violations);
-        assert_eq!(simulation.overtaken, overtaken);
+        assert_eq!(simulation.violations.len(), 1 - reordered_answers, "{:?}", simulation.violations);
+        assert_eq!(simulation.reordered_answers, reordered_answers);
     }
-    let invalid = |question, status| {
+    let invalid = |request_kind, status| {
         let body = encode(&MapBuilder::new().set("standing", "queued").build());
         let answer = Response { status, body, retry_after_s: None, close: false };
         move |simulation: &mut Simulation| {
-            simulation.answered("odd", question, answer_origin(Instant::now(), 0), Some(answer), false);
+            simulation.request_answered(
+                "odd",
+                request_kind,
+                answer_origin(Instant::now(), 0),
+                Some(answer),
+                false,
+            );
         }
     };
-    assert_caught("invented", invalid(Question::Unknown, 200));
-    assert_caught("accepted_odd", invalid(Question::Invalid(400), 201));
-    assert_caught("accepted_odd", invalid(Question::Invalid(422), 200));
+    assert_caught("invented", invalid(RequestKind::Unknown, 200));
+    assert_caught("accepted_odd", invalid(RequestKind::Invalid(400), 201));
+    assert_caught("accepted_odd", invalid(RequestKind::Invalid(422), 200));
 }
 
-/// An indirect dependent of a cancelled job, and a dependent of a job that was done before its
-/// user could cancel it.
+/// Covers an indirect dependent of a cancelled job, and a dependent of a job that was done
+/// before its user could cancel it.
 #[test]
 fn the_checker_catches_wrong_answers_about_dependents() {
     let pipeline = |simulation: &mut Simulation, first: &'static str| {
@@ -307,16 +317,16 @@
             simulation.note_answer(now, job, answer_origin(now, 0), 201, Some("queued"), false);
         }
         simulation.request_cancellation(now, "job-1");
-        simulation.note_answer(now + SOON, "job-1", answer_origin(now, 1), 200, Some(first), true);
+        simulation.note_answer(now + SHORT_DELAY, "job-1", answer_origin(now, 1), 200, Some(first), true);
         simulation.violations.clear();
-        now + SOON
+        now + SHORT_DELAY
     };
     assert_caught("orphaned", |simulation| {
         let now = pipeline(simulation, "cancelled");
-        let later = now + SOON * 44;
+        let later = now + SHORT_DELAY * 44;
         simulation.note_answer(later, "job-3", answer_origin(later, 2), 200, Some("queued"), false);
-        assert!(simulation.violations.is_empty(), "there is time left");
-        let later = now + SOON * 46;
+        assert!(simulation.violations.is_empty(), "the time limit has not passed yet");
+        let later = now + SHORT_DELAY * 46;
         simulation.note_answer(later, "job-3", answer_origin(later, 3), 200, Some("queued"), false);
     });
     assert_caught("went_back", |simulation| {
@@ -343,10 +353,10 @@
     assert_caught("neglected", |simulation| {
         let now = submit_job(simulation, |_| {});
         simulation.add_idle_machine("z1");
-        simulation.check_waiting(now + SOON);
-        simulation.check_waiting(now + SOON * 74);
+        simulation.check_waiting(now + SHORT_DELAY);
+        simulation.check_waiting(now + SHORT_DELAY * 74);
         assert!(simulation.violations.is_empty());
-        simulation.check_waiting(now + SOON * 92);
+        simulation.check_waiting(now + SHORT_DELAY * 92);
     });
     assert_caught("unfinished", |simulation| {
         submit_job(simulation, |_| {});
@@ -364,10 +374,10 @@
         simulation.check_metrics(0, &metrics_answer("invariantsViolated"));
     });
     assert_caught("violated", |simulation| simulation.check_metrics(0, &metrics_answer("epochsReused")));
-    let broken = in_simulated_time(async {
+    let failures = in_simulated_time(async {
         let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
         simulation.check_metrics(0, &metrics_answer("machines"));
         simulation.violations
     });
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(failures.is_empty(), "{failures:?}");
 }
--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -1,15 +1,15 @@
-//! The cloud: provisioning, deletion, and an inventory that lags.
+//! The simulated cloud: provisioning, deletion, and an inventory that lags behind.
 
 use super::*;
 
-/// Machines that the cloud has at most.
+/// Maximum number of machines in the cloud.
 const CAPACITY: usize = 24;
 
 impl Simulation {
-    /// Handles a request of a controller.
+    /// Answers a request of a controller.
     pub(super) fn handle_cloud_request(&mut self, now: Instant, call: &HttpCall) -> Response {
         if now < self.cloud_down_until {
-            return answer(503, &MapBuilder::new().set("error", "trouble").build());
+            return answer(503, &MapBuilder::new().set("error", "unavailable").build());
         }
         let body = decode(&call.body).unwrap_or(Value::Null);
         let path = call.target.split('?').next().unwrap_or_default();
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Deletes machines; those that are gone already, too.
+    /// Deletes machines. The request also succeeds for machines that are already gone.
     fn delete_machines(&mut self, now: Instant, body: &Value) -> Response {
         let fields = Fields::of(body).expect("a map");
         for name in fields.opt_texts("benches").expect("names").unwrap_or_default() {
@@ -30,7 +30,7 @@
         answer(200, &Value::Map(Vec::new()))
     }
 
-    /// Provisions the machines of a node pool request; a repeated request gets the same ones.
+    /// Provisions the machines of a node pool request; a repeated request returns the same ones.
     fn provision_node_pool(&mut self, now: Instant, body: &Value) -> Response {
         let fields = Fields::of(body).expect("a map");
         let name = fields.text("hire").expect("a name").to_owned();
@@ -50,7 +50,7 @@
         answer(200, &MapBuilder::new().set("benches", names).build())
     }
 
-    /// The machines after the one that the request names, as they were [`LIST_LAG`] ago.
+    /// Lists the machines whose names follow the one in the request, as of [`LIST_LAG`] ago.
     fn inventory_page(&self, now: Instant, target: &str) -> Response {
         let query = target.split('?').nth(1).unwrap_or_default();
         let from = query.split('&').find_map(|part| part.strip_prefix("from=")).unwrap_or_default();
@@ -100,7 +100,7 @@
         name
     }
 
-    /// Ends a machine, with all that it runs.
+    /// Removes a machine and the tasks that run on it.
     pub(super) fn remove(&mut self, now: Instant, name: &str) {
         if let Some(worker) = self.machines.get_mut(name) {
             worker.gone_at.get_or_insert(now);
@@ -109,7 +109,7 @@
     }
 }
 
-/// A machine as the inventory lists it.
+/// Encodes a machine for the inventory.
 fn inventory_entry(now: Instant, name: &str, worker: &Worker) -> Value {
     MapBuilder::new()
         .set("nameId", name)
--- a/src/coordination/tests/simulation/cluster.rs
+++ b/src/coordination/tests/simulation/cluster.rs
@@ -1,25 +1,25 @@
 //! The state of the simulated cluster: controllers, workers, jobs as their users see them,
-//! and the faults that strike at random.
+//! and faults that affect random events.
 
 use super::*;
 
-/// One controller of the cluster; a restart gives it a new incarnation.
+/// A controller of the cluster. Each start begins a new incarnation.
 pub(super) struct SimulatedController {
     /// Number of starts so far; part of the addresses of the running process.
     pub(super) incarnation: u16,
-    /// Takes requests; none while the controller is down.
+    /// Accepts requests; `None` while the controller is down.
     pub(super) handle: Option<ControllerHandle>,
-    /// The tasks of the runtime that a crash ends.
+    /// The async tasks that a crash aborts.
     pub(super) tasks: Vec<AbortHandle>,
-    /// When it is started, if it is down.
+    /// When the controller is started, if it is down.
     pub(super) restart_at: Option<Instant>,
-    /// Until then the state service answers its requests with an error.
+    /// The state service answers its requests with an error until this time.
     pub(super) refused_until: Instant,
-    /// Until then its requests to the state service are lost.
-    pub(super) cut_until: Instant,
-    /// Until then no other controller reaches it, nor it another.
+    /// Its requests to the state service are lost until this time.
+    pub(super) state_service_unreachable_until: Instant,
+    /// Calls between it and other controllers are lost until this time.
     pub(super) isolated_until: Instant,
-    /// Until when it is stalled: none of its code runs, its clocks do.
+    /// Its stalls, during which none of its code runs while its clocks go on.
     pub(super) stalls: stalls::Stalls,
 }
 
@@ -32,24 +32,24 @@
             tasks: Vec::new(),
             restart_at: Some(begin),
             refused_until: begin,
-            cut_until: begin,
+            state_service_unreachable_until: begin,
             isolated_until: begin,
             stalls: stalls::Stalls::new(begin),
         }
     }
 }
 
-/// A task: its job's id and its index.
+/// Identifies a task: the id of its job and its index.
 pub(super) type TaskKey = (String, u32);
 
-/// What a worker does with a task.
+/// The state of a task on a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum RunState {
-    /// It fetches the image until then.
+    /// The image is being fetched until this time.
     Fetching(Instant),
-    /// It has run since then.
+    /// The task has been running since this time.
     Running(Instant),
-    /// It has ended, for this cause in the words of the protocol.
+    /// The task has ended; the cause is named as in the protocol.
     Exited(&'static str),
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl RunningTask {
-    /// It has not ended.
+    /// Whether the task has not ended.
     pub(super) fn is_live(&self) -> bool {
         !matches!(self.state, RunState::Exited(_))
     }
@@ -74,32 +74,32 @@
     pub(super) spot: bool,
     pub(super) address: SocketAddr,
     pub(super) provisioned_at: Instant,
-    /// The end of its boot.
+    /// When its boot ends.
     pub(super) up_at: Instant,
     /// When it was deleted or preempted.
     pub(super) gone_at: Option<Instant>,
-    /// Number of leases that it has had; each end of a lease begins another.
+    /// Number of leases so far; each expiry of a lease begins a new incarnation.
     pub(super) incarnation: u64,
-    /// Sequence of the last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub(super) sequence: u64,
     /// The highest fencing token that it has received.
     pub(super) fencing_token: u64,
-    /// When the last answered heartbeat was sent, or the incarnation began.
+    /// Start of the lease: when the last answered heartbeat was sent, or the incarnation began.
     pub(super) lease_from: Instant,
     pub(super) tasks: Vec<(TaskKey, RunningTask)>,
     /// The controller to which it sends heartbeats.
     pub(super) target: usize,
     pub(super) next_heartbeat: Instant,
-    /// A heartbeat awaits its reply.
+    /// Whether a heartbeat awaits its reply.
     pub(super) in_flight: bool,
-    /// Its tasks or its fencing token have changed since the last heartbeat, so that the next
-    /// is due soon.
+    /// Whether its tasks or its fencing token have changed since the last heartbeat, which makes
+    /// the next one due soon.
     pub(super) changed: bool,
-    /// Until then it receives no replies and no pushed commands.
+    /// It receives no replies and no pushed commands until this time.
     pub(super) one_way_partitioned_until: Instant,
-    /// Until then its heartbeats are lost, and their replies.
+    /// Its heartbeats and their replies are lost until this time.
     pub(super) heartbeats_lost_until: Instant,
-    /// Until then it is stalled, with what it runs.
+    /// The machine and its tasks are stalled until this time.
     pub(super) hung_until: Instant,
     /// Pushed commands that arrived while it was stalled.
     pub(super) held_commands: Vec<Vec<u8>>,
@@ -110,56 +110,56 @@
 /// One process of a controller: its index in the cluster and its incarnation.
 pub type Process = (usize, u16);
 
-/// A terminal state as a user was first answered it.
+/// The terminal state of a job, as first reported to its user.
 #[derive(Debug)]
 pub(super) struct TerminalState {
-    /// In the words of the protocol.
-    pub(super) standing: &'static str,
-    pub(super) at: Instant,
-    /// Which processes have answered it, and the number of the first such answer in the order
-    /// in which answers were sent.
-    pub(super) by: BTreeMap<Process, u64>,
+    /// The state, named as in the protocol.
+    pub(super) state: &'static str,
+    pub(super) reported_at: Instant,
+    /// The processes that have reported it, each with the sequence number of its first such
+    /// answer.
+    pub(super) reporters: BTreeMap<Process, u64>,
 }
 
-/// When and by whom an answer was sent.
+/// When an answer was requested, and when and by which process it was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Origin {
     /// When the request was sent.
     pub sent: Instant,
-    /// Who answered it.
+    /// The process that answered it.
     pub process: Process,
-    /// The answer's number in the order in which answers were sent.
+    /// Sequence number of the answer, over all controllers.
     pub order: u64,
 }
 
-/// A job, and what its user knows of it.
+/// A job, and what its user knows about it.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) spec: JobSpec,
     /// How long each task runs.
     pub(super) run: Duration,
-    /// It was submitted at least once.
-    pub(super) asked: bool,
-    /// When its user was first answered that it is accepted.
+    /// Whether it was submitted at least once.
+    pub(super) submitted: bool,
+    /// When its user first learned that it was accepted.
     pub(super) accepted: Option<Instant>,
-    /// It was rejected for good.
-    pub(super) given_up: bool,
-    /// From when on its user wants it cancelled.
+    /// Whether it was rejected permanently.
+    pub(super) rejected: bool,
+    /// When its user starts to request its cancellation.
     pub(super) cancel_from: Option<Instant>,
-    /// When its user was first answered that it is cancelled.
+    /// When its user first learned that it was cancelled.
     pub(super) cancelled: Option<Instant>,
     pub(super) terminal: Option<TerminalState>,
     /// When its user last got an answer about it.
-    pub(super) answered: Instant,
+    pub(super) last_answer_at: Instant,
     /// When its user sends the next request.
     pub(super) next: Instant,
-    /// A request of its user awaits its answer.
+    /// Whether a request of its user awaits its answer.
     pub(super) in_flight: bool,
-    /// Indices of the tasks that workers have run to their end.
+    /// Indices of the tasks that workers have run to completion.
     pub(super) done: BTreeSet<u32>,
     /// Since when it has waited although a machine had free capacity and its team was within
     /// its quota.
-    pub(super) passed_over: Option<Instant>,
+    pub(super) passed_over_since: Option<Instant>,
 }
 
 impl Job {
@@ -167,48 +167,48 @@
     pub(super) fn new(now: Instant, spec: JobSpec, run_s: f64, cancel_from: Option<Instant>) -> Self {
         Job {
             run: seconds(run_s),
-            asked: false,
+            submitted: false,
             accepted: None,
-            given_up: false,
+            rejected: false,
             cancel_from,
             cancelled: None,
             terminal: None,
-            answered: now,
+            last_answer_at: now,
             next: now,
             in_flight: false,
             done: BTreeSet::new(),
-            passed_over: None,
+            passed_over_since: None,
             spec,
         }
     }
 
-    /// Not all of its tasks have been run to their end.
+    /// Whether any of its tasks has not run to completion.
     pub(super) fn has_unfinished_tasks(&self) -> bool {
         (self.done.len() as u32) < self.spec.task_count
     }
 }
 
-/// A fault that strikes a share of what happens, until it ends.
+/// A fault that affects random events until it ends.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RandomFault {
-    /// Probability of each event to be struck.
-    pub(super) share: f64,
+    /// Probability that an event is affected.
+    pub(super) probability: f64,
     pub(super) until: Instant,
 }
 
 impl RandomFault {
     /// A fault that has not begun.
     pub(super) fn inactive(begin: Instant) -> Self {
-        RandomFault { share: 0.0, until: begin }
+        RandomFault { probability: 0.0, until: begin }
     }
 
-    /// Whether it strikes an event at that time; draws only while it lasts.
-    pub(super) fn strikes(self, now: Instant, rng: &mut SmallRng) -> bool {
-        now < self.until && rng.random_bool(self.share)
+    /// Whether the fault affects an event at this time. Draws a random number only while it lasts.
+    pub(super) fn affects(self, now: Instant, rng: &mut SmallRng) -> bool {
+        now < self.until && rng.random_bool(self.probability)
     }
 }
 
-/// A request to watch keys that the state service holds open.
+/// A request to watch keys, held open by the state service.
 pub(super) struct Watch {
     pub(super) controller: usize,
     /// Incarnation of the controller that sent it.
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -13,7 +13,7 @@
         let incarnation = controller.incarnation;
         let settings = self.settings_of_controller(at, incarnation);
         let cluster = settings.cluster.clone();
-        let tuning = policy::Tuning::load(&cluster, None).expect("the default policy is sound");
+        let tuning = policy::Tuning::load(&cluster, None).expect("the default policy is valid");
         let ttl = tuning.lease;
         let (leads, leading) = watch::channel(false);
         let store = kv::start(settings.services.kv, &cluster.kv, cluster.size, ttl / 6, leading);
@@ -21,10 +21,10 @@
         let cloud = cloud_client::start(settings.services.cloud, cluster.cloud.rps, seconds(4.0), until);
         let election = Election::new(&settings.name, &format!("{at}-{incarnation}"), ttl);
         let (roles_in, roles) = mpsc::channel(16);
-        let (abandoned, given_up) = watch::channel(0);
+        let (abandoned, abandoned_epoch) = watch::channel(0);
         let address = settings.peer_listen.to_string();
         let controller = &mut self.controllers[at];
-        let electing = election::run(election, store.clone(), address, roles_in, given_up);
+        let electing = election::run(election, store.clone(), address, roles_in, abandoned_epoch);
         let election_task = tokio::spawn(controller.stalls.clone().run(electing));
         let config = Arc::new(Config { settings, tuning });
         let (actor, inputs, handle) = Controller::new(config, store, cloud, leads, term, abandoned, roles);
@@ -53,17 +53,17 @@
         settings
     }
 
-    /// Ends a controller's process; it is started again `back` seconds later.
-    pub(super) fn crash(&mut self, at: usize, back: f64) {
+    /// Ends a controller's process; it is started again `restart_after` seconds later.
+    pub(super) fn crash(&mut self, at: usize, restart_after: f64) {
         let controller = &mut self.controllers[at];
         controller.tasks.drain(..).for_each(|task| task.abort());
         controller.handle = None;
-        // Nothing of the dead process ever resumes, nor answers anybody.
-        controller.stalls.begin(Instant::now() + LONG_AFTER);
-        controller.restart_at = Some(Instant::now() + seconds(back));
+        // Requests that the ended process was handling never resume and are never answered.
+        controller.stalls.begin(Instant::now() + AFTER_THE_END);
+        controller.restart_at = Some(Instant::now() + seconds(restart_after));
     }
 
-    /// The controller that leads according to the state service. Each epoch seen is noted.
+    /// Returns the leader according to the state service, and records its epoch.
     pub(super) fn leader(&mut self) -> Option<usize> {
         let body = self.read("/keys/leader")?;
         let entry = Fields::of(&body).ok()?;
@@ -72,7 +72,7 @@
         name.strip_prefix("c-")?.parse().ok()
     }
 
-    /// The body with which the state service answers a read, if it finds something.
+    /// Reads from the state service without the network; returns the body of a 200 response.
     pub(super) fn read(&mut self, target: &str) -> Option<Value> {
         let request = Request { method: "GET".into(), target: target.into(), body: Vec::new(), close: false };
         self.state.answer(&request).filter(|(status, _)| *status == 200).map(|(_, body)| body)
--- a/src/coordination/tests/simulation/events.rs
+++ b/src/coordination/tests/simulation/events.rs
@@ -1,25 +1,25 @@
-//! What the tasks that play workers, users and the network report when they end.
+//! Results of the async tasks that simulate workers, users and the network.
 
 use super::*;
 
-/// A request of a user, by what it asks for.
+/// The kind of a user's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Question {
-    /// Submission of a job, or its repetition.
+pub enum RequestKind {
+    /// First or repeated submission of a job.
     Submit,
     /// Poll of a job's state.
     Poll,
     /// Cancellation of a job.
     Cancel,
-    /// A submission that lacks a field or fits nothing, to be rejected with this status.
+    /// An invalid submission, to be rejected with this status.
     Invalid(u16),
     /// Poll of a job that nobody submitted.
     Unknown,
 }
 
-/// The end of a task that the simulation has spawned.
+/// The result of an async task that the simulation has spawned.
 pub(super) enum Event {
-    /// A heartbeat was answered, or was not in time.
+    /// A heartbeat was answered or timed out.
     HeartbeatAnswered {
         machine: String,
         controller: usize,
@@ -28,16 +28,16 @@
         sent: Instant,
         answer: Option<Response>,
     },
-    /// A user's request was answered, or was not in time.
-    Answered {
+    /// A user's request was answered or timed out.
+    RequestAnswered {
         job: String,
-        question: Question,
+        request_kind: RequestKind,
         origin: Origin,
         answer: Option<Response>,
-        /// Sent beside the requests that the user needs.
+        /// Whether the request was sent in addition to the user's regular ones.
         is_extra: bool,
     },
-    /// A controller replied to the call of another.
+    /// A controller replied to a call of another.
     PeerReplied {
         sender: usize,
         peer: usize,
@@ -52,7 +52,7 @@
 }
 
 impl Simulation {
-    /// Handles the end of a task, with its answer in the trace first.
+    /// Handles the result of an async task, after recording its answer in the trace.
     pub(super) fn event(&mut self, event: Event) {
         match event {
             Event::HeartbeatAnswered { machine, controller, incarnation, sent, answer } => {
@@ -61,11 +61,11 @@
                 }
                 self.heartbeat_answered(&machine, incarnation, sent, answer);
             }
-            Event::Answered { job, question, origin, answer, is_extra } => {
+            Event::RequestAnswered { job, request_kind, origin, answer, is_extra } => {
                 if let Some(answer) = &answer {
                     self.trace_answer(origin.process.0, &job, answer);
                 }
-                self.answered(&job, question, origin, answer, is_extra);
+                self.request_answered(&job, request_kind, origin, answer, is_extra);
             }
             Event::Metrics { controller, answer } => self.check_metrics(controller, &answer),
             Event::PeerReplied { sender, peer, reply } => self.trace_peer_reply(sender, peer, &reply),
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -1,17 +1,17 @@
 //! A whole cluster in simulated time.
 //!
-//! Simulated are the state service ([`state_service`]), the cloud ([`cloud`]), the workers
-//! ([`workers`]), the users ([`users`]) and the network ([`network`]), as PROTOCOL describes
+//! The state service ([`state_service`]), the cloud ([`cloud`]), the workers ([`workers`]),
+//! the users ([`users`]) and the network ([`network`]) are simulated as PROTOCOL describes
 //! them. The controllers are real: each has its election, its actors and its rate-limited
 //! clients ([`controllers`]). Faults are injected at given times ([`faults`]). The rules are
-//! checked from outside, on what workers run ([`rules`]) and on what users are answered
-//! ([`answers`]), never by the state of the controllers.
+//! checked from outside, on the tasks that workers run ([`rules`]) and on the answers that
+//! users get ([`answers`]), never on the state of the controllers.
 //!
 //! A simulation is deterministic for a seed: one thread, a paused clock that advances only
 //! when every task waits, one random number generator for all draws, ordered maps wherever the
-//! order of iteration shows, and one loop ([`Simulation::run`]) that takes messages before ends
-//! of tasks before steps of the clock. A change in the order of draws, of spawned tasks or of
-//! messages changes all that follows; the trace ([`trace`]) shows it.
+//! order of iteration matters, and one loop ([`Simulation::run`]) that handles messages first,
+//! then results of tasks, then steps of the clock. A change in the order of draws, of spawned
+//! tasks or of messages changes everything after it; the trace ([`trace`]) shows it.
 
 mod answers;
 mod cloud;
@@ -67,28 +67,28 @@
 use events::Event;
 
 pub use cluster::Origin;
-pub use events::Question;
+pub use events::RequestKind;
 pub use faults::Fault;
 pub use shape::ClusterShape;
 pub use trace::Trace;
 
-/// Between two steps of workers, users and faults.
+/// Interval between two steps of workers, users and faults.
 const STEP: Duration = Duration::from_millis(100);
-/// Later than any simulation lasts.
-const LONG_AFTER: Duration = Duration::from_secs(24 * 3600);
-/// Between two requests for the metrics of all controllers, and the timeout of each.
+/// Longer than any simulation lasts.
+const AFTER_THE_END: Duration = Duration::from_secs(24 * 3600);
+/// Interval between two requests for the metrics of all controllers, and the timeout of each.
 const METRICS_INTERVAL: Duration = Duration::from_secs(2);
 /// How long the inventory of the cloud lags behind.
 const LIST_LAG: Duration = Duration::from_secs(4);
-/// The controller in the zone that [`Fault::ZoneCut`] partitions.
+/// The controller in the zone that [`Fault::ZonePartition`] partitions.
 const PARTITIONED_CONTROLLER: usize = 1;
 
-/// A duration of that many seconds.
+/// Converts seconds to a duration.
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
-/// A cluster, its clock's begin, and what the checker has found.
+/// A simulated cluster and the findings of the checker.
 pub struct Simulation {
     rng: SmallRng,
     begin: Instant,
@@ -99,28 +99,28 @@
     // The network.
     /// Messages that controllers have sent.
     messages: mpsc::UnboundedReceiver<SimulatedRequest>,
-    /// Ends of the tasks that the simulation has spawned.
+    /// The async tasks that the simulation has spawned.
     events: JoinSet<Event>,
-    /// Messages of stalled controllers, each with when it is delivered.
+    /// Messages of stalled controllers, each with its time of delivery.
     held_messages: Vec<(Instant, SimulatedRequest)>,
     slow_answers: RandomFault,
-    /// Until then no controller reaches another.
-    peers_refuse_until: Instant,
-    /// Until then the zone with workers and one controller is partitioned.
-    zone_cut_until: Instant,
+    /// Calls between controllers are lost until this time.
+    peers_unreachable_until: Instant,
+    /// The zone with workers and one controller is partitioned until this time.
+    zone_partitioned_until: Instant,
 
     // The state service.
     state: in_memory_kv::InMemoryKv,
     /// When each lease was last extended.
-    renewed: BTreeMap<u64, Instant>,
+    lease_renewals: BTreeMap<u64, Instant>,
     outage_until: Instant,
-    /// Limits the changes a second, once the announced limits are in force.
-    allowance: Option<TokenBucket>,
+    /// Limits the changes per second once the announced limits are in force.
+    write_limiter: Option<TokenBucket>,
     late_writes: RandomFault,
     lost_answers: RandomFault,
-    doubled_writes: RandomFault,
-    /// Transactions that are carried out late, each with when.
-    late: Vec<(Instant, Request)>,
+    duplicated_writes: RandomFault,
+    /// Transactions that are applied late, each with the time at which it is applied.
+    delayed_transactions: Vec<(Instant, Request)>,
     watches: Vec<Watch>,
 
     // The cloud.
@@ -149,37 +149,38 @@
     arrivals_until: Instant,
     next_invalid_request: Instant,
 
-    /// When the controllers are next asked for their metrics.
+    /// When the metrics of the controllers are next requested.
     next_metrics: Instant,
-    /// Faults that are still to come, in the order of their times (seconds).
+    /// Faults not injected yet, ordered by their times in seconds.
     faults: Vec<(f64, Fault)>,
-    /// From then on no fault is injected and no job arrives.
-    pub calm_at: Instant,
+    /// No fault is injected and no job arrives from this time on.
+    pub faults_end_at: Instant,
 
     /// Violated rules, each with its time; at most [`MAX_VIOLATIONS`].
     pub violations: Vec<String>,
     /// Tasks started on workers.
     pub starts: usize,
-    /// Transactions that were carried out late.
-    pub late_changes: usize,
-    /// Transactions refused for the limits that have come into force.
-    pub beyond_limits: usize,
+    /// Transactions that were applied late.
+    pub late_transactions: usize,
+    /// Transactions rejected because of the limits in force.
+    pub over_limits: usize,
     /// Heartbeats of which a copy arrived later.
     pub late_copies: usize,
-    /// Jobs whose users were answered that they are cancelled.
+    /// Jobs whose users learned that they are cancelled.
     pub cancellations: usize,
     /// Leases of workers that expired while they had tasks.
     pub lost_leases: usize,
-    /// Answers older than a terminal state that had arrived before them, though their requests
-    /// were sent earlier, and by another process: no controller could know.
-    pub overtaken: usize,
+    /// Answers that contradict a terminal state received earlier, but were requested before it
+    /// arrived and came from a process that had not reported it: not a violation, since the
+    /// sender could not know of it.
+    pub reordered_answers: usize,
     /// Answers about jobs whose terminal state was known to their users.
     pub repeated_answers: usize,
     /// Epochs of the leaders so far.
     pub leaders: BTreeSet<u64>,
 }
 
-/// Violations that are kept; what follows from the first is of little use.
+/// Maximum number of recorded violations; most later ones only follow from the first.
 const MAX_VIOLATIONS: usize = 50;
 
 /// The catalog of the tests, with machines that boot faster.
@@ -187,13 +188,13 @@
     super::catalog().into_iter().map(|machine_type| MachineType { boot_s: 8.0, ..machine_type }).collect()
 }
 
-/// A response of the state service or the cloud.
+/// Builds a response of the state service or the cloud.
 fn answer(status: u16, body: &Value) -> Response {
     Response { status, body: encode(body), retry_after_s: None, close: false }
 }
 
 /// Sends a reply after a delay.
-fn later(
+fn reply_after(
     reply: oneshot::Sender<Result<Response, ClientError>>,
     result: Result<Response, ClientError>,
     after: Duration,
@@ -205,7 +206,7 @@
 }
 
 /// The settings of a cluster of this shape. Every other pair of seeds has a latency objective,
-/// for which replies to heartbeats are deferred.
+/// which makes controllers defer replies to heartbeats.
 fn settings_of(seed: u64, shape: &ClusterShape) -> Settings {
     let mut settings = settings::tests::sample();
     let cluster = &mut settings.cluster;
@@ -213,7 +214,7 @@
     cluster.kv.write_rps = shape.writes;
     cluster.kv.rps = (shape.writes * 2.5).max(200.0);
     cluster.kv.value_kb = shape.value_kb;
-    if shape.limits_fall {
+    if shape.limits_lowered {
         cluster.kv.next = Some(settings::AnnouncedLimits {
             rps: None,
             write_rps: Some(shape.writes * 0.6),
@@ -231,13 +232,14 @@
 }
 
 impl Simulation {
-    /// A quiet cluster; `faults` have their times in seconds, and the last is over by `calm`.
-    pub fn new(seed: u64, controllers: usize, faults: Vec<(f64, Fault)>, calm: f64) -> Self {
-        Simulation::shaped(seed, ClusterShape::usual(controllers), faults, calm)
+    /// A cluster of the usual shape. The times of `faults` are in seconds, as is `faults_end`, by
+    /// which the last fault is over.
+    pub fn new(seed: u64, controllers: usize, faults: Vec<(f64, Fault)>, faults_end: f64) -> Self {
+        Simulation::shaped(seed, ClusterShape::usual(controllers), faults, faults_end)
     }
 
-    /// A cluster of this shape.
-    pub fn shaped(seed: u64, shape: ClusterShape, mut faults: Vec<(f64, Fault)>, calm: f64) -> Self {
+    /// A cluster of the given shape.
+    pub fn shaped(seed: u64, shape: ClusterShape, mut faults: Vec<(f64, Fault)>, faults_end: f64) -> Self {
         let messages = simulated_network::install();
         let begin = Instant::now();
         faults.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -250,16 +252,16 @@
             events: JoinSet::new(),
             held_messages: Vec::new(),
             slow_answers: RandomFault::inactive(begin),
-            peers_refuse_until: begin,
-            zone_cut_until: begin,
+            peers_unreachable_until: begin,
+            zone_partitioned_until: begin,
             state: in_memory_kv::InMemoryKv::with_pages_of(shape.page),
-            renewed: BTreeMap::new(),
+            lease_renewals: BTreeMap::new(),
             outage_until: begin,
-            allowance: None,
+            write_limiter: None,
             late_writes: RandomFault::inactive(begin),
             lost_answers: RandomFault::inactive(begin),
-            doubled_writes: RandomFault::inactive(begin),
-            late: Vec::new(),
+            duplicated_writes: RandomFault::inactive(begin),
+            delayed_transactions: Vec::new(),
             watches: Vec::new(),
             cloud_down_until: begin,
             node_pools: HashMap::default(),
@@ -274,25 +276,25 @@
             late_requests: RandomFault::inactive(begin),
             answers: Arc::default(),
             next_arrival: begin + seconds(3.0),
-            arrivals_until: begin + seconds(calm),
+            arrivals_until: begin + seconds(faults_end),
             next_invalid_request: begin + seconds(20.0),
             next_metrics: begin + METRICS_INTERVAL,
             faults,
-            calm_at: begin + seconds(calm),
+            faults_end_at: begin + seconds(faults_end),
             violations: Vec::new(),
             starts: 0,
-            late_changes: 0,
-            beyond_limits: 0,
+            late_transactions: 0,
+            over_limits: 0,
             late_copies: 0,
             cancellations: 0,
             lost_leases: 0,
-            overtaken: 0,
+            reordered_answers: 0,
             repeated_answers: 0,
             leaders: BTreeSet::new(),
         }
     }
 
-    /// Notes that a rule was violated now.
+    /// Records a violation of a rule at the current time.
     pub fn record_violation(&mut self, rule: &str, what: String) {
         if self.violations.len() < MAX_VIOLATIONS {
             let at = (Instant::now() - self.begin).as_secs_f64();
@@ -300,14 +302,14 @@
         }
     }
 
-    /// Runs until that time, in seconds since the begin.
+    /// Runs the simulation until this time, in seconds since its start.
     pub async fn run(&mut self, until: f64) {
         let end = self.begin + seconds(until);
         let mut step = tokio::time::interval(STEP);
         while Instant::now() < end {
             tokio::select! {
                 biased;
-                Some(ask) = self.messages.recv() => self.deliver(ask),
+                Some(request) = self.messages.recv() => self.deliver(request),
                 Some(event) = self.events.join_next(), if !self.events.is_empty() => {
                     if let Ok(event) = event { self.event(event) }
                 }
@@ -316,7 +318,7 @@
         }
     }
 
-    /// One step of all that is simulated, in a fixed order.
+    /// Advances all simulated parts by one step, in a fixed order.
     fn step(&mut self, now: Instant) {
         self.step_state(now);
         self.inject_due_faults(now);
@@ -339,7 +341,7 @@
         }
     }
 
-    /// Injects the faults whose time has come.
+    /// Injects the faults that are due.
     fn inject_due_faults(&mut self, now: Instant) {
         while self.faults.first().is_some_and(|(at, _)| now >= self.begin + seconds(*at)) {
             let (_, fault) = self.faults.remove(0);
@@ -347,7 +349,7 @@
         }
     }
 
-    /// Starts the controllers that are due, at the begin and after crashes.
+    /// Starts the controllers that are due, at the beginning and after crashes.
     fn restart_due_controllers(&mut self, now: Instant) {
         for at in 0..self.controllers.len() {
             if self.controllers[at].restart_at.is_some_and(|restart| now >= restart) {
--- a/src/coordination/tests/simulation/network.rs
+++ b/src/coordination/tests/simulation/network.rs
@@ -1,7 +1,7 @@
-//! The network of the cluster: which message reaches whom, and when. A controller knows its
-//! peers and services under addresses of its own (`127.<service>.<controller>.<other>`, with
-//! a port for each of its incarnations), so that the simulation knows the sender of a message
-//! by the address it was sent to.
+//! The network of the cluster: decides which messages are delivered, and when. Each controller
+//! has its own addresses for its peers and services (`127.<service>.<controller>.<other>`, with
+//! a port for each of its incarnations), so that the address to which a message was sent
+//! identifies its sender.
 
 use super::*;
 
@@ -13,12 +13,12 @@
 pub(super) const PEER: u8 = 3;
 /// Second octet of the address of a worker; the last two are its number.
 pub(super) const WORKER: u8 = 9;
-/// The port of a controller's addresses is this and its incarnation.
+/// The port of a controller's addresses is this plus its incarnation.
 pub(super) const BASE_PORT: u16 = 1000;
-/// Time that the cloud takes for an answer.
+/// Latency of an answer of the cloud.
 const CLOUD_LATENCY: Duration = Duration::from_millis(50);
 
-/// The address that a message was sent to, taken apart.
+/// The parts of the address to which a message was sent.
 #[derive(Debug, Clone, Copy)]
 struct Destination {
     /// Second octet: the service, or the kind of receiver.
@@ -31,7 +31,8 @@
 }
 
 impl Destination {
-    /// The parts of an address; none for one that the simulation did not give out.
+    /// Splits an address into its parts; `None` for an IPv6 address, which the simulation never
+    /// assigns.
     fn of(address: SocketAddr) -> Option<Self> {
         let SocketAddr::V4(v4) = address else { return None };
         let [_, service, sender, receiver] = v4.ip().octets();
@@ -45,27 +46,29 @@
 }
 
 impl Simulation {
-    /// The controller that sent a message; none for commands to workers.
-    fn sender(&self, ask: &SimulatedRequest) -> Option<usize> {
-        let (SimulatedRequest::Peer { to, .. } | SimulatedRequest::Http { to, .. }) = ask;
+    /// The controller that sent a message; `None` for commands to workers.
+    fn sender(&self, request: &SimulatedRequest) -> Option<usize> {
+        let (SimulatedRequest::Peer { to, .. } | SimulatedRequest::Http { to, .. }) = request;
         let destination = Destination::of(*to)?;
         (destination.service != WORKER).then_some(usize::from(destination.sender))
     }
 
-    /// How much longer an answer takes than it should.
-    pub(super) fn slowness(&mut self, now: Instant) -> Duration {
-        let slow = self.slow_answers.strikes(now, &mut self.rng);
+    /// Latency added to an answer by [`Fault::SlowAnswers`].
+    pub(super) fn extra_latency(&mut self, now: Instant) -> Duration {
+        let slow = self.slow_answers.affects(now, &mut self.rng);
         if slow { seconds(self.rng.random_range(0.05..1.2)) } else { Duration::ZERO }
     }
 
     /// Delivers a message of a controller, or holds it back while the controller is stalled.
-    pub(super) fn deliver(&mut self, ask: SimulatedRequest) {
+    pub(super) fn deliver(&mut self, request: SimulatedRequest) {
         let now = Instant::now();
-        if let Some(until) = self.sender(&ask).map(|at| self.stalled_until(at)).filter(|until| now < *until) {
-            return self.held_messages.push((until, ask));
+        if let Some(until) =
+            self.sender(&request).map(|at| self.stalled_until(at)).filter(|until| now < *until)
+        {
+            return self.held_messages.push((until, request));
         }
-        self.trace_ask(self.sender(&ask), &ask);
-        match ask {
+        self.trace_request(self.sender(&request), &request);
+        match request {
             SimulatedRequest::Peer { to, call, relay, reply } => {
                 let Some(destination) = Destination::of(to) else { return };
                 self.deliver_peer_call(now, destination, call, relay, reply);
@@ -77,12 +80,12 @@
         }
     }
 
-    /// Whether the process that sent a message is still the running one.
+    /// Whether the message was sent by the current process of its controller.
     fn is_current(&self, destination: Destination) -> bool {
         self.controllers[usize::from(destination.sender)].incarnation + BASE_PORT == destination.port
     }
 
-    /// A call to another controller; lost if the two cannot reach each other.
+    /// Delivers a call to another controller, unless the two cannot reach each other.
     fn deliver_peer_call(
         &mut self,
         now: Instant,
@@ -93,7 +96,7 @@
     ) {
         let (caller, callee) = (usize::from(destination.sender), usize::from(destination.receiver));
         let is_isolated = |at: usize| now < self.controllers[at].isolated_until;
-        if now < self.peers_refuse_until
+        if now < self.peers_unreachable_until
             || !self.is_current(destination)
             || is_isolated(caller)
             || is_isolated(callee)
@@ -103,11 +106,11 @@
         let Some(handle) = self.controllers[callee].handle.clone() else { return };
         let callee_stalls = self.controllers[callee].stalls.clone();
         let caller_stalls = self.controllers[caller].stalls.clone();
-        let slowness = self.slowness(now);
+        let extra_latency = self.extra_latency(now);
         self.events.spawn(async move {
             let handled = PeerHandler::handle(&handle, call, relay);
             let answered = callee_stalls.run(handled).await;
-            tokio::time::sleep(slowness).await;
+            tokio::time::sleep(extra_latency).await;
             // A stalled caller receives the reply when it resumes.
             caller_stalls.run(std::future::ready(())).await;
             let _ = reply.send(answered.clone());
@@ -115,7 +118,7 @@
         });
     }
 
-    /// A request to the state service, the cloud or a worker.
+    /// Delivers a request to the state service, the cloud or a worker.
     fn deliver_http_call(
         &mut self,
         now: Instant,
@@ -130,13 +133,13 @@
             return;
         }
         let sender = usize::from(destination.sender);
-        if sender == PARTITIONED_CONTROLLER && now < self.zone_cut_until {
+        if sender == PARTITIONED_CONTROLLER && now < self.zone_partitioned_until {
             return;
         }
         if destination.service == STATE_SERVICE {
             return self.handle_state_request(now, sender, call, reply);
         }
         let result = self.handle_cloud_request(now, &call);
-        later(reply, Ok(result), CLOUD_LATENCY);
+        reply_after(reply, Ok(result), CLOUD_LATENCY);
     }
 }
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -1,11 +1,11 @@
-//! The rules, checked from outside: by what workers run, by what users are answered, and by
-//! what is left waiting.
+//! The rules, checked from outside the controllers: on the tasks that workers run, on the
+//! answers that users get, and on the jobs that wait.
 
 use super::*;
 
-/// Once all is calm, a user gets an answer about each accepted job within this time.
+/// After the last fault, a user gets an answer about each accepted job within this time.
 const ANSWERED_WITHIN: Duration = Duration::from_secs(75);
-/// Once all is calm, no job waits beside free capacity for longer.
+/// After the last fault, no job waits for longer than this while a machine has free capacity.
 const STARTED_WITHIN: Duration = Duration::from_secs(90);
 
 impl Simulation {
@@ -18,7 +18,7 @@
         })
     }
 
-    /// Checks a task that a worker starts to run.
+    /// Checks the start of a task on a worker.
     pub fn check_start(&mut self, now: Instant, name: &str, key: &TaskKey) {
         self.starts += 1;
         self.check_runs_once(name, key);
@@ -35,7 +35,7 @@
         self.check_limits();
     }
 
-    /// No task runs on two machines at once.
+    /// Checks that no task runs on two machines at once.
     fn check_runs_once(&mut self, name: &str, key: &TaskKey) {
         let others: Vec<String> = self
             .on_machines()
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Each task runs where its job may: zone, spot instances, one zone for all, and spread.
+    /// Checks the placement constraints of a task's job: zone, spot instances, one zone for all
+    /// tasks, and spread.
     fn check_place(&mut self, name: &str, key: &TaskKey, spec: &JobSpec) {
         let Some(worker) = self.machines.get(name) else { return };
         let same_job = self.on_machines().filter(|(_, _, running)| running.0 == key.0);
@@ -63,7 +64,7 @@
         }
     }
 
-    /// All dependencies are done before a task starts.
+    /// Checks that all dependencies are done before a task starts.
     fn check_dependencies(&mut self, key: &TaskKey, spec: &JobSpec) {
         let is_unfinished = |job: &&JobId| self.jobs.get(job.as_str()).is_none_or(Job::has_unfinished_tasks);
         if let Some(dependency) = spec.dependencies.iter().find(is_unfinished) {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// No team uses more than its quota.
+    /// Checks that no team uses more than its quota.
     pub fn check_limits(&mut self) {
         for team in self.settings.cluster.teams.clone().into_iter().filter(|t| t.cpus_max > 0.0) {
             let used: f64 = self
@@ -87,7 +88,7 @@
         }
     }
 
-    /// No task of a cancelled job runs beyond the cancellation limit.
+    /// Checks that no task of a cancelled job runs beyond the cancellation limit.
     pub fn check_cancelled(&mut self, now: Instant) {
         let within = self.settings.cluster.workers.cancellation();
         let is_late = |key: &TaskKey| {
@@ -103,9 +104,9 @@
         }
     }
 
-    /// A worker has run a task to its end.
-    pub(super) fn task_done(&mut self, now: Instant, key: &TaskKey) {
-        let is_cancelled = self.cancel_at_end.strikes(now, &mut self.rng);
+    /// Records that a worker has run a task to completion.
+    pub(super) fn note_task_done(&mut self, now: Instant, key: &TaskKey) {
+        let is_cancelled = self.cancel_at_end.affects(now, &mut self.rng);
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
         job.done.insert(key.1);
         if is_cancelled && !job.has_unfinished_tasks() {
@@ -114,19 +115,23 @@
         }
     }
 
-    /// No job is forgotten, and none waits beside free capacity once all is calm.
+    /// Checks that users keep getting answers about accepted jobs, and that no job waits for too
+    /// long while capacity is free; both after the last fault.
     pub fn check_waiting(&mut self, now: Instant) {
         let passed_over = self.passed_over_jobs(now);
-        let calm_at = self.calm_at;
+        let faults_end_at = self.faults_end_at;
         let mut violations = Vec::new();
         for (id, job) in self.jobs.iter_mut().filter(|(_, job)| job.accepted.is_some()) {
-            if now > job.answered.max(calm_at) + ANSWERED_WITHIN {
+            if now > job.last_answer_at.max(faults_end_at) + ANSWERED_WITHIN {
                 let what = format!("{id}: no answer for {} s", ANSWERED_WITHIN.as_secs());
                 violations.push(("forgotten", what));
             }
-            job.passed_over = passed_over.contains(id).then(|| job.passed_over.unwrap_or(now));
-            if job.passed_over.is_some_and(|since| now > since.max(calm_at) + STARTED_WITHIN) {
-                violations.push(("neglected", format!("waits beside free capacity: {:?}", job.spec)));
+            job.passed_over_since = passed_over.contains(id).then(|| job.passed_over_since.unwrap_or(now));
+            if job.passed_over_since.is_some_and(|since| now > since.max(faults_end_at) + STARTED_WITHIN) {
+                violations.push((
+                    "neglected",
+                    format!("waits although a machine has free capacity: {:?}", job.spec),
+                ));
             }
         }
         for (rule, what) in violations {
@@ -162,13 +167,13 @@
             && job.spec.dependencies.iter().all(is_terminal)
     }
 
-    /// CPUs that a team may use; none for a team without settings.
+    /// CPUs that a team may use; 0 for a team without settings.
     fn quota(&self, team: &str) -> f64 {
         let team = self.settings.cluster.teams.iter().find(|t| t.name == team);
         team.map_or(0.0, |t| if t.cpus_max > 0.0 { t.cpus_max } else { f64::INFINITY })
     }
 
-    /// Asks each controller for its metrics.
+    /// Requests the metrics of each controller.
     pub(super) fn request_metrics(&mut self) {
         for (at, controller) in self.controllers.iter().enumerate() {
             let Some(handle) = controller.handle.clone() else { continue };
@@ -183,7 +188,8 @@
         }
     }
 
-    /// No controller has had to refuse an act that would have violated an invariant.
+    /// Checks the metrics of a controller: it has neither had to prevent an invariant violation
+    /// nor reused an epoch.
     pub fn check_metrics(&mut self, controller: usize, answer: &Response) {
         let Ok(metrics) = decode(&answer.body) else { return };
         let Ok(fields) = Fields::of(&metrics) else { return };
@@ -204,7 +210,7 @@
         self.unfinished_jobs().next().is_some()
     }
 
-    /// At the end every accepted job is done or cancelled.
+    /// Checks that every accepted job is done or cancelled at the end.
     pub fn check_end(&mut self) {
         let left: Vec<String> =
             self.unfinished_jobs().map(|job| format!("{} done of {:?}", job.done.len(), job.spec)).collect();
@@ -234,7 +240,7 @@
     }
 }
 
-/// Whether a machine has been up and empty, and fits a job.
+/// Whether a machine has been up without live tasks and meets the constraints of a job.
 fn is_idle_for(now: Instant, worker: &Worker, spec: &JobSpec) -> bool {
     worker.gone_at.is_none()
         && now > worker.up_at.max(worker.empty_since)
--- a/src/coordination/tests/simulation/stalls.rs
+++ b/src/coordination/tests/simulation/stalls.rs
@@ -1,23 +1,23 @@
-//! Stalled controllers: between any two steps one may stop for a while, as a process without
-//! processor time does. Its code does not run, its clocks go on, and what reaches it waits.
+//! Stalls of controllers: a controller may stop for a while between any two steps, like a
+//! process without CPU time. Its code does not run, its clocks go on, and messages to it wait.
 
 use std::pin::pin;
 use std::task::Poll;
 
 use super::*;
 
-/// Shared by the tasks of one controller: until when it is stalled, and the order in which its
-/// tasks resume. A runtime resumes tasks in the order in which they became ready; timers that
-/// end at one moment would not.
+/// The stalls of one controller, shared by its async tasks: until when it is stalled, and the
+/// order in which its tasks resume. A runtime resumes tasks in the order in which they became
+/// ready; timers that expire at the same instant would not keep that order.
 #[derive(Debug, Clone)]
 pub(super) struct Stalls {
     until: watch::Sender<Instant>,
-    /// Tasks that wait for the end of the stall so far.
+    /// Number of tasks that wait for the end of the stall.
     waiting: Arc<AtomicU64>,
 }
 
-/// Between the resumption of two tasks: the least step of the runtime's clock.
-const TURN: Duration = Duration::from_millis(1);
+/// Interval between the resumption of two tasks: the resolution of the runtime's clock.
+const RESUME_INTERVAL: Duration = Duration::from_millis(1);
 
 impl Stalls {
     /// A controller that is not stalled.
@@ -25,7 +25,7 @@
         Stalls { until: watch::channel(now).0, waiting: Arc::default() }
     }
 
-    /// Stalls the controller until then.
+    /// Stalls the controller until this time.
     pub(super) fn begin(&self, until: Instant) {
         self.waiting.store(0, Ordering::Relaxed);
         self.until.send_replace(until);
@@ -36,22 +36,22 @@
         *self.until.borrow()
     }
 
-    /// Runs a part of the controller, except while it is stalled.
-    pub(super) async fn run<T>(self, part: impl Future<Output = T>) -> T {
-        let mut part = pin!(part);
+    /// Runs a future of the controller, except while the controller is stalled.
+    pub(super) async fn run<T>(self, future: impl Future<Output = T>) -> T {
+        let mut future = pin!(future);
         loop {
             let until = self.until();
             if Instant::now() < until {
-                let turn = self.waiting.fetch_add(1, Ordering::Relaxed);
-                tokio::time::sleep_until(until + TURN * turn as u32).await;
+                let position = self.waiting.fetch_add(1, Ordering::Relaxed);
+                tokio::time::sleep_until(until + RESUME_INTERVAL * position as u32).await;
                 continue;
             }
             let step = std::future::poll_fn(|context| {
-                // A stall that has begun since ends this turn without another step.
+                // If a stall has begun meanwhile, the future is not polled again until it ends.
                 if Instant::now() < self.until() {
                     return Poll::Ready(None);
                 }
-                part.as_mut().poll(context).map(Some)
+                future.as_mut().poll(context).map(Some)
             });
             if let Some(result) = step.await {
                 return result;
@@ -66,14 +66,14 @@
         self.controllers[at].stalls.until()
     }
 
-    /// Delivers what a controller sent before it was stalled, or by a timer meanwhile, once it
-    /// resumes.
+    /// Delivers the messages that were held back while their controller was stalled, once it
+    /// resumes. They were sent just before the stall, or by a timer during it.
     pub(super) fn release_held_messages(&mut self, now: Instant) {
         let (due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.held_messages).into_iter().partition(|(at, _)| now >= *at);
         self.held_messages = rest;
-        for (_, ask) in due {
-            self.deliver(ask);
+        for (_, request) in due {
+            self.deliver(request);
         }
     }
 }
--- a/src/coordination/tests/simulation/trace.rs
+++ b/src/coordination/tests/simulation/trace.rs
@@ -1,5 +1,5 @@
-//! The decision trace: every message that a simulated controller sends, in order, with
-//! its simulated time and its encoded bytes as a digest. Two builds that decide alike
+//! The decision trace: every message that a simulated controller sends, in order, with its
+//! simulated time and a digest of its encoded bytes. Two builds that make the same decisions
 //! write the same trace for a seed, byte for byte.
 
 use std::fmt::Write;
@@ -8,7 +8,7 @@
 use super::*;
 use crate::transport::peer::{PeerCall, PeerReply};
 
-/// The messages of one simulation, a line each; empty unless recording was asked for.
+/// The messages of one simulation, one per line; empty unless recording was started.
 #[derive(Debug, Default)]
 pub struct Trace {
     recording: bool,
@@ -16,17 +16,17 @@
 }
 
 impl Trace {
-    /// Records from now on.
+    /// Starts recording.
     pub fn start(&mut self) {
         self.recording = true;
     }
 
-    /// What was recorded.
+    /// The recorded lines.
     pub fn into_lines(self) -> String {
         self.lines
     }
 
-    /// `elapsed`: since the simulation began. `peer`: whom the message goes to.
+    /// Records a message. `elapsed` is the time since the simulation began, `peer` the receiver.
     pub(super) fn record(
         &mut self,
         elapsed: Duration,
@@ -50,11 +50,11 @@
             elapsed.as_millis(),
             digest.finish()
         )
-        .expect("a string takes everything");
+        .expect("writing to a string cannot fail");
     }
 }
 
-/// The name of a call and its bytes, as the service definition has them.
+/// The name of a call, as in the service definition, and its bytes.
 fn peer_call_parts(call: &PeerCall) -> (&'static str, &[u8]) {
     match call {
         PeerCall::Submit(body) => ("Submit", body),
@@ -70,12 +70,12 @@
         Instant::now() - self.begin
     }
 
-    /// A request that a controller sends: to the state service, the cloud, a worker or
-    /// another controller.
-    pub(super) fn trace_ask(&mut self, sender: Option<usize>, ask: &SimulatedRequest) {
+    /// Records a request of a controller to the state service, the cloud, a worker or another
+    /// controller.
+    pub(super) fn trace_request(&mut self, sender: Option<usize>, request: &SimulatedRequest) {
         let elapsed = self.elapsed();
         let sender = sender.map_or_else(|| "?".to_owned(), |at| format!("c-{at}"));
-        match ask {
+        match request {
             SimulatedRequest::Http { to, call, .. } => {
                 let what = format!("{} {}", call.method, call.target);
                 self.trace.record(elapsed, &sender, &to.ip().to_string(), &what, &[&call.body]);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// An answer of a controller to a user or a worker.
+    /// Records an answer of a controller to a user or a worker.
     pub(super) fn trace_answer(&mut self, sender: usize, peer: &str, answer: &Response) {
         let elapsed = self.elapsed();
         let sender = format!("c-{sender}");
@@ -96,7 +96,7 @@
         self.trace.record(elapsed, &sender, peer, &what, &[&answer.body]);
     }
 
-    /// A reply of a controller to another.
+    /// Records a reply of a controller to another.
     pub(super) fn trace_peer_reply(&mut self, sender: usize, peer: usize, reply: &PeerReply) {
         let elapsed = self.elapsed();
         let (sender, peer) = (format!("c-{sender}"), format!("c-{peer}"));
--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -1,18 +1,18 @@
-//! Users: what they submit, poll and cancel.
+//! Simulated users, which submit, poll and cancel jobs.
 
 use super::*;
 
 /// A request that a user is about to send.
 struct UserRequest {
-    /// The job that it is about, or a name for requests about none.
+    /// Id of the job, or a placeholder for requests about no job.
     id: String,
-    question: Question,
+    request_kind: RequestKind,
     request: Request,
-    /// The controller that it reaches, if it reaches any.
+    /// The controller that receives it; `None` if it is lost.
     at: Option<usize>,
-    /// When it is sent, from now.
+    /// Delay until it is sent.
     after: Duration,
-    /// Sent beside the requests that the user needs: its answer is only checked.
+    /// Whether it is sent in addition to the user's regular requests; its answer is only checked.
     is_extra: bool,
 }
 
@@ -33,7 +33,7 @@
         self.submit(now, spec, run_s, cancel_from);
     }
 
-    /// A description with random tasks, priority and placement.
+    /// A job description with random tasks, priority and placement.
     fn random_spec(&mut self, number: usize) -> JobSpec {
         let rng = &mut self.rng;
         let largest = self.shape.max_tasks;
@@ -54,16 +54,19 @@
         spec
     }
 
-    /// From now on the user of a job wants it cancelled.
+    /// Makes the user of a job request its cancellation from now on.
     pub fn request_cancellation(&mut self, now: Instant, id: &str) {
         self.jobs.get_mut(id).expect("submitted").cancel_from = Some(now);
     }
 
-    /// Dependencies of a new job: mostly none, else some of the last few or of all earlier jobs,
-    /// in whatever state they are, so that chains, diamonds and long finished dependencies occur.
+    /// Chooses the dependencies of a new job: mostly none, otherwise some of the last few or of all
+    /// earlier jobs, in any state, so that chains, diamonds and long finished dependencies occur.
     fn choose_dependencies(&mut self, n: usize) -> Vec<JobId> {
         let r = &mut self.rng;
-        if self.shape.dependent_share == 0.0 || n < 2 || !r.random_bool(self.shape.dependent_share) {
+        if self.shape.dependent_probability == 0.0
+            || n < 2
+            || !r.random_bool(self.shape.dependent_probability)
+        {
             return Vec::new();
         }
         let mut dependencies = BTreeSet::new();
@@ -96,14 +99,14 @@
         found.into_values().collect()
     }
 
-    /// Adds a job that its user submits with the next step; `run_s` is the run time of each
-    /// task in seconds.
+    /// Adds a job that its user submits in the next step; `run_s` is the run time of each task
+    /// in seconds.
     pub fn submit(&mut self, now: Instant, spec: JobSpec, run_s: f64, cancel_from: Option<Instant>) {
         let id = spec.id.as_str().to_owned();
         self.jobs.insert(id, Job::new(now, spec, run_s, cancel_from));
     }
 
-    /// The next request of a job's user, if one is due.
+    /// Sends the next request of a job's user, if one is due.
     pub(super) fn step_user(&mut self, now: Instant, id: &str) {
         let resubmits = self.rng.random_bool(0.05);
         let accepted =
@@ -112,50 +115,57 @@
             return;
         }
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.in_flight || job.given_up || now < job.next {
+        if job.in_flight || job.rejected || now < job.next {
             return;
         }
         let wants_cancelled = job.cancel_from.is_some_and(|at| now >= at) && job.terminal.is_none();
-        let question = match (job.accepted, wants_cancelled) {
-            (None, _) => Question::Submit,
-            (Some(_), true) => Question::Cancel,
-            _ if resubmits => Question::Submit,
-            _ => Question::Poll,
+        let request_kind = match (job.accepted, wants_cancelled) {
+            (None, _) => RequestKind::Submit,
+            (Some(_), true) => RequestKind::Cancel,
+            _ if resubmits => RequestKind::Submit,
+            _ => RequestKind::Poll,
         };
         job.in_flight = true;
-        job.asked = true;
-        let request = self.request_about(id, question);
-        self.send_to_any_controller(now, id, question, request);
+        job.submitted = true;
+        let request = self.request_about(id, request_kind);
+        self.send_to_any_controller(now, id, request_kind, request);
     }
 
-    /// The request that asks this question about a job.
-    fn request_about(&self, id: &str, question: Question) -> Request {
-        match (question, self.jobs.get(id)) {
-            (Question::Submit, Some(job)) => post("/api/jobs", encode(&job.spec.encode().build())),
-            (Question::Cancel, _) => post(&format!("/api/jobs/{id}/withdraw"), Vec::new()),
+    /// Builds a request of this kind about a job.
+    fn request_about(&self, id: &str, request_kind: RequestKind) -> Request {
+        match (request_kind, self.jobs.get(id)) {
+            (RequestKind::Submit, Some(job)) => post("/api/jobs", encode(&job.spec.encode().build())),
+            (RequestKind::Cancel, _) => post(&format!("/api/jobs/{id}/withdraw"), Vec::new()),
             _ => get(&format!("/api/jobs/{id}")),
         }
     }
 
-    /// Sends a request to a random controller that can be reached.
-    fn send_to_any_controller(&mut self, now: Instant, id: &str, question: Question, request: Request) {
-        let is_cut = now < self.zone_cut_until;
-        let is_up =
-            |at: &usize| !(is_cut && *at == PARTITIONED_CONTROLLER) && self.controllers[*at].handle.is_some();
+    /// Sends a request to a random reachable controller.
+    fn send_to_any_controller(
+        &mut self,
+        now: Instant,
+        id: &str,
+        request_kind: RequestKind,
+        request: Request,
+    ) {
+        let is_partitioned = now < self.zone_partitioned_until;
+        let is_up = |at: &usize| {
+            !(is_partitioned && *at == PARTITIONED_CONTROLLER) && self.controllers[*at].handle.is_some()
+        };
         let reached: Vec<usize> = (0..self.controllers.len()).filter(is_up).collect();
         let at = (!reached.is_empty()).then(|| reached[self.rng.random_range(0..reached.len())]);
         let (id, after) = (id.to_owned(), Duration::from_millis(2));
-        self.send(now, UserRequest { id, question, request, at, after, is_extra: false });
+        self.send(now, UserRequest { id, request_kind, request, at, after, is_extra: false });
     }
 
-    /// Sends a request; its answer comes as an [`Event::Answered`].
+    /// Sends a request; its answer arrives as an [`Event::RequestAnswered`].
     fn send(&mut self, now: Instant, user_request: UserRequest) {
-        let UserRequest { id, question, request, at, after, is_extra } = user_request;
-        let has_late_copy = self.late_requests.strikes(now, &mut self.rng);
-        if has_late_copy && !matches!(question, Question::Invalid(_) | Question::Unknown) {
+        let UserRequest { id, request_kind, request, at, after, is_extra } = user_request;
+        let has_late_copy = self.late_requests.affects(now, &mut self.rng);
+        if has_late_copy && !matches!(request_kind, RequestKind::Invalid(_) | RequestKind::Unknown) {
             self.send_late_copy_of_request(&request);
         }
-        let timeout = seconds(if question == Question::Poll { 2.0 } else { 5.0 });
+        let timeout = seconds(if request_kind == RequestKind::Poll { 2.0 } else { 5.0 });
         let (job, answers) = (id, self.answers.clone());
         let reached = at.and_then(|at| {
             let controller = &self.controllers[at];
@@ -167,16 +177,22 @@
             let sent = Instant::now();
             let Some((process, handle, stalls)) = reached else {
                 let origin = Origin { sent, process: (usize::MAX, 0), order: 0 };
-                return Event::Answered { job, question, origin, answer: None, is_extra };
+                return Event::RequestAnswered { job, request_kind, origin, answer: None, is_extra };
             };
             let handled = stalls.run(Handler::handle(&handle, request));
             let answer = tokio::time::timeout(timeout, handled).await.ok();
             let order = answers.fetch_add(1, Ordering::Relaxed);
-            Event::Answered { job, question, origin: Origin { sent, process, order }, answer, is_extra }
+            Event::RequestAnswered {
+                job,
+                request_kind,
+                origin: Origin { sent, process, order },
+                answer,
+                is_extra,
+            }
         });
     }
 
-    /// A copy of a request arrives later, at any controller; nobody waits for its answer.
+    /// Sends a late copy of a request to a random controller; its answer is ignored.
     fn send_late_copy_of_request(&mut self, request: &Request) {
         let after = seconds(self.rng.random_range(1.0..40.0));
         let at = self.rng.random_range(0..self.controllers.len());
@@ -185,7 +201,7 @@
         self.events.spawn(async move {
             tokio::time::sleep(after).await;
             let handled = stalls.run(Handler::handle(&handle, request));
-            // Its sender has gone, and a controller that has ended takes nothing in.
+            // The sender no longer waits, and a controller that has ended handles nothing.
             let _ = tokio::time::timeout(seconds(10.0), handled).await;
             Event::Nothing
         });
@@ -201,44 +217,48 @@
         }
     }
 
-    /// Sends an extra request about a job: mostly a poll, else a repeated submission, or a
-    /// cancellation where that changes nothing.
+    /// Sends an extra request about a job: mostly a poll, otherwise a repeated submission, or a
+    /// cancellation if the job is terminal or its user has already requested one.
     fn send_extra_request(&mut self, now: Instant, id: &str, at: usize, after: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
         let is_terminal = job.terminal.is_some();
         let is_cancelled = job.cancel_from.is_some_and(|from| now >= from);
-        let question = match self.rng.random_range(0..8) {
-            0 | 1 => Question::Submit,
-            2 if is_terminal || is_cancelled => Question::Cancel,
-            _ => Question::Poll,
+        let request_kind = match self.rng.random_range(0..8) {
+            0 | 1 => RequestKind::Submit,
+            2 if is_terminal || is_cancelled => RequestKind::Cancel,
+            _ => RequestKind::Poll,
         };
-        let request = self.request_about(id, question);
-        let is_cut = now < self.zone_cut_until && at == PARTITIONED_CONTROLLER;
-        let reached = (!is_cut).then_some(at);
+        let request = self.request_about(id, request_kind);
+        let is_partitioned = now < self.zone_partitioned_until && at == PARTITIONED_CONTROLLER;
+        let reached = (!is_partitioned).then_some(at);
         let id = id.to_owned();
-        self.send(now, UserRequest { id, question, request, at: reached, after, is_extra: true });
+        self.send(now, UserRequest { id, request_kind, request, at: reached, after, is_extra: true });
     }
 
-    /// Polls every terminal job at every controller, one after the other with a pause; returns
-    /// the number of jobs.
+    /// Polls every terminal job at every controller, with a pause between requests; returns the
+    /// number of jobs.
     pub fn poll_finished_jobs_everywhere(&mut self, pause: Duration) -> usize {
         let terminal: Vec<String> =
             self.jobs.iter().filter(|(_, job)| job.terminal.is_some()).map(|(id, _)| id.clone()).collect();
         let (now, mut after) = (Instant::now(), Duration::ZERO);
         for id in &terminal {
             for at in 0..self.controllers.len() {
-                let request = self.request_about(id, Question::Poll);
-                let (id, question) = (id.clone(), Question::Poll);
-                self.send(now, UserRequest { id, question, request, at: Some(at), after, is_extra: true });
+                let request = self.request_about(id, RequestKind::Poll);
+                let (id, request_kind) = (id.clone(), RequestKind::Poll);
+                self.send(
+                    now,
+                    UserRequest { id, request_kind, request, at: Some(at), after, is_extra: true },
+                );
                 after += pause;
             }
         }
         terminal.len()
     }
 
-    /// Users send extra requests about any job, also long after it is terminal.
+    /// Sends extra requests about random accepted jobs, including those that have long been
+    /// terminal.
     pub(super) fn send_extra_requests(&mut self, now: Instant) {
-        let expected = self.shape.extra_requests * STEP.as_secs_f64();
+        let expected = self.shape.extra_request_rate * STEP.as_secs_f64();
         let count = expected.floor() as usize + usize::from(self.rng.random_bool(expected.fract()));
         let known: Vec<String> =
             self.jobs.iter().filter(|(_, job)| job.accepted.is_some()).map(|(id, _)| id.clone()).collect();
@@ -253,26 +273,27 @@
     pub(super) fn send_invalid_request(&mut self, now: Instant) {
         let number = self.rng.random_range(0..1000);
         let spec = sample(&format!("job-9{number:05}"), "red", 1, 1.0);
-        let kinds = if self.shape.dependent_share > 0.0 { 7 } else { 4 };
+        let kinds = if self.shape.dependent_probability > 0.0 { 7 } else { 4 };
         let kind = self.rng.random_range(0..kinds);
-        let Some((question, request)) = self.invalid_request(kind, number, spec) else { return };
-        self.send_to_any_controller(now, "odd", question, request);
+        let Some((request_kind, request)) = self.invalid_request(kind, number, spec) else { return };
+        self.send_to_any_controller(now, "odd", request_kind, request);
     }
 
-    /// An invalid request of some kind, made from a valid description; none if no job fits.
+    /// Builds an invalid request from a valid description; `None` if it needs an accepted service
+    /// and there is none.
     fn invalid_request(
         &mut self,
         kind: u32,
         number: usize,
         mut spec: JobSpec,
-    ) -> Option<(Question, Request)> {
+    ) -> Option<(RequestKind, Request)> {
         let status = match kind {
             // A field is missing.
             0 => {
                 let Value::Map(mut fields) = spec.encode().build() else { return None };
                 let at = self.rng.random_range(0..fields.len());
                 fields.remove(at);
-                return Some((Question::Invalid(400), submission(&Value::Map(fields))));
+                return Some((RequestKind::Invalid(400), submission(&Value::Map(fields))));
             }
             // A task larger than any machine.
             1 => {
@@ -296,18 +317,18 @@
                 spec.dependencies = vec![self.jobs.values().find(is_service)?.spec.id.clone()];
                 422
             }
-            // A list of dependencies that is none.
+            // A text where a list of dependencies is expected.
             6 => {
                 let body = spec.encode().set("awaits", "job-1").build();
-                return Some((Question::Invalid(400), submission(&body)));
+                return Some((RequestKind::Invalid(400), submission(&body)));
             }
-            _ => return Some((Question::Unknown, get(&format!("/api/jobs/job-8{number:05}")))),
+            _ => return Some((RequestKind::Unknown, get(&format!("/api/jobs/job-8{number:05}")))),
         };
-        Some((Question::Invalid(status), submission(&spec.encode().build())))
+        Some((RequestKind::Invalid(status), submission(&spec.encode().build())))
     }
 }
 
-/// A submission with this body.
+/// Builds a submission with this body.
 fn submission(body: &Value) -> Request {
     post("/api/jobs", encode(body))
 }
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -1,8 +1,8 @@
-//! Workers as PROTOCOL describes them: heartbeats, leases, tasks and commands.
+//! Simulated workers, as PROTOCOL describes them: heartbeats, leases, tasks and commands.
 
 use super::*;
 
-/// Workers drop a heartbeat's reply that takes longer.
+/// Workers ignore a reply to a heartbeat that takes longer than this.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(4);
 /// CPUs of every machine.
 const CPUS: f64 = 8.0;
@@ -15,7 +15,7 @@
 }
 
 impl<'a> WorkerCommand<'a> {
-    /// Decodes a command; panics where it is none, since only controllers send them.
+    /// Decodes a command. Panics if it is malformed, since only controllers send commands.
     fn decode(command: &'a Value) -> Self {
         let fields = Fields::of(command).expect("a map");
         let task = fields.text("sheet").expect("a task");
@@ -27,14 +27,15 @@
 }
 
 impl Worker {
-    /// At the end of its lease a worker kills and forgets all tasks.
+    /// Kills and forgets all tasks at the end of the worker's lease.
     fn expire_lease(&mut self, now: Instant) {
         self.tasks.clear();
         self.incarnation += 1;
         (self.lease_from, self.changed) = (now, true);
     }
 
-    /// While a machine is stalled, what it runs neither goes on nor ends.
+    /// Moves the times of all tasks by one step: tasks make no progress while their machine is
+    /// stalled.
     fn postpone_tasks(&mut self) {
         for (_, task) in &mut self.tasks {
             match &mut task.state {
@@ -44,15 +45,15 @@
         }
     }
 
-    /// Sends the next heartbeats to that controller, the first after some seconds.
-    fn turn_to(&mut self, target: usize, next_heartbeat: Instant) {
+    /// Sends heartbeats to another controller from now on, the first at `next_heartbeat`.
+    fn switch_controller(&mut self, target: usize, next_heartbeat: Instant) {
         self.target = target;
         self.next_heartbeat = next_heartbeat;
     }
 }
 
 impl Simulation {
-    /// One step of a worker: its lease, its tasks and its heartbeat.
+    /// Advances a worker by one step: its lease, its tasks and its heartbeat.
     pub(super) fn step_worker(&mut self, now: Instant, name: &str) {
         let lease = self.settings.cluster.workers.lease();
         let Some(worker) = self.machines.get_mut(name).filter(|m| m.gone_at.is_none() && now >= m.up_at)
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Starts tasks whose image is fetched, and ends those that have run their time.
+    /// Starts tasks whose image has been fetched, and ends those whose run time is over.
     fn progress_tasks(&mut self, now: Instant, name: &str) {
         let Some(worker) = self.machines.get_mut(name) else { return };
         let (mut started, mut ended) = (Vec::new(), Vec::new());
@@ -106,11 +107,11 @@
             self.check_start(now, name, &key);
         }
         for key in ended {
-            self.task_done(now, &key);
+            self.note_task_done(now, &key);
         }
     }
 
-    /// Sends a heartbeat to the worker's controller, and perhaps a copy later.
+    /// Sends a heartbeat to the worker's controller, and possibly a late copy.
     fn send_heartbeat(&mut self, now: Instant, name: &str) {
         let interval = self.settings.cluster.workers.heartbeat_interval();
         let Some(worker) = self.machines.get_mut(name) else { return };
@@ -121,10 +122,10 @@
         let body = encode_heartbeat(name, worker);
         let (target, incarnation) = (worker.target, worker.incarnation);
         let is_partitioned =
-            now < self.zone_cut_until && (worker.zone == "z2") != (target == PARTITIONED_CONTROLLER);
+            now < self.zone_partitioned_until && (worker.zone == "z2") != (target == PARTITIONED_CONTROLLER);
         let is_received = now >= worker.heartbeats_lost_until && !is_partitioned;
         let handle = self.controllers[target].handle.clone().filter(|_| is_received);
-        if self.late_heartbeats.strikes(now, &mut self.rng) {
+        if self.late_heartbeats.affects(now, &mut self.rng) {
             self.send_late_copy_of_heartbeat(&body);
         }
         let machine = name.to_owned();
@@ -141,7 +142,7 @@
         });
     }
 
-    /// A copy of a heartbeat arrives later, at any controller.
+    /// Sends a late copy of a heartbeat to a random controller.
     fn send_late_copy_of_heartbeat(&mut self, body: &[u8]) {
         self.late_copies += 1;
         let after = seconds(self.rng.random_range(2.0..30.0));
@@ -155,7 +156,8 @@
         });
     }
 
-    /// A worker takes the answer to its heartbeat, or none, and chooses its next controller.
+    /// Handles the answer to a worker's heartbeat, or its timeout, and chooses the controller for
+    /// the next one.
     pub(super) fn heartbeat_answered(
         &mut self,
         machine: &str,
@@ -180,15 +182,16 @@
                 let leader = Fields::of(&body).ok().and_then(|f| f.opt_text("foreman").ok().flatten());
                 let leader = leader.and_then(|name| name.strip_prefix("c-")?.parse().ok());
                 match leader.filter(|to| *to != worker.target) {
-                    Some(to) => worker.turn_to(to, now + seconds(0.3)),
-                    None => worker.turn_to(next, now + seconds(1.0)),
+                    Some(to) => worker.switch_controller(to, now + seconds(0.3)),
+                    None => worker.switch_controller(next, now + seconds(1.0)),
                 }
             }
-            _ => worker.turn_to(next, now + seconds(1.0)),
+            _ => worker.switch_controller(next, now + seconds(1.0)),
         }
     }
 
-    /// A reply with a current fencing token renews the worker's lease and carries commands.
+    /// Accepts a reply, unless its fencing token is outdated: renews the worker's lease and carries
+    /// out the commands.
     fn accept_reply(&mut self, now: Instant, machine: &str, sent: Instant, body: &Value) {
         let Some(worker) = self.machines.get_mut(machine) else { return };
         let fencing_token = Fields::of(body).ok().and_then(|f| f.count("baton").ok()).unwrap_or(0);
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Commands that a controller pushes to a worker, by its number.
+    /// Delivers commands that a controller pushes to the worker with this number.
     pub(super) fn deliver_pushed_commands(
         &mut self,
         number: usize,
@@ -219,7 +222,9 @@
         else {
             return;
         };
-        if now < worker.one_way_partitioned_until || (now < self.zone_cut_until && worker.zone == "z2") {
+        if now < worker.one_way_partitioned_until
+            || (now < self.zone_partitioned_until && worker.zone == "z2")
+        {
             return;
         }
         if now < worker.hung_until {
@@ -230,8 +235,8 @@
         }
     }
 
-    /// A worker takes pushed commands, unless their fencing token or its incarnation is older;
-    /// its response is a heartbeat.
+    /// Carries out pushed commands, unless their fencing token is outdated or they are for another
+    /// incarnation of the worker; the response is a heartbeat.
     fn handle_pushed_commands(&mut self, now: Instant, name: &str, body: &[u8]) -> Option<Response> {
         let body = decode(body).ok()?;
         let fields = Fields::of(&body).ok()?;
@@ -248,16 +253,16 @@
         Some(Response { status, body: encode_heartbeat(name, worker), retry_after_s: None, close: false })
     }
 
-    /// A worker carries out the commands of a message.
+    /// Carries out the commands in a message to a worker.
     pub fn carry_out(&mut self, now: Instant, name: &str, body: &Value) {
         let Some(commands) = Fields::of(body).ok().and_then(|f| f.list("orders").ok()) else { return };
         for command in commands {
             let command = WorkerCommand::decode(command);
             let fetch = seconds(self.rng.random_range(0.2..2.0));
             let Some(worker) = self.machines.get_mut(name) else { return };
-            let is_meant =
+            let is_same_attempt =
                 |key: &TaskKey, task: &RunningTask| *key == command.key && task.attempt == command.attempt;
-            let attempt = worker.tasks.iter_mut().find(|(key, task)| is_meant(key, task));
+            let attempt = worker.tasks.iter_mut().find(|(key, task)| is_same_attempt(key, task));
             match (command.verb, attempt) {
                 ("start", None) => self.start_task(now, name, command.key, command.attempt, now + fetch),
                 ("stop", Some((_, task))) if task.is_live() => {
@@ -265,7 +270,7 @@
                     worker.changed = true;
                 }
                 ("reap", Some((_, task))) if !task.is_live() => {
-                    worker.tasks.retain(|(key, task)| !is_meant(key, task));
+                    worker.tasks.retain(|(key, task)| !is_same_attempt(key, task));
                     worker.changed = true;
                 }
                 _ => {}
@@ -273,12 +278,12 @@
         }
     }
 
-    /// A worker starts an attempt, or lists it as ended where it cannot.
+    /// Starts an attempt on a worker, or lists it as ended if it cannot be started.
     fn start_task(&mut self, now: Instant, name: &str, key: TaskKey, attempt: u64, fetched_at: Instant) {
         let Some(worker) = self.machines.get(name) else { return };
         let live = || worker.tasks.iter().filter(|(_, task)| task.is_live());
         let used: f64 = live().filter_map(|(key, _)| self.jobs.get(&key.0)).map(|job| job.spec.cpus).sum();
-        let state = match self.jobs.get(&key.0).filter(|job| job.asked) {
+        let state = match self.jobs.get(&key.0).filter(|job| job.submitted) {
             None => RunState::Exited("unknown"),
             Some(_) if live().any(|(other, _)| *other == key) => RunState::Exited("in_use"),
             Some(job) if used + job.spec.cpus > CPUS + 1e-6 => RunState::Exited("no_room"),
@@ -288,15 +293,15 @@
         let Some(worker) = self.machines.get_mut(name) else { return };
         worker.tasks.push((key.clone(), RunningTask { attempt, state }));
         worker.changed = true;
-        // A start that was in flight when the user was answered is dropped by the worker once
-        // the reply has timed out.
+        // A start command that was in flight when the user was told of the cancellation is
+        // dropped by the worker once the reply has timed out.
         if cancelled.is_some_and(|at| now > at + REPLY_TIMEOUT) {
             self.record_violation("started_cancelled", format!("{}/{} on {name}", key.0, key.1));
         }
     }
 }
 
-/// The heartbeat that a worker sends now.
+/// Encodes a worker's current heartbeat.
 fn encode_heartbeat(name: &str, worker: &Worker) -> Vec<u8> {
     let tasks = worker.tasks.iter().map(|(key, task)| encode_task(key, task)).collect();
     let heartbeat = MapBuilder::new()
@@ -313,9 +318,9 @@
     encode(&heartbeat)
 }
 
-/// A task as a heartbeat lists it.
+/// Encodes a task for a heartbeat.
 fn encode_task((job, index): &TaskKey, task: &RunningTask) -> Value {
-    let (standing, cause) = match task.state {
+    let (state, cause) = match task.state {
         RunState::Fetching(_) => ("fetching", None),
         RunState::Running(_) => ("running", None),
         RunState::Exited(cause) => ("exited", Some(cause)),
@@ -323,7 +328,7 @@
     MapBuilder::new()
         .set("sheet", format!("{job}/{index}"))
         .set("try", task.attempt)
-        .set("standing", standing)
+        .set("standing", state)
         .set_some("cause", cause)
         .build()
 }
