--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -8,7 +8,7 @@
 use crate::coordination::jobs::job::ReplyId;
 use crate::coordination::leader::effects::Effect;
 use crate::coordination::recovery::snapshot::{JobSnapshot, Snapshot};
-use crate::coordination::tests::{catalog, heartbeat_message, loaded_job, rented};
+use crate::coordination::tests::{catalog, heartbeat_message, loaded_job, single_machine_pool};
 use crate::protocol::cbor::{Fields, MapBuilder, decode, encode};
 use crate::protocol::jobs::{JobId, JobSpec, JobState, JobStatus};
 use crate::protocol::workers::{HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId};
@@ -524,7 +524,7 @@
 fn lead_for_a_second(controller: &mut Controller, has_task: bool) {
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
     let jobs = if has_task { vec![loaded_job(spec)] } else { Vec::new() };
-    let node_pools = vec![rented("vm-1", true)];
+    let node_pools = vec![single_machine_pool("vm-1", true)];
     let snapshot = Snapshot { jobs, node_pools, catalog: Some((catalog(), 2)), ..Snapshot::default() };
     let now = Instant::now();
     let mut leader = Leader::new(controller.config.clone(), 40, now, 0, snapshot);
--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -109,7 +109,7 @@
     let mut cancelled = loaded_job(sample("job-1", "red", 1, 1.0));
     cancelled.record.cancelled = true;
     let live = loaded_job(sample("job-2", "red", 1, 1.0));
-    let mut harness = Harness::new(vec![cancelled, live], vec![rented("vm-1", true)]);
+    let mut harness = Harness::new(vec![cancelled, live], vec![single_machine_pool("vm-1", true)]);
     let task = |job: &str| StartedTask { task: TaskId { job: id(job), index: 0 }, attempt: 7 };
     let tasks = ["job-1", "job-2", "job-3"].map(|job| task_status(&task(job), TaskState::Running));
     // The third job is not in memory: it is terminal, and its row is archived.
--- a/src/coordination/tests/dag.rs
+++ b/src/coordination/tests/dag.rs
@@ -15,7 +15,7 @@
 /// A new leader that has read these jobs and states of dependencies, with one machine.
 fn harness_with_snapshot(jobs: Vec<JobSnapshot>, dependencies: &[(&str, DependencyState)]) -> Harness {
     let mut harness = Harness::with_machines(&["vm-1"]);
-    let node_pools = vec![rented("vm-1", true)];
+    let node_pools = vec![single_machine_pool("vm-1", true)];
     let dependencies = dependencies.iter().map(|(dependency, state)| (id(dependency), *state)).collect();
     let snapshot = Snapshot {
         jobs,
@@ -138,7 +138,7 @@
     };
     config.settings.cluster.objectives.push(aim);
     let half_bound = config.tuning.start_within / 2;
-    let mut harness = Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config);
+    let mut harness = Harness::with_config(Vec::new(), vec![single_machine_pool("vm-1", true)], config);
     harness.heartbeat("vm-1", 1, EPOCH, vec![]);
     harness.accept(sample("job-1", "red", 1, 8.0));
     let submitted = harness.now;
@@ -346,7 +346,7 @@
     let mut config = Config { settings: settings::tests::sample(), tuning: policy::tests::tuning() };
     let next = settings::AnnouncedLimits { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: None };
     config.settings.cluster.kv.next = Some(next);
-    let mut harness = Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config);
+    let mut harness = Harness::with_config(Vec::new(), vec![single_machine_pool("vm-1", true)], config);
     let names: Vec<String> = (0..200).map(|n| format!("job-{n:06}")).collect();
     for name in &names {
         harness.accept(sample(name, "blue", 1, 1.0));
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -7,7 +7,11 @@
     let older_job = loaded_job(sample("job-1", "red", 2, 1.0));
     let mut harness = Harness::new(
         vec![older_job],
-        vec![rented("vm-1", true), rented("vm-2", true), rented("vm-3", false)],
+        vec![
+            single_machine_pool("vm-1", true),
+            single_machine_pool("vm-2", true),
+            single_machine_pool("vm-3", false),
+        ],
     );
     // The first heartbeat carries an older fencing token: nothing in it is trusted.
     assert_eq!(harness.heartbeat("vm-1", 5, EPOCH - 1, vec![]), vec![]);
@@ -34,7 +38,7 @@
 #[test]
 fn a_new_leader_adopts_reported_tasks_and_starts_only_the_others() {
     let older_job = loaded_job(sample("job-1", "red", 3, 1.0));
-    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true)]);
+    let mut harness = Harness::new(vec![older_job], vec![single_machine_pool("vm-1", true)]);
     let task = |index| TaskId { job: id("job-1"), index };
     let reported = vec![
         TaskStatus { task: task(0), attempt: 7, state: TaskState::Running },
@@ -51,8 +55,14 @@
 
 #[test]
 fn unreconciled_machines_count_against_quotas_at_full_size() {
-    let mut harness =
-        Harness::new(Vec::new(), vec![rented("vm-1", true), rented("vm-2", true), rented("vm-3", true)]);
+    let mut harness = Harness::new(
+        Vec::new(),
+        vec![
+            single_machine_pool("vm-1", true),
+            single_machine_pool("vm-2", true),
+            single_machine_pool("vm-3", true),
+        ],
+    );
     harness.heartbeat("vm-1", 1, EPOCH, vec![]);
     harness.accept(sample("job-1", "red", 1, 1.0));
     // The team may use all 16 CPUs of the two unreconciled machines.
@@ -65,7 +75,7 @@
 #[test]
 fn machines_registered_late_count_against_quotas_at_once() {
     let mut harness = Harness::new(Vec::new(), Vec::new());
-    let node_pools = ["vm-1", "vm-2", "vm-3"].map(|name| rented(name, true)).to_vec();
+    let node_pools = ["vm-1", "vm-2", "vm-3"].map(|name| single_machine_pool(name, true)).to_vec();
     let jobs = vec![JobSnapshot {
         record: JobRecord::new(sample("job-1", "red", 1, 1.0), NOW_MS),
         record_version: 5,
@@ -90,7 +100,10 @@
 #[test]
 fn a_one_way_partitioned_machine_delays_older_jobs_only_for_the_failover_lease_timeout() {
     let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
-    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2b", true)]);
+    let mut harness = Harness::new(
+        vec![older_job],
+        vec![single_machine_pool("vm-1", true), single_machine_pool("vm-2b", true)],
+    );
     harness.heartbeat("vm-2b", 1, EPOCH, vec![]);
     // vm-1 keeps sending heartbeats without the fencing token of any reply.
     let interval = harness.config.settings.cluster.workers.heartbeat_interval_s;
@@ -113,7 +126,10 @@
 #[test]
 fn duplicate_heartbeats_after_a_failover_prove_nothing() {
     let older_job = loaded_job(sample("job-1", "red", 2, 1.0));
-    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2b", true)]);
+    let mut harness = Harness::new(
+        vec![older_job],
+        vec![single_machine_pool("vm-1", true), single_machine_pool("vm-2b", true)],
+    );
     harness.heartbeat("vm-2b", 1, EPOCH, vec![]);
     let task = TaskId { job: id("job-1"), index: 0 };
     let copied_tasks = vec![TaskStatus { task, attempt: 7, state: TaskState::Running }];
@@ -196,8 +212,10 @@
     let mut one_zone = loaded_job(sample("job-2", "blue", 2, 1.0));
     one_zone.record.spec.one_zone = true;
     one_zone.record.started_high_water = 1;
-    let mut harness =
-        Harness::new(vec![partly_started, one_zone], vec![rented("vm-1", true), rented("vm-2b", true)]);
+    let mut harness = Harness::new(
+        vec![partly_started, one_zone],
+        vec![single_machine_pool("vm-1", true), single_machine_pool("vm-2b", true)],
+    );
     harness.heartbeat("vm-1", 5, EPOCH, vec![]);
     assert_eq!(
         starts(&harness.heartbeat("vm-1", 6, EPOCH, vec![])),
@@ -220,7 +238,10 @@
 #[test]
 fn without_a_post_lease_grace_older_jobs_wait_for_a_worker_lease_only() {
     let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
-    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2", true)]);
+    let mut harness = Harness::new(
+        vec![older_job],
+        vec![single_machine_pool("vm-1", true), single_machine_pool("vm-2", true)],
+    );
     harness.heartbeat("vm-1", 5, EPOCH, vec![]);
     assert!(harness.leader.awaits_post_lease_graces());
     harness.advance(1.0);
@@ -243,7 +264,10 @@
 #[test]
 fn an_unacknowledged_reply_does_not_shorten_the_failover_lease_timeout() {
     let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
-    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2", true)]);
+    let mut harness = Harness::new(
+        vec![older_job],
+        vec![single_machine_pool("vm-1", true), single_machine_pool("vm-2", true)],
+    );
     harness.heartbeat("vm-2", 5, EPOCH, vec![]);
     assert_eq!(
         harness.send_heartbeat("vm-1", 1, 5, EPOCH - 1, vec![]),
@@ -268,7 +292,10 @@
 fn tasks_reported_twice_or_already_done_are_stopped_after_a_failover() {
     let mut older_job = loaded_job(sample("job-1", "red", 2, 1.0));
     older_job.record.done.insert(0);
-    let mut harness = Harness::new(vec![older_job], vec![rented("vm-1", true), rented("vm-2b", true)]);
+    let mut harness = Harness::new(
+        vec![older_job],
+        vec![single_machine_pool("vm-1", true), single_machine_pool("vm-2b", true)],
+    );
     let running = |index| TaskStatus {
         task: TaskId { job: id("job-1"), index },
         attempt: 7,
--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -44,7 +44,7 @@
 
 /// The record of a node pool of one machine, with its version in the store; `used` says
 /// that the machine may have had tasks.
-pub(in crate::coordination) fn rented(name: &str, used: bool) -> (NodePoolRecord, u64) {
+pub(in crate::coordination) fn single_machine_pool(name: &str, used: bool) -> (NodePoolRecord, u64) {
     let request = NodePoolRequest {
         name: format!("1-{name}"),
         machine_type: "m8".into(),
--- a/src/coordination/tests/fleet_size.rs
+++ b/src/coordination/tests/fleet_size.rs
@@ -24,7 +24,7 @@
     let node_pool = |first: usize| {
         let ids: Vec<MachineId> =
             (first..first + MACHINES_PER_NODE_POOL).map(|n| machine(&name(n))).collect();
-        let (mut record, version) = rented("vm-0", true);
+        let (mut record, version) = single_machine_pool("vm-0", true);
         record.request.name = format!("1-{first}");
         record.machines_used = ids.iter().cloned().collect();
         record.machines = Some(ids);
--- a/src/coordination/tests/harness.rs
+++ b/src/coordination/tests/harness.rs
@@ -74,7 +74,8 @@
 
     /// A leader with machines that are up, reconciled and recorded as used.
     pub(super) fn with_machines(names: &[&str]) -> Self {
-        let mut harness = Harness::new(Vec::new(), names.iter().map(|name| rented(name, true)).collect());
+        let mut harness =
+            Harness::new(Vec::new(), names.iter().map(|name| single_machine_pool(name, true)).collect());
         for name in names {
             harness.heartbeat(name, 1, EPOCH, vec![]);
         }
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_one_way_partitioned_machine_gets_few_starts_and_one_lost_reply_is_retried() {
-    let node_pools = ["vm-1", "vm-2b"].map(|name| rented(name, true)).to_vec();
+    let node_pools = ["vm-1", "vm-2b"].map(|name| single_machine_pool(name, true)).to_vec();
     let mut harness = Harness::with_tuning(Vec::new(), node_pools, policy::tests::tuning());
     for name in ["vm-1", "vm-2b"] {
         harness.heartbeat(name, 1, EPOCH, vec![]);
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -43,8 +43,10 @@
     for (cancelled, state) in [(false, JobState::Queued), (true, JobState::Cancelled)] {
         let mut dependency = unstarted_job(sample("job-1", "red", 1, 8.0));
         dependency.record.cancelled = cancelled;
-        let mut harness =
-            Harness::new(vec![dependency, loaded_job(dependent.clone())], vec![rented("vm-1", true)]);
+        let mut harness = Harness::new(
+            vec![dependency, loaded_job(dependent.clone())],
+            vec![single_machine_pool("vm-1", true)],
+        );
         assert_eq!(violations(&harness), 1);
         assert_eq!(harness.job_state("job-2"), Some(state));
         harness.heartbeat("vm-1", 1, EPOCH, vec![]);
@@ -76,7 +78,7 @@
 fn more_cancelled_tasks_than_one_heartbeat_reply_holds_are_all_stopped() {
     const TASKS: u32 = 450;
     let record = loaded_job(JobSpec { cpus: 0.01, memory_gb: 0.01, ..sample("job-1", "red", TASKS, 0.01) });
-    let mut harness = Harness::new(vec![record], vec![rented("vm-1", true)]);
+    let mut harness = Harness::new(vec![record], vec![single_machine_pool("vm-1", true)]);
     let mut running: Vec<StartedTask> = (0..TASKS)
         .map(|index| StartedTask { task: TaskId { job: id("job-1"), index }, attempt: 7 })
         .collect();
--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -219,7 +219,7 @@
 /// longer than any heartbeat interval, while machines with the image had free capacity.
 #[test]
 fn latency_sensitive_work_goes_to_a_machine_that_has_its_image() {
-    let node_pools = ["vm-1", "vm-3"].map(|name| rented(name, true)).into();
+    let node_pools = ["vm-1", "vm-3"].map(|name| single_machine_pool(name, true)).into();
     let mut harness = Harness::with_config(Vec::new(), node_pools, config_with_latency_objective());
     for name in ["vm-1", "vm-3"] {
         harness.heartbeat(name, 1, EPOCH, vec![]);
@@ -240,7 +240,7 @@
 #[test]
 fn a_new_leader_learns_cached_images_from_running_tasks() {
     let jobs = vec![loaded_job(job_with_large_image("job-1", 1))];
-    let node_pools = ["vm-1", "vm-3"].map(|name| rented(name, true)).into();
+    let node_pools = ["vm-1", "vm-3"].map(|name| single_machine_pool(name, true)).into();
     let mut harness = Harness::with_config(jobs, node_pools, config_with_latency_objective());
     let running = TaskStatus {
         task: TaskId { job: id("job-1"), index: 0 },
@@ -257,8 +257,11 @@
 
 /// A leader with a latency objective and one idle machine, whose last heartbeat is returned.
 fn harness_with_deferred_reply() -> (Harness, Heartbeat) {
-    let mut harness =
-        Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config_with_latency_objective());
+    let mut harness = Harness::with_config(
+        Vec::new(),
+        vec![single_machine_pool("vm-1", true)],
+        config_with_latency_objective(),
+    );
     harness.heartbeat("vm-1", 1, EPOCH, vec![]);
     assert!(
         !harness.leader.may_defer_reply(&heartbeat_message("vm-1", 1, vec![])),
@@ -320,8 +323,11 @@
 /// A cancellation does not wait until a deferral ends: the deferred reply carries its stop.
 #[test]
 fn a_stop_ends_the_deferral_of_a_reply() {
-    let mut harness =
-        Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config_with_latency_objective());
+    let mut harness = Harness::with_config(
+        Vec::new(),
+        vec![single_machine_pool("vm-1", true)],
+        config_with_latency_objective(),
+    );
     harness.heartbeat("vm-1", 1, EPOCH, vec![]);
     harness.accept(JobSpec { kind: JobKind::Service, ..sample("job-1", "blue", 1, 1.0) });
     let start = starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])).remove(0);
@@ -357,7 +363,7 @@
 fn an_objective_of_zero_seconds_defers_no_reply() {
     let mut config = config_with_latency_objective();
     config.settings.cluster.objectives[0].within_s = Some(0.0);
-    let mut harness = Harness::with_config(Vec::new(), vec![rented("vm-1", true)], config);
+    let mut harness = Harness::with_config(Vec::new(), vec![single_machine_pool("vm-1", true)], config);
     harness.heartbeat("vm-1", 1, EPOCH, vec![]);
     harness.accept(sample("job-1", "blue", 1, 1.0));
     let start = starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])).remove(0);
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -31,7 +31,7 @@
 fn a_lagging_row_is_archived_from_the_record_after_a_failover() {
     let mut completed = loaded_job(sample("job-1", "red", 1, 1.0));
     completed.record.completed = true;
-    let mut harness = Harness::new(vec![completed], vec![rented("vm-1", true)]);
+    let mut harness = Harness::new(vec![completed], vec![single_machine_pool("vm-1", true)]);
     assert_eq!(harness.job_state("job-1"), Some(JobState::Done));
     assert!(harness.commits.is_empty(), "not while a machine may hold one of its tasks");
     harness.heartbeat("vm-1", 5, EPOCH, vec![]);
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -69,7 +69,7 @@
 /// unresolved.
 #[test]
 fn an_unregistered_machine_is_registered_once() {
-    let (mut record, version) = rented("vm-1", false);
+    let (mut record, version) = single_machine_pool("vm-1", false);
     record.machines = None;
     let mut harness = Harness::new(Vec::new(), vec![(record, version)]);
     let registered = |harness: &Harness, name: &str| harness.leader.machines.contains(&machine(name));
@@ -88,7 +88,7 @@
 
 #[test]
 fn an_unresolved_scale_out_is_retried_under_its_own_name() {
-    let (mut record, version) = rented("vm-1", false);
+    let (mut record, version) = single_machine_pool("vm-1", false);
     record.machines = None;
     let name = record.request.name.clone();
     let mut harness = Harness::new(Vec::new(), vec![(record, version)]);
@@ -146,7 +146,7 @@
 /// had tasks have been paid for as long already.
 #[test]
 fn an_idle_machine_that_had_tasks_is_scaled_in_soon_after_a_failover() {
-    let node_pools = ["vm-1", "vm-2b"].map(|name| rented(name, true)).to_vec();
+    let node_pools = ["vm-1", "vm-2b"].map(|name| single_machine_pool(name, true)).to_vec();
     let mut harness = Harness::with_tuning(Vec::new(), node_pools, policy::tests::tuning());
     let (begin, mut sequence) = (harness.now, 1);
     while !harness.requests_deletion() {
@@ -366,7 +366,7 @@
 
 /// Two services with a replica each, on two machines, one of which would do.
 fn replicas_on_two_machines(images: [&str; 2]) -> (Harness, [StartedTask; 2]) {
-    let node_pools = ["vm-1", "vm-3"].map(|name| rented(name, true)).into();
+    let node_pools = ["vm-1", "vm-3"].map(|name| single_machine_pool(name, true)).into();
     let mut harness = Harness::new(Vec::new(), node_pools);
     for name in ["vm-1", "vm-3"] {
         harness.heartbeat(name, 1, EPOCH, vec![]);
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -41,7 +41,7 @@
 
 /// The key and the record of a node pool of one machine.
 fn node_pool_record(name: &str) -> (String, Value) {
-    let (record, _) = rented(name, true);
+    let (record, _) = single_machine_pool(name, true);
     (node_pool_key(&record.request.name), record.encode())
 }
 
@@ -107,7 +107,7 @@
     };
     let stranded = sample("job-1", "red", 1, 1.0);
     let dependent = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
-    let (record, version) = rented("vm-1", true);
+    let (record, version) = single_machine_pool("vm-1", true);
     let mut harness = harness_after_failover(Snapshot {
         jobs: vec![unstarted_job(dependent)],
         dependency_states: [(
@@ -207,7 +207,7 @@
     let server = FakeKvServer::start(&[]).await;
     let kv = kv_client(server.address(), 12);
     let record = JobRecord::new(sample("job-1", "red", 1, 1.0), NOW_MS);
-    let (node_pool, _) = rented("vm-2", true);
+    let (node_pool, _) = single_machine_pool("vm-2", true);
     let keys = vec![job_record_key(&id("job-1")), node_pool_key(&node_pool.request.name)];
     server.seed(&live_row_key(&id("job-1")), encode_row(JobState::Queued), 4).await;
     for key in &keys {
