--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Builders for what the tests of the leader hand in, and readers of what it hands out.
+//! Fixtures of the leader's tests: functions that build its inputs and read its outputs.
 
 use super::*;
 
@@ -8,20 +8,20 @@
 /// Wall-clock time of every submission, in milliseconds.
 pub(super) const NOW_MS: u64 = 1_000_000;
 
-/// A task that has ended with success.
+/// State of a task that has ended successfully.
 pub(super) const DONE: TaskState = TaskState::Exited(ExitCause::Done);
 
-/// Parses a job's id; panics where it is not valid.
+/// Parses a job id; panics if it is invalid.
 pub(super) fn id(text: &str) -> JobId {
     JobId::parse(text).expect("valid id")
 }
 
-/// Parses a machine's name; panics where it is not valid.
+/// Parses a machine name; panics if it is invalid.
 pub(super) fn machine(text: &str) -> MachineId {
     MachineId::parse(text).expect("valid name")
 }
 
-/// The zone of a test machine: `z2` for names that end in `b`, else `z1`.
+/// The zone of a test machine: `z2` if its name ends in `b`, otherwise `z1`.
 fn zone_of(name: &str) -> String {
     if name.ends_with('b') { "z2".into() } else { "z1".into() }
 }
@@ -42,8 +42,8 @@
     }]
 }
 
-/// The record of a node pool of one machine, with its version in the store; `used` says
-/// that the machine may have had tasks.
+/// The record of a node pool of one machine, with its version in the store; `used` marks the
+/// machine as one that may have had tasks.
 pub(in crate::coordination) fn single_machine_pool(name: &str, used: bool) -> (NodePoolRecord, u64) {
     let request = NodePoolRequest {
         name: format!("1-{name}"),
@@ -61,19 +61,19 @@
     (record, 3)
 }
 
-/// A job as a new leader reads it, of which every task may have been started.
+/// A job as a new leader reads it; each of its tasks may have been started.
 pub(in crate::coordination) fn loaded_job(spec: JobSpec) -> JobSnapshot {
     let started = spec.task_count;
     let record = JobRecord { started_high_water: started, ..JobRecord::new(spec, NOW_MS) };
     JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() }
 }
 
-/// A job as a new leader reads it, of which no task has been started.
+/// A job as a new leader reads it; none of its tasks has been started.
 pub(super) fn unstarted_job(spec: JobSpec) -> JobSnapshot {
     JobSnapshot { record: JobRecord::new(spec, NOW_MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
 }
 
-/// A heartbeat of a machine's first incarnation under this epoch's fencing token.
+/// A heartbeat of a machine's first incarnation with the fencing token of [`EPOCH`].
 pub(in crate::coordination) fn heartbeat_message(
     name: &str,
     sequence: u64,
@@ -98,11 +98,11 @@
 pub(super) struct StartedTask {
     /// The task.
     pub(super) task: TaskId,
-    /// Its attempt, a number that no other start of the task has.
+    /// The attempt number, which is unique among the starts of the task.
     pub(super) attempt: u64,
 }
 
-/// The starts among commands.
+/// The start commands among these commands.
 pub(super) fn starts(commands: &[Command]) -> Vec<StartedTask> {
     commands
         .iter()
@@ -118,12 +118,12 @@
     starts.iter().map(|start| start.task.job.clone()).collect()
 }
 
-/// Started tasks as their worker lists them once they run.
+/// The statuses that a worker reports for started tasks once they run.
 pub(super) fn running_statuses(starts: &[StartedTask]) -> Vec<TaskStatus> {
     starts.iter().map(|start| task_status(start, TaskState::Running)).collect()
 }
 
-/// A started task as its worker's heartbeat lists it.
+/// The status that a worker reports for a started task in this state.
 pub(super) fn task_status(start: &StartedTask, state: TaskState) -> TaskStatus {
     TaskStatus { task: start.task.clone(), attempt: start.attempt, state }
 }
@@ -133,10 +133,12 @@
     Command::Stop { task: start.task.clone(), attempt: start.attempt, grace_s: 0.0 }
 }
 
-/// The state that an answer gives its user.
+/// The job state that an answer contains.
 pub(super) fn answered_state(answer: &Answer) -> String {
     let value = decode(&answer.body).expect("CBOR");
-    Fields::of(&value).and_then(|f| f.text("standing").map(str::to_owned)).expect("a standing")
+    Fields::of(&value)
+        .and_then(|f| f.text("standing").map(str::to_owned))
+        .expect("an answer with the field `standing`")
 }
 
 /// A machine as the cloud's inventory lists it.
--- a/src/coordination/tests/harness.rs
+++ b/src/coordination/tests/harness.rs
@@ -1,41 +1,42 @@
-//! The harness of the leader's tests: one leader, a clock that the test advances, and the
-//! effects that the leader has asked for, which the test answers.
+//! Harness of the leader's tests: one leader, a clock that the test advances, and the effects
+//! that the leader requests, whose results the test supplies.
 
 use super::*;
 
-/// A leader whose workers, state service and cloud are played by the test.
+/// A leader whose workers, state service and cloud are simulated by the test.
 pub(super) struct Harness {
     pub(super) leader: Leader,
     /// The test's clock; it moves only by [`Harness::advance`].
     pub(super) now: Instant,
     pub(super) config: Arc<Config>,
-    /// Version that the last committed transaction was given.
+    /// Version of the last committed transaction.
     pub(super) version: u64,
     /// Answers to users, in the order in which the leader gave them.
     pub(super) answers: Vec<(ReplyId, Answer)>,
-    /// Jobs whose record is to be read for an answer, with the answer where there is none.
+    /// Jobs whose record must be read for an answer, with the answer to give if there is no
+    /// record.
     pub(super) record_lookups: Vec<(JobId, Answer)>,
-    /// Submissions that wait until the states of their dependencies are read.
+    /// Submissions that wait for the states of their dependencies to be read.
     pub(super) unchecked_submissions: Vec<UncheckedSubmission>,
     /// Transactions that the test has not yet committed or failed.
     pub(super) commits: Vec<(OperationId, Transaction)>,
-    /// Commands that were pushed to workers, without a heartbeat.
+    /// Commands that were pushed to workers, outside heartbeat replies.
     pub(super) pushed_commands: Vec<Command>,
     /// Calls to the cloud that the test has not answered.
     pub(super) cloud_calls: Vec<(OperationId, CloudCall)>,
-    /// Id of the last user request.
-    last_reply: u64,
+    /// Id under which the last user request is answered.
+    last_reply_id: u64,
 }
 
 impl Harness {
-    /// A leader that has just read these records. Idle machines are kept for two boot
-    /// times, so that tests of other behaviour keep theirs.
+    /// A leader that has just read these records. Idle machines are kept for two boot times, so
+    /// that scale-in does not interfere with tests of other behaviour.
     pub(super) fn new(jobs: Vec<JobSnapshot>, node_pools: Vec<(NodePoolRecord, u64)>) -> Self {
         let tuning = policy::Tuning { preempt_loss_s: 8.0, idle_boots: 2.0, ..policy::tests::tuning() };
         Harness::with_tuning(jobs, node_pools, tuning)
     }
 
-    /// The same under a policy's tuning.
+    /// Like [`Harness::new`], with this tuning of the policy.
     pub(super) fn with_tuning(
         jobs: Vec<JobSnapshot>,
         node_pools: Vec<(NodePoolRecord, u64)>,
@@ -44,7 +45,7 @@
         Harness::with_config(jobs, node_pools, Config { settings: settings::tests::sample(), tuning })
     }
 
-    /// The same under settings and a policy's tuning.
+    /// Like [`Harness::new`], with these settings and this tuning of the policy.
     pub(super) fn with_config(
         jobs: Vec<JobSnapshot>,
         node_pools: Vec<(NodePoolRecord, u64)>,
@@ -66,7 +67,7 @@
             commits: Vec::new(),
             pushed_commands: Vec::new(),
             cloud_calls: Vec::new(),
-            last_reply: 0,
+            last_reply_id: 0,
         };
         harness.collect_effects();
         harness
@@ -82,7 +83,7 @@
         harness
     }
 
-    /// Replaces the leader by one that has just read this snapshot.
+    /// Replaces the leader with one that has just read this snapshot.
     pub(super) fn replace_leader(&mut self, snapshot: Snapshot) {
         self.leader = Leader::new(self.config.clone(), EPOCH, self.now, NOW_MS, snapshot);
         self.leader.extend_lease(self.now, self.now + Duration::from_secs(3600));
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Commits all transactions that wait, and those that follow from them; returns them.
+    /// Commits all pending transactions and those that follow from them; returns them.
     pub(super) fn commit_all(&mut self) -> Vec<Transaction> {
         let mut committed = Vec::new();
         while !self.commits.is_empty() {
@@ -117,7 +118,7 @@
         committed
     }
 
-    /// Fails the oldest transaction that waits.
+    /// Fails the oldest pending transaction with this error.
     pub(super) fn fail_next_commit(&mut self, error: KvError) {
         let (operation, _) = self.commits.remove(0);
         self.leader.handle_commit_result(self.now, operation, Err(error));
@@ -164,8 +165,8 @@
         reply
     }
 
-    /// Sends a heartbeat of the first incarnation; returns the commands of the reply, and
-    /// panics where the machine is redirected.
+    /// Sends a heartbeat of the first incarnation; returns the commands of the reply. Panics if
+    /// the machine is redirected.
     pub(super) fn heartbeat(
         &mut self,
         name: &str,
@@ -175,19 +176,19 @@
     ) -> Vec<Command> {
         match self.send_heartbeat(name, 1, sequence, fencing_token, tasks) {
             HeartbeatReply::Commands { fencing_token: EPOCH, commands } => commands,
-            other => panic!("no answer: {other:?}"),
+            other => panic!("unexpected reply to a heartbeat: {other:?}"),
         }
     }
 
     /// The id under which the next user request is answered.
-    fn next_reply(&mut self) -> ReplyId {
-        self.last_reply += 1;
-        ReplyId(self.last_reply)
+    fn next_reply_id(&mut self) -> ReplyId {
+        self.last_reply_id += 1;
+        ReplyId(self.last_reply_id)
     }
 
     /// Submits a job; returns the id under which it is answered.
     pub(super) fn submit(&mut self, spec: JobSpec) -> ReplyId {
-        let reply = self.next_reply();
+        let reply = self.next_reply_id();
         self.leader.submit(self.now, NOW_MS, reply, spec);
         self.collect_effects();
         reply
@@ -202,23 +203,23 @@
 
     /// Cancels a job that the leader holds; returns the id under which it is answered.
     pub(super) fn cancel(&mut self, job: &str) -> ReplyId {
-        let reply = self.next_reply();
+        let reply = self.next_reply_id();
         assert_eq!(self.leader.cancel(self.now, reply, &id(job)), CancelOutcome::Accepted);
         self.collect_effects();
         reply
     }
 
-    /// Whether any machine's deletion is requested from the cloud.
+    /// Whether the deletion of any machine is requested from the cloud.
     pub(super) fn requests_deletion(&self) -> bool {
         self.cloud_calls.iter().any(|(_, call)| matches!(call, CloudCall::Delete(_)))
     }
 
-    /// A machine that the leader has registered; panics where it has not.
+    /// A machine that the leader has registered; panics if it has not.
     pub(super) fn registered_machine(&self, name: &str) -> &Machine {
         self.leader.machines.get(&machine(name)).expect("registered with the leader")
     }
 
-    /// What counts against a team's quota.
+    /// The resources that count against a team's quota.
     pub(super) fn quota_used(&self, team: &str) -> Resources {
         let quotas = &self.leader.quotas;
         quotas.get(quotas.find(team).expect("a team of the settings")).used
@@ -229,7 +230,8 @@
         self.answers.iter().find(|(answered, _)| *answered == reply).map(|(_, answer)| answer.clone())
     }
 
-    /// The state that a poll of this job is answered with from memory, if it is.
+    /// The state that a poll of this job returns, or `None` if the leader does not answer it from
+    /// memory.
     pub(super) fn job_state(&self, job: &str) -> Option<JobState> {
         self.leader.poll(self.now, &id(job)).and_then(|answer| answer.job_status).map(|status| status.state)
     }
