--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -1,4 +1,5 @@
-//! What a new leader may conclude about tasks of its predecessors, and when.
+//! Tests of failovers: what a new leader may conclude about tasks that its predecessors started,
+//! and when.
 
 use super::*;
 
@@ -19,8 +20,9 @@
     harness.accept(sample("job-2", "red", 1, 1.0));
     let commands = harness.heartbeat("vm-1", 7, EPOCH, vec![]);
     assert_eq!(job_ids(&starts(&commands)), [id("job-2")]);
-    // vm-3 never had a start, so only vm-2 is waited for: its whole lease, since an earlier
-    // leader may have replied to it in its post-lease grace, too.
+    // vm-3 never had a start, so the job waits only for vm-2. It waits for the whole failover
+    // lease timeout, since an earlier leader may also have replied to vm-2 in its post-lease
+    // grace.
     let timeout_s = harness.config.failover_lease_timeout().as_secs_f64();
     let running = task_status(&starts(&commands)[0], TaskState::Running);
     let mut sequence = 8;
@@ -49,8 +51,11 @@
     let started = starts(&commands);
     assert_eq!(started.len(), 1);
     assert_eq!(started[0].task, task(1));
-    assert!(started[0].attempt > EPOCH, "attempts of an epoch are above all earlier ones");
-    assert!(!commands.iter().any(|o| matches!(o, Command::Reap { .. })), "done is not recorded yet");
+    assert!(started[0].attempt > EPOCH, "attempt numbers of an epoch exceed all earlier ones");
+    assert!(
+        !commands.iter().any(|command| matches!(command, Command::Reap { .. })),
+        "the end of task 2 is not recorded yet"
+    );
 }
 
 #[test]
@@ -70,8 +75,8 @@
     assert_eq!(starts(&harness.heartbeat("vm-2", 1, EPOCH, vec![])).len(), 1);
 }
 
-/// The same where machines are registered only once their types are known, after the queue was
-/// ordered: what the queue counted on unreconciled machines then was nothing.
+/// The machines are registered only once their types are known, after the queue was ordered.
+/// Until then the queue counts no usage on unreconciled machines; from then on it must count it.
 #[test]
 fn machines_registered_late_count_against_quotas_at_once() {
     let mut harness = Harness::new(Vec::new(), Vec::new());
@@ -119,7 +124,8 @@
         }
     }
     assert!(started_after.is_some_and(|after| after <= latest), "{started_after:?} of {latest}");
-    // Its first heartbeat with the current fencing token ends the one-way partition.
+    // Its first heartbeat with the current fencing token shows that the one-way partition is
+    // over.
     assert!(!matches!(harness.send_heartbeat("vm-1", 99, 1, EPOCH, vec![]), HeartbeatReply::Redirect));
 }
 
@@ -133,16 +139,16 @@
     harness.heartbeat("vm-2b", 1, EPOCH, vec![]);
     let task = TaskId { job: id("job-1"), index: 0 };
     let copied_tasks = vec![TaskStatus { task, attempt: 7, state: TaskState::Running }];
-    // From a machine that an earlier leader deleted: it is not registered, and nothing waits
-    // for it.
+    // Copies from a machine that an earlier leader deleted: it is not registered, and no job
+    // waits for it.
     harness.send_heartbeat("vm-9", 4, 70, EPOCH - 1, copied_tasks.clone());
     harness.send_heartbeat("vm-9", 4, 71, EPOCH - 1, copied_tasks.clone());
     assert!(!harness.leader.machines.contains(&machine("vm-9")));
-    // From a machine that has died meanwhile: it does not count as alive, its tasks are not
-    // adopted, and the same copy extends the failover lease timeout only once.
+    // Copies from a machine that has failed meanwhile: it does not count as alive, its tasks are
+    // not adopted, and the same copy extends the failover lease timeout only once.
     let first = harness.send_heartbeat("vm-1", 1, 50, EPOCH - 1, copied_tasks.clone());
     assert_eq!(first, HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] });
-    let answered = harness.registered_machine("vm-1").agent.replied_at;
+    let replied_at = harness.registered_machine("vm-1").agent.replied_at;
     harness.advance(3.0);
     assert_eq!(
         harness.send_heartbeat("vm-1", 1, 50, EPOCH - 1, copied_tasks.clone()),
@@ -153,7 +159,7 @@
         HeartbeatReply::Redirect
     );
     let vm = harness.registered_machine("vm-1");
-    assert_eq!((vm.agent.replied_at, vm.agent.heartbeat_at, vm.slots.len()), (answered, None, 0));
+    assert_eq!((vm.agent.replied_at, vm.agent.heartbeat_at, vm.slots.len()), (replied_at, None, 0));
     assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
     // Once the machine has sent the current fencing token, copies with older ones change
     // nothing.
@@ -174,15 +180,15 @@
         let list_call =
             harness.cloud_calls.iter().find(|(_, c)| matches!(c, CloudCall::ListMachines { .. })).cloned();
         let machines = vec![inventory_entry("vm-9", ListedState::Running)];
-        let answer = Ok(CloudReply::MachinesListed(InventoryPage { machines, more: false }));
+        let page = Ok(CloudReply::MachinesListed(InventoryPage { machines, more: false }));
         harness.leader.handle_cloud_result(
             harness.now,
             list_call.expect("the inventory is read repeatedly").0,
-            answer,
+            page,
         );
         harness.collect_effects();
         harness.advance(1.0);
-        // Still listed once every page must be newer than the failover: the machine exists.
+        // Once every page must be newer than the failover, a machine that is still listed exists.
         assert_eq!(harness.leader.machines.contains(&machine("vm-9")), registered);
     }
 }
@@ -231,7 +237,7 @@
         "0 and 1 may run on vm-2b; so may job-2's first task, which binds the other to its zone"
     );
     assert!(started.iter().all(|s| s.task.job == id("job-1")));
-    // It sends a heartbeat without these tasks: they ran nowhere.
+    // vm-2b sends a heartbeat without these tasks, so they run nowhere.
     assert_eq!(starts(&harness.heartbeat("vm-2b", 1, EPOCH, vec![])).len(), 3);
 }
 
@@ -248,19 +254,23 @@
     let (graces_over_at, mut sequence) = (harness.now, 5);
     harness.leader.record_post_lease_graces_over(graces_over_at);
     harness.leader.record_post_lease_graces_over(graces_over_at + Duration::from_secs(9));
-    assert!(!harness.leader.awaits_post_lease_graces(), "the first proof is enough");
+    assert!(!harness.leader.awaits_post_lease_graces(), "one proof that the graces are over is enough");
     while harness.now + Duration::from_secs(2) < graces_over_at + harness.config.worker_lease_timeout() {
         harness.advance(2.0);
         sequence += 1;
-        assert_eq!(harness.heartbeat("vm-1", sequence, EPOCH, vec![]), vec![], "vm-2 may be in its lease");
+        assert_eq!(
+            harness.heartbeat("vm-1", sequence, EPOCH, vec![]),
+            vec![],
+            "vm-2 may still hold its lease"
+        );
     }
     harness.advance(2.1);
     assert!(harness.now < harness.leader.snapshot_at() + harness.config.failover_lease_timeout());
     assert_eq!(starts(&harness.heartbeat("vm-1", sequence + 1, EPOCH, vec![])).len(), 1);
 }
 
-/// A reply that was sent does not prove that it was received: the worker may have gone back to
-/// the former leader, which replies on in its post-lease grace.
+/// A sent reply is not proof that the worker received it: the worker may have gone back to the
+/// former leader, which still replies in its post-lease grace.
 #[test]
 fn an_unacknowledged_reply_does_not_shorten_the_failover_lease_timeout() {
     let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
@@ -285,9 +295,9 @@
     assert_eq!(starts(&harness.heartbeat("vm-2", sequence + 1, EPOCH, vec![])).len(), 1);
 }
 
-/// Tasks found by a new leader that are done already or run elsewhere are stopped with the
-/// first heartbeat under the new fencing token, and count against the quota until they have
-/// ended.
+/// If machines report tasks to a new leader that are done already or run elsewhere, the reply to
+/// the first heartbeat under the new fencing token stops them. They count against the quota until
+/// they have ended.
 #[test]
 fn tasks_reported_twice_or_already_done_are_stopped_after_a_failover() {
     let mut older_job = loaded_job(sample("job-1", "red", 2, 1.0));
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -1,9 +1,10 @@
-//! What heartbeats prove, and machines that fail, are partitioned or are preempted.
+//! Tests of heartbeats: what they prove, and how the leader treats machines that fail, are
+//! partitioned or are preempted.
 
 use super::*;
 
 #[test]
-fn stale_duplicate_and_foreign_heartbeats_change_nothing() {
+fn stale_duplicate_and_newer_epoch_heartbeats_change_nothing() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.accept(sample("job-1", "red", 1, 1.0));
     let start = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
@@ -13,8 +14,8 @@
     }
     assert_eq!(harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&start, TaskState::Running)]), vec![]);
     assert_eq!(harness.job_state("job-1"), Some(JobState::Running));
-    // A higher fencing token than ours: another controller leads, and the worker would drop
-    // our 200.
+    // A fencing token higher than the leader's: another controller leads, and the worker would
+    // reject this leader's 200 reply.
     assert_eq!(harness.send_heartbeat("vm-1", 1, 7, EPOCH + 1, vec![]), HeartbeatReply::Redirect);
 }
 
@@ -108,9 +109,9 @@
     );
 }
 
-/// A task that cannot save a checkpoint and cannot end before its machine is preempted is lost
-/// either way: stopped at the notice, it starts elsewhere half a minute sooner than once the
-/// loss is noticed. One that can still end is left alone.
+/// A task that can neither save a checkpoint nor end before its machine is preempted is lost in
+/// any case. If it is stopped at the notice, it starts elsewhere half a minute sooner than if the
+/// leader waited until it detects the loss. A task that can still end in time is not stopped.
 #[test]
 fn a_preemption_notice_stops_only_tasks_that_cannot_end_in_time() {
     let mut harness = Harness::with_machines(&["vm-1"]);
@@ -128,7 +129,7 @@
     let stopped: Vec<_> = harness
         .pushed_commands
         .iter()
-        .map(|o| matches!(o, Command::Stop { task, grace_s, .. } if task.job == id("job-1") && *grace_s == 0.0))
+        .map(|c| matches!(c, Command::Stop { task, grace_s, .. } if task.job == id("job-1") && *grace_s == 0.0))
         .collect();
     assert_eq!(stopped, [true], "{:?}", harness.pushed_commands);
 }
@@ -154,8 +155,8 @@
     harness.heartbeat("vm-1", 8, EPOCH, vec![task_status(&start, DONE)]);
     harness.commit_all();
     harness.heartbeat("vm-1", 9, EPOCH, vec![]);
-    // From now on no reply reaches the machine. Its heartbeats go on, and its incarnation
-    // rises at every end of its lease.
+    // From now on no reply reaches the machine. It keeps sending heartbeats, and its incarnation
+    // increases each time its lease expires.
     harness.accept(sample("job-2", "red", 8, 1.0));
     let lease = harness.config.settings.cluster.workers.lease_s;
     let begin = harness.now;
@@ -171,9 +172,12 @@
             starts_sent += starts(&commands).len();
         }
     }
-    assert!((8..=40).contains(&starts_sent), "{starts_sent} starts without a receiver");
-    // Its capacity does not count while it is one-way partitioned: the other machine gets the
-    // tasks.
+    assert!(
+        (8..=40).contains(&starts_sent),
+        "{starts_sent} starts in replies that the machine does not receive"
+    );
+    // The machine's capacity does not count while it is one-way partitioned: the other machine
+    // gets the tasks.
     harness.send_heartbeat("vm-1", 8, sequence, EPOCH, vec![]);
     let started =
         starts(&harness.heartbeat("vm-2b", sequence + 1, EPOCH, vec![task_status(&other_start, DONE)]));
@@ -203,7 +207,7 @@
     }
     assert_eq!(probe.len(), 1);
     let rest = starts_of(&mut harness, sequence + 1, vec![task_status(&probe[0], TaskState::Running)]);
-    assert_eq!(rest.len(), 2, "the partition is over: all waiting tasks start");
+    assert_eq!(rest.len(), 2, "the partition is over, so all waiting tasks start");
 }
 
 #[test]
@@ -220,8 +224,8 @@
             break;
         }
     }
-    // Confirmed ended and started elsewhere. A delayed heartbeat from before arrives well over
-    // a lease late.
+    // The task is confirmed as ended and has started elsewhere. An earlier heartbeat arrives,
+    // delayed by well over a lease.
     let late = harness.send_heartbeat("vm-1", 1, 9, EPOCH, vec![task_status(&start, TaskState::Running)]);
     assert_eq!(late, HeartbeatReply::Redirect);
     assert!(harness.leader.machines.get(&machine("vm-1")).is_none_or(|m| m.slots.is_empty()));
@@ -233,9 +237,9 @@
     harness.accept(sample("job-1", "red", 1, 1.0));
     let start = starts(&harness.heartbeat("vm-1", 500, EPOCH, vec![])).remove(0);
     harness.heartbeat("vm-1", 501, EPOCH, vec![task_status(&start, TaskState::Running)]);
-    // Restarted, the machine sends an empty list and lower sequences. The heartbeat may as
-    // well be a copy, so it frees nothing, and a redirect keeps the machine from renewing its
-    // lease here.
+    // After a restart the machine sends an empty task list and lower sequences. Such a heartbeat
+    // may also be a delayed copy, so it frees no slots, and the redirect prevents the machine
+    // from renewing its lease with this leader.
     for (incarnation, sequence) in [(1, 1), (1, 501)] {
         for token in [0, EPOCH] {
             assert_eq!(
@@ -245,12 +249,12 @@
         }
     }
     assert_eq!(harness.registered_machine("vm-1").slots.len(), 1);
-    // Nor does it count as alive: like a machine without heartbeats it is replaced, and the
-    // confirmed deletion is the proof.
+    // Such heartbeats do not count as signs of life either: the machine is replaced like one that
+    // sends no heartbeats, and the confirmed deletion proves that its task has ended.
     harness.cloud_calls.clear();
-    let silence = harness.config.tuning.suspicion_timeout.as_secs_f64();
+    let suspicion_timeout_s = harness.config.tuning.suspicion_timeout.as_secs_f64();
     let mut sequence = 1;
-    for _ in 0..(silence / 2.0) as u64 + 2 {
+    for _ in 0..(suspicion_timeout_s / 2.0) as u64 + 2 {
         harness.advance(2.0);
         sequence += 1;
         assert_eq!(harness.send_heartbeat("vm-1", 1, sequence, 0, vec![]), HeartbeatReply::Redirect);
--- a/src/coordination/tests/invariants.rs
+++ b/src/coordination/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Invariants that hold whatever was decided before: an act that would violate one is refused,
-//! counted and logged, and no process ends.
+//! Tests of invariants that hold regardless of earlier decisions: an action that would violate an
+//! invariant is refused, counted and logged, and the process keeps running.
 
 use super::*;
 use crate::protocol::cbor::MapBuilder;
@@ -11,7 +11,7 @@
     Fields::of(&metrics).and_then(|f| f.count("invariantsViolated")).expect("a metric")
 }
 
-/// A machine lists a task of a job whose row is being archived: were the job dropped from
+/// A machine lists a task of a job whose row is being archived. If the job were evicted from
 /// memory, nothing would stop the task.
 #[test]
 fn a_job_stays_in_memory_while_a_machine_lists_one_of_its_tasks() {
@@ -35,8 +35,8 @@
     assert!(!harness.leader.jobs.contains_key(&id("job-1")), "no machine lists its tasks any more");
 }
 
-/// No writer marks a job started before its dependencies are done; such a mark would be no
-/// evidence that they are.
+/// No writer marks a job as started before its dependencies are done. If a record has such a mark
+/// nevertheless, the mark does not prove that they are done.
 #[test]
 fn a_dependent_record_marked_started_does_not_make_it_ready() {
     let dependent = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
@@ -55,31 +55,34 @@
     }
 }
 
-/// The evidence for a start is checked once more where the command is made.
+/// The evidence for a start is checked again when the command is created.
 #[test]
 fn a_start_without_evidence_is_refused_and_counted() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.accept(sample("job-1", "red", 1, 1.0));
-    // No code path leads here: the job depends on a job that the graph does not hold.
-    harness.leader.jobs.get_mut(&id("job-1")).expect("there").record.spec.dependencies = vec![id("job-9")];
+    // No code path leads to this state: the job depends on a job that is not in the dependency
+    // graph.
+    harness.leader.jobs.get_mut(&id("job-1")).expect("in memory").record.spec.dependencies =
+        vec![id("job-9")];
     harness.advance(1.0);
     assert_eq!(starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])), vec![]);
     assert_eq!(violations(&harness), 1);
-    harness.leader.jobs.get_mut(&id("job-1")).expect("there").record.spec.dependencies.clear();
+    harness.leader.jobs.get_mut(&id("job-1")).expect("in memory").record.spec.dependencies.clear();
     harness.advance(1.0);
     let started = starts(&harness.heartbeat("vm-1", 3, EPOCH, vec![]));
     assert_eq!(started.len(), 1, "a refused start may be decided again");
-    assert_eq!(started[0].attempt, EPOCH << 32 | 1, "and no attempt number was spent");
+    assert_eq!(started[0].attempt, EPOCH << 32 | 1, "the refused start used no attempt number");
 }
 
-/// More cancelled tasks on one machine than one reply holds commands for: each reply stops as
-/// many as it holds, and all have ended well within the cancellation limit.
+/// A machine runs more cancelled tasks than one reply can hold stops for. Each reply stops as
+/// many tasks as it can hold, and all have ended well within the cancellation limit.
 #[test]
 fn more_cancelled_tasks_than_one_heartbeat_reply_holds_are_all_stopped() {
-    const TASKS: u32 = 450;
-    let record = loaded_job(JobSpec { cpus: 0.01, memory_gb: 0.01, ..sample("job-1", "red", TASKS, 0.01) });
+    const TASK_COUNT: u32 = 450;
+    let record =
+        loaded_job(JobSpec { cpus: 0.01, memory_gb: 0.01, ..sample("job-1", "red", TASK_COUNT, 0.01) });
     let mut harness = Harness::new(vec![record], vec![single_machine_pool("vm-1", true)]);
-    let mut running: Vec<StartedTask> = (0..TASKS)
+    let mut running: Vec<StartedTask> = (0..TASK_COUNT)
         .map(|index| StartedTask { task: TaskId { job: id("job-1"), index }, attempt: 7 })
         .collect();
     harness.heartbeat("vm-1", 1, EPOCH, running_statuses(&running));
@@ -97,7 +100,7 @@
         );
         let stopped: Vec<TaskId> = commands
             .into_iter()
-            .filter_map(|order| match order {
+            .filter_map(|command| match command {
                 Command::Stop { task, .. } => Some(task),
                 _ => None,
             })
