--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which task starts where, and in which order.
+//! Tests of placement: which task starts where, and in which order.
 
 use super::*;
 use crate::settings::{Objective, Workers};
@@ -6,11 +6,11 @@
 #[test]
 fn one_zone_and_spread_count_tasks_wherever_they_may_run() {
     let mut harness = Harness::with_machines(&["vm-1", "vm-2b"]);
-    let mut together = sample("job-1", "red", 2, 8.0);
-    together.one_zone = true;
-    harness.accept(together);
+    let mut one_zone_job = sample("job-1", "red", 2, 8.0);
+    one_zone_job.one_zone = true;
+    harness.accept(one_zone_job);
     let first = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
-    assert_eq!(starts(&harness.heartbeat("vm-2b", 5, EPOCH, vec![])), vec![], "the other zone");
+    assert_eq!(starts(&harness.heartbeat("vm-2b", 5, EPOCH, vec![])), vec![], "vm-2b is in the other zone");
     harness.cancel("job-1");
     harness.commit_all();
     harness.heartbeat(
@@ -20,9 +20,9 @@
         vec![task_status(&first, TaskState::Exited(ExitCause::Stopped { saved: false }))],
     );
     harness.commit_all();
-    let mut scatter = sample("job-2", "red", 4, 1.0);
-    scatter.spread = true;
-    harness.accept(scatter);
+    let mut spread_job = sample("job-2", "red", 4, 1.0);
+    spread_job.spread = true;
+    harness.accept(spread_job);
     assert_eq!(starts(&harness.heartbeat("vm-1", 7, EPOCH, vec![])).len(), 2, "at most half in one zone");
     assert_eq!(starts(&harness.heartbeat("vm-2b", 7, EPOCH, vec![])).len(), 2);
 }
@@ -39,7 +39,11 @@
     harness.heartbeat("vm-2b", 6, EPOCH, vec![task_status(&second_start, TaskState::Running)]);
     harness.accept(sample("job-2", "red", 1, 4.0));
     harness.advance(5.0);
-    assert_eq!(harness.pushed_commands.len(), 1, "one of blue's two is beyond its guarantee");
+    assert_eq!(
+        harness.pushed_commands.len(),
+        1,
+        "one of team blue's two tasks is beyond the guaranteed quota"
+    );
     // Beyond its own guarantee of 8 CPUs team red preempts nothing.
     harness.accept(sample("job-3", "red", 4, 4.0));
     harness.advance(2.0);
@@ -49,12 +53,12 @@
 #[test]
 fn no_job_starves_behind_a_stream_of_urgent_work() {
     let mut harness = Harness::with_machines(&["vm-1"]);
-    // It needs a whole machine and has the lowest priority.
+    // This job needs a whole machine and has the lowest priority.
     let mut large = sample("job-1", "red", 1, 8.0);
     large.priority = Priority::BestEffort;
     let bound_s = harness.config.tuning.start_within.as_secs_f64();
     let (mut sequence, mut n, mut running) = (5, 2, Vec::new());
-    // Two small tasks are always running, their ends half a run apart.
+    // Two small tasks are always running, and their ends are half a run apart.
     let begin = harness.now;
     let mut started_after = None;
     harness.accept(sample("job-2", "blue", 2, 4.0));
@@ -83,28 +87,39 @@
 }
 
 #[test]
-fn lower_priority_is_preempted_only_when_an_objective_is_near() {
+fn lower_priority_is_preempted_only_when_a_deadline_is_near() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.accept(sample("job-1", "blue", 1, 8.0));
-    let low = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
-    harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&low, TaskState::Running)]);
+    let low_priority_start = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
+    harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&low_priority_start, TaskState::Running)]);
     let mut urgent = sample("job-2", "blue", 1, 4.0);
     urgent.priority = Priority::Critical;
     urgent.estimated_run_s = 10.0;
     urgent.deadline_s = Some(30.0);
     harness.accept(urgent);
-    // It must start within 20 s; until then capacity may become free by itself.
+    // The urgent job must start within 20 s; until then capacity may become free without a
+    // preemption.
     let interval = harness.config.settings.cluster.workers.heartbeat_interval_s;
     for sequence in 7..9 {
         harness.advance(interval);
-        harness.heartbeat("vm-1", sequence, EPOCH, vec![task_status(&low, TaskState::Running)]);
+        harness.heartbeat(
+            "vm-1",
+            sequence,
+            EPOCH,
+            vec![task_status(&low_priority_start, TaskState::Running)],
+        );
     }
     assert_eq!(harness.pushed_commands, vec![]);
     for sequence in 9..14 {
         harness.advance(interval);
-        harness.heartbeat("vm-1", sequence, EPOCH, vec![task_status(&low, TaskState::Running)]);
+        harness.heartbeat(
+            "vm-1",
+            sequence,
+            EPOCH,
+            vec![task_status(&low_priority_start, TaskState::Running)],
+        );
     }
-    assert_eq!(harness.pushed_commands, [stop(&low)]);
+    assert_eq!(harness.pushed_commands, [stop(&low_priority_start)]);
 }
 
 #[test]
@@ -133,32 +148,32 @@
     // Half of each machine becomes free: the first is reserved, the second is not.
     running.iter_mut().for_each(|tasks| drop(tasks.pop()));
     assert_eq!(heartbeat(&mut harness, 0, &running[0]), vec![]);
-    let more = heartbeat(&mut harness, 1, &running[1]);
-    running[1].extend(more);
+    let started = heartbeat(&mut harness, 1, &running[1]);
+    running[1].extend(started);
     assert_eq!(running[1].len(), 2);
     // The first machine is cordoned; the reservation moves to the second.
-    harness.leader.machines.get_mut(&machine("vm-1")).expect("there").cordoned = true;
+    harness.leader.machines.get_mut(&machine("vm-1")).expect("registered").cordoned = true;
     running[1].pop();
     harness.advance(0.5);
     assert_eq!(heartbeat(&mut harness, 1, &running[1]), vec![]);
     assert_eq!(heartbeat(&mut harness, 1, &[])[0].task.job, id("job-2"));
 }
 
-/// A reservation for a job whose team has reached its quota meanwhile helps nobody: others must
-/// not wait beside the machine.
+/// A job whose team has reached its quota cannot use its reservation, so the reservation must not
+/// keep other jobs off the machine.
 #[test]
 fn no_reservation_holds_for_a_job_whose_team_is_at_its_quota() {
     let mut harness = Harness::with_machines(&["vm-1", "vm-3", "vm-5", "vm-7"]);
-    let run = |harness: &mut Harness, name: &str, sequence, id: &str, team: &str, cpus| {
-        harness.accept(sample(id, team, 1, cpus));
+    let run_job = |harness: &mut Harness, name: &str, sequence, job: &str, team: &str, cpus| {
+        harness.accept(sample(job, team, 1, cpus));
         let start = starts(&harness.heartbeat(name, sequence, EPOCH, vec![])).remove(0);
         task_status(&start, TaskState::Running)
     };
     let mut running: Vec<(&str, Vec<TaskStatus>)> = vec![
-        ("vm-1", vec![run(&mut harness, "vm-1", 5, "job-1", "blue", 6.0)]),
-        ("vm-3", vec![run(&mut harness, "vm-3", 5, "job-2", "blue", 6.0)]),
-        ("vm-5", vec![run(&mut harness, "vm-5", 5, "job-3", "red", 7.0)]),
-        ("vm-7", vec![run(&mut harness, "vm-7", 5, "job-4", "blue", 6.0)]),
+        ("vm-1", vec![run_job(&mut harness, "vm-1", 5, "job-1", "blue", 6.0)]),
+        ("vm-3", vec![run_job(&mut harness, "vm-3", 5, "job-2", "blue", 6.0)]),
+        ("vm-5", vec![run_job(&mut harness, "vm-5", 5, "job-3", "red", 7.0)]),
+        ("vm-7", vec![run_job(&mut harness, "vm-7", 5, "job-4", "blue", 6.0)]),
     ];
     let mut large = sample("job-5", "red", 1, 8.0);
     large.priority = Priority::BestEffort;
@@ -187,12 +202,13 @@
     assert!(running.iter().flat_map(|(_, tasks)| tasks).any(|t| t.task.job == id("job-6")));
     harness.accept(sample("job-7", "blue", 1, 2.0));
     harness.advance(1.0);
-    let (name, tasks) = running.iter().find(|(name, _)| machine(name) == reserved).expect("it is there");
+    let (name, tasks) =
+        running.iter().find(|(name, _)| machine(name) == reserved).expect("one of the four machines");
     let started = starts(&harness.heartbeat(name, sequence + 1, EPOCH, tasks.clone()));
     assert_eq!(job_ids(&started), [id("job-7")]);
 }
 
-/// An objective: a start within a third of a heartbeat interval.
+/// An objective for starts within a third of a heartbeat interval.
 pub fn latency_objective(workers: &Workers) -> Objective {
     Objective {
         kind: "wait".into(),
@@ -203,7 +219,7 @@
     }
 }
 
-/// Settings with such an objective.
+/// A configuration with [`latency_objective`].
 fn config_with_latency_objective() -> Config {
     let mut settings = settings::tests::sample();
     settings.cluster.objectives.push(latency_objective(&settings.cluster.workers));
@@ -211,12 +227,12 @@
 }
 
 /// A job whose image takes seconds to fetch.
-fn job_with_large_image(id: &str, tasks: u32) -> JobSpec {
-    JobSpec { image_gb: 5.0, ..sample(id, "blue", tasks, 1.0) }
+fn job_with_large_image(job: &str, task_count: u32) -> JobSpec {
+    JobSpec { image_gb: 5.0, ..sample(job, "blue", task_count, 1.0) }
 }
 
-/// A start on a machine that has to fetch the image first misses a latency objective: it took
-/// longer than any heartbeat interval, while machines with the image had free capacity.
+/// A start on a machine that must fetch the image first misses a latency objective: the fetch
+/// took longer than any heartbeat interval, while machines with the image had free capacity.
 #[test]
 fn latency_sensitive_work_goes_to_a_machine_that_has_its_image() {
     let node_pools = ["vm-1", "vm-3"].map(|name| single_machine_pool(name, true)).into();
@@ -235,8 +251,8 @@
     assert_eq!(second[0].task.job, id("job-2"));
 }
 
-/// After a failover running tasks show which images a machine has; before, no image counted as
-/// cached, so that starts went by other scores.
+/// After a failover, running tasks show which images a machine has. Without this, no image
+/// counted as cached, and other scores decided where tasks started.
 #[test]
 fn a_new_leader_learns_cached_images_from_running_tasks() {
     let jobs = vec![loaded_job(job_with_large_image("job-1", 1))];
@@ -255,7 +271,8 @@
     assert_eq!(starts(&harness.heartbeat("vm-3", 2, EPOCH, vec![running]))[0].task.job, id("job-2"));
 }
 
-/// A leader with a latency objective and one idle machine, whose last heartbeat is returned.
+/// A leader with a latency objective and one idle machine, and that machine's last heartbeat,
+/// whose reply may be deferred.
 fn harness_with_deferred_reply() -> (Harness, Heartbeat) {
     let mut harness = Harness::with_config(
         Vec::new(),
@@ -267,7 +284,7 @@
         !harness.leader.may_defer_reply(&heartbeat_message("vm-1", 1, vec![])),
         "no latency-sensitive class is known yet"
     );
-    // A job of the class has come and ended: others are likely to come.
+    // A job of the class was submitted and has ended: others are likely to follow.
     harness.accept(sample("job-1", "blue", 1, 1.0));
     let start = starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])).remove(0);
     harness.heartbeat("vm-1", 3, EPOCH, vec![task_status(&start, DONE)]);
@@ -278,8 +295,8 @@
     (harness, heartbeat)
 }
 
-/// A job submitted while a reply is deferred starts with that reply, not with that to the next
-/// heartbeat.
+/// A job submitted while a reply is deferred starts with that reply, not with the reply to the
+/// next heartbeat.
 #[test]
 fn a_deferred_reply_carries_the_start_of_a_job_submitted_meanwhile() {
     let (mut harness, heartbeat) = harness_with_deferred_reply();
@@ -294,33 +311,33 @@
     let HeartbeatReply::Commands { fencing_token: EPOCH, commands } =
         harness.leader.decide_deferred_reply(harness.now, &heartbeat)
     else {
-        panic!("no answer")
+        panic!("unexpected reply to the deferred heartbeat")
     };
     assert_eq!(starts(&commands)[0].task.job, id("job-2"));
     // The next heartbeat, with a higher sequence, proves whether the start was received.
     assert_eq!(
         starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).len(),
         1,
-        "it was not, so it starts again"
+        "it was not received, so the task starts again"
     );
 }
 
-/// The commands of a deferred reply are decided when it is sent: past the lease it starts
-/// nothing, and once a newer heartbeat was handled it is a redirect.
+/// The commands of a deferred reply are decided when it is sent: after the end of the leader's
+/// lease it starts nothing, and after a newer heartbeat was handled it is a redirect.
 #[test]
 fn a_deferred_reply_is_decided_when_it_is_sent() {
     let (mut harness, heartbeat) = harness_with_deferred_reply();
     harness.accept(sample("job-2", "blue", 1, 1.0));
     harness.leader.term.extend(harness.now);
-    let past = harness.now + Duration::from_millis(100);
-    let nothing = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] };
-    assert_eq!(harness.leader.decide_deferred_reply(past, &heartbeat), nothing);
+    let after_lease = harness.now + Duration::from_millis(100);
+    let no_commands = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] };
+    assert_eq!(harness.leader.decide_deferred_reply(after_lease, &heartbeat), no_commands);
     harness.leader.extend_lease(harness.now, harness.now + Duration::from_secs(60));
     harness.heartbeat("vm-1", 5, EPOCH, vec![]);
     assert_eq!(harness.leader.decide_deferred_reply(harness.now, &heartbeat), HeartbeatReply::Redirect);
 }
 
-/// A cancellation does not wait until a deferral ends: the deferred reply carries its stop.
+/// A cancellation ends the deferral: the deferred reply is sent at once and carries the stop.
 #[test]
 fn a_stop_ends_the_deferral_of_a_reply() {
     let mut harness = Harness::with_config(
@@ -340,13 +357,13 @@
     harness.cancel("job-1");
     harness.commit_all();
     assert_eq!(harness.leader.deferred_replies_to_decide(deferred.iter()), deferred);
-    let stopping = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![stop(&start)] };
-    assert_eq!(harness.leader.decide_deferred_reply(harness.now, &heartbeat), stopping);
+    let stop_reply = HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![stop(&start)] };
+    assert_eq!(harness.leader.decide_deferred_reply(harness.now, &heartbeat), stop_reply);
 }
 
-/// The next heartbeat of a machine whose tasks end by themselves may bring free capacity or
-/// results, and the first reply under a new fencing token makes the worker send another
-/// heartbeat.
+/// A deferred reply delays the next heartbeat of its machine. If the machine's tasks end by
+/// themselves, that heartbeat may report free capacity or results. The first reply under a new
+/// fencing token is not deferred, since it makes the worker send another heartbeat.
 #[test]
 fn replies_to_busy_machines_or_an_earlier_fencing_token_are_not_deferred() {
     let (mut harness, heartbeat) = harness_with_deferred_reply();
@@ -358,7 +375,7 @@
     assert!(!harness.leader.may_defer_reply(&heartbeat_message("vm-1", 6, running)));
 }
 
-/// Nothing can start within zero seconds: such an objective defers no reply.
+/// Nothing can start within zero seconds, so such an objective defers no reply.
 #[test]
 fn an_objective_of_zero_seconds_defers_no_reply() {
     let mut config = config_with_latency_objective();
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -1,4 +1,5 @@
-//! The order of writes to records and rows, and the answers to users that depend on it.
+//! Tests of the order of writes to records and rows, and of the answers to users that depend on
+//! it.
 
 use ciborium::value::Value;
 
@@ -14,9 +15,14 @@
     harness.accept(sample("job-1", "red", 1, 1.0));
     let start = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
     let commands = harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&start, DONE)]);
-    assert_eq!(commands, vec![], "no reap before the record");
-    assert_ne!(harness.job_state("job-1"), Some(JobState::Done), "not answered before it is recorded");
-    // A cancellation at this point is answered by the completion that is in flight.
+    assert_eq!(commands, vec![], "no reap before the completion is recorded");
+    assert_ne!(
+        harness.job_state("job-1"),
+        Some(JobState::Done),
+        "not answered before the completion is recorded"
+    );
+    // A cancellation at this point is answered with the outcome of the completion that is in
+    // flight.
     let reply = harness.cancel("job-1");
     let written = harness.commit_all();
     let keys: Vec<Vec<&str>> = written.iter().map(|t| t.changes.iter().map(Change::key).collect()).collect();
@@ -33,7 +39,7 @@
     completed.record.completed = true;
     let mut harness = Harness::new(vec![completed], vec![single_machine_pool("vm-1", true)]);
     assert_eq!(harness.job_state("job-1"), Some(JobState::Done));
-    assert!(harness.commits.is_empty(), "not while a machine may hold one of its tasks");
+    assert!(harness.commits.is_empty(), "not archived while a machine may hold one of its tasks");
     harness.heartbeat("vm-1", 5, EPOCH, vec![]);
     let moved = harness.commit_all();
     assert!(moved.iter().any(|t| t.changes.iter().any(|c| c.key() == archived_row_key(&id("job-1")))));
@@ -90,11 +96,12 @@
 }
 
 #[test]
-fn a_job_starts_only_once_its_record_says_so() {
+fn a_job_starts_only_once_its_record_marks_it_started() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.accept(sample("job-1", "blue", 1, 8.0));
     let first = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
-    // Accepted without free capacity for it: a next leader may start it at once.
+    // The job is accepted without free capacity, so its record does not mark it as started: a new
+    // leader may start it at once.
     harness.accept(sample("job-2", "red", 2, 1.0));
     assert_eq!(starts(&harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&first, DONE)])), vec![]);
     let started = |t: &Transaction| {
@@ -107,20 +114,21 @@
     };
     assert!(harness.commit_all().iter().any(started));
     assert_eq!(starts(&harness.heartbeat("vm-1", 7, EPOCH, vec![])).len(), 2);
-    // With free capacity it is accepted as started, and needs no second write.
+    // With free capacity, the record that accepts a job already marks it as started, so no second
+    // write is needed.
     harness.submit(sample("job-3", "red", 1, 1.0));
     let Change::Put { value, .. } = &harness.commits[0].1.changes[0] else { panic!("a record") };
     assert_eq!(JobRecord::decode(value).expect("a record").started_high_water, 1);
 }
 
-/// Admissions and completions must not queue behind done tasks: when tasks of many jobs end at
-/// once, done tasks get only their share of the state service's write rate, the longest waiting
-/// first, and nothing is lost.
+/// Admissions and completions must not queue behind writes of done tasks: when tasks of many jobs
+/// end at once, done tasks get only their share of the state service's write rate, those that
+/// have waited longest are written first, and none is lost.
 #[test]
 fn done_tasks_are_written_within_the_write_rate() {
     let names: Vec<String> = (0..60).map(|n| format!("vm-{n}")).collect();
     let mut harness = Harness::with_machines(&names.iter().map(String::as_str).collect::<Vec<_>>());
-    // Two tasks each, of which one will end.
+    // Each job has two tasks, one of which will end.
     for n in 0..60 {
         harness.accept(sample(&format!("job-{n}"), "blue", 2, 4.0));
     }
@@ -142,7 +150,7 @@
     let allowance = harness.config.settings.cluster.kv.write_rps;
     harness.advance(1.0);
     let first = records(&harness);
-    assert!(first > 0 && first as f64 <= allowance, "{first} of {allowance} a second");
+    assert!(first > 0 && first as f64 <= allowance, "{first} writes, {allowance} allowed per second");
     let reply = harness.submit(sample("job-new", "blue", 1, 1.0));
     harness.commit_all();
     assert_eq!(harness.answer(reply).map(|a| a.status), Some(201));
@@ -155,7 +163,7 @@
     assert!(written >= 30, "only {written} jobs' done tasks were written");
 }
 
-/// Lets the in-memory state service carry a transaction out; returns the revision.
+/// Commits a transaction to the in-memory state service; returns the revision.
 fn apply_transaction(state: &mut InMemoryKv, transaction: &Transaction) -> Result<u64, KvError> {
     let body = encode(&encode_compare_and_swap(&transaction.compares, &transaction.changes));
     let request = Request { method: "POST".into(), target: "/commit".into(), body, close: false };
@@ -167,35 +175,35 @@
 }
 
 /// The value of a key, if it exists.
-fn read(state: &mut InMemoryKv, key: &str) -> Option<Value> {
+fn read_value(state: &mut InMemoryKv, key: &str) -> Option<Value> {
     let target = format!("/keys/{key}");
     let request = Request { method: "GET".into(), target, body: Vec::new(), close: false };
     let (status, body) = state.answer(&request).expect("answered");
     (status == 200).then(|| decode_entry(&body).expect("an entry").value)
 }
 
-/// The done tasks as a new leader reads them.
-fn done_by_records(state: &mut InMemoryKv, job: &str) -> Vec<u32> {
-    let value = read(state, &format!("rec/{job}")).expect("a record");
+/// The done tasks that a new leader reads from the record and its blocks.
+fn read_done_tasks(state: &mut InMemoryKv, job: &str) -> Vec<u32> {
+    let value = read_value(state, &format!("rec/{job}")).expect("a record");
     let mut record = JobRecord::decode(&value).expect("readable");
     let layout = record.layout(8.0);
     for block in 0..layout.blocks(record.spec.task_count) {
-        if let Some(value) = read(state, &layout.block_key(&record.spec.id, block)) {
+        if let Some(value) = read_value(state, &layout.block_key(&record.spec.id, block)) {
             record.add_block(&value).expect("readable");
         }
     }
     (0..record.spec.task_count).filter(|task| record.done.contains(*task)).collect()
 }
 
-/// The limits fall while a job's done tasks fill blocks that are larger than a value may be
-/// then: they move to smaller blocks. Between any two transactions all that was recorded before
-/// stays recorded, and no value is larger than the new limits allow.
+/// The state service lowers its limits while a job's done tasks fill blocks that exceed the new
+/// limit on a value: the done tasks move to smaller blocks. After each transaction, all done
+/// tasks recorded before are still recorded, and no value is larger than the new limits allow.
 #[test]
 fn done_tasks_move_to_smaller_blocks_without_loss() {
     let mut config = Config { settings: settings::tests::sample(), tuning: policy::tests::tuning() };
-    let next =
+    let announced =
         settings::AnnouncedLimits { rps: None, write_rps: None, value_kb: Some(1.0), txn_ops: Some(4) };
-    config.settings.cluster.kv.next = Some(next);
+    config.settings.cluster.kv.next = Some(announced);
     let limits = config.settings.cluster.kv.announced();
     let size = |change: &Change| match change {
         Change::Put { value, .. } => max_json_size(value),
@@ -211,8 +219,8 @@
         let blocks = (0..layout.blocks(tasks))
             .map(|block| put(layout.block_key(&id("job-1"), block), job.record.encode_block(block, 8.0)));
         let changes: Vec<Change> = blocks.chain([put("rec/job-1".into(), job.record.encode(8.0))]).collect();
-        let before = changes.iter().map(size).max();
-        assert!(before > Some(limits.value_bytes()), "{before:?}");
+        let largest_value = changes.iter().map(size).max();
+        assert!(largest_value > Some(limits.value_bytes()), "{largest_value:?}");
         let written =
             Transaction { class: RequestClass::Background, epoch: EPOCH, compares: Vec::new(), changes };
         job.record_version = apply_transaction(&mut state, &written).expect("no limits yet");
@@ -235,7 +243,7 @@
                 harness.leader.mark_task_done(harness.now, &id("job-1"), 3);
             }
             harness.collect_effects();
-            let done = done_by_records(&mut state, "job-1");
+            let done = read_done_tasks(&mut state, "job-1");
             assert!(recorded.iter().all(|task| done.binary_search(task).is_ok()), "after {committed}");
             harness.advance(1.0);
         }
@@ -245,7 +253,7 @@
         }
         expected.extend([1, 3]);
         expected.sort_unstable();
-        assert_eq!(done_by_records(&mut state, "job-1"), expected);
+        assert_eq!(read_done_tasks(&mut state, "job-1"), expected);
         assert_eq!(refused, 1, "{tasks} tasks: one rejection is enough");
         assert!(!harness.leader.is_fenced() && committed > 3);
     }
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out, scale in, and the inventory of the cloud.
+//! Tests of scale out, scale in and the inventory of the cloud.
 
 use super::*;
 
@@ -8,9 +8,9 @@
     harness.accept(sample("job-1", "red", 1, 1.0));
     starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
     harness.cloud_calls.clear();
-    let silence = harness.config.tuning.suspicion_timeout.as_secs_f64();
+    let suspicion_timeout_s = harness.config.tuning.suspicion_timeout.as_secs_f64();
     let mut sequence = 5;
-    for _ in 0..((silence / 2.0) as u64 + 2) {
+    for _ in 0..((suspicion_timeout_s / 2.0) as u64 + 2) {
         harness.advance(2.0);
         sequence += 1;
         assert_eq!(starts(&harness.heartbeat("vm-2", sequence, EPOCH, vec![])), vec![]);
@@ -24,7 +24,7 @@
     // A failed deletion proves nothing.
     harness.leader.handle_cloud_result(harness.now, operation, Err(CloudError::Failed));
     assert_eq!(starts(&harness.heartbeat("vm-2", sequence + 1, EPOCH, vec![])), vec![]);
-    // Requested again after a pause.
+    // The deletion is requested again after a pause.
     harness.cloud_calls.clear();
     harness.advance(2.1);
     let (operation, _) = harness
@@ -38,16 +38,16 @@
     assert_eq!(
         harness.send_heartbeat("vm-1", 1, 6, EPOCH, vec![]),
         HeartbeatReply::Redirect,
-        "a late copy changes nothing"
+        "a delayed copy of a heartbeat changes nothing"
     );
 }
 
 #[test]
-fn a_machine_is_used_only_once_its_node_pool_record_says_so() {
+fn a_machine_gets_starts_only_once_its_node_pool_record_marks_it_used() {
     let mut harness = Harness::new(Vec::new(), Vec::new());
     harness.accept(sample("job-1", "red", 1, 1.0));
-    // Unregistered machines are registered first, by name and as used; those of one type and
-    // zone with one write.
+    // Unregistered machines are first recorded by name and as used; machines of the same type and
+    // zone are recorded with one write.
     let unregistered = ["vm-8", "vm-9"];
     for name in unregistered {
         assert_eq!(harness.heartbeat(name, 1, 0, vec![]), vec![]);
@@ -64,9 +64,9 @@
     assert_eq!(starts(&harness.heartbeat("vm-9", 4, EPOCH, vec![])).len(), 1);
 }
 
-/// Unregistered machines that send heartbeats and are listed meanwhile are registered once, and
-/// not while a scale-out request of the same type and zone, whose machines they may be, is
-/// unresolved.
+/// Unregistered machines that send heartbeats and are listed meanwhile are registered once. They
+/// are not registered while a scale-out request for the same type and zone is unresolved, since
+/// they may be the requested machines.
 #[test]
 fn an_unregistered_machine_is_registered_once() {
     let (mut record, version) = single_machine_pool("vm-1", false);
@@ -82,7 +82,7 @@
         harness.advance(1.1);
     }
     let names: Vec<_> =
-        harness.leader.node_pools.values().filter_map(|h| h.record.machines.as_ref()).collect();
+        harness.leader.node_pools.values().filter_map(|pool| pool.record.machines.as_ref()).collect();
     assert_eq!(names, [&[machine("vm-9b")]]);
 }
 
@@ -135,15 +135,15 @@
         harness.requests_deletion()
     };
     assert!(!list(&mut harness, vec![entry(ListedState::Running)]));
-    assert!(!list(&mut harness, vec![]), "this page may be older than the last");
+    assert!(!list(&mut harness, vec![]), "this page may be older than the previous one");
     assert!(
         list(&mut harness, vec![]),
         "missing twice and without heartbeats: its deletion is requested as proof"
     );
 }
 
-/// Failovers faster than a machine's least billed time must not keep idle machines: those that
-/// had tasks have been paid for as long already.
+/// Failovers at intervals shorter than a machine's minimum billed time must not keep idle
+/// machines: a machine that had tasks has been paid for that long already.
 #[test]
 fn an_idle_machine_that_had_tasks_is_scaled_in_soon_after_a_failover() {
     let node_pools = ["vm-1", "vm-2b"].map(|name| single_machine_pool(name, true)).to_vec();
@@ -155,12 +155,12 @@
         for name in ["vm-1", "vm-2b"] {
             harness.send_heartbeat(name, 1, sequence, EPOCH, vec![]);
         }
-        assert!(harness.now < begin + Duration::from_secs(20), "kept for as long as a new machine");
+        assert!(harness.now < begin + Duration::from_secs(20), "not kept for as long as a new machine");
     }
 }
 
 #[test]
-fn finished_work_is_no_demand_whatever_its_estimate() {
+fn finished_tasks_add_no_demand_whatever_their_estimate() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     let mut job = sample("job-1", "red", 2, 4.0);
     job.estimated_run_s = 600.0;
@@ -173,7 +173,7 @@
     harness.heartbeat("vm-1", 6, EPOCH, started.iter().map(|s| task_status(s, DONE)).collect());
     harness.commit_all();
     harness.advance(1.1);
-    assert_eq!(offered_load(&harness), 0.0, "long before the user's estimate ends");
+    assert_eq!(offered_load(&harness), 0.0, "no demand is left, long before the user's estimate ends");
 }
 
 #[test]
@@ -189,13 +189,14 @@
         harness.advance(2.0);
         harness.heartbeat("vm-1", sequence, EPOCH, vec![task_status(&start, TaskState::Running)]);
     }
-    // It runs on, but had it started on time it would have ended.
+    // The task still runs, but if it had started on time and kept to its estimate, it would have
+    // ended.
     assert_eq!(offered_load(&harness), 0.0);
 }
 
 #[test]
 fn a_zone_without_heartbeats_is_kept_for_a_lease_but_not_needed_meanwhile() {
-    let heard = ["vm-1", "vm-4", "vm-5"];
+    let machines_with_heartbeats = ["vm-1", "vm-4", "vm-5"];
     let mut harness = Harness::with_machines(&["vm-1", "vm-2b", "vm-3b", "vm-4", "vm-5"]);
     harness.accept(sample("job-1", "red", 2, 8.0));
     harness.accept(sample("job-2", "blue", 3, 8.0));
@@ -203,7 +204,7 @@
         assert_eq!(starts(&harness.heartbeat(name, 5, EPOCH, vec![])).len(), 1);
     }
     harness.cloud_calls.clear();
-    let (silence, lease) =
+    let (suspicion_timeout, lease) =
         (harness.config.tuning.suspicion_timeout, harness.config.settings.cluster.workers.lease());
     let begin = harness.now;
     let mut sequence = 5;
@@ -211,26 +212,26 @@
     while harness.now + Duration::from_secs(2) < begin + lease {
         harness.advance(2.0);
         sequence += 1;
-        for name in heard {
+        for name in machines_with_heartbeats {
             harness.heartbeat(name, sequence, EPOCH, vec![]);
         }
-        assert!(!harness.requests_deletion(), "perhaps partitioned");
+        assert!(!harness.requests_deletion(), "the zone may be partitioned");
         let needed = ["vm-2b", "vm-3b"].map(|name| harness.registered_machine(name).need.is_needed);
-        assert!(harness.now < begin + silence + Duration::from_secs(2) || needed == [false, false]);
+        assert!(harness.now < begin + suspicion_timeout + Duration::from_secs(2) || needed == [false, false]);
     }
     harness.advance(2.1);
-    for name in heard {
+    for name in machines_with_heartbeats {
         harness.heartbeat(name, sequence + 1, EPOCH, vec![]);
     }
     harness.advance(1.1);
     assert!(harness.cloud_calls.iter().any(|(_, c)| matches!(c, CloudCall::Delete(m) if m.len() == 2)));
 }
 
-/// A leader that loses its workers hears of them again one by one, through the other
-/// controllers. The first few once made it declare all others dead and delete hundreds of
-/// machines with their tasks.
+/// A leader that has lost contact with its workers receives their heartbeats again one by one,
+/// through the other controllers. The first few heartbeats once made it declare all other
+/// machines dead and delete hundreds of machines with their tasks.
 #[test]
-fn the_first_machines_heard_again_do_not_make_the_others_dead() {
+fn the_first_heartbeats_after_an_interruption_do_not_make_the_other_machines_dead() {
     let names: Vec<String> = (0..20).map(|n| format!("vm-{n}")).collect();
     let mut harness = Harness::with_machines(&names.iter().map(String::as_str).collect::<Vec<_>>());
     harness.accept(sample("job-1", "blue", 20, 8.0));
@@ -246,9 +247,9 @@
             .cloud_calls
             .iter()
             .find(|(_, c)| matches!(c, CloudCall::Delete(_) | CloudCall::Provision(_)));
-        assert_eq!(requested, None, "with {} of 20 heard", sequence + 1);
+        assert_eq!(requested, None, "after heartbeats of {} of 20 machines", sequence + 1);
     }
-    // Once most machines are heard, the others are declared dead.
+    // Once most machines send heartbeats again, the others are declared dead.
     for (sequence, name) in names.iter().take(15).enumerate() {
         harness.heartbeat(name, 20 + sequence as u64, EPOCH, vec![]);
     }
@@ -256,11 +257,11 @@
     assert!(harness.cloud_calls.iter().any(|(_, c)| matches!(c, CloudCall::Delete(m) if m.len() == 5)));
 }
 
-/// A lost machine's tasks start elsewhere as soon as its heartbeat is surely overdue; but only
-/// where no more than a few are overdue, since others may be behind a partition, on their way
-/// round it.
+/// The tasks of a lost machine start elsewhere as soon as one heartbeat is surely overdue, but
+/// only if no more than a few machines are overdue. If there are more, they may be behind a
+/// partition and about to send their heartbeats by another route.
 #[test]
-fn one_overdue_heartbeat_suffices_only_while_the_others_are_heard() {
+fn one_overdue_heartbeat_is_enough_only_while_few_machines_are_overdue() {
     let names: Vec<String> = (0..20).map(|n| format!("vm-{n}")).collect();
     for lost in [1, 5] {
         let mut harness = Harness::with_machines(&names.iter().map(String::as_str).collect::<Vec<_>>());
@@ -269,16 +270,16 @@
             assert_eq!(starts(&harness.heartbeat(name, 5, EPOCH, vec![])).len(), 1);
         }
         harness.cloud_calls.clear();
-        let returned = |harness: &Harness| harness.requests_deletion();
+        let deletion_requested = |harness: &Harness| harness.requests_deletion();
         let workers = harness.config.settings.cluster.workers.clone();
         let (begin, mut sequence) = (harness.now, 5);
-        while !returned(&harness) {
+        while !deletion_requested(&harness) {
             harness.advance(1.0);
             sequence += 1;
             for name in &names[lost..] {
                 harness.heartbeat(name, sequence, EPOCH, vec![]);
             }
-            assert!(harness.now < begin + workers.lease(), "never deleted");
+            assert!(harness.now < begin + workers.lease(), "not deleted within a lease");
         }
         let early = harness.now < begin + harness.config.tuning.suspicion_timeout;
         assert_eq!(early, lost == 1, "{lost} lost: {:?}", harness.now - begin);
@@ -296,22 +297,22 @@
     for _ in 0..40 {
         harness.advance(1.0);
     }
-    assert!(!harness.requests_deletion(), "the fault is on the leader's side");
+    assert!(!harness.requests_deletion(), "the fault is assumed to be on the leader's side");
 }
 
-/// After a wave of preemptions hundreds of machines are missing: one request of at most fifty
-/// machines a second was a fraction of what the cloud takes.
+/// After a wave of preemptions, hundreds of machines are missing. One request of at most fifty
+/// machines per second used only a fraction of the request rate that the cloud accepts.
 #[test]
-fn scale_out_sends_as_many_requests_as_the_cloud_takes_in_a_second() {
+fn scale_out_sends_as_many_requests_as_the_cloud_accepts_per_second() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     for n in 0..8 {
         harness.accept(sample(&format!("job-{n}"), "blue", 100, 8.0));
     }
     harness.commits.clear();
     harness.advance(1.1);
-    let rented =
+    let requested_pools =
         harness.commits.iter().flat_map(|(_, t)| &t.changes).filter(|c| c.key().starts_with(NODE_POOLS));
-    assert_eq!(rented.count() as f64, harness.config.settings.cluster.cloud.rps);
+    assert_eq!(requested_pools.count() as f64, harness.config.settings.cluster.cloud.rps);
 }
 
 #[test]
@@ -326,7 +327,7 @@
         harness.send_heartbeat("vm-9", 1, sequence, EPOCH, vec![]);
         backlog_rates.push(harness.leader.autoscaler.demand.iter().map(|(_, d)| d.backlog_rate).sum::<f64>());
     }
-    // Boots take 30 s: at first the work may take four of them, at last two.
+    // A boot takes 30 s. The time planned for the work falls from four boots to two.
     let work = 20.0 * 20.0;
     let close = |a: f64, b: f64| (a - b).abs() < b * 0.02;
     assert!(
@@ -336,8 +337,8 @@
     assert!(backlog_rates.windows(2).all(|pair| pair[0] <= pair[1] + 1e-9), "{backlog_rates:?}");
 }
 
-/// Machines that were scaled out and in with each job of a class with minutes of slack spent a
-/// third of their paid time on booting.
+/// When machines were scaled out and in with each job of a class with minutes of slack, they
+/// spent a third of their paid time on booting.
 #[test]
 fn demand_of_work_with_slack_decays_slowly() {
     let left_after_a_minute = |deadline_s| {
@@ -364,18 +365,18 @@
     assert!((0.2..0.9).contains(&left_with_slack), "{left_with_slack}");
 }
 
-/// Two services with a replica each, on two machines, one of which would do.
+/// Two services with one replica each, on two machines, where one machine would suffice.
 fn replicas_on_two_machines(images: [&str; 2]) -> (Harness, [StartedTask; 2]) {
     let node_pools = ["vm-1", "vm-3"].map(|name| single_machine_pool(name, true)).into();
     let mut harness = Harness::new(Vec::new(), node_pools);
     for name in ["vm-1", "vm-3"] {
         harness.heartbeat(name, 1, EPOCH, vec![]);
     }
-    let service = |id: &str, image: &str| JobSpec {
+    let service = |job: &str, image: &str| JobSpec {
         kind: JobKind::Service,
         image: image.into(),
         spot: false,
-        ..sample(id, "blue", 1, 2.0)
+        ..sample(job, "blue", 1, 2.0)
     };
     harness.accept(service("job-1", images[0]));
     let first = starts(&harness.heartbeat("vm-1", 2, EPOCH, vec![])).remove(0);
@@ -384,7 +385,8 @@
     (harness, [first, second])
 }
 
-/// Advances two minutes; returns which replica was stopped, if any.
+/// Advances the clock by up to two minutes; returns the index of the first replica that is
+/// stopped, if any.
 fn replica_stopped_within_two_minutes(harness: &mut Harness, replicas: &[StartedTask; 2]) -> Option<usize> {
     let interval = harness.config.settings.cluster.workers.heartbeat_interval_s;
     for sequence in 3..43 {
@@ -400,8 +402,8 @@
     None
 }
 
-/// Services do not end: machines of a past peak stayed for as long as a single replica ran on
-/// them, although others had free capacity.
+/// Services do not end, so machines of a past load peak stayed for as long as a single replica
+/// ran on them, although other machines had free capacity.
 #[test]
 fn the_descheduler_moves_replicas_off_an_unneeded_machine() {
     let (mut harness, replicas) = replicas_on_two_machines(["img-1", "img-1"]);
@@ -409,8 +411,8 @@
         .expect("one of the machines is not needed");
     let (from, to) = if moved == 0 { ("vm-1", "vm-3") } else { ("vm-3", "vm-1") };
     let stays = task_status(&replicas[1 - moved], TaskState::Running);
-    // Until its end is confirmed the replica starts nowhere else, and nothing starts beside
-    // it.
+    // Until the replica's end is confirmed, it starts nowhere else, and nothing else starts on
+    // its machine.
     assert_eq!(harness.heartbeat(to, 50, EPOCH, vec![stays.clone()]), vec![]);
     let ended = TaskState::Exited(ExitCause::Stopped { saved: false });
     assert_eq!(
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -1,4 +1,4 @@
-//! Records that cannot be read are unknown, and never taken for absent. See
+//! Tests of records that cannot be read: they are treated as unknown, never as absent. See
 //! `docs/incidents/inc-production-size.md`.
 
 use ciborium::value::Value;
@@ -10,7 +10,7 @@
 use crate::storage::in_memory_kv::{FakeKvServer, kv_client};
 use crate::storage::records::{CATALOG, encode_row, node_pool_key};
 
-/// A value that no build writes.
+/// A value that no version of the program writes.
 fn damaged_value() -> Value {
     MapBuilder::new().set("damaged", true).build()
 }
@@ -46,8 +46,8 @@
 }
 
 /// A node pool record that cannot be read names machines that may hold tasks. A leader that
-/// took it for none would start those tasks a second time, while the first attempts ran on
-/// unseen.
+/// treated it as absent would start those tasks a second time while their first attempts kept
+/// running unnoticed.
 #[tokio::test]
 async fn starts_wait_for_machines_of_an_unreadable_node_pool_record() {
     let record =
@@ -56,8 +56,8 @@
     entries.extend([node_pool_record("vm-1"), (node_pool_key("1-vm-2"), damaged_value())]);
     let mut harness = harness_after_failover(snapshot_of(entries).await);
     let mut sequence = 1;
-    let waits_until = harness.leader.snapshot_at() + harness.config.failover_lease_timeout();
-    while harness.now + Duration::from_secs(1) < waits_until {
+    let wait_ends_at = harness.leader.snapshot_at() + harness.config.failover_lease_timeout();
+    while harness.now + Duration::from_secs(1) < wait_ends_at {
         assert_eq!(starts(&harness.heartbeat("vm-1", sequence, EPOCH, vec![])), vec![], "vm-2 may run it");
         sequence += 1;
         harness.advance(1.0);
@@ -68,10 +68,10 @@
     assert_eq!(starts(&harness.heartbeat("vm-1", sequence, EPOCH, vec![])).len(), 1);
 }
 
-/// One record that cannot be read holds back the dependents of its job, and nothing else:
-/// neither the failover nor other dependents.
+/// A job record that cannot be read delays the dependents of its job and nothing else: neither
+/// the failover nor other jobs with dependencies.
 #[tokio::test]
-async fn an_unreadable_dependency_holds_back_only_its_dependents() {
+async fn an_unreadable_dependency_delays_only_its_dependents() {
     let dependent_job = |job: &str, dependency: &str| {
         JobRecord::new(JobSpec { dependencies: vec![id(dependency)], ..sample(job, "red", 1, 1.0) }, NOW_MS)
     };
@@ -96,16 +96,16 @@
     assert_eq!(harness.job_state("job-3"), Some(JobState::Queued));
 }
 
-/// A job whose row was lost is a dependency of another that was read at the failover. It is
-/// submitted once more, which conflicts with its record, and then is restored by the
-/// reconciler: its cancellation must reach its dependent.
+/// A job whose row was lost is a dependency of a job that was read at the failover. It is
+/// submitted again, which conflicts with its record, and is then restored by the reconciler. Its
+/// cancellation must still cancel its dependent.
 #[test]
 fn a_conflicting_admission_keeps_the_links_to_dependents() {
     let unstarted_job = |spec: JobSpec| JobSnapshot {
         record: JobRecord::new(spec, NOW_MS),
         ..loaded_job(sample("job-0", "red", 1, 1.0))
     };
-    let stranded = sample("job-1", "red", 1, 1.0);
+    let job_without_row = sample("job-1", "red", 1, 1.0);
     let dependent = JobSpec { dependencies: vec![id("job-1")], ..sample("job-2", "red", 1, 1.0) };
     let (record, version) = single_machine_pool("vm-1", true);
     let mut harness = harness_after_failover(Snapshot {
@@ -120,9 +120,9 @@
         catalog: Some((catalog(), 2)),
         ..Snapshot::default()
     });
-    harness.submit(stranded.clone());
+    harness.submit(job_without_row.clone());
     harness.fail_next_commit(KvError::Conflict);
-    let restored = Snapshot { jobs: vec![unstarted_job(stranded)], ..Snapshot::default() };
+    let restored = Snapshot { jobs: vec![unstarted_job(job_without_row)], ..Snapshot::default() };
     harness.leader.restore_snapshot(harness.now, NOW_MS, restored);
     harness.collect_effects();
     harness.cancel("job-1");
@@ -137,8 +137,8 @@
     assert_ne!(harness.job_state("job-2"), Some(JobState::Queued), "its dependency is cancelled");
 }
 
-/// The state of its tasks is unknown: those that a machine lists are stopped, and a result is
-/// not reaped before the record can say so.
+/// The state of the tasks of an unreadable job is unknown: tasks that a machine lists are
+/// stopped, and ended tasks are not reaped before their end can be recorded.
 #[tokio::test]
 async fn tasks_of_an_unreadable_job_are_stopped_counted_and_not_reaped() {
     let mut harness = harness_after_failover(
@@ -157,7 +157,7 @@
     assert_eq!(
         commands,
         [Command::Stop { task: task(0), attempt: 7, grace_s: 0.0 }],
-        "nothing starts beside it"
+        "nothing starts beside the orphan task"
     );
     assert_eq!(harness.leader.counters.orphan_tasks, 1);
     harness.advance(1.0);
@@ -168,7 +168,7 @@
     let commands = harness.heartbeat("vm-1", 3, EPOCH, vec![ended.clone()]);
     assert_eq!(starts(&commands).len(), 1, "the orphan task has ended");
     assert!(!commands.iter().any(|command| matches!(command, Command::Reap { .. })), "{commands:?}");
-    // Its user is answered to retry; the job is not accepted once more.
+    // The user is told to retry; the job is not accepted a second time.
     harness.submit(sample("job-1", "red", 2, 1.0));
     harness.fail_next_commit(KvError::Conflict);
     assert_eq!(harness.record_lookups.pop().map(|(_, if_absent)| if_absent.status), Some(503));
@@ -185,8 +185,8 @@
     assert!(!harness.leader.failover.unreadable().contains_job(&id("job-1")));
 }
 
-/// Where a block of done tasks does not decode, it is unknown which tasks are done: the job
-/// starts nothing, since a done task may not start again.
+/// If a block of done tasks cannot be decoded, it is unknown which tasks are done. The job starts
+/// nothing, since a done task must not start again.
 #[tokio::test]
 async fn a_job_with_an_unreadable_block_starts_nothing() {
     let many = crate::storage::records::block_size(8.0) + 1;
@@ -201,7 +201,8 @@
     assert!(harness.leader.failover.unreadable().contains_job(&id("job-1")));
 }
 
-/// The reconciler rereads a damaged record, and restores the job once it decodes.
+/// The reconciler rereads damaged records and restores what they describe once they can be
+/// decoded.
 #[tokio::test]
 async fn records_that_become_readable_are_restored() {
     let server = FakeKvServer::start(&[]).await;
