--- a/tests/soak/jobs.rs
+++ b/tests/soak/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that the users of a run submit. All of them follow from the seed.
+//! The jobs that the users of a run submit. They are determined by the seed.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 pub const ZONES: [&str; 2] = ["z1", "z2"];
 /// The only team with a quota.
 pub const LIMITED_TEAM: &str = "red";
-/// The part of the fleet's CPUs that the limited team may use.
+/// The share of the fleet's CPUs that the limited team may use.
 pub const LIMITED_SHARE: f64 = 0.4;
 const OTHER_TEAM: &str = "blue";
 
@@ -32,7 +32,7 @@
     pub run: Duration,
     /// Whether the job is a service rather than a job array.
     pub is_service: bool,
-    /// The only zone that its tasks may run in, if any.
+    /// The zone that its tasks must run in, if restricted.
     pub zone: Option<&'static str>,
     /// Whether all of its tasks must run in one zone.
     pub one_zone: bool,
@@ -40,16 +40,16 @@
     pub spread: bool,
     /// Whether its tasks may run on spot instances.
     pub spot: bool,
-    /// Indices of the jobs that must complete before it starts; all of them are earlier.
+    /// Indices of the jobs that must complete before it starts; all are earlier in the plan.
     pub dependencies: Vec<usize>,
-    /// When it is submitted, since the beginning of the run.
+    /// Submission time, since the beginning of the run.
     pub submit_at: Duration,
-    /// When its user cancels it, since its acceptance.
+    /// How long after its acceptance its user cancels it, if at all.
     pub cancel_after: Option<Duration>,
 }
 
 impl Job {
-    /// Encodes the request that submits it; `all` are the jobs of the run.
+    /// Encodes the request that submits the job; `all` are the jobs of the run.
     pub fn encode_submission(&self, all: &[Job]) -> Value {
         let dependencies = self
             .dependencies
@@ -81,21 +81,21 @@
     }
 }
 
-/// The jobs of a run, in the order of their submission, for a fleet of this many workers.
-pub fn plan(seed: u64, workers: u64, lasts: Duration) -> Vec<Job> {
+/// Plans the jobs of a run for a fleet of this many workers, in the order of submission.
+pub fn plan(seed: u64, workers: u64, duration: Duration) -> Vec<Job> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x10b5);
-    // A few jobs a second for two dozen machines, more for more.
-    let pause = (6.0 / workers as f64).clamp(0.08, 0.6);
+    // A few jobs a second for two dozen machines; the rate grows with the fleet.
+    let mean_interval = (6.0 / workers as f64).clamp(0.08, 0.6);
     let mut jobs: Vec<Job> = Vec::new();
     let mut at = 0.5;
-    while at < lasts.as_secs_f64() {
+    while at < duration.as_secs_f64() {
         jobs.push(random_job(&mut rng, &jobs, at));
-        at += pause * rng.random_range(0.3..1.7);
+        at += mean_interval * rng.random_range(0.3..1.7);
     }
     jobs
 }
 
-/// A new job after the earlier ones, submitted `at` seconds after the beginning of the run.
+/// Generates a job that is submitted `at` seconds after the beginning of the run.
 fn random_job(rng: &mut SmallRng, earlier: &[Job], at: f64) -> Job {
     let is_service = rng.random_bool(0.08);
     let team = if rng.random_bool(0.5) { LIMITED_TEAM } else { OTHER_TEAM };
@@ -130,8 +130,8 @@
     job
 }
 
-/// Dependencies of a new job: mostly none, else some of the last jobs or of all earlier ones,
-/// so that chains, diamonds and fan-in arise.
+/// Picks the dependencies of a new job: usually none, otherwise some of the last jobs or of all
+/// earlier ones. This produces chains, diamonds and fan-in.
 fn random_dependencies(rng: &mut SmallRng, earlier: &[Job], is_service: bool) -> Vec<usize> {
     if is_service || earlier.is_empty() || rng.random_bool(0.55) {
         return Vec::new();
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,16 +1,15 @@
-//! The soak: runs the built controllers as real processes on loopback, among test doubles of
-//! the workers, the users, the key-value store and the cloud, under random overlapping faults.
-//! One checker judges the whole history by every rule.
+//! The soak test: runs the built controllers as real processes on loopback, with test doubles of
+//! the workers, the users, the key-value store and the cloud, under random overlapping faults. A
+//! checker then checks the complete history against every rule.
 //!
-//! * `schedule`, `jobs`: the faults and the users' jobs of a run. Both follow from the seed;
-//!   how the processes interleave does not, so a seed that found something need not find it
-//!   again.
-//! * `run`: starts the parts, injects the faults and has the history judged.
-//! * `processes`, `network`: the controllers, and the links by which they reach others.
-//! * `workers`, `users`, `kv_server`, `cloud`: the test doubles; `http` is what they share.
-//! * `history`, `checker`: what was observed, and whether it breaks a rule.
+//! * `schedule`, `jobs`: the faults and the users' jobs of a run. The seed determines both, but
+//!   not how the processes interleave, so a seed may not reproduce its findings.
+//! * `run`: starts the components, injects the faults and checks the history.
+//! * `processes`, `network`: the controllers, and the links between them and other components.
+//! * `workers`, `users`, `kv_server`, `cloud`: the test doubles; `http` has their shared code.
+//! * `history`, `checker`: the observed events, and the rules that they must satisfy.
 //!
-//! Logs, schedule and history of a run with findings are kept under the build's folder.
+//! Logs, schedule and history of a run that did not pass are kept in the build directory.
 
 #![allow(clippy::cast_possible_truncation, reason = "counts are small here")]
 
@@ -35,11 +34,11 @@
 use options::{InvalidOption, Options};
 use run::{Report, Verdict};
 
-/// How long tasks of a cancelled job may run on, in the settings of every run.
+/// How long tasks of a cancelled job may keep running, in the settings of every run.
 pub const CANCEL_WITHIN: Duration = Duration::from_secs(16);
 
-/// No rule is broken, whatever faults overlap. A run on a machine so busy that the harness's own
-/// timers were late is not judged: the soak fails, but no rule counts as broken.
+/// No rule is broken under any overlapping faults. If the machine is so busy that the harness's
+/// own timers are late, the run is not judged: the test fails without reporting a broken rule.
 #[test]
 fn no_rule_breaks_on_real_processes() -> Result<(), InvalidOption> {
     let options = Options::read(|name| std::env::var(name).ok())?;
@@ -53,7 +52,7 @@
     Ok(())
 }
 
-/// Runs each seed on a thread and a runtime of its own, a few at a time.
+/// Runs each seed in its own thread and runtime, at most `at_once` at a time.
 fn run_all(options: &Options) -> Vec<Report> {
     let (done, finished) = mpsc::channel();
     let mut reports = Vec::new();
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -1,35 +1,35 @@
-//! Options of the soak, from environment variables. An invalid value is rejected with a
-//! message of one line.
+//! Options of the soak test, read from environment variables. An invalid value is rejected with
+//! a one-line message.
 
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Variable: how many seeds are run.
+/// Variable: number of seeds to run.
 pub const SEEDS: &str = "SHEDTALLY_SOAK_SEEDS";
 /// Variable: the first seed.
 pub const FIRST_SEED: &str = "SHEDTALLY_SOAK_FIRST_SEED";
 /// Variable: number of machines in the fleet.
 pub const WORKERS: &str = "SHEDTALLY_SOAK_WORKERS";
-/// Variable: for how many seconds faults begin. A run lasts longer, until the cluster has
-/// recovered.
+/// Variable: for how many seconds new faults are injected. A run takes longer, until the cluster
+/// has recovered.
 pub const SECONDS: &str = "SHEDTALLY_SOAK_SECONDS";
-/// Variable: how many seeds are run at the same time.
+/// Variable: number of seeds to run concurrently.
 pub const AT_ONCE: &str = "SHEDTALLY_SOAK_AT_ONCE";
-/// Variable: path of the program under test, if it is not the one that cargo built.
+/// Variable: path of the program under test; defaults to the one that cargo built.
 pub const PROGRAM: &str = "SHEDTALLY_SOAK_PROGRAM";
 
-/// Options of the soak.
+/// Options of the soak test.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// The first seed.
     pub first_seed: u64,
-    /// How many seeds are run.
+    /// Number of seeds to run.
     pub seeds: u64,
     /// Number of machines in the fleet.
     pub workers: u64,
-    /// For how many seconds faults begin.
+    /// For how many seconds new faults are injected.
     pub seconds: u64,
-    /// How many seeds are run at the same time.
+    /// Number of seeds to run concurrently.
     pub at_once: u64,
 }
 
@@ -40,15 +40,15 @@
     allowed: RangeInclusive<u64>,
 }
 
-// A test that ends with an error prints it by its `Debug` form.
+// A test that returns an error prints its `Debug` form.
 impl fmt::Debug for InvalidOption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (least, most) = self.allowed.clone().into_inner();
-        write!(f, "{}={:?} is no whole number from {least} to {most}", self.variable, self.text)
+        let (min, max) = self.allowed.clone().into_inner();
+        write!(f, "{}={:?} is not an integer from {min} to {max}", self.variable, self.text)
     }
 }
 
-fn number(
+fn parse_number(
     variable: &'static str,
     text: Option<String>,
     default: u64,
@@ -62,13 +62,14 @@
 }
 
 impl Options {
-    /// Reads the options, by a function that returns the value of a variable.
+    /// Reads the options. `variable` returns the value of an environment variable.
     ///
     /// # Errors
     ///
-    /// [`InvalidOption`] if a value is not a whole number in the allowed range.
+    /// [`InvalidOption`] if a value is not an integer in the allowed range.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, InvalidOption> {
-        let read = |name: &'static str, default, allowed| number(name, variable(name), default, allowed);
+        let read =
+            |name: &'static str, default, allowed| parse_number(name, variable(name), default, allowed);
         Ok(Options {
             first_seed: read(FIRST_SEED, 1, 0..=u64::MAX / 2)?,
             seeds: read(SEEDS, 2, 1..=10_000)?,
@@ -80,12 +81,12 @@
 }
 
 #[test]
-fn invalid_options_are_rejected_in_one_line() {
+fn invalid_options_are_rejected_with_a_one_line_message() {
     let options = |name: &'static str, text: &'static str| {
         Options::read(move |asked| (asked == name).then(|| text.to_owned()))
     };
-    let plain = Options::read(|_| None).expect("the defaults are sound");
-    assert_eq!(options(SEEDS, "50").expect("sound"), Options { seeds: 50, ..plain });
+    let defaults = Options::read(|_| None).expect("the defaults are valid");
+    assert_eq!(options(SEEDS, "50").expect("the value is valid"), Options { seeds: 50, ..defaults });
     for (name, text) in [
         (FIRST_SEED, "x"),
         (SEEDS, "0"),
@@ -94,7 +95,7 @@
         (AT_ONCE, "1.5"),
         (SECONDS, ""),
     ] {
-        let message = format!("{:?}", options(name, text).expect_err("no such number"));
+        let message = format!("{:?}", options(name, text).expect_err("the value is invalid"));
         assert!(message.starts_with(name) && message.lines().count() == 1, "{message}");
     }
 }
