--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -1,16 +1,17 @@
-//! Judges a whole history by every rule, from what could be observed outside the controllers.
+//! Checks the complete history of a run against every rule.
 //!
-//! A pure function of the history: it knows the users' jobs and the times that the rules
-//! name, and nothing of the controllers' state.
+//! The check is a pure function of the history, the users' jobs and the time limits in the
+//! rules. It uses only what is observable from outside the controllers, not their state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
 
-use super::history::{At, Entry, Event, JobState, TaskOnMachine, UserRequest};
+use super::history::{Elapsed, Entry, Event, JobState, TaskOnMachine, UserRequest};
 use super::jobs::{Job, LIMITED_TEAM};
 
-/// A rule that can be broken. PROTOCOL and the users' later pages are their source.
+/// A rule that a run can break. The rules come from the protocol specification and from later
+/// user requirements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// A task ran on two machines at the same time.
@@ -19,46 +20,48 @@
     Quota,
     /// A task ran in a zone or on a spot instance that its job does not allow.
     WrongPlace,
-    /// A task of a cancelled job ran on for too long, or started too late.
+    /// A task of a cancelled job kept running for too long, or started too late.
     RanCancelled,
     /// A worker received a start well after the user was told that the job is cancelled.
     StartedCancelled,
-    /// An accepted job was unknown or rejected later, or got no response any more.
+    /// A previously accepted job was reported as unknown or rejected, or requests about it stopped
+    /// getting responses.
     Forgotten,
-    /// A job that nobody has submitted was known, or started.
+    /// A job that was never submitted was reported as existing, or was started.
     Invented,
-    /// A job was called done although not all of its tasks had completed.
+    /// A job was reported done before all of its tasks had completed.
     NotDone,
-    /// A terminal state was taken back, a job was called cancelled that nobody had cancelled, or
-    /// a cancellation was confirmed without effect.
+    /// A reported terminal state changed, a job was reported cancelled although neither it nor a
+    /// dependency had been cancelled, or a cancellation was confirmed but had no effect.
     WentBack,
-    /// No task was started in the whole run.
+    /// No task was started during the run.
     NothingRan,
     /// A task started before its job's dependencies had completed.
     TooEarly,
-    /// A job was called queued or running long after one of its dependencies was cancelled.
+    /// A job was reported queued or running long after one of its dependencies was cancelled.
     OrphanedJob,
-    /// A task ran on for too long after its job was called done.
+    /// A task kept running for too long after its job was reported done.
     OrphanedTask,
-    /// A submission that is malformed or cannot run was accepted, or rejected with another
-    /// status than is due.
+    /// A malformed or unsatisfiable submission was accepted, or was rejected with the wrong
+    /// status.
     AcceptedOdd,
-    /// An accepted and ready job had not started by the end, long after the last fault.
+    /// An accepted and ready job had not started by the end of the run, long after the last
+    /// fault.
     Starved,
-    /// A controller's process exited by itself.
+    /// A controller process exited without being killed.
     ProcessEnded,
-    /// A controller counted a violated invariant of its own.
+    /// A controller reported an internal invariant violation in its status.
     InvariantViolated,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// Which rule.
+    /// The rule that was broken.
     pub rule: Rule,
     /// When it was broken.
-    pub at: At,
-    /// By which job, task or controller.
+    pub at: Elapsed,
+    /// The job, task or controller that broke it, and details.
     pub description: String,
 }
 
@@ -68,52 +71,53 @@
     }
 }
 
-/// Times and limits that a history is judged by.
+/// Time and resource limits that the rules apply.
 #[derive(Debug, Clone)]
 pub struct CheckParameters {
     /// CPUs that the limited team may use.
     pub team_cpu_limit: f64,
-    /// How long tasks of a cancelled job may run on.
+    /// How long tasks of a cancelled job may keep running.
     pub cancel_within: Duration,
-    /// For how long a start command may be in flight after a confirmed cancellation.
+    /// How long a start command may stay in flight after a cancellation is confirmed.
     pub start_in_flight: Duration,
-    /// When all faults had ended.
-    pub faults_end_at: At,
+    /// When the last fault ended.
+    pub faults_end_at: Elapsed,
     /// End of the run.
-    pub end: At,
-    /// Jobs that were accepted and ready so long before the end must have started by then.
+    pub end: Elapsed,
+    /// Jobs that are accepted and ready at least this long before the end must have started by
+    /// the end.
     pub settle_time: Duration,
-    /// How late the harness's own timers may have been: allowed on top of every time.
+    /// Largest tolerated delay of the harness's own timers; added to every time limit.
     pub max_lag: Duration,
 }
 
-/// What has been observed of a job so far.
+/// What has been observed about a job so far.
 #[derive(Debug, Default, Clone)]
 struct ObservedJob {
-    accepted_at: Option<At>,
-    cancel_requested_at: Option<At>,
-    /// The terminal state that a user was first given, and when.
-    reported: Option<(JobState, At)>,
+    accepted_at: Option<Elapsed>,
+    cancel_requested_at: Option<Elapsed>,
+    /// The first terminal state that a user received, and when.
+    reported: Option<(JobState, Elapsed)>,
     completed_tasks: BTreeSet<u32>,
     started: bool,
-    /// When a user last got a response with the job's state.
-    answered_at: At,
+    /// When a user last received a response with the job's state.
+    last_response_at: Elapsed,
 }
 
 struct Checker<'a> {
     jobs: &'a [Job],
     parameters: &'a CheckParameters,
     observed_jobs: Vec<ObservedJob>,
-    /// Every task on a machine, with its zone and its start.
-    running: BTreeMap<TaskOnMachine, (&'static str, At)>,
+    /// Tasks that are running, with their zone and start time.
+    running: BTreeMap<TaskOnMachine, (&'static str, Elapsed)>,
     /// All dependencies of each job, direct and indirect.
     ancestors: Vec<BTreeSet<usize>>,
     findings: Vec<Finding>,
     /// Number of tasks that were started.
-    starts: usize,
+    task_starts: usize,
 }
 
-/// All findings in a history, whose entries are in the order of time.
+/// Returns all findings in a history. Its entries must be sorted by time.
 pub fn check(jobs: &[Job], parameters: &CheckParameters, history: &[Entry]) -> Vec<Finding> {
     let mut checker = Checker {
         jobs,
@@ -122,7 +126,7 @@
         running: BTreeMap::new(),
         ancestors: ancestors(jobs),
         findings: Vec::new(),
-        starts: 0,
+        task_starts: 0,
     };
     for Entry { at, event } in history {
         checker.handle(*at, event);
@@ -131,10 +135,11 @@
     checker.findings
 }
 
+/// Returns the transitive dependencies of each job.
 fn ancestors(jobs: &[Job]) -> Vec<BTreeSet<usize>> {
     let mut all: Vec<BTreeSet<usize>> = Vec::new();
     for job in jobs {
-        // A job depends only on earlier ones.
+        // A job depends only on earlier jobs.
         let mut all_dependencies: BTreeSet<usize> = job.dependencies.iter().copied().collect();
         for &dependency in &job.dependencies {
             all_dependencies.extend(all.get(dependency).into_iter().flatten().copied());
@@ -145,15 +150,15 @@
 }
 
 impl Checker<'_> {
-    fn add_finding(&mut self, rule: Rule, at: At, description: String) {
+    fn add_finding(&mut self, rule: Rule, at: Elapsed, description: String) {
         self.findings.push(Finding { rule, at, description });
     }
 
-    fn handle(&mut self, at: At, event: &Event) {
+    fn handle(&mut self, at: Elapsed, event: &Event) {
         match event {
-            Event::Answered { job, request, asked, controller, status, state } => {
-                let by = format!("c-{controller} answers {status} {state:?} to {request:?}");
-                self.handle_answer(at, *job, *request, *asked, (*status, *state), &by);
+            Event::ResponseReceived { job, request, sent_at, controller, status, state } => {
+                let response = format!("c-{controller} responded {status} {state:?} to {request:?}");
+                self.handle_response(at, *job, *request, *sent_at, (*status, *state), &response);
             }
             Event::CancelRequested { job } => {
                 self.observed_jobs[*job].cancel_requested_at.get_or_insert(at);
@@ -161,7 +166,11 @@
             Event::InvalidRequest { expected, status } => self.handle_invalid_request(at, *expected, *status),
             Event::StartReceived { task, .. } => self.handle_start_received(at, task),
             Event::UnknownStartReceived { machine } => {
-                self.add_finding(Rule::Invented, at, format!("a start of an unknown job on {machine}"));
+                self.add_finding(
+                    Rule::Invented,
+                    at,
+                    format!("start command for an unknown job on {machine}"),
+                );
             }
             Event::TaskStarted { task, zone, spot } => self.handle_task_started(at, task, zone, *spot),
             Event::TaskCompleted { job, index } => {
@@ -178,8 +187,9 @@
         }
     }
 
-    /// When a user was first told that a job, or one of its dependencies, is cancelled.
-    fn cancellation_reported_at(&self, job: usize) -> Option<At> {
+    /// When a user was first told that a job, or one of its direct or indirect dependencies, is
+    /// cancelled.
+    fn cancellation_reported_at(&self, job: usize) -> Option<Elapsed> {
         let reported = |job: &usize| match self.observed_jobs[*job].reported {
             Some((JobState::Cancelled, at)) => Some(at),
             _ => None,
@@ -191,7 +201,7 @@
         &self.jobs[job].id
     }
 
-    fn handle_start_received(&mut self, at: At, task: &TaskOnMachine) {
+    fn handle_start_received(&mut self, at: Elapsed, task: &TaskOnMachine) {
         let allowed = self.parameters.start_in_flight + self.parameters.max_lag;
         if self.cancellation_reported_at(task.job).is_some_and(|reported| at > reported + allowed) {
             let description = format!("{}/{} on {}", self.name(task.job), task.index, task.machine);
@@ -199,46 +209,50 @@
         }
     }
 
-    fn handle_task_started(&mut self, at: At, task: &TaskOnMachine, zone: &'static str, spot: bool) {
-        self.starts += 1;
+    fn handle_task_started(&mut self, at: Elapsed, task: &TaskOnMachine, zone: &'static str, spot: bool) {
+        self.task_starts += 1;
         self.observed_jobs[task.job].started = true;
         let name = format!("{}/{} on {}", self.name(task.job), task.index, task.machine);
-        self.check_runs_once(at, task, &name);
+        self.check_not_running_elsewhere(at, task, &name);
         self.check_dependencies(at, task.job, &name);
         self.running.insert(task.clone(), (zone, at));
-        self.check_place(at, task.job, zone, spot, &name);
+        self.check_placement(at, task.job, zone, spot, &name);
         self.check_quota(at, task.job);
         if let Some(reported) = self.cancellation_reported_at(task.job)
             && at > reported + self.parameters.cancel_within + self.parameters.max_lag
         {
-            self.add_finding(Rule::RanCancelled, at, format!("{name} begins"));
+            self.add_finding(
+                Rule::RanCancelled,
+                at,
+                format!("{name} started too long after the cancellation was reported"),
+            );
         }
     }
 
-    /// A task that starts runs on no machine yet.
-    fn check_runs_once(&mut self, at: At, task: &TaskOnMachine, name: &str) {
+    /// Checks that a starting task is not already running on another machine.
+    fn check_not_running_elsewhere(&mut self, at: Elapsed, task: &TaskOnMachine, name: &str) {
         let same = |other: &&TaskOnMachine| other.job == task.job && other.index == task.index;
         if let Some(other) = self.running.keys().find(same) {
-            let description = format!("{name} while on {}", other.machine);
+            let description = format!("{name} started while running on {}", other.machine);
             self.add_finding(Rule::RanTwice, at, description);
         }
     }
 
-    /// All tasks of the dependencies of a job that starts have completed.
-    fn check_dependencies(&mut self, at: At, job: usize, name: &str) {
+    /// Checks that all tasks of a starting job's dependencies have completed.
+    fn check_dependencies(&mut self, at: Elapsed, job: usize, name: &str) {
         let is_incomplete = |dependency: &&usize| {
             (self.observed_jobs[**dependency].completed_tasks.len() as u32) < self.jobs[**dependency].tasks
         };
         if let Some(&dependency) = self.jobs[job].dependencies.iter().find(is_incomplete) {
-            let description = format!("{name} before {} is done", self.name(dependency));
+            let description = format!("{name} started before {} was done", self.name(dependency));
             self.add_finding(Rule::TooEarly, at, description);
         }
     }
 
-    /// A task runs where its job allows, together with the job's other tasks.
-    fn check_place(&mut self, at: At, job: usize, zone: &'static str, spot: bool, name: &str) {
-        let of_job = self.running.iter().filter(|(other, _)| other.job == job);
-        let zones: Vec<&str> = of_job.map(|(_, (zone, _))| *zone).collect();
+    /// Checks a task's zone and spot instance against the placement constraints of its job.
+    fn check_placement(&mut self, at: Elapsed, job: usize, zone: &'static str, spot: bool, name: &str) {
+        let tasks_of_job = self.running.iter().filter(|(other, _)| other.job == job);
+        let zones: Vec<&str> = tasks_of_job.map(|(_, (zone, _))| *zone).collect();
         let in_zone = zones.iter().filter(|other| **other == zone).count() as u32;
         let job = &self.jobs[job];
         let is_misplaced = (spot && !job.spot)
@@ -246,29 +260,34 @@
             || (job.one_zone && zones.iter().any(|other| *other != zone))
             || (job.spread && in_zone > job.tasks.div_ceil(2));
         if is_misplaced {
-            self.add_finding(Rule::WrongPlace, at, format!("{name} in {zone}, its tasks are in {zones:?}"));
+            self.add_finding(
+                Rule::WrongPlace,
+                at,
+                format!("{name} in {zone}, the job's tasks are in {zones:?}"),
+            );
         }
     }
 
-    /// The running tasks of the limited team stay within its quota.
-    fn check_quota(&mut self, at: At, job: usize) {
+    /// Checks that the running tasks of the limited team stay within its quota.
+    fn check_quota(&mut self, at: Elapsed, job: usize) {
         let running_jobs = self.running.keys().map(|other| &self.jobs[other.job]);
         let of_team = running_jobs.filter(|job| job.team == LIMITED_TEAM);
         let used: f64 = of_team.map(|job| job.cpus).sum();
         let limit = self.parameters.team_cpu_limit;
         if self.jobs[job].team == LIMITED_TEAM && used > limit + 1e-6 {
-            self.add_finding(Rule::Quota, at, format!("{used} CPUs of {limit}"));
+            self.add_finding(Rule::Quota, at, format!("{used} CPUs used, the quota is {limit}"));
         }
     }
 
-    fn handle_task_removed(&mut self, at: At, task: &TaskOnMachine) {
+    fn handle_task_removed(&mut self, at: Elapsed, task: &TaskOnMachine) {
         if let Some((_, since)) = self.running.remove(task) {
-            self.check_stay(task, since, at);
+            self.check_task_end(task, since, at);
         }
     }
 
-    /// A task was on its machine from `since` to `until`.
-    fn check_stay(&mut self, task: &TaskOnMachine, since: At, until: At) {
+    /// Checks that a task that ran from `since` to `until` ended soon enough after its job was
+    /// reported cancelled or done.
+    fn check_task_end(&mut self, task: &TaskOnMachine, since: Elapsed, until: Elapsed) {
         let name = format!("{}/{} on {}", self.name(task.job), task.index, task.machine);
         let bound = self.parameters.cancel_within + self.parameters.max_lag;
         if let Some(reported) = self.cancellation_reported_at(task.job)
@@ -278,39 +297,47 @@
             self.add_finding(
                 Rule::RanCancelled,
                 until,
-                format!("{name} until then, reported at {reported:?}"),
+                format!("{name} ran until then, cancellation reported at {reported:?}"),
             );
         }
         if let Some((JobState::Done, reported)) = self.observed_jobs[task.job].reported
             && until > reported + bound
         {
-            self.add_finding(Rule::OrphanedTask, until, format!("{name} after its job was done"));
+            self.add_finding(
+                Rule::OrphanedTask,
+                until,
+                format!("{name} still ran after its job was reported done"),
+            );
         }
     }
 
-    fn handle_invalid_request(&mut self, at: At, expected: u16, status: u16) {
+    fn handle_invalid_request(&mut self, at: Elapsed, expected: u16, status: u16) {
         let refused = status == expected || matches!(status, 429 | 503 | 504);
         match (refused, expected) {
             (true, _) => {}
-            (false, 404) => self.add_finding(Rule::Invented, at, format!("{status} for an unknown job")),
+            (false, 404) => {
+                self.add_finding(Rule::Invented, at, format!("status {status} for an unknown job"));
+            }
             (false, _) => {
-                self.add_finding(Rule::AcceptedOdd, at, format!("{status} where {expected} was due"));
+                self.add_finding(Rule::AcceptedOdd, at, format!("status {status}, expected {expected}"));
             }
         }
     }
 
-    fn handle_answer(
+    fn handle_response(
         &mut self,
-        at: At,
+        at: Elapsed,
         job: usize,
         request: UserRequest,
-        asked: At,
-        answer: (u16, Option<JobState>),
-        by: &str,
+        sent_at: Elapsed,
+        status_and_state: (u16, Option<JobState>),
+        response: &str,
     ) {
-        let description = format!("{}: {by}, asked at {:.2} s", self.name(job), asked.as_secs_f64());
-        let was_accepted = self.observed_jobs[job].accepted_at.is_some_and(|accepted_at| accepted_at < asked);
-        match answer {
+        let description =
+            format!("{}: {response}, request sent at {:.2} s", self.name(job), sent_at.as_secs_f64());
+        let was_accepted =
+            self.observed_jobs[job].accepted_at.is_some_and(|accepted_at| accepted_at < sent_at);
+        match status_and_state {
             (404, _) if was_accepted => self.add_finding(Rule::Forgotten, at, description),
             (400 | 422, _) if was_accepted || request == UserRequest::Submit => {
                 self.add_finding(Rule::Forgotten, at, description);
@@ -318,8 +345,8 @@
             (200 | 201, Some(state)) => {
                 let observed = &mut self.observed_jobs[job];
                 observed.accepted_at.get_or_insert(at);
-                observed.answered_at = at;
-                self.check_state(at, job, request, asked, state, description);
+                observed.last_response_at = at;
+                self.check_state(at, job, request, sent_at, state, description);
             }
             _ => {}
         }
@@ -327,21 +354,25 @@
 
     fn check_state(
         &mut self,
-        at: At,
+        at: Elapsed,
         job: usize,
         request: UserRequest,
-        asked: At,
+        sent_at: Elapsed,
         state: JobState,
         description: String,
     ) {
         let observed = &self.observed_jobs[job];
-        let goes_back = observed.reported.is_some_and(|(reported, when)| reported != state && when < asked);
-        let may_be_cancelled = self.ancestors[job].iter().chain([&job]).any(|other| {
+        let reverts_terminal_state =
+            observed.reported.is_some_and(|(reported, when)| reported != state && when < sent_at);
+        let cancellation_requested = self.ancestors[job].iter().chain([&job]).any(|other| {
             let other = &self.observed_jobs[*other];
             other.cancel_requested_at.is_some() && !matches!(other.reported, Some((JobState::Done, _)))
         });
         let cancel_without_effect = request == UserRequest::Cancel && !state.is_terminal();
-        if goes_back || cancel_without_effect || (state == JobState::Cancelled && !may_be_cancelled) {
+        if reverts_terminal_state
+            || cancel_without_effect
+            || (state == JobState::Cancelled && !cancellation_requested)
+        {
             self.add_finding(Rule::WentBack, at, description.clone());
         }
         let complete = self.observed_jobs[job].completed_tasks.len() as u32 == self.jobs[job].tasks;
@@ -356,7 +387,7 @@
             }
         });
         if !state.is_terminal()
-            && cancelled_dependencies.min().is_some_and(|reported| asked > reported + bound)
+            && cancelled_dependencies.min().is_some_and(|reported| sent_at > reported + bound)
         {
             self.add_finding(Rule::OrphanedJob, at, description);
         }
@@ -368,9 +399,9 @@
     fn finish(&mut self) {
         let end = self.parameters.end;
         for (task, (_, since)) in std::mem::take(&mut self.running) {
-            self.check_stay(&task, since, end);
+            self.check_task_end(&task, since, end);
         }
-        if self.starts == 0 {
+        if self.task_starts == 0 {
             self.add_finding(Rule::NothingRan, end, "no task was started".into());
         }
         let settled_by = end.saturating_sub(self.parameters.settle_time);
@@ -380,9 +411,12 @@
             else {
                 continue;
             };
-            if observed.answered_at < settled_by.max(self.parameters.faults_end_at) {
-                let description =
-                    format!("{}: no answer since {:?}", self.name(job), self.observed_jobs[job].answered_at);
+            if observed.last_response_at < settled_by.max(self.parameters.faults_end_at) {
+                let description = format!(
+                    "{}: no response since {:?}",
+                    self.name(job),
+                    self.observed_jobs[job].last_response_at
+                );
                 self.add_finding(Rule::Forgotten, end, description);
                 continue;
             }
--- a/tests/soak/checker_tests.rs
+++ b/tests/soak/checker_tests.rs
@@ -1,12 +1,12 @@
-//! For each rule a small history that breaks it, and one that just does not.
+//! Tests each rule with a short history that breaks it and a similar one that only just does not.
 
 use std::time::Duration;
 
 use super::checker::{CheckParameters, Rule, check};
-use super::history::{At, Entry, Event, JobState, TaskOnMachine, UserRequest};
+use super::history::{Elapsed, Entry, Event, JobState, TaskOnMachine, UserRequest};
 use super::jobs::Job;
 
-fn seconds(seconds: f64) -> At {
+fn seconds(seconds: f64) -> Elapsed {
     Duration::from_secs_f64(seconds)
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A job of two tasks that depends on these.
+/// A job with two tasks and these dependencies.
 fn job(n: usize, dependencies: &[usize]) -> Job {
     Job {
         id: format!("job-{n:06}"),
@@ -41,7 +41,7 @@
     }
 }
 
-/// A chain of three.
+/// Three jobs, each of which depends on the previous one.
 fn chain() -> Vec<Job> {
     vec![job(0, &[]), job(1, &[0]), job(2, &[1])]
 }
@@ -57,15 +57,15 @@
 
 fn assert_finds(rule: Rule, jobs: &[Job], history: &[TimedEvent]) {
     let found = found_rules(jobs, history);
-    assert!(found.contains(&rule), "{rule:?} is not found: {found:?}");
+    assert!(found.contains(&rule), "{rule:?} was not reported: {found:?}");
 }
 
 fn assert_does_not_find(rule: Rule, jobs: &[Job], history: &[TimedEvent]) {
     let found = found_rules(jobs, history);
-    assert!(!found.contains(&rule), "{rule:?} is found wrongly: {found:?}");
+    assert!(!found.contains(&rule), "{rule:?} was reported by mistake: {found:?}");
 }
 
-fn on(job: usize, index: u32, machine: &str) -> TaskOnMachine {
+fn task_on(job: usize, index: u32, machine: &str) -> TaskOnMachine {
     TaskOnMachine { job, index, machine: machine.into() }
 }
 
@@ -74,27 +74,27 @@
 }
 
 fn started(job: usize, index: u32, machine: &str) -> Event {
-    started_in("z1", false, on(job, index, machine))
+    started_in("z1", false, task_on(job, index, machine))
 }
 
 fn removed(job: usize, index: u32, machine: &str) -> Event {
-    Event::TaskRemoved { task: on(job, index, machine) }
+    Event::TaskRemoved { task: task_on(job, index, machine) }
 }
 
 fn completed(job: usize, index: u32) -> Event {
     Event::TaskCompleted { job, index }
 }
 
-fn answered(job: usize, request: UserRequest, asked: f64, status: u16, state: Option<JobState>) -> Event {
-    Event::Answered { job, request, asked: seconds(asked), controller: 0, status, state }
+fn response(job: usize, request: UserRequest, sent_at: f64, status: u16, state: Option<JobState>) -> Event {
+    Event::ResponseReceived { job, request, sent_at: seconds(sent_at), controller: 0, status, state }
 }
 
-fn polled(job: usize, asked: f64, state: JobState) -> Event {
-    answered(job, UserRequest::Poll, asked, 200, Some(state))
+fn polled(job: usize, sent_at: f64, state: JobState) -> Event {
+    response(job, UserRequest::Poll, sent_at, 200, Some(state))
 }
 
 fn accepted(job: usize) -> TimedEvent {
-    (1.0, answered(job, UserRequest::Submit, 0.9, 201, Some(JobState::Queued)))
+    (1.0, response(job, UserRequest::Submit, 0.9, 201, Some(JobState::Queued)))
 }
 
 /// The first job of a chain is cancelled; a user gets the confirmation at 10 s.
@@ -104,12 +104,12 @@
         accepted(1),
         accepted(2),
         (9.0, Event::CancelRequested { job: 0 }),
-        (10.0, answered(0, UserRequest::Cancel, 9.0, 200, Some(JobState::Cancelled))),
+        (10.0, response(0, UserRequest::Cancel, 9.0, 200, Some(JobState::Cancelled))),
     ]
 }
 
-/// A history, followed by more events.
-fn with(mut history: Vec<TimedEvent>, more: &[TimedEvent]) -> Vec<TimedEvent> {
+/// Appends events to a history.
+fn followed_by(mut history: Vec<TimedEvent>, more: &[TimedEvent]) -> Vec<TimedEvent> {
     history.extend_from_slice(more);
     history
 }
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_team_beyond_its_quota_is_found() {
+fn a_team_over_its_quota_is_found() {
     let three = [(2.0, started(0, 0, "a")), (2.1, started(0, 1, "b")), (2.2, started(1, 0, "c"))];
     assert_finds(Rule::Quota, &chain(), &three);
     assert_does_not_find(Rule::Quota, &chain(), &three[..2]);
@@ -133,19 +133,19 @@
 }
 
 #[test]
-fn a_task_where_its_job_does_not_allow_it_is_found() {
+fn a_task_that_violates_placement_constraints_is_found() {
     let changed = |change: fn(&mut Job)| {
         let mut jobs = chain();
         change(&mut jobs[0]);
         jobs
     };
-    let in_z2 = [(2.0, started_in("z2", false, on(0, 0, "a")))];
+    let in_z2 = [(2.0, started_in("z2", false, task_on(0, 0, "a")))];
     assert_finds(Rule::WrongPlace, &changed(|job| job.zone = Some("z1")), &in_z2);
     assert_does_not_find(Rule::WrongPlace, &changed(|job| job.zone = Some("z2")), &in_z2);
-    let on_spot = [(2.0, started_in("z1", true, on(0, 0, "a")))];
+    let on_spot = [(2.0, started_in("z1", true, task_on(0, 0, "a")))];
     assert_finds(Rule::WrongPlace, &chain(), &on_spot);
     assert_does_not_find(Rule::WrongPlace, &changed(|job| job.spot = true), &on_spot);
-    let apart = [(2.0, started(0, 0, "a")), (2.1, started_in("z2", false, on(0, 1, "b")))];
+    let apart = [(2.0, started(0, 0, "a")), (2.1, started_in("z2", false, task_on(0, 1, "b")))];
     assert_finds(Rule::WrongPlace, &changed(|job| job.one_zone = true), &apart);
     assert_does_not_find(Rule::WrongPlace, &changed(|job| job.spread = true), &apart);
     let together = [(2.0, started(0, 0, "a")), (2.1, started(0, 1, "b"))];
@@ -155,33 +155,47 @@
 
 #[test]
 fn a_task_that_outlives_its_cancelled_job_is_found() {
-    let stays = |until: f64| with(cancelled_at_10(), &[(until, removed(0, 0, "a"))]);
-    let running = |history: Vec<TimedEvent>| with(vec![(2.0, started(0, 0, "a"))], &history);
+    let stays = |until: f64| followed_by(cancelled_at_10(), &[(until, removed(0, 0, "a"))]);
+    let running = |history: Vec<TimedEvent>| followed_by(vec![(2.0, started(0, 0, "a"))], &history);
     assert_finds(Rule::RanCancelled, &chain(), &running(stays(26.5)));
     assert_does_not_find(Rule::RanCancelled, &chain(), &running(stays(26.3)));
-    // A task that runs to the end, and one of a dependent that starts too late.
+    // A task that runs until the end of the run, and a task of a dependent job that starts too late.
     assert_finds(Rule::RanCancelled, &chain(), &running(cancelled_at_10()));
-    assert_finds(Rule::RanCancelled, &chain(), &with(cancelled_at_10(), &[(27.0, started(2, 0, "a"))]));
+    assert_finds(
+        Rule::RanCancelled,
+        &chain(),
+        &followed_by(cancelled_at_10(), &[(27.0, started(2, 0, "a"))]),
+    );
 }
 
 #[test]
 fn a_start_long_after_the_cancellation_is_found() {
-    let start =
-        |at| with(cancelled_at_10(), &[(at, Event::StartReceived { task: on(1, 0, "a"), attempt: 1 })]);
+    let start = |at| {
+        followed_by(cancelled_at_10(), &[(at, Event::StartReceived { task: task_on(1, 0, "a"), attempt: 1 })])
+    };
     assert_finds(Rule::StartedCancelled, &chain(), &start(14.5));
     assert_does_not_find(Rule::StartedCancelled, &chain(), &start(14.3));
 }
 
 #[test]
 fn an_accepted_job_that_is_unknown_later_is_found() {
-    let answer =
-        |request, asked, status| vec![accepted(0), (asked + 0.1, answered(0, request, asked, status, None))];
-    assert_finds(Rule::Forgotten, &chain(), &answer(UserRequest::Poll, 2.0, 404));
-    assert_finds(Rule::Forgotten, &chain(), &answer(UserRequest::Submit, 2.0, 422));
-    let lately = [(95.0, polled(0, 94.9, JobState::Running))];
-    assert_does_not_find(Rule::Forgotten, &chain(), &with(answer(UserRequest::Poll, 0.5, 404), &lately));
-    assert_does_not_find(Rule::Forgotten, &chain(), &with(answer(UserRequest::Poll, 2.0, 503), &lately));
-    // Asked, and no response any more.
+    let accepted_then = |request, sent_at, status| {
+        vec![accepted(0), (sent_at + 0.1, response(0, request, sent_at, status, None))]
+    };
+    assert_finds(Rule::Forgotten, &chain(), &accepted_then(UserRequest::Poll, 2.0, 404));
+    assert_finds(Rule::Forgotten, &chain(), &accepted_then(UserRequest::Submit, 2.0, 422));
+    let recent_poll = [(95.0, polled(0, 94.9, JobState::Running))];
+    assert_does_not_find(
+        Rule::Forgotten,
+        &chain(),
+        &followed_by(accepted_then(UserRequest::Poll, 0.5, 404), &recent_poll),
+    );
+    assert_does_not_find(
+        Rule::Forgotten,
+        &chain(),
+        &followed_by(accepted_then(UserRequest::Poll, 2.0, 503), &recent_poll),
+    );
+    // Requests about the job stop getting responses.
     assert_finds(Rule::Forgotten, &chain(), &[accepted(0), (69.0, polled(0, 68.9, JobState::Running))]);
     assert_does_not_find(
         Rule::Forgotten,
@@ -191,7 +205,7 @@
 }
 
 #[test]
-fn invented_jobs_and_accepted_invalid_ones_are_found() {
+fn unsubmitted_jobs_and_accepted_invalid_submissions_are_found() {
     let response = |expected, status| [(2.0, Event::InvalidRequest { expected, status })];
     assert_finds(Rule::Invented, &chain(), &response(404, 200));
     assert_does_not_find(Rule::Invented, &chain(), &response(404, 503));
@@ -202,7 +216,7 @@
 }
 
 #[test]
-fn a_job_called_done_before_its_tasks_is_found() {
+fn a_job_reported_done_before_its_tasks_is_found() {
     let reported = (4.0, polled(0, 3.9, JobState::Done));
     assert_finds(Rule::NotDone, &chain(), &[accepted(0), (2.0, completed(0, 0)), reported.clone()]);
     let both = [accepted(0), (2.0, completed(0, 0)), (3.0, completed(0, 1)), reported];
@@ -210,23 +224,23 @@
 }
 
 #[test]
-fn a_state_that_is_taken_back_is_found() {
+fn a_terminal_state_that_changes_is_found() {
     let done =
         [accepted(0), (2.0, completed(0, 0)), (2.0, completed(0, 1)), (3.0, polled(0, 2.9, JobState::Done))];
-    let again = |asked, state| with(done.to_vec(), &[(asked + 0.5, polled(0, asked, state))]);
+    let again = |sent_at, state| followed_by(done.to_vec(), &[(sent_at + 0.5, polled(0, sent_at, state))]);
     assert_finds(Rule::WentBack, &chain(), &again(3.1, JobState::Running));
     assert_does_not_find(Rule::WentBack, &chain(), &again(3.1, JobState::Done));
-    // Asked before the terminal state was reported: another controller need not know it yet.
+    // Sent before the terminal state was reported: another controller may not know it yet.
     assert_does_not_find(Rule::WentBack, &chain(), &again(2.8, JobState::Running));
-    // Called cancelled, although nobody has cancelled it or one of its dependencies.
+    // Reported cancelled, although neither the job nor a dependency was cancelled.
     assert_finds(Rule::WentBack, &chain(), &[accepted(2), (3.0, polled(2, 2.9, JobState::Cancelled))]);
     assert_does_not_find(
         Rule::WentBack,
         &chain(),
-        &with(cancelled_at_10(), &[(11.0, polled(2, 10.9, JobState::Cancelled))]),
+        &followed_by(cancelled_at_10(), &[(11.0, polled(2, 10.9, JobState::Cancelled))]),
     );
-    let nothing = answered(0, UserRequest::Cancel, 9.0, 200, Some(JobState::Running));
-    assert_finds(Rule::WentBack, &chain(), &[accepted(0), (10.0, nothing)]);
+    let ineffective_cancel = response(0, UserRequest::Cancel, 9.0, 200, Some(JobState::Running));
+    assert_finds(Rule::WentBack, &chain(), &[accepted(0), (10.0, ineffective_cancel)]);
 }
 
 #[test]
@@ -239,12 +253,13 @@
 fn a_start_before_the_dependencies_are_done_is_found() {
     let early_start = [(2.0, completed(0, 0)), (4.0, started(1, 0, "a"))];
     assert_finds(Rule::TooEarly, &chain(), &early_start);
-    assert_does_not_find(Rule::TooEarly, &chain(), &with(vec![(1.0, completed(0, 1))], &early_start));
+    assert_does_not_find(Rule::TooEarly, &chain(), &followed_by(vec![(1.0, completed(0, 1))], &early_start));
 }
 
 #[test]
 fn a_dependent_that_outlives_its_cancelled_dependency_is_found() {
-    let reported = |asked, state| with(cancelled_at_10(), &[(asked + 0.1, polled(2, asked, state))]);
+    let reported =
+        |sent_at, state| followed_by(cancelled_at_10(), &[(sent_at + 0.1, polled(2, sent_at, state))]);
     assert_finds(Rule::OrphanedJob, &chain(), &reported(26.5, JobState::Queued));
     assert_does_not_find(Rule::OrphanedJob, &chain(), &reported(26.3, JobState::Queued));
     assert_does_not_find(Rule::OrphanedJob, &chain(), &reported(40.0, JobState::Cancelled));
@@ -254,20 +269,24 @@
 fn a_task_that_outlives_its_done_job_is_found() {
     let done =
         [accepted(0), (2.0, completed(0, 0)), (2.0, completed(0, 1)), (3.0, polled(0, 2.9, JobState::Done))];
-    let copy = |until| with(done.to_vec(), &[(2.5, started(0, 0, "b")), (until, removed(0, 0, "b"))]);
+    let copy = |until| followed_by(done.to_vec(), &[(2.5, started(0, 0, "b")), (until, removed(0, 0, "b"))]);
     assert_finds(Rule::OrphanedTask, &chain(), &copy(19.5));
     assert_does_not_find(Rule::OrphanedTask, &chain(), &copy(19.3));
-    assert_finds(Rule::OrphanedTask, &chain(), &with(done.to_vec(), &[(2.5, started(0, 0, "b"))]));
+    assert_finds(Rule::OrphanedTask, &chain(), &followed_by(done.to_vec(), &[(2.5, started(0, 0, "b"))]));
 }
 
 #[test]
 fn a_ready_job_that_never_starts_is_found() {
-    let lately = |job| (95.0, polled(job, 94.9, JobState::Queued));
-    assert_finds(Rule::Starved, &chain(), &[accepted(0), lately(0)]);
-    assert_does_not_find(Rule::Starved, &chain(), &[accepted(0), (90.0, started(0, 0, "a")), lately(0)]);
-    // It waits for a dependency that is not done, or was accepted too late to have started.
-    assert_does_not_find(Rule::Starved, &chain(), &[accepted(1), lately(1)]);
-    assert_does_not_find(Rule::Starved, &chain(), &[(75.0, polled(0, 74.9, JobState::Queued)), lately(0)]);
+    let recent_poll = |job| (95.0, polled(job, 94.9, JobState::Queued));
+    assert_finds(Rule::Starved, &chain(), &[accepted(0), recent_poll(0)]);
+    assert_does_not_find(Rule::Starved, &chain(), &[accepted(0), (90.0, started(0, 0, "a")), recent_poll(0)]);
+    // The job waits for a dependency that is not done, or was accepted too late to have started.
+    assert_does_not_find(Rule::Starved, &chain(), &[accepted(1), recent_poll(1)]);
+    assert_does_not_find(
+        Rule::Starved,
+        &chain(),
+        &[(75.0, polled(0, 74.9, JobState::Queued)), recent_poll(0)],
+    );
 }
 
 #[test]
--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -1,4 +1,4 @@
-//! Test double of the cloud provider: node pools, deletions, and an inventory that lags behind.
+//! Test double of the cloud provider: node pools, machine deletion, and a delayed inventory.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,18 +17,18 @@
 use super::jobs::{MACHINE_CPUS, ZONES};
 use super::workers::{self, Identity, MachineFault, WorkerContext, WorkerHandle};
 
-/// The inventory shows a machine's creation and deletion late by this much.
+/// How long after a machine's creation or deletion the inventory shows it.
 pub const LIST_LAG: Duration = Duration::from_secs(1);
-/// How long machines usually take to boot, in seconds.
+/// Typical boot time of a machine, in seconds.
 const BOOT_S: f64 = 1.5;
-/// Most machines in a node pool.
+/// Maximum number of machines in a node pool.
 const MAX_POOL_SIZE: u64 = 50;
-/// Most connections to the cloud.
+/// Maximum number of connections to the cloud.
 const CONNECTIONS: usize = 64;
-/// Time that a response takes.
+/// Delay before each response.
 const RESPONSE_DELAY: Duration = Duration::from_millis(20);
-/// Machines in a page of the inventory, if the request does not say.
-const DEFAULT_PAGE: usize = 500;
+/// Machines per page of the inventory if the request does not specify a page size.
+const DEFAULT_PAGE_SIZE: usize = 500;
 
 enum Message {
     Request {
@@ -40,15 +40,15 @@
         worker: WorkerHandle,
     },
     Outage {
-        lasts: Duration,
+        duration: Duration,
     },
-    /// This share of the machines has the fault.
+    /// Begins a fault of this share of the machines.
     InjectMachineFault {
         share: f64,
         fault: MachineFault,
     },
-    /// This share of the machines is lost, with all tasks on them.
-    EndMachines {
+    /// Terminates this share of the machines, with all tasks on them.
+    TerminateMachines {
         share: f64,
     },
 }
@@ -57,7 +57,7 @@
     zone: &'static str,
     spot: bool,
     created_at: Instant,
-    /// `None` while it boots, and after its deletion.
+    /// `None` while the machine boots, and after its deletion.
     worker: Option<WorkerHandle>,
     deleted_at: Option<Instant>,
 }
@@ -66,7 +66,7 @@
     machines: BTreeMap<String, Machine>,
     /// Names of the machines of each node pool, by the pool's name.
     node_pools: BTreeMap<String, Vec<String>>,
-    /// Most machines at once.
+    /// Maximum number of machines at a time.
     capacity: u64,
     machines_created: u64,
     outage_until: Instant,
@@ -79,12 +79,12 @@
 #[derive(Debug, Clone)]
 pub struct Cloud {
     messages: mpsc::UnboundedSender<Message>,
-    /// Where the cloud listens.
+    /// The address that the cloud listens on.
     pub address: SocketAddr,
 }
 
 impl Cloud {
-    /// Starts the cloud with room for `capacity` machines, half of them running.
+    /// Starts the cloud with a capacity of `capacity` machines, and creates half of them.
     ///
     /// # Errors
     ///
@@ -92,10 +92,10 @@
     pub async fn start(seed: u64, capacity: u64, context: Arc<WorkerContext>) -> std::io::Result<Self> {
         let (messages, mut inbox) = mpsc::unbounded_channel();
         let to_actor = messages.clone();
-        let pass_on = move |request, reply| {
+        let forward = move |request, reply| {
             let _ = to_actor.send(Message::Request { request, reply });
         };
-        let address = listen(CONNECTIONS, MAX_BODY, pass_on).await?.address;
+        let address = listen(CONNECTIONS, MAX_BODY, forward).await?.address;
         let now = Instant::now();
         let mut state = State {
             machines: BTreeMap::new(),
@@ -118,9 +118,9 @@
         Ok(Cloud { messages, address })
     }
 
-    /// Every request gets 503 for so long.
-    pub fn begin_outage(&self, lasts: Duration) {
-        let _ = self.messages.send(Message::Outage { lasts });
+    /// Responds to every request with 503 for `duration`.
+    pub fn begin_outage(&self, duration: Duration) {
+        let _ = self.messages.send(Message::Outage { duration });
     }
 
     /// Begins a fault of this share of the machines.
@@ -128,9 +128,9 @@
         let _ = self.messages.send(Message::InjectMachineFault { share, fault });
     }
 
-    /// This share of the machines is lost, with all tasks on them.
-    pub fn end_machines(&self, share: f64) {
-        let _ = self.messages.send(Message::EndMachines { share });
+    /// Terminates this share of the machines, with all tasks on them.
+    pub fn terminate_machines(&self, share: f64) {
+        let _ = self.messages.send(Message::TerminateMachines { share });
     }
 }
 
@@ -162,7 +162,7 @@
                 Some(machine) if machine.deleted_at.is_none() => machine.worker = Some(worker),
                 _ => drop(tokio::spawn(async move { worker.remove().await })),
             },
-            Message::Outage { lasts } => self.outage_until = now + lasts,
+            Message::Outage { duration } => self.outage_until = now + duration,
             Message::InjectMachineFault { share, fault } => {
                 for worker in self.machines.values().filter_map(|machine| machine.worker.as_ref()) {
                     if self.rng.random_bool(share) {
@@ -170,7 +170,7 @@
                     }
                 }
             }
-            Message::EndMachines { share } => {
+            Message::TerminateMachines { share } => {
                 let names: Vec<String> = self.machines.keys().cloned().collect();
                 for name in names {
                     if self.rng.random_bool(share) {
@@ -182,27 +182,27 @@
     }
 
     fn handle_request(&mut self, now: Instant, request: &Request, reply: oneshot::Sender<Response>) {
-        let mut deleted = Vec::new();
-        let answer = if now < self.outage_until {
+        let mut deleted_workers = Vec::new();
+        let response_to_send = if now < self.outage_until {
             response(503, &error_body("trouble"))
         } else {
             match request.target.split('?').next() {
                 Some("/catalog") => response(200, &catalog()),
                 Some("/machines/delete") => {
-                    deleted = self.delete(now, &request.body);
+                    deleted_workers = self.delete(now, &request.body);
                     response(200, &MapBuilder::new().build())
                 }
                 Some("/machines") if request.method == "POST" => self.create_node_pool(now, &request.body),
-                _ => self.list(now, &request.target),
+                _ => self.list_machines(now, &request.target),
             }
         };
         tokio::spawn(async move {
-            // By the time of the response no task is left on them.
-            for worker in deleted {
+            // No task may be left on the deleted machines when the response is sent.
+            for worker in deleted_workers {
                 worker.remove().await;
             }
             tokio::time::sleep(RESPONSE_DELAY).await;
-            let _ = reply.send(answer);
+            let _ = reply.send(response_to_send);
         });
     }
 
@@ -212,7 +212,7 @@
         names.unwrap_or_default().iter().filter_map(|name| self.remove(now, name)).collect()
     }
 
-    /// Deletes a machine and ends its worker, which is returned if there is one.
+    /// Deletes a machine and stops its worker. Returns the worker if there is one.
     fn remove(&mut self, now: Instant, name: &str) -> Option<WorkerHandle> {
         let machine = self.machines.get_mut(name)?;
         machine.deleted_at.get_or_insert(now);
@@ -250,7 +250,7 @@
         response(200, &MapBuilder::new().set("benches", names).build())
     }
 
-    /// Creates a machine whose worker starts once it has booted; returns its name.
+    /// Creates a machine whose worker starts after the machine has booted. Returns its name.
     fn create_machine(&mut self, now: Instant, zone: &'static str, spot: bool, boot: Duration) -> String {
         self.machines_created += 1;
         let name = format!("vm-{:06}", self.machines_created);
@@ -268,11 +268,14 @@
         name
     }
 
-    fn list(&self, now: Instant, target: &str) -> Response {
+    /// Returns a page of the inventory.
+    fn list_machines(&self, now: Instant, target: &str) -> Response {
         let query = target.split_once('?').map_or("", |(_, query)| query);
-        let field = |name: &str| query.split('&').find_map(|part| part.strip_prefix(name));
-        let from = field("from=").unwrap_or_default();
-        let count: usize = field("page=").and_then(|page| page.parse().ok()).unwrap_or(DEFAULT_PAGE);
+        let query_parameter =
+            |parameter: &str| query.split('&').find_map(|part| part.strip_prefix(parameter));
+        let from = query_parameter("from=").unwrap_or_default();
+        let count: usize =
+            query_parameter("page=").and_then(|page| page.parse().ok()).unwrap_or(DEFAULT_PAGE_SIZE);
         let is_shown = |machine: &Machine| {
             now >= machine.created_at + LIST_LAG && machine.deleted_at.is_none_or(|at| now < at + LIST_LAG)
         };
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run: what could be observed outside the controllers.
+//! The history of a run: the events that are observable from outside the controllers.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use tokio::time::Instant;
 
 /// Time since the beginning of the run.
-pub type At = Duration;
+pub type Elapsed = Duration;
 
-/// What a user asks of a controller about a job.
+/// A user's request to a controller about a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UserRequest {
     /// Submit the job, for the first time or again.
     Submit,
-    /// Return the job's state.
+    /// Get the job's state.
     Poll,
     /// Cancel the job.
     Cancel,
@@ -31,15 +31,15 @@
     pub machine: String,
 }
 
-/// Something that was observed. Jobs and controllers are given by their indices.
+/// An observed event. Jobs and controllers are identified by index.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A user got a response about a job.
-    Answered {
+    /// A user received a response about a job.
+    ResponseReceived {
         job: usize,
         request: UserRequest,
         /// When the request was sent.
-        asked: At,
+        sent_at: Elapsed,
         controller: usize,
         status: u16,
         /// The job's state, if the response has one.
@@ -47,25 +47,26 @@
     },
     /// A user sends the first request to cancel a job.
     CancelRequested { job: usize },
-    /// The response to a request that must be rejected, or to a poll of an unknown job.
+    /// A user received the response to a request that must be rejected, or to a poll of an unknown
+    /// job.
     InvalidRequest { expected: u16, status: u16 },
-    /// A worker received a start command of this attempt for the first time.
+    /// A worker received the first start command of this attempt.
     StartReceived { task: TaskOnMachine, attempt: u64 },
-    /// A worker received a start command for a job that nobody has submitted.
+    /// A worker received a start command for a job that was never submitted.
     UnknownStartReceived { machine: String },
-    /// A task has fetched its image and runs.
+    /// A task has fetched its image and started to run.
     TaskStarted { task: TaskOnMachine, zone: &'static str, spot: bool },
     /// A task has completed.
     TaskCompleted { job: usize, index: u32 },
-    /// A task is not on the machine any more.
+    /// A task has ended and is no longer on the machine.
     TaskRemoved { task: TaskOnMachine },
     /// The key-value store has committed a transaction.
     Committed { controller: usize, revision: u64, keys: Vec<String> },
     /// A fault begins.
     Fault { description: String },
-    /// A controller's process has ended without having been killed.
+    /// A controller process has exited without being killed.
     ProcessExited { controller: usize, status: String },
-    /// A controller counts a violated invariant in its status.
+    /// A controller reports a violated invariant in its status.
     InvariantViolated { controller: usize, metric: &'static str },
 }
 
@@ -73,12 +74,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     /// When the event was observed.
-    pub at: At,
+    pub at: Elapsed,
     /// What was observed.
     pub event: Event,
 }
 
-/// Records events from all parts of a run.
+/// Records events from all components of a run.
 #[derive(Debug, Clone)]
 pub struct Recorder {
     begin: Instant,
@@ -86,20 +87,20 @@
 }
 
 impl Recorder {
-    /// A recorder for a run that began at this time, and the channel of its entries.
+    /// Returns a recorder for a run that began at `begin`, and the receiver of its entries.
     pub fn new(begin: Instant) -> (Self, mpsc::UnboundedReceiver<Entry>) {
         let (entries, recorded) = mpsc::unbounded_channel();
         (Recorder { begin, entries }, recorded)
     }
 
     /// Time since the beginning of the run.
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Elapsed {
         self.begin.elapsed()
     }
 
-    /// Records an event that happens now.
+    /// Records an event with the current time.
     pub fn record(&self, event: Event) {
-        // Events after the end of the run have no receiver any more.
+        // The receiver is gone after the end of the run; later events are discarded.
         let _ = self.entries.send(Entry { at: self.now(), event });
     }
 }
--- a/tests/soak/http.rs
+++ b/tests/soak/http.rs
@@ -1,5 +1,5 @@
-//! HTTP for the parts of the harness: one listener helper for the servers, one function for
-//! the clients.
+//! HTTP helpers of the harness: a listener for the servers and a request function for the
+//! clients.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// Most bytes in the head of a message.
+/// Maximum size of a message head, in bytes.
 const MAX_HEAD: usize = 8192;
-/// Most bytes in the body of a message, other than those to the key-value store.
+/// Maximum size of a message body, in bytes, except for requests to the key-value store.
 pub const MAX_BODY: usize = 64 * 1024;
-/// How long a connection may be idle, and how long a request may take.
+/// Timeout for idle connections and for requests.
 const SERVER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A server that listens on a free loopback port.
 #[derive(Debug)]
-pub struct Listening {
-    /// Where it listens.
+pub struct RunningServer {
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Stops it; otherwise it ends with the runtime.
-    pub serving: AbortHandle,
+    /// Stops the server, which otherwise runs until the runtime ends.
+    pub abort_handle: AbortHandle,
 }
 
-/// Passes each request on to the actor that answers it, as a message.
+/// Sends each request as a message to the actor that responds to it.
 #[derive(Clone)]
-struct ToActor<F>(F);
+struct ActorHandler<F>(F);
 
-impl<F> Handler for ToActor<F>
+impl<F> Handler for ActorHandler<F>
 where
     F: Fn(Request, oneshot::Sender<Response>) + Clone + Send + Sync + 'static,
 {
@@ -42,41 +42,37 @@
         (self.0)(request, reply);
         match response.await {
             Ok(response) => response,
-            // The actor drops a request that is to get no response: the client times out.
+            // The actor dropped the request so that it gets no response and the client times out.
             Err(_) => std::future::pending().await,
         }
     }
 }
 
-/// Listens on a free loopback port, for at most `connections` connections and bodies of
-/// `max_body` bytes. `pass_on` sends each request to the actor that answers it.
+/// Starts a server on a free loopback port, for at most `max_connections` connections and bodies
+/// of `max_body` bytes. `forward` sends each request to the actor that responds to it.
 ///
 /// # Errors
 ///
 /// If no port is free.
-pub async fn listen<F>(connections: usize, max_body: usize, pass_on: F) -> std::io::Result<Listening>
+pub async fn listen<F>(max_connections: usize, max_body: usize, forward: F) -> std::io::Result<RunningServer>
 where
     F: Fn(Request, oneshot::Sender<Response>) + Clone + Send + Sync + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let limits = Limits { head: MAX_HEAD, body: max_body };
-    let options = ServerOptions {
-        limits,
-        max_connections: connections,
-        idle_timeout: SERVER_TIMEOUT,
-        io_timeout: SERVER_TIMEOUT,
-    };
-    let serving = tokio::spawn(serve(listener, options, ToActor(pass_on))).abort_handle();
-    Ok(Listening { address, serving })
+    let options =
+        ServerOptions { limits, max_connections, idle_timeout: SERVER_TIMEOUT, io_timeout: SERVER_TIMEOUT };
+    let abort_handle = tokio::spawn(serve(listener, options, ActorHandler(forward))).abort_handle();
+    Ok(RunningServer { address, abort_handle })
 }
 
-/// A response with this status and body.
+/// Creates a response with this status and body.
 pub fn response(status: u16, body: &Value) -> Response {
     Response { status, body: encode(body), retry_after_s: None, close: false }
 }
 
-/// Sends a request on a connection of its own; `None` if there was no usable response.
+/// Sends a request on a new connection; returns `None` if there was no valid response.
 pub async fn send(to: SocketAddr, call: HttpCall) -> Option<Response> {
     let limits = Limits { head: MAX_HEAD, body: MAX_BODY };
     PreparedCall::without_pool(to, limits, call).run().await.0.ok()
--- a/tests/soak/kv_server.rs
+++ b/tests/soak/kv_server.rs
@@ -1,9 +1,8 @@
-//! The key-value store of a run: one actor owns the data, the leases and the faults. Each
-//! controller has a listener of its own, so that requests of one controller alone can be
-//! refused.
+//! The key-value store of a run. One actor owns the data, the leases and the faults. Each
+//! controller has its own listener, so that the requests of a single controller can be refused.
 
-/// The data is the same code as that of the library's own test double. It is included here
-/// by its path, as the library has no test double in its public API.
+/// The data of the store, shared with the library's own test double. The file is included by its
+/// path because the library's public API has no test double.
 #[path = "../../src/storage/in_memory_kv/store.rs"]
 mod store;
 
@@ -17,7 +16,7 @@
 use shedtally::protocol::cbor::{Fields, Malformed, MapBuilder, decode};
 use shedtally::settings::KvLimits;
 use shedtally::transport::codec::{Request, Response};
-// `store` finds these by way of its parent.
+// `store` imports these through `super`.
 use shedtally::{protocol, settings};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -26,34 +25,34 @@
 use super::history::{Event, Recorder};
 use super::http::{listen, response};
 
-/// Largest value, in KiB.
+/// Maximum size of a value, in KiB.
 pub const VALUE_KB: f64 = 8.0;
-/// Most puts and deletes in one transaction.
+/// Maximum number of puts and deletes in a transaction.
 pub const TXN_OPS: usize = 24;
-/// Most bytes in the body of a request.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY: usize = 1 << 20;
-/// Most connections of each controller.
+/// Maximum number of connections of each controller.
 const CONNECTIONS: usize = 256;
-/// How often leases and waiting watches are checked; leases may expire late by this much.
-const STEP: Duration = Duration::from_millis(20);
-/// Time that a response usually takes, in seconds.
-const RESPONSE_S: f64 = 0.002;
+/// Interval for checking leases and waiting watches; leases may expire late by this much.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay before a response when there is no fault, in seconds.
+const RESPONSE_DELAY_S: f64 = 0.002;
 
 /// A fault of the key-value store.
 #[derive(Debug, Clone, Copy)]
 pub enum KvFault {
     /// Every request gets 503.
-    Outage { lasts: Duration },
-    /// One controller's requests get 503; its open watches wait.
-    Refuse { controller: usize, lasts: Duration },
-    /// This share of the transactions gets no response and is carried out later.
-    LateWrites { share: f64, lasts: Duration },
-    /// Requests are carried out, but this share of the responses is lost.
-    LostResponses { share: f64, lasts: Duration },
-    /// This share of the transactions is carried out, and once more later.
-    DoubledWrites { share: f64, lasts: Duration },
-    /// This share of the responses is late.
-    SlowResponses { share: f64, lasts: Duration },
+    Outage { duration: Duration },
+    /// One controller's requests get 503; its open watches stay pending.
+    Refuse { controller: usize, duration: Duration },
+    /// This share of the transactions gets no response and is executed later.
+    DelayedWrites { share: f64, duration: Duration },
+    /// Requests are executed, but this share of the responses is lost.
+    LostResponses { share: f64, duration: Duration },
+    /// This share of the transactions is executed, and executed again later.
+    DuplicatedWrites { share: f64, duration: Duration },
+    /// This share of the responses is delayed.
+    DelayedResponses { share: f64, duration: Duration },
 }
 
 enum Message {
@@ -63,9 +62,9 @@
         reply: oneshot::Sender<Response>,
     },
     Fault(KvFault),
-    /// Who holds the key `leader`.
+    /// Requests the name of the controller that holds the key `leader`.
     Leader(oneshot::Sender<Option<String>>),
-    /// A delayed or doubled transaction is carried out now.
+    /// Executes a delayed or duplicated transaction.
     Commit {
         controller: usize,
         body: Vec<u8>,
@@ -80,7 +79,7 @@
     reply: oneshot::Sender<Response>,
 }
 
-/// A fault that hits a share of the requests until a time.
+/// A fault that affects a share of the requests until a given time.
 #[derive(Debug, Clone, Copy)]
 struct PartialFault {
     share: f64,
@@ -93,12 +92,12 @@
     leases_renewed: BTreeMap<u64, Instant>,
     watches: Vec<Watch>,
     outage_until: Instant,
-    /// By controller.
+    /// When the refusal of each controller's requests ends, by controller index.
     refused_until: Vec<Instant>,
-    late_writes: PartialFault,
+    delayed_writes: PartialFault,
     lost_responses: PartialFault,
-    doubled_writes: PartialFault,
-    slow_responses: PartialFault,
+    duplicated_writes: PartialFault,
+    delayed_responses: PartialFault,
     rng: SmallRng,
     recorder: Recorder,
     messages: mpsc::UnboundedSender<Message>,
@@ -108,12 +107,12 @@
 #[derive(Debug, Clone)]
 pub struct KvServer {
     messages: mpsc::UnboundedSender<Message>,
-    /// Where each controller reaches the store.
+    /// The address at which each controller reaches the store.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl KvServer {
-    /// Starts the store with a listener for each controller.
+    /// Starts the store, with a listener for each controller.
     ///
     /// # Errors
     ///
@@ -123,21 +122,21 @@
         let mut addresses = Vec::new();
         for controller in 0..controllers {
             let to_actor = messages.clone();
-            let pass_on = move |request, reply| {
+            let forward = move |request, reply| {
                 let _ = to_actor.send(Message::Request { controller, request, reply });
             };
-            addresses.push(listen(CONNECTIONS, MAX_BODY, pass_on).await?.address);
+            addresses.push(listen(CONNECTIONS, MAX_BODY, forward).await?.address);
         }
         let mut actor = KvActor::new(seed, controllers, recorder, messages.clone());
         tokio::spawn(async move {
-            let mut step = tokio::time::interval(STEP);
+            let mut interval = tokio::time::interval(TICK_INTERVAL);
             loop {
                 tokio::select! {
                     message = inbox.recv() => match message {
                         Some(message) => actor.handle(message),
                         None => return,
                     },
-                    _ = step.tick() => actor.step(Instant::now()),
+                    _ = interval.tick() => actor.tick(Instant::now()),
                 }
             }
         });
@@ -149,7 +148,7 @@
         let _ = self.messages.send(Message::Fault(fault));
     }
 
-    /// Name of the controller that leads by the store's data.
+    /// Name of the leader according to the store's data.
     pub async fn leader(&self) -> Option<String> {
         let (reply, leader) = oneshot::channel();
         let _ = self.messages.send(Message::Leader(reply));
@@ -157,7 +156,7 @@
     }
 }
 
-fn refused() -> Response {
+fn unavailable() -> Response {
     response(503, &MapBuilder::new().build())
 }
 
@@ -182,10 +181,10 @@
             watches: Vec::new(),
             outage_until: now,
             refused_until: vec![now; controllers],
-            late_writes: no_fault,
+            delayed_writes: no_fault,
             lost_responses: no_fault,
-            doubled_writes: no_fault,
-            slow_responses: no_fault,
+            duplicated_writes: no_fault,
+            delayed_responses: no_fault,
             rng: SmallRng::seed_from_u64(seed ^ 0x57a7e),
             recorder,
             messages,
@@ -210,22 +209,27 @@
     }
 
     fn begin_fault(&mut self, now: Instant, fault: KvFault) {
-        let partial = |share, lasts| PartialFault { share, until: now + lasts };
+        let partial = |share, duration| PartialFault { share, until: now + duration };
         match fault {
-            KvFault::Outage { lasts } => self.outage_until = now + lasts,
-            KvFault::Refuse { controller, lasts } => self.refused_until[controller] = now + lasts,
-            KvFault::LateWrites { share, lasts } => self.late_writes = partial(share, lasts),
-            KvFault::LostResponses { share, lasts } => self.lost_responses = partial(share, lasts),
-            KvFault::DoubledWrites { share, lasts } => self.doubled_writes = partial(share, lasts),
-            KvFault::SlowResponses { share, lasts } => self.slow_responses = partial(share, lasts),
+            KvFault::Outage { duration } => self.outage_until = now + duration,
+            KvFault::Refuse { controller, duration } => self.refused_until[controller] = now + duration,
+            KvFault::DelayedWrites { share, duration } => self.delayed_writes = partial(share, duration),
+            KvFault::LostResponses { share, duration } => self.lost_responses = partial(share, duration),
+            KvFault::DuplicatedWrites { share, duration } => {
+                self.duplicated_writes = partial(share, duration);
+            }
+            KvFault::DelayedResponses { share, duration } => {
+                self.delayed_responses = partial(share, duration);
+            }
         }
     }
 
-    /// Whether this request is one of those that the fault hits.
-    fn is_hit(&mut self, now: Instant, fault: PartialFault) -> bool {
+    /// Decides at random whether the fault affects this request.
+    fn is_affected(&mut self, now: Instant, fault: PartialFault) -> bool {
         now < fault.until && self.rng.random_bool(fault.share)
     }
 
+    /// Whether requests from the controller are served.
     fn serves(&self, now: Instant, controller: usize) -> bool {
         now >= self.outage_until && now >= self.refused_until[controller]
     }
@@ -241,29 +245,29 @@
             return self.watch(now, controller, &request.target, reply);
         }
         if !self.serves(now, controller) {
-            let _ = reply.send(refused());
+            let _ = reply.send(unavailable());
             return;
         }
         let is_write = request.target == "/commit";
-        if is_write && self.is_hit(now, self.late_writes) {
-            return self.commit_later(controller, request.body, 1.0..6.0);
+        if is_write && self.is_affected(now, self.delayed_writes) {
+            return self.schedule_commit(controller, request.body, 1.0..6.0);
         }
-        if is_write && self.is_hit(now, self.doubled_writes) {
-            self.commit_later(controller, request.body.clone(), 0.01..6.0);
+        if is_write && self.is_affected(now, self.duplicated_writes) {
+            self.schedule_commit(controller, request.body.clone(), 0.01..6.0);
         }
-        let (status, body) = self.answer(now, controller, &request).unwrap_or_else(|_| malformed());
-        if self.is_hit(now, self.lost_responses) {
+        let (status, body) = self.execute(now, controller, &request).unwrap_or_else(|_| malformed());
+        if self.is_affected(now, self.lost_responses) {
             return;
         }
-        let is_slow = self.is_hit(now, self.slow_responses);
-        let delay_s = if is_slow { self.rng.random_range(0.05..0.8) } else { RESPONSE_S };
+        let is_delayed = self.is_affected(now, self.delayed_responses);
+        let delay_s = if is_delayed { self.rng.random_range(0.05..0.8) } else { RESPONSE_DELAY_S };
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_secs_f64(delay_s)).await;
             let _ = reply.send(response(status, &body));
         });
     }
 
-    fn commit_later(&mut self, controller: usize, body: Vec<u8>, delay_s: std::ops::Range<f64>) {
+    fn schedule_commit(&mut self, controller: usize, body: Vec<u8>, delay_s: std::ops::Range<f64>) {
         let (messages, delay_s) = (self.messages.clone(), self.rng.random_range(delay_s));
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_secs_f64(delay_s)).await;
@@ -271,7 +275,7 @@
         });
     }
 
-    fn answer(
+    fn execute(
         &mut self,
         now: Instant,
         controller: usize,
@@ -332,7 +336,7 @@
             return;
         };
         if !self.serves(now, controller) {
-            let _ = reply.send(refused());
+            let _ = reply.send(unavailable());
             return;
         }
         let wait_ms = query_field(target, "waitMs").and_then(|ms| ms.parse().ok()).unwrap_or(0);
@@ -345,10 +349,10 @@
         });
     }
 
-    /// Ends leases that have expired, and answers watches.
-    fn step(&mut self, now: Instant) {
+    /// Ends expired leases, and responds to watches that have changes or have timed out.
+    fn tick(&mut self, now: Instant) {
         if now < self.outage_until {
-            // After an outage every lease has its full time to live again.
+            // After an outage, every lease starts with its full time to live.
             self.leases_renewed.values_mut().for_each(|renewed| *renewed = now);
             return;
         }
--- a/tests/soak/network.rs
+++ b/tests/soak/network.rs
@@ -1,5 +1,5 @@
-//! Links between the parts of a run: TCP proxies on loopback that keep their port while the
-//! server behind them comes and goes, and that can lose, hold, delay or refuse traffic.
+//! Links between the components of a run: TCP proxies on loopback that keep their port across
+//! restarts of the server behind them, and that can drop, hold, delay or refuse traffic.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,33 +9,33 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What happens to the bytes that are sent in one direction.
+/// How bytes that are sent in one direction are delivered.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Delivery {
-    /// They arrive at once.
-    Open,
-    /// They arrive later.
+    /// Delivered without a delay.
+    Immediate,
+    /// Delivered after a delay.
     Delayed(Duration),
-    /// They arrive once the fault has ended, in order.
+    /// Delivered in order once the fault has ended.
     Held,
-    /// They never arrive, and the connection is lost.
+    /// Dropped, and the connection is lost.
     Lost,
 }
 
-/// Present state of a link.
+/// Current state of a link.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LinkState {
     /// Where the server behind the link listens; `None` while it is down.
     pub target: Option<SocketAddr>,
-    /// New connections are refused, and open ones end.
+    /// Whether new connections are refused and open ones are closed.
     pub refusing: bool,
-    /// From client to server.
+    /// Delivery from client to server.
     pub forward: Delivery,
-    /// From server to client.
+    /// Delivery from server to client.
     pub backward: Delivery,
 }
 
-/// A proxy between two parts: the client that connects and the server that listens.
+/// A proxy between two components: the client that connects and the server that listens.
 #[derive(Debug)]
 pub struct Link {
     /// Where the link listens for the client.
@@ -44,7 +44,7 @@
 }
 
 impl Link {
-    /// Opens a link to the server that listens there, if one does already.
+    /// Opens a link to the server at `target`; `None` if no server is running yet.
     ///
     /// # Errors
     ///
@@ -52,30 +52,35 @@
     pub async fn open(target: Option<SocketAddr>) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let state = LinkState { target, refusing: false, forward: Delivery::Open, backward: Delivery::Open };
+        let state = LinkState {
+            target,
+            refusing: false,
+            forward: Delivery::Immediate,
+            backward: Delivery::Immediate,
+        };
         let (state, state_receiver) = watch::channel(state);
         tokio::spawn(accept(listener, state_receiver));
         Ok(Link { address, state })
     }
 
-    /// From now on new connections go there; `None` refuses them.
+    /// Sets the server for new connections; `None` refuses them.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.state.send_modify(|state| state.target = target);
     }
 
-    /// Sets what happens to bytes in each direction.
+    /// Sets how bytes are delivered in each direction.
     pub fn set_delivery(&self, forward: Delivery, backward: Delivery) {
         self.state.send_modify(|state| (state.forward, state.backward) = (forward, backward));
     }
 
-    /// Refuses new connections and ends open ones, or stops to do so.
+    /// Starts or stops refusing new connections; starting also closes open ones.
     pub fn set_refusing(&self, refusing: bool) {
         self.state.send_modify(|state| state.refusing = refusing);
     }
 
     /// Ends all faults of the link.
     pub fn restore(&self) {
-        self.set_delivery(Delivery::Open, Delivery::Open);
+        self.set_delivery(Delivery::Immediate, Delivery::Immediate);
         self.set_refusing(false);
     }
 }
@@ -83,8 +88,8 @@
 async fn accept(listener: TcpListener, state: watch::Receiver<LinkState>) {
     loop {
         tokio::select! {
-            // The link was dropped with the run.
-            () = closed(state.clone()) => return,
+            // The link has been dropped at the end of the run.
+            () = wait_until_dropped(state.clone()) => return,
             accepted = listener.accept() => {
                 let Ok((client, _)) = accepted else { continue };
                 tokio::spawn(proxy(client, state.clone()));
@@ -93,7 +98,7 @@
     }
 }
 
-async fn closed(mut state: watch::Receiver<LinkState>) {
+async fn wait_until_dropped(mut state: watch::Receiver<LinkState>) {
     while state.changed().await.is_ok() {}
 }
 
@@ -105,22 +110,22 @@
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
     tokio::select! {
-        () = pump(from_client, to_server, state.clone(), |state| state.forward) => {}
-        () = pump(from_server, to_client, state.clone(), |state| state.backward) => {}
-        () = refusing_begins(state) => {}
+        () = forward_bytes(from_client, to_server, state.clone(), |state| state.forward) => {}
+        () = forward_bytes(from_server, to_client, state.clone(), |state| state.backward) => {}
+        () = wait_until_refusing(state) => {}
     }
 }
 
-async fn refusing_begins(mut state: watch::Receiver<LinkState>) {
+async fn wait_until_refusing(mut state: watch::Receiver<LinkState>) {
     let _ = state.wait_for(|state| state.refusing).await;
 }
 
-/// Forwards bytes in one direction until either side ends.
-async fn pump(
+/// Forwards bytes in one direction until either side closes the connection.
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut state: watch::Receiver<LinkState>,
-    direction: fn(&LinkState) -> Delivery,
+    delivery_of: fn(&LinkState) -> Delivery,
 ) {
     let mut chunk = [0u8; 16 * 1024];
     loop {
@@ -128,18 +133,18 @@
             Ok(read) if read > 0 => read,
             _ => return,
         };
-        let delivery = direction(&state.borrow_and_update());
+        let delivery = delivery_of(&state.borrow_and_update());
         match delivery {
-            Delivery::Open => {}
-            Delivery::Delayed(time) => tokio::time::sleep(time).await,
+            Delivery::Immediate => {}
+            Delivery::Delayed(delay) => tokio::time::sleep(delay).await,
             Delivery::Held => {
-                if state.wait_for(|state| direction(state) != Delivery::Held).await.is_err() {
+                if state.wait_for(|state| delivery_of(state) != Delivery::Held).await.is_err() {
                     return;
                 }
             }
-            // The connection stays open, without any bytes, until the fault has ended.
+            // Keep the connection open without forwarding bytes until the fault has ended.
             Delivery::Lost => {
-                let _ = state.wait_for(|state| direction(state) != Delivery::Lost).await;
+                let _ = state.wait_for(|state| delivery_of(state) != Delivery::Lost).await;
                 return;
             }
         }
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -1,5 +1,5 @@
-//! The controllers: the built program, one process each, with settings written for the run,
-//! and a link for each pair of parts that communicate.
+//! The controllers of a run: one process of the built program each, with generated settings, and
+//! a proxied link for each connection to or from a controller.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -14,24 +14,24 @@
 use super::workers::{HEARTBEAT_INTERVAL, LEASE};
 use super::{CANCEL_WITHIN, cloud};
 
-/// How the links of a controller are cut.
+/// How traffic on a cut link is handled.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Cut {
-    /// Traffic arrives once the fault has ended.
+    /// Traffic is delivered once the fault has ended.
     Held,
-    /// Traffic is lost, and so are the connections.
+    /// Traffic is dropped, and the connections are lost.
     Lost,
-    /// Connections end, and new ones are refused.
+    /// Open connections are closed, and new ones are refused.
     Refused,
 }
 
-/// A controller: its process, and the links to and from it.
+/// A controller process, and the links to and from it.
 #[derive(Debug)]
 struct Controller {
     /// `None` while the process is not running.
     child: Option<Child>,
-    /// How often the process was started; numbers its logs.
-    starts: u32,
+    /// Number of process starts so far; used to number the log files.
+    start_count: u32,
     /// From users.
     users: Link,
     /// From workers.
@@ -40,7 +40,7 @@
     kv: Link,
     /// To the cloud.
     cloud: Link,
-    /// From each other controller, by that one's index; the entry at its own index is unused.
+    /// From each other controller, by index; the entry at this controller's own index is unused.
     peers: Vec<Link>,
 }
 
@@ -51,24 +51,24 @@
     program: PathBuf,
     folder: PathBuf,
     workers: u64,
-    /// Whether an objective asks for starts within less than a heartbeat interval, so that
+    /// Whether an objective requires starts within less than a heartbeat interval, so that
     /// controllers defer responses to heartbeats (long polling).
     latency_sensitive: bool,
 }
 
-/// A free address for a controller to listen on. Outgoing connections use another loopback
-/// address, so that none of them takes the port before the controller does.
+/// Returns a free address for a controller to listen on. Outgoing connections use another loopback
+/// address, so that none of them takes the port before the controller binds it.
 async fn free_address() -> std::io::Result<SocketAddr> {
     tokio::net::TcpListener::bind("127.0.1.1:0").await?.local_addr()
 }
 
-/// What all controllers of a run have in common.
+/// Setup that all controllers of a run share.
 pub struct ClusterSetup<'a> {
     /// Number of controllers.
     pub count: usize,
     /// Number of machines in the fleet.
     pub workers: u64,
-    /// Whether an objective asks for starts within less than a heartbeat interval.
+    /// Whether an objective requires starts within less than a heartbeat interval.
     pub latency_sensitive: bool,
     /// Folder for settings and logs.
     pub folder: &'a Path,
@@ -77,7 +77,7 @@
 }
 
 impl Controllers {
-    /// Opens the links; no process is started yet.
+    /// Opens the links without starting any process.
     ///
     /// # Errors
     ///
@@ -91,7 +91,7 @@
             }
             controllers.push(Controller {
                 child: None,
-                starts: 0,
+                start_count: 0,
                 users: Link::open(None).await?,
                 workers: Link::open(None).await?,
                 kv: Link::open(Some(kv.addresses[index])).await?,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// Sets where the cloud listens.
+    /// Points the controllers' cloud links to the address that the cloud listens on.
     pub fn connect_cloud(&self, address: SocketAddr) {
         self.controllers.iter().for_each(|c| c.cloud.set_target(Some(address)));
     }
@@ -118,31 +118,31 @@
         self.controllers.len()
     }
 
-    /// Where users reach each controller.
-    pub fn for_users(&self) -> Vec<SocketAddr> {
+    /// The address at which users reach each controller.
+    pub fn user_addresses(&self) -> Vec<SocketAddr> {
         self.controllers.iter().map(|c| c.users.address).collect()
     }
 
-    /// Where workers reach each controller.
-    pub fn for_workers(&self) -> Vec<SocketAddr> {
+    /// The address at which workers reach each controller.
+    pub fn worker_addresses(&self) -> Vec<SocketAddr> {
         self.controllers.iter().map(|c| c.workers.address).collect()
     }
 
-    /// Starts a controller's process, unless it is running; its links lead there from now on.
+    /// Starts a controller's process unless it is running, and points its links to it.
     ///
     /// # Errors
     ///
-    /// If its files cannot be written, or the process cannot be started.
+    /// If its settings or log file cannot be written, or the process cannot be started.
     pub async fn start(&mut self, index: usize) -> std::io::Result<()> {
         if self.controllers[index].child.is_some() {
             return Ok(());
         }
-        let (serving, internal) = (free_address().await?, free_address().await?);
-        self.controllers[index].starts += 1;
+        let (serve_address, internal_address) = (free_address().await?, free_address().await?);
+        self.controllers[index].start_count += 1;
         let file = self.folder.join(format!("c-{index}.toml"));
-        std::fs::write(&file, self.settings(index, serving, internal))?;
+        std::fs::write(&file, self.settings(index, serve_address, internal_address))?;
         let log =
-            File::create(self.folder.join(format!("c-{index}-{}.log", self.controllers[index].starts)))?;
+            File::create(self.folder.join(format!("c-{index}-{}.log", self.controllers[index].start_count)))?;
         let child = Command::new(&self.program)
             .arg("--config")
             .arg(&file)
@@ -153,14 +153,15 @@
             .spawn()?;
         let controller = &mut self.controllers[index];
         controller.child = Some(child);
-        controller.users.set_target(Some(serving));
-        controller.workers.set_target(Some(serving));
-        controller.peers.iter().for_each(|link| link.set_target(Some(internal)));
+        controller.users.set_target(Some(serve_address));
+        controller.workers.set_target(Some(serve_address));
+        controller.peers.iter().for_each(|link| link.set_target(Some(internal_address)));
         Ok(())
     }
 
-    fn settings(&self, index: usize, serving: SocketAddr, internal: SocketAddr) -> String {
-        let this = &self.controllers[index];
+    /// The settings file of a controller.
+    fn settings(&self, index: usize, serve_address: SocketAddr, internal_address: SocketAddr) -> String {
+        let controller = &self.controllers[index];
         let peers_settings = (0..self.count()).filter(|other| *other != index).map(|other| {
             let (zone, link) = (zone_of(other), &self.controllers[other].peers[index]);
             format!(
@@ -168,11 +169,11 @@
                 link.address
             )
         });
-        let fleet = self.workers as f64 * MACHINE_CPUS;
+        let fleet_cpus = self.workers as f64 * MACHINE_CPUS;
         let latency_objective =
             "[[cluster.objectives]]\nkind = \"wait\"\nclass = \"viewer\"\nwithin_s = 0.5\nshare = 0.9\n";
         format!(
-            "host_name = \"c-{index}\"\ndomain = \"{zone}\"\nserve_on = \"{serving}\"\ninternal_addr = \"{internal}\"\n\
+            "host_name = \"c-{index}\"\ndomain = \"{zone}\"\nserve_on = \"{serve_address}\"\ninternal_addr = \"{internal_address}\"\n\
              {peers}\
              [external]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n\
              [cluster]\nsize = {size}\nzones = [\"z1\", \"z2\"]\nskew_ms = 25.0\n\
@@ -185,11 +186,11 @@
              [cluster.quota]\ncore_share = 0.5\nram_mb = 256.0\nsockets = {sockets}\n",
             zone = zone_of(index),
             peers = peers_settings.collect::<String>(),
-            cloud = this.cloud.address,
-            state = this.kv.address,
+            cloud = controller.cloud.address,
+            state = controller.kv.address,
             size = self.count(),
-            guaranteed = fleet * LIMITED_SHARE / 4.0,
-            limit = fleet * LIMITED_SHARE,
+            guaranteed = fleet_cpus * LIMITED_SHARE / 4.0,
+            limit = fleet_cpus * LIMITED_SHARE,
             objectives = if self.latency_sensitive { latency_objective } else { "" },
             report = HEARTBEAT_INTERVAL.as_secs_f64(),
             lease = LEASE.as_secs_f64(),
@@ -199,7 +200,7 @@
         )
     }
 
-    /// Kills a process with SIGKILL; its links refuse connections from now on.
+    /// Kills a controller's process with SIGKILL; its links then refuse connections.
     pub fn kill(&mut self, index: usize) {
         let controller = &mut self.controllers[index];
         let Some(mut child) = controller.child.take() else { return };
@@ -210,7 +211,7 @@
         controller.peers.iter().for_each(|link| link.set_target(None));
     }
 
-    /// Stops a process with SIGSTOP, or continues it.
+    /// Stops a controller's process with SIGSTOP, or resumes it with SIGCONT.
     pub fn pause(&mut self, index: usize, paused: bool) {
         let controller = &mut self.controllers[index];
         let Some(child) = &controller.child else { return };
@@ -229,22 +230,22 @@
         }
     }
 
-    /// Cuts a controller from the key-value store, or restores the link.
+    /// Cuts a controller off from the key-value store, or restores the link.
     pub fn cut_kv(&self, index: usize, cut: Option<Cut>) {
         Self::cut(&self.controllers[index].kv, cut);
     }
 
-    /// Cuts workers from a controller, or restores the link.
+    /// Cuts a controller off from the workers, or restores the link.
     pub fn cut_workers(&self, index: usize, cut: Option<Cut>) {
         Self::cut(&self.controllers[index].workers, cut);
     }
 
-    /// Delays or loses responses to workers, whose heartbeats arrive.
+    /// Sets how responses to workers are delivered. Heartbeats still arrive.
     pub fn set_worker_responses(&self, index: usize, delivery: Delivery) {
-        self.controllers[index].workers.set_delivery(Delivery::Open, delivery);
+        self.controllers[index].workers.set_delivery(Delivery::Immediate, delivery);
     }
 
-    /// Cuts a controller from the others in both directions, or restores the links.
+    /// Cuts a controller off from the others in both directions, or restores the links.
     pub fn cut_peers(&self, index: usize, cut: Option<Cut>) {
         for other in (0..self.count()).filter(|other| *other != index) {
             Self::cut(&self.controllers[index].peers[other], cut);
@@ -252,14 +253,14 @@
         }
     }
 
-    /// Sets what happens to all traffic between controllers.
-    pub fn delay_peers(&self, passage: Delivery) {
+    /// Sets how all traffic between controllers is delivered.
+    pub fn delay_peers(&self, delivery: Delivery) {
         for controller in &self.controllers {
-            controller.peers.iter().for_each(|link| link.set_delivery(passage, passage));
+            controller.peers.iter().for_each(|link| link.set_delivery(delivery, delivery));
         }
     }
 
-    /// Ends all faults: continues stopped processes, restores links, restarts what was killed.
+    /// Ends all faults: resumes stopped processes, restores links and restarts killed controllers.
     ///
     /// # Errors
     ///
@@ -275,9 +276,9 @@
         Ok(())
     }
 
-    /// Controllers whose processes have exited by themselves since the last call, with their
-    /// exit status.
-    pub fn exited(&mut self) -> Vec<(usize, String)> {
+    /// Returns the controllers whose processes have exited without being killed since the last
+    /// call, with their exit status.
+    pub fn take_exited(&mut self) -> Vec<(usize, String)> {
         let mut exited = Vec::new();
         for (index, controller) in self.controllers.iter_mut().enumerate() {
             let status = controller.child.as_mut().and_then(|child| child.try_wait().ok().flatten());
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run: starts the parts, injects the faults, and has the history judged.
+//! A single run: starts the components, injects the faults, and checks the recorded history.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -25,26 +25,27 @@
 use super::workers::WorkerContext;
 use super::{CANCEL_WITHIN, http};
 
-/// From the end of the last fault to the end of the run: the time that a cancellation may take,
-/// and what a failover and the proofs about suspected machines take.
+/// Time from the end of the last fault to the end of the run. It covers the time limit of a
+/// cancellation, a failover, and establishing the state of suspected machines.
 const RECOVERY_TIME: Duration = Duration::from_secs(30);
-/// Users submit no more jobs from so long before the last faults begin.
-const LAST_JOBS_BEFORE: Duration = Duration::from_secs(2);
-/// All faults end no later than this after the last one may begin.
-const LAST_FAULTS: Duration = Duration::from_secs(10);
-/// A job must have got a response and, if ready, have started by the end if it had this time.
+/// Users stop submitting jobs this long before the last faults begin.
+const SUBMISSION_END_MARGIN: Duration = Duration::from_secs(2);
+/// All faults end at most this long after the latest possible beginning of a fault.
+const FAULT_END_MARGIN: Duration = Duration::from_secs(10);
+/// Jobs that were accepted at least this long before the end must have got a response since then
+/// and, if ready, have started by the end.
 const SETTLE_TIME: Duration = Duration::from_secs(16);
-/// A start command that was in flight when a user's cancellation was confirmed is dropped by the
-/// worker after this time.
+/// A start command that is in flight when a cancellation is confirmed is dropped by the worker
+/// after this time.
 const START_IN_FLIGHT: Duration = Duration::from_secs(4);
-/// A run is judged if its timers came late by no more than this, a tenth of the shortest
-/// time that a rule names.
+/// A run is checked only if the harness's timers were late by no more than this, which is a tenth
+/// of the shortest time limit in the rules.
 const MAX_LAG: Duration = Duration::from_millis(400);
-/// How often faults that are due to end are looked for, and the lag of timers is measured.
-const STEP: Duration = Duration::from_millis(20);
-/// How often each controller's status is read, and how long the response may take.
+/// Interval for ending faults that are due, and for measuring timer lag.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval for polling the controllers' status; also the timeout of each poll.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// A fault that waits for a response begins after this time if none comes.
+/// A fault with a trigger begins after this time if no matching response arrives.
 const TRIGGER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Result of a run.
@@ -54,32 +55,32 @@
     Passed,
     /// Rules were broken.
     Failed(Vec<Finding>),
-    /// The harness's own timers were too late, or it could not be started.
+    /// The run gives no result: the harness's own timers were too late, or it could not be started.
     NotJudged(String),
 }
 
-/// A run's result and some counts of what happened in it.
+/// Result and statistics of a run.
 #[derive(Debug, Clone)]
 pub struct Report {
     /// Seed of the run.
     pub seed: u64,
     /// Number of controllers.
     pub controllers: usize,
-    /// Most machines in the fleet.
+    /// Maximum number of machines in the fleet.
     pub machines: u64,
     /// How long the run took.
-    pub lasted: Duration,
+    pub duration: Duration,
     /// Number of tasks that were started.
     pub starts: usize,
-    /// Number of responses that users got.
+    /// Number of responses that users received.
     pub answers: usize,
-    /// Number of faults.
+    /// Number of faults that were injected.
     pub faults: usize,
-    /// Number of changes of the leader's key.
+    /// Number of commits that wrote the leader key.
     pub leaders: usize,
-    /// How late the harness's own timers were at worst.
+    /// Largest delay of the harness's own timers.
     pub lag: Duration,
-    /// What came of the run.
+    /// Outcome of the check.
     pub verdict: Verdict,
 }
 
@@ -99,7 +100,7 @@
             self.seed,
             self.controllers,
             self.machines,
-            self.lasted.as_secs_f64(),
+            self.duration.as_secs_f64(),
             self.starts,
             self.answers,
             self.faults,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Runs a seed to its end.
+/// Runs one seed and checks its history.
 pub fn run_seed(seed: u64, options: &Options) -> Report {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let report = runtime.and_then(|runtime| runtime.block_on(run_in_runtime(seed, options)));
@@ -117,7 +118,7 @@
         seed,
         controllers: 0,
         machines: options.workers,
-        lasted: Duration::ZERO,
+        duration: Duration::ZERO,
         starts: 0,
         answers: 0,
         faults: 0,
@@ -133,15 +134,15 @@
     std::fs::create_dir_all(&folder)?;
     let begin = Instant::now();
     let (recorder, recorded) = Recorder::new(begin);
-    let faults_until = Duration::from_secs(options.seconds);
-    let jobs = jobs::plan(seed, options.workers, faults_until.saturating_sub(LAST_JOBS_BEFORE));
+    let faults_begin_until = Duration::from_secs(options.seconds);
+    let jobs = jobs::plan(seed, options.workers, faults_begin_until.saturating_sub(SUBMISSION_END_MARGIN));
     let mut cluster = Cluster::start(seed, options, &folder, &jobs, recorder.clone()).await?;
-    let (collector, triggers) = collect(recorded);
+    let (collector, triggers) = start_collector(recorded);
     let lag = measure_lag();
-    let status_polls = poll_status(cluster.controllers.for_users(), recorder.clone());
-    let planned = schedule::plan(seed, cluster.controllers.count(), faults_until);
+    let status_polls = poll_status(cluster.controllers.user_addresses(), recorder.clone());
+    let planned = schedule::plan(seed, cluster.controllers.count(), faults_begin_until);
     cluster.inject_faults(&planned, triggers).await?;
-    cluster.wait_until(begin + faults_until + LAST_FAULTS).await?;
+    cluster.wait_until(begin + faults_begin_until + FAULT_END_MARGIN).await?;
     cluster.controllers.recover().await?;
     let faults_end_at = recorder.now();
     cluster.wait_until(Instant::now() + RECOVERY_TIME).await?;
@@ -162,23 +163,25 @@
     };
     let findings = checker::check(&jobs, &parameters, &history);
     let verdict = match findings.is_empty() {
-        _ if lag > MAX_LAG => Verdict::NotJudged(format!("timers were late by {lag:?}")),
+        _ if lag > MAX_LAG => Verdict::NotJudged(format!("the harness's timers were late by {lag:?}")),
         true => Verdict::Passed,
         false => Verdict::Failed(findings),
     };
     if verdict == Verdict::Passed {
         std::fs::remove_dir_all(&folder)?;
     } else {
-        keep_evidence(&folder, &planned, &jobs, &history)?;
+        write_history_file(&folder, &planned, &jobs, &history)?;
     }
-    let count = |is_one: fn(&Event) -> bool| history.iter().filter(|entry| is_one(&entry.event)).count();
+    let count = |matches_event: fn(&Event) -> bool| {
+        history.iter().filter(|entry| matches_event(&entry.event)).count()
+    };
     Ok(Report {
         seed,
         controllers,
         machines: options.workers,
-        lasted: end,
+        duration: end,
         starts: count(|event| matches!(event, Event::TaskStarted { .. })),
-        answers: count(|event| matches!(event, Event::Answered { .. })),
+        answers: count(|event| matches!(event, Event::ResponseReceived { .. })),
         faults: count(|event| matches!(event, Event::Fault { .. })),
         leaders: count(is_leader_change),
         lag,
@@ -186,13 +189,14 @@
     })
 }
 
-/// Whether a controller has written the leader's key.
+/// Whether the event is a commit that wrote the leader key.
 fn is_leader_change(event: &Event) -> bool {
     matches!(event, Event::Committed { keys, .. } if keys.iter().any(|key| key == "leader"))
 }
 
-/// Writes schedule, jobs and history of a failed run beside the controllers' logs.
-fn keep_evidence(
+/// Writes the schedule, jobs and history of a run that did not pass to `history.txt`, in the
+/// folder with the controllers' logs.
+fn write_history_file(
     folder: &Path,
     planned: &[PlannedFault],
     jobs: &[Job],
@@ -211,13 +215,13 @@
     file.flush()
 }
 
-/// Collects the history, and forwards the responses that faults may wait for.
+/// Collects the history in a background task.
 struct Collector {
-    entries: mpsc::UnboundedReceiver<Vec<Entry>>,
+    history: mpsc::UnboundedReceiver<Vec<Entry>>,
     stop: watch::Sender<bool>,
 }
 
-/// A response that a fault may wait for.
+/// A response that may trigger a fault.
 #[derive(Debug, Clone, Copy)]
 struct TriggerResponse {
     trigger: Trigger,
@@ -225,11 +229,12 @@
     controller: usize,
 }
 
-fn collect(
+/// Starts the collector. The returned channel gets each response that may trigger a fault.
+fn start_collector(
     mut recorded: mpsc::UnboundedReceiver<Entry>,
 ) -> (Collector, mpsc::UnboundedReceiver<TriggerResponse>) {
     let (triggers, responses) = mpsc::unbounded_channel();
-    let (done, entries) = mpsc::unbounded_channel();
+    let (history_sender, history_receiver) = mpsc::unbounded_channel();
     let (stop, mut stopped) = watch::channel(false);
     tokio::spawn(async move {
         let mut history = Vec::new();
@@ -245,25 +250,25 @@
                 _ = stopped.changed() => break,
             }
         }
-        let _ = done.send(history);
+        let _ = history_sender.send(history);
     });
-    (Collector { entries, stop }, responses)
+    (Collector { history: history_receiver, stop }, responses)
 }
 
 impl Collector {
-    /// What was recorded until then, in the order of time.
+    /// Stops collecting and returns the entries up to `end`, sorted by time.
     async fn history(mut self, end: Duration) -> Vec<Entry> {
         self.stop.send_replace(true);
-        let mut history = self.entries.recv().await.unwrap_or_default();
+        let mut history = self.history.recv().await.unwrap_or_default();
         history.retain(|entry| entry.at <= end);
         history.sort_by_key(|entry| entry.at);
         history
     }
 }
 
-/// What faults may wait for, if the event is such a response.
+/// The trigger and sender of a response that may trigger a fault; `None` for other events.
 fn trigger_of(event: &Event) -> Option<TriggerResponse> {
-    let Event::Answered { controller, request, status, state, .. } = event else { return None };
+    let Event::ResponseReceived { controller, request, status, state, .. } = event else { return None };
     let trigger = match (request, status, state) {
         (UserRequest::Cancel, _, Some(JobState::Cancelled)) => Trigger::CancellationConfirmed,
         (UserRequest::Cancel, ..) => return None,
@@ -274,14 +279,14 @@
     Some(TriggerResponse { trigger, controller: *controller })
 }
 
-/// How late the harness's own timers are at worst.
+/// Largest delay of the harness's own timers so far.
 struct Lag(watch::Receiver<Duration>);
 
 fn measure_lag() -> Lag {
-    let (worst, seen) = watch::channel(Duration::ZERO);
+    let (worst, worst_receiver) = watch::channel(Duration::ZERO);
     tokio::spawn(async move {
         loop {
-            let due = Instant::now() + STEP;
+            let due = Instant::now() + TICK_INTERVAL;
             tokio::time::sleep_until(due).await;
             let late = due.elapsed();
             worst.send_if_modified(|worst| {
@@ -292,7 +297,7 @@
             });
         }
     });
-    Lag(seen)
+    Lag(worst_receiver)
 }
 
 impl Lag {
@@ -301,7 +306,8 @@
     }
 }
 
-/// Reads the controllers' status again and again, and records counts of violated invariants.
+/// Polls the controllers' status periodically, and records non-zero counters of violated
+/// invariants.
 fn poll_status(controllers: Vec<std::net::SocketAddr>, recorder: Recorder) -> tokio::task::AbortHandle {
     let polling = tokio::spawn(async move {
         loop {
@@ -323,22 +329,22 @@
     polling.abort_handle()
 }
 
-/// All parts of a run, and the faults that are to end later.
+/// All components of a run, and the scheduled ends of active faults.
 struct Cluster {
     controllers: Controllers,
     kv: KvServer,
     cloud: Cloud,
     mass_cancellation: watch::Sender<MassCancellation>,
     recorder: Recorder,
-    /// What ends each fault, and when.
+    /// When each active fault ends, and the action that ends it.
     fault_ends: Vec<(Instant, FaultEnd)>,
 }
 
-/// What ends a fault of the controller with this index.
+/// An action that ends a fault. The index, if any, is that of the affected controller.
 #[derive(Debug, Clone, Copy)]
 enum FaultEnd {
     Start(usize),
-    Continue(usize),
+    Resume(usize),
     RestoreKv(usize),
     RestorePeers(usize),
     RestoreWorkers(usize),
@@ -367,18 +373,18 @@
         let mut controllers = Controllers::prepare(&setup, &kv).await?;
         let context = Arc::new(WorkerContext {
             jobs: jobs.to_vec(),
-            controllers: controllers.for_workers(),
+            controllers: controllers.worker_addresses(),
             recorder: recorder.clone(),
         });
         let cloud = Cloud::start(seed, options.workers, context).await?;
         controllers.connect_cloud(cloud.address);
-        for at in 0..count {
-            controllers.start(at).await?;
+        for index in 0..count {
+            controllers.start(index).await?;
         }
         let (mass_cancellation, mass_cancellations) = watch::channel(MassCancellation::default());
         users::start(Arc::new(Users {
             jobs: jobs.to_vec(),
-            controllers: controllers.for_users(),
+            controllers: controllers.user_addresses(),
             recorder: recorder.clone(),
             begin: Instant::now(),
             mass_cancellations,
@@ -388,7 +394,8 @@
         Ok(Cluster { controllers, kv, cloud, mass_cancellation, recorder, fault_ends: Vec::new() })
     }
 
-    /// Waits; meanwhile ends faults that are due, and restarts processes that have exited.
+    /// Waits until the given time. Meanwhile, ends faults that are due and restarts processes that
+    /// have exited.
     async fn wait_until(&mut self, until: Instant) -> std::io::Result<()> {
         loop {
             let now = Instant::now();
@@ -400,31 +407,32 @@
                 .collect();
             self.fault_ends.retain(|(at, _)| now < *at);
             for fault_end in due {
-                self.end(fault_end).await?;
+                self.end_fault(fault_end).await?;
             }
-            for (controller, status) in self.controllers.exited() {
+            for (controller, status) in self.controllers.take_exited() {
                 self.recorder.record(Event::ProcessExited { controller, status });
                 self.controllers.start(controller).await?;
             }
             if now >= until {
                 return Ok(());
             }
-            tokio::time::sleep_until(until.min(now + STEP)).await;
+            tokio::time::sleep_until(until.min(now + TICK_INTERVAL)).await;
         }
     }
 
-    async fn end(&mut self, fault_end: FaultEnd) -> std::io::Result<()> {
+    async fn end_fault(&mut self, fault_end: FaultEnd) -> std::io::Result<()> {
         match fault_end {
-            FaultEnd::Start(at) => self.controllers.start(at).await?,
-            FaultEnd::Continue(at) => self.controllers.pause(at, false),
-            FaultEnd::RestoreKv(at) => self.controllers.cut_kv(at, None),
-            FaultEnd::RestorePeers(at) => self.controllers.cut_peers(at, None),
-            FaultEnd::RestoreWorkers(at) => self.controllers.cut_workers(at, None),
-            FaultEnd::RestoreAllPeers => self.controllers.delay_peers(Delivery::Open),
+            FaultEnd::Start(index) => self.controllers.start(index).await?,
+            FaultEnd::Resume(index) => self.controllers.pause(index, false),
+            FaultEnd::RestoreKv(index) => self.controllers.cut_kv(index, None),
+            FaultEnd::RestorePeers(index) => self.controllers.cut_peers(index, None),
+            FaultEnd::RestoreWorkers(index) => self.controllers.cut_workers(index, None),
+            FaultEnd::RestoreAllPeers => self.controllers.delay_peers(Delivery::Immediate),
         }
         Ok(())
     }
 
+    /// Injects the planned faults in order, each at its time or on its trigger.
     async fn inject_faults(
         &mut self,
         planned: &[PlannedFault],
@@ -440,67 +448,67 @@
             };
             let leader = self.leader().await;
             self.recorder.record(Event::Fault { description: format!("{fault:?}, c-{leader} leads") });
-            self.begin(*fault, leader, responder);
+            self.begin_fault(*fault, leader, responder);
         }
         Ok(())
     }
 
-    /// Index of the controller that leads by the key-value store's data; 0 if none does.
+    /// Index of the leader according to the key-value store; 0 if there is none.
     async fn leader(&self) -> usize {
         let name = self.kv.leader().await;
         name.and_then(|name| name.strip_prefix("c-")?.parse().ok()).unwrap_or(0)
     }
 
-    fn end_later(&mut self, after: Duration, fault_end: FaultEnd) {
+    fn schedule_fault_end(&mut self, after: Duration, fault_end: FaultEnd) {
         self.fault_ends.push((Instant::now() + after, fault_end));
     }
 
-    fn begin(&mut self, fault: Fault, leader: usize, responder: Option<usize>) {
-        let at = |target| match target {
+    fn begin_fault(&mut self, fault: Fault, leader: usize, responder: Option<usize>) {
+        let resolve = |target| match target {
             Target::Leader => leader,
             Target::Responder => responder.unwrap_or(leader),
             Target::Index(index) => index,
         };
         match fault {
-            Fault::Kill { target, back_after } => self.kill(at(target), back_after),
-            Fault::KillAll { back_after } => {
-                (0..self.controllers.count()).for_each(|at| self.kill(at, back_after));
+            Fault::Kill { target, restart_after } => self.kill(resolve(target), restart_after),
+            Fault::KillAll { restart_after } => {
+                (0..self.controllers.count()).for_each(|index| self.kill(index, restart_after));
             }
-            Fault::Pause { target, lasts } => {
-                self.controllers.pause(at(target), true);
-                self.end_later(lasts, FaultEnd::Continue(at(target)));
+            Fault::Pause { target, duration } => {
+                self.controllers.pause(resolve(target), true);
+                self.schedule_fault_end(duration, FaultEnd::Resume(resolve(target)));
             }
-            Fault::CutKv { target, cut, peers, lasts } => {
-                self.controllers.cut_kv(at(target), Some(cut));
-                self.end_later(lasts, FaultEnd::RestoreKv(at(target)));
+            Fault::CutKv { target, cut, peers, duration } => {
+                self.controllers.cut_kv(resolve(target), Some(cut));
+                self.schedule_fault_end(duration, FaultEnd::RestoreKv(resolve(target)));
                 if peers {
-                    self.controllers.cut_peers(at(target), Some(cut));
-                    self.end_later(lasts, FaultEnd::RestorePeers(at(target)));
+                    self.controllers.cut_peers(resolve(target), Some(cut));
+                    self.schedule_fault_end(duration, FaultEnd::RestorePeers(resolve(target)));
                 }
             }
-            Fault::CutPeers { target, cut, lasts } => {
-                self.controllers.cut_peers(at(target), Some(cut));
-                self.end_later(lasts, FaultEnd::RestorePeers(at(target)));
+            Fault::CutPeers { target, cut, duration } => {
+                self.controllers.cut_peers(resolve(target), Some(cut));
+                self.schedule_fault_end(duration, FaultEnd::RestorePeers(resolve(target)));
             }
-            Fault::CutWorkers { target, cut, lasts } => {
-                self.controllers.cut_workers(at(target), Some(cut));
-                self.end_later(lasts, FaultEnd::RestoreWorkers(at(target)));
+            Fault::CutWorkers { target, cut, duration } => {
+                self.controllers.cut_workers(resolve(target), Some(cut));
+                self.schedule_fault_end(duration, FaultEnd::RestoreWorkers(resolve(target)));
             }
-            Fault::WorkerResponses { target, delivery, lasts } => {
-                self.controllers.set_worker_responses(at(target), delivery);
-                self.end_later(lasts, FaultEnd::RestoreWorkers(at(target)));
+            Fault::WorkerResponses { target, delivery, duration } => {
+                self.controllers.set_worker_responses(resolve(target), delivery);
+                self.schedule_fault_end(duration, FaultEnd::RestoreWorkers(resolve(target)));
             }
-            Fault::DelayPeers { by, lasts } => {
+            Fault::DelayPeers { by, duration } => {
                 self.controllers.delay_peers(Delivery::Delayed(by));
-                self.end_later(lasts, FaultEnd::RestoreAllPeers);
+                self.schedule_fault_end(duration, FaultEnd::RestoreAllPeers);
             }
-            Fault::RefuseKv { target, lasts } => {
-                self.kv.inject(KvFault::Refuse { controller: at(target), lasts });
+            Fault::RefuseKv { target, duration } => {
+                self.kv.inject(KvFault::Refuse { controller: resolve(target), duration });
             }
             Fault::KvStore(fault) => self.kv.inject(fault),
-            Fault::CloudOutage { lasts } => self.cloud.begin_outage(lasts),
+            Fault::CloudOutage { duration } => self.cloud.begin_outage(duration),
             Fault::Machines { share, fault } => self.cloud.inject_machine_fault(share, fault),
-            Fault::EndMachines { share } => self.cloud.end_machines(share),
+            Fault::TerminateMachines { share } => self.cloud.terminate_machines(share),
             Fault::CancelMany { share } => self.mass_cancellation.send_modify(|cancellation| {
                 cancellation.number += 1;
                 cancellation.share = share;
@@ -508,13 +516,14 @@
         }
     }
 
-    fn kill(&mut self, at: usize, back_after: Duration) {
-        self.controllers.kill(at);
-        self.end_later(back_after, FaultEnd::Start(at));
+    fn kill(&mut self, index: usize, restart_after: Duration) {
+        self.controllers.kill(index);
+        self.schedule_fault_end(restart_after, FaultEnd::Start(index));
     }
 }
 
-/// The controller that sends the next response of that kind, if one comes in time.
+/// Waits for the next response of the awaited kind, and returns the index of the controller that
+/// sent it; `None` after [`TRIGGER_TIMEOUT`].
 async fn next_trigger(
     triggers: &mut mpsc::UnboundedReceiver<TriggerResponse>,
     awaited: Trigger,
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -1,5 +1,5 @@
-//! Test doubles of the users: they submit, poll, submit again and cancel through any
-//! controller, with several concurrent requests for one job.
+//! Test doubles of the users. They submit, poll, resubmit and cancel jobs through any controller,
+//! with several concurrent requests for the same job.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,27 +23,27 @@
 /// How long users wait for the response to a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks users to cancel a share of their unfinished jobs, each time the number rises.
+/// Tells users to cancel a share of their unfinished jobs each time `number` increases.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MassCancellation {
-    /// How many times users were asked to cancel; each change is one more.
+    /// Number of mass cancellations so far.
     pub number: u64,
-    /// The share of their unfinished jobs that they cancel.
+    /// The share of unfinished jobs to cancel.
     pub share: f64,
 }
 
-/// What the users of a run share.
+/// State that the users of a run share.
 #[derive(Debug)]
 pub struct Users {
     /// The users' jobs.
     pub jobs: Vec<Job>,
-    /// Where users reach each controller.
+    /// The address at which users reach each controller.
     pub controllers: Vec<SocketAddr>,
     /// Records responses.
     pub recorder: Recorder,
     /// When the run began.
     pub begin: Instant,
-    /// Tells users to cancel many jobs.
+    /// Receives mass cancellations.
     pub mass_cancellations: watch::Receiver<MassCancellation>,
     /// Whether each job has been accepted, by its index.
     pub accepted: Vec<watch::Sender<bool>>,
@@ -51,7 +51,7 @@
     pub seed: u64,
 }
 
-/// Starts all users; they run until the runtime ends.
+/// Starts all users. They run until the runtime ends.
 pub fn start(users: Arc<Users>) {
     for job in 0..users.jobs.len() {
         tokio::spawn(User::new(users.clone(), job).run());
@@ -59,6 +59,7 @@
     tokio::spawn(send_invalid_requests(users));
 }
 
+/// A user with one job.
 #[derive(Clone)]
 struct User {
     users: Arc<Users>,
@@ -72,18 +73,18 @@
         User { users, job, rng }
     }
 
-    fn plan(&self) -> &Job {
+    fn planned_job(&self) -> &Job {
         &self.users.jobs[self.job]
     }
 
     async fn run(mut self) {
-        tokio::time::sleep_until(self.users.begin + self.plan().submit_at).await;
-        for dependency in self.plan().dependencies.clone() {
+        tokio::time::sleep_until(self.users.begin + self.planned_job().submit_at).await;
+        for dependency in self.planned_job().dependencies.clone() {
             let mut accepted = self.users.accepted[dependency].subscribe();
             let _ = accepted.wait_for(|accepted| *accepted).await;
         }
         loop {
-            let (status, state) = self.ask_any_controller(UserRequest::Submit).await;
+            let (status, state) = self.send_to_any_controller(UserRequest::Submit).await;
             match status {
                 200 | 201 if state.is_some() => break,
                 400 | 422 => return,
@@ -91,15 +92,15 @@
             }
         }
         self.users.accepted[self.job].send_replace(true);
-        self.ask_all_controllers();
-        if let Some(after) = self.plan().cancel_after {
+        self.query_all_controllers();
+        if let Some(after) = self.planned_job().cancel_after {
             tokio::spawn(self.concurrent().cancel(after));
         }
-        tokio::spawn(self.concurrent().follow_mass_cancellations());
+        tokio::spawn(self.concurrent().await_mass_cancellations());
         self.poll().await;
     }
 
-    /// The same user, for another request at the same time.
+    /// A copy of the user with its own random numbers, for a concurrent request.
     fn concurrent(&mut self) -> User {
         User { rng: SmallRng::seed_from_u64(self.rng.random()), ..self.clone() }
     }
@@ -109,28 +110,28 @@
         tokio::time::sleep(Duration::from_secs_f64(time)).await;
     }
 
-    /// Polls again and again, also long after the job has become terminal.
+    /// Polls the job, or sometimes resubmits it, until the end of the run, even after it is terminal.
     async fn poll(mut self) {
         let mut known_terminal = None;
         loop {
             let resubmits = self.rng.random_bool(0.06);
             let request = if resubmits { UserRequest::Submit } else { UserRequest::Poll };
-            let (_, state) = self.ask_any_controller(request).await;
+            let (_, state) = self.send_to_any_controller(request).await;
             if state.is_some_and(JobState::is_terminal) && known_terminal != state {
                 known_terminal = state;
-                self.ask_all_controllers();
+                self.query_all_controllers();
             }
             let interval = if known_terminal.is_some() { 2.0..5.0 } else { 0.3..1.3 };
             self.pause(interval).await;
         }
     }
 
-    /// Cancels the job after a while, and repeats the request until the job is terminal.
+    /// Cancels the job after a delay, and repeats the request until the job is terminal.
     async fn cancel(mut self, after: Duration) {
         tokio::time::sleep(after).await;
         self.users.recorder.record(Event::CancelRequested { job: self.job });
         loop {
-            let (_, state) = self.ask_any_controller(UserRequest::Cancel).await;
+            let (_, state) = self.send_to_any_controller(UserRequest::Cancel).await;
             if state.is_some_and(JobState::is_terminal) {
                 return;
             }
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Cancels the job when many users cancel at once.
-    async fn follow_mass_cancellations(mut self) {
+    /// Cancels the job if a mass cancellation selects it.
+    async fn await_mass_cancellations(mut self) {
         let mut mass_cancellations = self.users.mass_cancellations.clone();
         mass_cancellations.mark_unchanged();
         while mass_cancellations.changed().await.is_ok() {
@@ -150,31 +151,33 @@
         }
     }
 
-    /// Asks all controllers within milliseconds, which shows whether their responses agree.
-    fn ask_all_controllers(&mut self) {
+    /// Sends requests to all controllers within milliseconds, to check that their responses agree.
+    fn query_all_controllers(&mut self) {
         for controller in 0..self.users.controllers.len() {
             let mut concurrent = self.concurrent();
             tokio::spawn(async move {
                 concurrent.pause(0.0..0.05).await;
                 let request =
                     if concurrent.rng.random_bool(0.3) { UserRequest::Submit } else { UserRequest::Poll };
-                concurrent.ask(request, controller).await;
+                concurrent.send_request(request, controller).await;
             });
         }
     }
 
-    async fn ask_any_controller(&mut self, request: UserRequest) -> (u16, Option<JobState>) {
+    async fn send_to_any_controller(&mut self, request: UserRequest) -> (u16, Option<JobState>) {
         let controller = self.rng.random_range(0..self.users.controllers.len());
-        self.ask(request, controller).await
+        self.send_request(request, controller).await
     }
 
-    async fn ask(&mut self, request: UserRequest, controller: usize) -> (u16, Option<JobState>) {
-        let asked = self.users.recorder.now();
-        let id = &self.plan().id;
+    async fn send_request(&mut self, request: UserRequest, controller: usize) -> (u16, Option<JobState>) {
+        let sent_at = self.users.recorder.now();
+        let id = &self.planned_job().id;
         let (method, target, body) = match request {
-            UserRequest::Submit => {
-                ("POST", "/api/jobs".to_owned(), encode(&self.plan().encode_submission(&self.users.jobs)))
-            }
+            UserRequest::Submit => (
+                "POST",
+                "/api/jobs".to_owned(),
+                encode(&self.planned_job().encode_submission(&self.users.jobs)),
+            ),
             UserRequest::Poll => ("GET", format!("/api/jobs/{id}"), Vec::new()),
             UserRequest::Cancel => ("POST", format!("/api/jobs/{id}/withdraw"), Vec::new()),
         };
@@ -182,18 +185,25 @@
         let call = HttpCall { method, target, body, timeout: deadline };
         let Some(response) = send(self.users.controllers[controller], call).await else { return (0, None) };
         let (status, job) = (response.status, self.job);
-        let state = state_in(&response);
-        self.users.recorder.record(Event::Answered { job, request, asked, controller, status, state });
+        let state = parse_state(&response);
+        self.users.recorder.record(Event::ResponseReceived {
+            job,
+            request,
+            sent_at,
+            controller,
+            status,
+            state,
+        });
         (status, state)
     }
 }
 
-fn state_in(response: &Response) -> Option<JobState> {
+fn parse_state(response: &Response) -> Option<JobState> {
     let body = decode(&response.body).ok()?;
     JobState::parse(Fields::of(&body).ok()?.text("standing").ok()?)
 }
 
-/// Sends submissions that must be rejected, and polls of jobs that nobody has submitted.
+/// Sends submissions that must be rejected, and polls jobs that were never submitted.
 async fn send_invalid_requests(users: Arc<Users>) {
     let mut rng = SmallRng::seed_from_u64(users.seed ^ 0x0dd);
     loop {
@@ -203,9 +213,9 @@
         let valid = unsubmitted.encode_submission(&users.jobs);
         let (method, target, body, expected) = match rng.random_range(0..5) {
             0 => ("GET", "/api/jobs/job-800000", Vec::new(), 404),
-            1 => ("POST", "/api/jobs", without_a_field(&mut rng, &valid), 400),
+            1 => ("POST", "/api/jobs", without_required_field(&mut rng, &valid), 400),
             2 => ("POST", "/api/jobs", with_field(&valid, "awaits", Value::from("job-000001")), 400),
-            3 => ("POST", "/api/jobs", with_field(&valid, "awaits", list("job-777777")), 422),
+            3 => ("POST", "/api/jobs", with_field(&valid, "awaits", single_item_array("job-777777")), 422),
             _ => ("POST", "/api/jobs", with_field(&valid, "cores", Value::from(999.0)), 422),
         };
         let deadline = CHANGE_TIMEOUT;
@@ -217,10 +227,11 @@
     }
 }
 
-fn list(item: &str) -> Value {
+fn single_item_array(item: &str) -> Value {
     Value::Array(vec![Value::from(item)])
 }
 
+/// Encodes the submission with one field set to another value.
 fn with_field(submission: &Value, name: &str, value: Value) -> Vec<u8> {
     let Value::Map(fields) = submission.clone() else { return Vec::new() };
     let mut changed = MapBuilder::new();
@@ -233,8 +244,8 @@
     encode(&changed.set(name, value).build())
 }
 
-/// The submission without one of its required fields.
-fn without_a_field(rng: &mut SmallRng, submission: &Value) -> Vec<u8> {
+/// Encodes the submission without one of its required fields.
+fn without_required_field(rng: &mut SmallRng, submission: &Value) -> Vec<u8> {
     let Value::Map(mut fields) = submission.clone() else { return Vec::new() };
     let optional = ["builds", "hall", "dueS", "awaits"];
     let required = |at: &usize| fields[*at].0.as_text().is_some_and(|name| !optional.contains(&name));
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -1,5 +1,5 @@
-//! Test doubles of the machines' workers: heartbeats, leases, tasks and commands as PROTOCOL
-//! describes them.
+//! Test doubles of the workers on the machines. They implement heartbeats, leases, tasks and
+//! commands according to the protocol specification.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,26 +15,26 @@
 use tokio::time::Instant;
 
 use super::history::{Event, Recorder, TaskOnMachine};
-use super::http::{self, Listening, MAX_BODY, listen};
+use super::http::{self, MAX_BODY, RunningServer, listen};
 use super::jobs::{Job, MACHINE_CPUS};
 
-/// Usual time between two heartbeats.
+/// Average interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A worker that gets no response for so long kills its tasks and starts a new incarnation.
+/// A worker that gets no response for this long kills its tasks and starts a new incarnation.
 pub const LEASE: Duration = Duration::from_secs(8);
-/// A response that takes longer is dropped.
+/// Workers drop responses that take longer than this.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Least time between two heartbeats that are sent because of a change.
+/// Minimum interval before a heartbeat that is sent because of a change.
 const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(500);
-/// Most connections to a worker.
+/// Maximum number of connections to a worker.
 const CONNECTIONS: usize = 64;
 
-/// What all workers of a run share.
+/// State that all workers of a run share.
 #[derive(Debug)]
 pub struct WorkerContext {
     /// The users' jobs.
     pub jobs: Vec<Job>,
-    /// Where each controller receives heartbeats, by the number in its name.
+    /// The address at which each controller receives heartbeats, by the number in its name.
     pub controllers: Vec<SocketAddr>,
     /// Records what happens to tasks.
     pub recorder: Recorder,
@@ -43,23 +43,23 @@
 /// A fault of a machine.
 #[derive(Debug, Clone, Copy)]
 pub enum MachineFault {
-    /// Its heartbeats arrive; responses to them and pushed commands don't.
-    LosesIncoming { lasts: Duration },
-    /// Its heartbeats reach no controller; pushed commands reach it.
-    LosesOutgoing { lasts: Duration },
-    /// Its worker and tasks do not run meanwhile.
-    Hang { lasts: Duration },
-    /// Copies of this share of its heartbeats arrive again later.
-    LateHeartbeats { share: f64, lasts: Duration },
+    /// Its heartbeats arrive, but responses to them and pushed commands are lost.
+    LosesIncoming { duration: Duration },
+    /// Its heartbeats are lost, but pushed commands arrive.
+    LosesOutgoing { duration: Duration },
+    /// Its worker and tasks are suspended.
+    Hang { duration: Duration },
+    /// Copies of this share of its heartbeats arrive later.
+    DuplicatedHeartbeats { share: f64, duration: Duration },
 }
 
 enum Message {
-    /// A pushed command, or, without a body, a request for its status.
+    /// A pushed command or, without a body, a request for the worker's status.
     Pushed {
         body: Option<Vec<u8>>,
         reply: oneshot::Sender<Response>,
     },
-    /// A heartbeat got a response, or none in time.
+    /// A heartbeat got a response, or timed out.
     Responded {
         incarnation: u64,
         sent: Instant,
@@ -74,7 +74,7 @@
 #[derive(Debug, Clone)]
 pub struct WorkerHandle {
     messages: mpsc::UnboundedSender<Message>,
-    /// Where the worker listens for pushed commands.
+    /// The address at which the worker receives pushed commands.
     pub address: SocketAddr,
 }
 
@@ -84,22 +84,22 @@
         let _ = self.messages.send(Message::Inject(fault));
     }
 
-    /// Ends the worker; returns once no task is left on the machine.
+    /// Stops the worker. Returns once no task is left on the machine.
     pub async fn remove(&self) {
-        let (reply, gone) = oneshot::channel();
+        let (reply, removed) = oneshot::channel();
         if self.messages.send(Message::Remove(reply)).is_ok() {
-            let _ = gone.await;
+            let _ = removed.await;
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum TaskState {
-    /// Fetches its image until then.
+    /// Fetching its image until this time.
     Fetching(Instant),
-    /// Runs until then; `None`: until it is stopped.
+    /// Running until this time; `None` for until it is stopped.
     Running(Option<Instant>),
-    /// Exited for this cause, as the protocol names it.
+    /// Exited with this cause, as named in the protocol.
     Exited(&'static str),
 }
 
@@ -111,7 +111,7 @@
     state: TaskState,
 }
 
-/// What identifies a machine.
+/// Identity and placement of a machine.
 #[derive(Debug, Clone)]
 pub struct Identity {
     /// Name of the machine.
@@ -122,9 +122,9 @@
     pub spot: bool,
 }
 
-/// Copies of heartbeats that are to be sent late.
+/// A fault that sends delayed copies of a share of the heartbeats.
 #[derive(Debug, Clone, Copy)]
-struct LateHeartbeats {
+struct DuplicatedHeartbeats {
     share: f64,
     until: Instant,
 }
@@ -138,7 +138,7 @@
     incarnation: u64,
     sequence: u64,
     fencing_token: u64,
-    /// When the last heartbeat that got a response was sent, or the incarnation began.
+    /// Send time of the last heartbeat that renewed the lease, or the start of the incarnation.
     lease_renewed_at: Instant,
     tasks: Vec<Task>,
     controller: usize,
@@ -148,12 +148,12 @@
     incoming_lost_until: Instant,
     outgoing_lost_until: Instant,
     hung_until: Instant,
-    late_heartbeats: LateHeartbeats,
-    /// Pushed commands that arrived while the machine hangs.
+    duplicated_heartbeats: DuplicatedHeartbeats,
+    /// Pushed commands that arrived while the machine was suspended.
     held_commands: Vec<(Option<Vec<u8>>, oneshot::Sender<Response>)>,
 }
 
-/// Starts a machine's worker, which sends heartbeats from now on.
+/// Starts a machine's worker, which begins to send heartbeats.
 ///
 /// # Errors
 ///
@@ -165,11 +165,11 @@
 ) -> std::io::Result<WorkerHandle> {
     let (messages, inbox) = mpsc::unbounded_channel();
     let to_actor = messages.clone();
-    let pass_on = move |request: Request, reply| {
+    let forward = move |request: Request, reply| {
         let body = (request.target == "/commands").then_some(request.body);
         let _ = to_actor.send(Message::Pushed { body, reply });
     };
-    let Listening { address, serving } = listen(CONNECTIONS, MAX_BODY, pass_on).await?;
+    let RunningServer { address, abort_handle } = listen(CONNECTIONS, MAX_BODY, forward).await?;
     let now = Instant::now();
     let mut rng = SmallRng::seed_from_u64(seed);
     let worker = Worker {
@@ -190,12 +190,12 @@
         incoming_lost_until: now,
         outgoing_lost_until: now,
         hung_until: now,
-        late_heartbeats: LateHeartbeats { share: 0.0, until: now },
+        duplicated_heartbeats: DuplicatedHeartbeats { share: 0.0, until: now },
         held_commands: Vec::new(),
     };
     tokio::spawn(async move {
         worker.run(inbox).await;
-        serving.abort();
+        abort_handle.abort();
     });
     Ok(WorkerHandle { messages, address })
 }
@@ -203,25 +203,25 @@
 impl Worker {
     async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Message>) {
         loop {
-            let wake = self.wakes_at();
+            let wakeup = self.next_wakeup();
             tokio::select! {
                 message = inbox.recv() => match message {
-                    Some(Message::Remove(gone)) => {
+                    Some(Message::Remove(reply)) => {
                         self.kill_all();
-                        let _ = gone.send(());
+                        let _ = reply.send(());
                         return;
                     }
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                () = tokio::time::sleep_until(wake) => {}
+                () = tokio::time::sleep_until(wakeup) => {}
             }
             self.advance(Instant::now());
         }
     }
 
-    /// When the worker must act although no message arrives.
-    fn wakes_at(&self) -> Instant {
+    /// When the worker must act next if no message arrives.
+    fn next_wakeup(&self) -> Instant {
         let now = Instant::now();
         if now < self.hung_until {
             return self.hung_until.min(self.lease_renewed_at + LEASE);
@@ -252,23 +252,23 @@
                 self.handle_response(now, incarnation, sent, response);
             }
             Message::Inject(fault) => match fault {
-                MachineFault::LosesIncoming { lasts } => self.incoming_lost_until = now + lasts,
-                MachineFault::LosesOutgoing { lasts } => self.outgoing_lost_until = now + lasts,
-                MachineFault::Hang { lasts } => self.hang(now, lasts),
-                MachineFault::LateHeartbeats { share, lasts } => {
-                    self.late_heartbeats = LateHeartbeats { share, until: now + lasts };
+                MachineFault::LosesIncoming { duration } => self.incoming_lost_until = now + duration,
+                MachineFault::LosesOutgoing { duration } => self.outgoing_lost_until = now + duration,
+                MachineFault::Hang { duration } => self.hang(now, duration),
+                MachineFault::DuplicatedHeartbeats { share, duration } => {
+                    self.duplicated_heartbeats = DuplicatedHeartbeats { share, until: now + duration };
                 }
             },
             Message::Remove(_) => {}
         }
     }
 
-    /// Stops the worker and its tasks for a while: tasks end later by as much.
-    fn hang(&mut self, now: Instant, lasts: Duration) {
-        self.hung_until = now + lasts;
+    /// Suspends the worker and its tasks, and postpones the ends of the tasks accordingly.
+    fn hang(&mut self, now: Instant, duration: Duration) {
+        self.hung_until = now + duration;
         for task in &mut self.tasks {
             match &mut task.state {
-                TaskState::Fetching(at) | TaskState::Running(Some(at)) => *at += lasts,
+                TaskState::Fetching(at) | TaskState::Running(Some(at)) => *at += duration,
                 TaskState::Running(None) | TaskState::Exited(_) => {}
             }
         }
@@ -282,6 +282,7 @@
         self.context.recorder.record(event);
     }
 
+    /// Kills all tasks on the machine.
     fn kill_all(&mut self) {
         for task in std::mem::take(&mut self.tasks) {
             if matches!(task.state, TaskState::Running(_)) {
@@ -290,12 +291,13 @@
         }
     }
 
+    /// Performs all actions that are due: lease expiry, held commands, tasks and heartbeats.
     fn advance(&mut self, now: Instant) {
         if now > self.lease_renewed_at + LEASE {
             self.kill_all();
             self.incarnation += 1;
             self.lease_renewed_at = now;
-            self.heartbeat_soon(now);
+            self.schedule_heartbeat(now);
         }
         if now < self.hung_until {
             return;
@@ -331,12 +333,13 @@
             changed = true;
         }
         if changed {
-            self.heartbeat_soon(now);
+            self.schedule_heartbeat(now);
         }
     }
 
-    /// Sends a heartbeat because of a change, at once unless the last one is too recent.
-    fn heartbeat_soon(&mut self, now: Instant) {
+    /// Schedules a heartbeat because of a change: as soon as [`MIN_CHANGE_INTERVAL`] has passed since
+    /// the last one, unless one is due earlier.
+    fn schedule_heartbeat(&mut self, now: Instant) {
         self.next_heartbeat = self.next_heartbeat.min(now.max(self.last_heartbeat + MIN_CHANGE_INTERVAL));
     }
 
@@ -345,7 +348,7 @@
         self.last_heartbeat = now;
         self.sequence += 1;
         let body = encode(&self.encode_heartbeat());
-        if now < self.late_heartbeats.until && self.rng.random_bool(self.late_heartbeats.share) {
+        if now < self.duplicated_heartbeats.until && self.rng.random_bool(self.duplicated_heartbeats.share) {
             let controllers = &self.context.controllers;
             let other = controllers[self.rng.random_range(0..controllers.len())];
             let after = Duration::from_secs_f64(self.rng.random_range(0.5..LEASE.as_secs_f64() * 1.5));
@@ -403,7 +406,7 @@
         }
         if fencing_token > self.fencing_token {
             self.fencing_token = fencing_token;
-            self.heartbeat_soon(now);
+            self.schedule_heartbeat(now);
         }
         self.lease_renewed_at = sent;
         self.execute_commands(now, body);
@@ -465,12 +468,12 @@
             true => self.record(Event::StartReceived { task: self.task_on(job, index), attempt }),
             false => self.record(Event::UnknownStartReceived { machine: self.identity.name.clone() }),
         }
-        let is_there = |task: &&Task| !matches!(task.state, TaskState::Exited(_));
+        let is_active = |task: &&Task| !matches!(task.state, TaskState::Exited(_));
         let cpus = |job: usize| self.context.jobs.get(job).map_or(0.0, |job| job.cpus);
-        let used: f64 = self.tasks.iter().filter(is_there).map(|task| cpus(task.job)).sum();
+        let used: f64 = self.tasks.iter().filter(is_active).map(|task| cpus(task.job)).sum();
         let state = match self.context.jobs.get(job) {
             Some(planned) if index < planned.tasks => {
-                if self.tasks.iter().filter(is_there).any(same) {
+                if self.tasks.iter().filter(is_active).any(same) {
                     TaskState::Exited("in_use")
                 } else if used + planned.cpus > MACHINE_CPUS + 1e-6 {
                     TaskState::Exited("no_room")
@@ -481,24 +484,24 @@
             _ => TaskState::Exited("unknown"),
         };
         self.tasks.push(Task { job, index, attempt, state });
-        self.heartbeat_soon(now);
+        self.schedule_heartbeat(now);
     }
 
     fn stop_task(&mut self, now: Instant, job: usize, index: u32, attempt: u64) {
         let named = |task: &&mut Task| task.job == job && task.index == index && task.attempt == attempt;
         let Some(task) = self.tasks.iter_mut().find(named) else { return };
-        let was = task.state;
-        if matches!(was, TaskState::Exited(_)) {
+        let previous = task.state;
+        if matches!(previous, TaskState::Exited(_)) {
             return;
         }
         task.state = TaskState::Exited("halted");
-        if matches!(was, TaskState::Running(_)) {
+        if matches!(previous, TaskState::Running(_)) {
             self.record(Event::TaskRemoved { task: self.task_on(job, index) });
         }
-        self.heartbeat_soon(now);
+        self.schedule_heartbeat(now);
     }
 
-    /// The heartbeat with the status of all tasks.
+    /// Encodes a heartbeat with the status of all tasks.
     fn encode_heartbeat(&self) -> Value {
         let tasks = self.tasks.iter().map(|task| {
             let (standing, cause) = match task.state {
