--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -33,7 +33,7 @@
             limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops
         )
     };
-    let present = describe(state.in_force());
+    let present = describe(state.initial());
     match state.next {
         Some(_) => format!("state service: {present}; later: {}", describe(state.announced())),
         None => format!("state service: {present}"),
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -132,7 +132,7 @@
             admissions: Admissions::default(),
             dependencies: DependencyGraph::default(),
             quotas: Quotas::new(&cluster.teams),
-            record_writes: RecordWriteQueue::new(now, cluster.kv.in_force()),
+            record_writes: RecordWriteQueue::new(now, cluster.kv.initial()),
             singletons: SingletonKeys::default(),
             machines: MachineTable::new(CapacityLimits::new(&cluster.limits).machines),
             node_pools: NodePools::default(),
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -177,7 +177,7 @@
 
 impl KvSettings {
     /// The initial limits, which hold until the announced ones take effect.
-    pub fn in_force(&self) -> KvLimits {
+    pub fn initial(&self) -> KvLimits {
         let KvSettings { rps, write_rps, value_kb, txn_ops, .. } = *self;
         KvLimits { rps, write_rps, value_kb, txn_ops }
     }
@@ -185,7 +185,7 @@
     /// The limits that hold once the announced ones have taken effect; the initial ones if none
     /// are announced.
     pub fn announced(&self) -> KvLimits {
-        let present = self.in_force();
+        let present = self.initial();
         let Some(next) = &self.next else { return present };
         KvLimits {
             rps: next.rps.unwrap_or(present.rps),
@@ -198,7 +198,7 @@
     /// The smaller of the initial and the announced value of each limit: what is allowed both
     /// before and after the change.
     pub fn strictest(&self) -> KvLimits {
-        let (present, announced) = (self.in_force(), self.announced());
+        let (present, announced) = (self.initial(), self.announced());
         KvLimits {
             rps: present.rps.min(announced.rps),
             write_rps: present.write_rps.min(announced.write_rps),
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -71,11 +71,11 @@
 fn announced_limits_override_the_present_ones() {
     let parse = |text: &str| Settings::parse(text, Path::new("s.toml")).map(|s| s.cluster.kv);
     let present = parse(SAMPLE).expect("valid");
-    assert_eq!(present.announced(), present.in_force());
+    assert_eq!(present.announced(), present.initial());
     let next = "txn_ops = 12\n[cluster.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\nlater = 1";
     let state = parse(&SAMPLE.replacen("txn_ops = 12", next, 1)).expect("valid");
-    assert_eq!(state.in_force(), present.in_force());
-    let announced = KvLimits { write_rps: 15.0, value_kb: 2.0, ..present.in_force() };
+    assert_eq!(state.initial(), present.initial());
+    let announced = KvLimits { write_rps: 15.0, value_kb: 2.0, ..present.initial() };
     assert_eq!(state.announced(), announced);
     assert_eq!(state.strictest(), announced);
     let more = SAMPLE.replacen("txn_ops = 12", "txn_ops = 12\nnext = { txn_ops = 40 }", 1);
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -104,7 +104,7 @@
 /// Checks the maximum size of transactions, both initial and announced.
 fn check_transaction_size(state: &KvSettings) -> Result<(), InvalidField> {
     const REASON: &str = "must be at least 4";
-    let (present, announced) = (state.in_force().txn_ops, state.announced().txn_ops);
+    let (present, announced) = (state.initial().txn_ops, state.announced().txn_ops);
     require(present >= MIN_TRANSACTION_CHANGES, "cluster.state.txn_ops", REASON)?;
     require(announced >= MIN_TRANSACTION_CHANGES, "cluster.state.next.txn_ops", REASON)
 }
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -103,12 +103,12 @@
 ) -> KvClient {
     let (requests, inbox) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
     let (finished, responses) = mpsc::channel(RESPONSE_CHANNEL_CAPACITY);
-    let in_force = state.in_force();
-    let (limits_in_force, limits) = watch::channel(in_force);
+    let initial = state.initial();
+    let (limits_in_force, limits) = watch::channel(initial);
     let actor = Actor {
         pool: ConnectionPool::new(address, RESPONSE_LIMITS, MAX_IN_FLIGHT),
         queues: RequestQueues::default(),
-        rates: RateLimits::new(RateShare { controllers, leading: false }, in_force),
+        rates: RateLimits::new(RateShare { controllers, leading: false }, initial),
         in_flight: 0,
         max_changes: state.strictest().txn_ops,
         announced: state.announced(),
--- a/src/storage/kv/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -89,7 +89,7 @@
         Transaction { changes, ..put(7, key, 0) }
     };
     assert!(kv.compare_and_swap(large("a")).await.is_ok());
-    assert_eq!(kv.limits(), state.in_force());
+    assert_eq!(kv.limits(), state.initial());
     server.limit(state.announced()).await;
     assert!(kv.get(RequestClass::Admission, "a").await.is_ok_and(|entry| entry.is_some()), "still readable");
     let mut tasks = tokio::task::JoinSet::new();
