--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -54,7 +54,7 @@
     pub(super) fn flush_expired_replies(&mut self) {
         let now = Instant::now();
         let Some(leader) = &mut self.leader else { return };
-        for DeferredReply { heartbeat, reply, .. } in self.deferred_replies.expired(now) {
+        for DeferredReply { heartbeat, reply, .. } in self.deferred_replies.take_expired(now) {
             let decided = leader.decide_deferred_reply(now, &heartbeat);
             let _ = reply.send(deferred_answer(leader, decided));
         }
--- a/src/coordination/workers/deferred_replies.rs
+++ b/src/coordination/workers/deferred_replies.rs
@@ -83,7 +83,7 @@
     }
 
     /// Removes and returns the replies whose deadline has passed.
-    pub fn expired(&mut self, now: Instant) -> Vec<DeferredReply<R>> {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<DeferredReply<R>> {
         let expired: Vec<MachineId> = self
             .by_machine
             .iter()
--- a/src/coordination/workers/deferred_replies/tests.rs
+++ b/src/coordination/workers/deferred_replies/tests.rs
@@ -30,8 +30,8 @@
     assert!(replies.defer(now, heartbeat_message("vm-1", 1, Vec::new()), 1).is_none());
     let earlier = replies.defer(now, heartbeat_message("vm-1", 2, Vec::new()), 2).expect("given up");
     assert_eq!((earlier.heartbeat.sequence, earlier.reply), (1, 1));
-    assert!(replies.expired(now).is_empty());
-    let expired = replies.expired(now + replies.max_delay);
+    assert!(replies.take_expired(now).is_empty());
+    let expired = replies.take_expired(now + replies.max_delay);
     assert_eq!(expired.iter().map(|deferred| deferred.reply).collect::<Vec<_>>(), [2]);
     assert_eq!(replies.machines().count(), 0);
 }
