--- a/src/coordination/authority/attempts.rs
+++ b/src/coordination/authority/attempts.rs
@@ -21,7 +21,7 @@
 
     /// The number of the next attempt, without consuming it; `None` once all numbers of the
     /// epoch are used.
-    pub(crate) fn next(&self) -> Option<u64> {
+    pub(crate) fn peek(&self) -> Option<u64> {
         self.last.checked_add(1).map(|counter| self.number(counter))
     }
 
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -100,7 +100,7 @@
     /// permitted.
     fn start_task(&mut self, now: Instant, heartbeat: HeartbeatRef<'_>, task: TaskId) -> Option<Command> {
         let HeartbeatRef { machine, sequence } = heartbeat;
-        let Some(attempt) = self.attempts.next() else {
+        let Some(attempt) = self.attempts.peek() else {
             tracing::error!("attempt numbers of the epoch exhausted");
             return None;
         };
