--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -36,7 +36,7 @@
                 2 => Fault::Outage { lasts: lasts / 2.0 },
                 3 => Fault::StateServiceRefuses { lasts, peers },
                 4 | 5 => Fault::StateServiceUnreachable { lasts, peers },
-                6 => Fault::LateWrites { probability, lasts },
+                6 => Fault::DelayedWrites { probability, lasts },
                 7..=9 => Fault::LostAnswers { probability, lasts },
                 10 => Fault::DuplicatedWrites { probability, lasts },
                 11 | 12 => Fault::SlowAnswers { probability, lasts },
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -41,7 +41,7 @@
 
 #[test]
 fn delayed_transactions_arrive_after_newer_ones_and_a_failover() {
-    let late = LateWrites { probability: 0.4, lasts: 90.0 };
+    let late = DelayedWrites { probability: 0.4, lasts: 90.0 };
     let crash = Crash { controller: None, restart_after: 0.3 };
     run_concurrent_faults(
         &[(25.0, late), (60.0, crash), (80.0, crash), (90.0, CancelNow { count: 3, hang: 0.0 })],
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -29,7 +29,7 @@
     /// The cloud answers with errors.
     CloudDown { lasts: f64 },
     /// Transactions are applied late, without an answer.
-    LateWrites { probability: f64, lasts: f64 },
+    DelayedWrites { probability: f64, lasts: f64 },
     /// Copies of heartbeats arrive later, at random controllers.
     LateHeartbeats { probability: f64, lasts: f64 },
     /// Users cancel `count` running jobs; the machines of these are stalled for `hang`.
@@ -111,7 +111,7 @@
                 }
             }
             Fault::CloudDown { lasts } => self.cloud_down_until = until(lasts),
-            Fault::LateWrites { probability, lasts } => self.late_writes = random(probability, lasts),
+            Fault::DelayedWrites { probability, lasts } => self.delayed_writes = random(probability, lasts),
             Fault::LostAnswers { probability, lasts } => self.lost_answers = random(probability, lasts),
             Fault::DuplicatedWrites { probability, lasts } => {
                 self.duplicated_writes = random(probability, lasts);
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -116,7 +116,7 @@
     outage_until: Instant,
     /// Limits the changes per second once the announced limits are in force.
     write_limiter: Option<TokenBucket>,
-    late_writes: RandomFault,
+    delayed_writes: RandomFault,
     lost_answers: RandomFault,
     duplicated_writes: RandomFault,
     /// Transactions that are applied late, each with the time at which it is applied.
@@ -258,7 +258,7 @@
             lease_renewals: BTreeMap::new(),
             outage_until: begin,
             write_limiter: None,
-            late_writes: RandomFault::inactive(begin),
+            delayed_writes: RandomFault::inactive(begin),
             lost_answers: RandomFault::inactive(begin),
             duplicated_writes: RandomFault::inactive(begin),
             delayed_transactions: Vec::new(),
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -76,7 +76,7 @@
         if request.target != "/commit" {
             return false;
         }
-        if self.late_writes.affects(now, &mut self.rng) {
+        if self.delayed_writes.affects(now, &mut self.rng) {
             let after = seconds(self.rng.random_range(2.0..12.0));
             self.delayed_transactions.push((now + after, request.clone()));
             return true;
