--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -37,7 +37,7 @@
                 3 => Fault::StateServiceRefuses { lasts, peers },
                 4 | 5 => Fault::StateServiceUnreachable { lasts, peers },
                 6 => Fault::DelayedWrites { probability, lasts },
-                7..=9 => Fault::LostAnswers { probability, lasts },
+                7..=9 => Fault::LostResponses { probability, lasts },
                 10 => Fault::DuplicatedWrites { probability, lasts },
                 11 | 12 => Fault::SlowAnswers { probability, lasts },
                 13 => Fault::LateRequests { probability, lasts },
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -78,7 +78,7 @@
 /// what they wrote.
 #[test]
 fn transaction_replies_are_lost_while_controllers_are_partitioned() {
-    let lost = LostAnswers { probability: 0.6, lasts: 90.0 };
+    let lost = LostResponses { probability: 0.6, lasts: 90.0 };
     let cancel = CancelNow { count: 4, hang: 0.0 };
     let at_end = CancelAtEnd { probability: 0.4, lasts: 90.0 };
     let unreachable = PeersUnreachable { lasts: 80.0 };
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -53,7 +53,7 @@
                 15 => Fault::CancelAtEnd { probability: 0.6, lasts },
                 16 => Fault::Burst { jobs: rng.random_range(5..25) },
                 17 | 18 => Fault::Stall { controller, lasts: rng.random_range(0.2..25.0) },
-                19 => Fault::LostAnswers { probability, lasts },
+                19 => Fault::LostResponses { probability, lasts },
                 20 => Fault::DuplicatedWrites { probability, lasts },
                 21 => Fault::SlowAnswers { probability, lasts },
                 22 => Fault::PeersUnreachable { lasts },
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -39,7 +39,7 @@
     /// Many jobs are submitted at the same time.
     Burst { jobs: usize },
     /// Transactions and reads are carried out immediately; their answers are lost.
-    LostAnswers { probability: f64, lasts: f64 },
+    LostResponses { probability: f64, lasts: f64 },
     /// Transactions are applied immediately, and a second time later.
     DuplicatedWrites { probability: f64, lasts: f64 },
     /// Answers of the state service and of other controllers take longer.
@@ -112,7 +112,7 @@
             }
             Fault::CloudDown { lasts } => self.cloud_down_until = until(lasts),
             Fault::DelayedWrites { probability, lasts } => self.delayed_writes = random(probability, lasts),
-            Fault::LostAnswers { probability, lasts } => self.lost_answers = random(probability, lasts),
+            Fault::LostResponses { probability, lasts } => self.lost_responses = random(probability, lasts),
             Fault::DuplicatedWrites { probability, lasts } => {
                 self.duplicated_writes = random(probability, lasts);
             }
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -117,7 +117,7 @@
     /// Limits the changes per second once the announced limits are in force.
     write_limiter: Option<TokenBucket>,
     delayed_writes: RandomFault,
-    lost_answers: RandomFault,
+    lost_responses: RandomFault,
     duplicated_writes: RandomFault,
     /// Transactions that are applied late, each with the time at which it is applied.
     delayed_transactions: Vec<(Instant, Request)>,
@@ -259,7 +259,7 @@
             outage_until: begin,
             write_limiter: None,
             delayed_writes: RandomFault::inactive(begin),
-            lost_answers: RandomFault::inactive(begin),
+            lost_responses: RandomFault::inactive(begin),
             duplicated_writes: RandomFault::inactive(begin),
             delayed_transactions: Vec::new(),
             watches: Vec::new(),
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -33,7 +33,7 @@
         if self.delay_or_duplicate(now, &request) {
             return;
         }
-        let is_lost = self.lost_answers.affects(now, &mut self.rng);
+        let is_lost = self.lost_responses.affects(now, &mut self.rng);
         if !self.is_allowed(now, &request) {
             return reply_after(reply, Ok(answer(429, &Value::Null)), latency);
         }
