--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -55,7 +55,7 @@
                 17 | 18 => Fault::Stall { controller, lasts: rng.random_range(0.2..25.0) },
                 19 => Fault::LostResponses { probability, lasts },
                 20 => Fault::DuplicatedWrites { probability, lasts },
-                21 => Fault::SlowAnswers { probability, lasts },
+                21 => Fault::DelayedResponses { probability, lasts },
                 22 => Fault::PeersUnreachable { lasts },
                 _ => Fault::ZonePartition { lasts },
             };
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -43,7 +43,7 @@
     /// Transactions are applied immediately, and a second time later.
     DuplicatedWrites { probability: f64, lasts: f64 },
     /// Answers of the state service and of other controllers take longer.
-    SlowAnswers { probability: f64, lasts: f64 },
+    DelayedResponses { probability: f64, lasts: f64 },
     /// Copies of users' requests arrive later, at random controllers.
     LateRequests { probability: f64, lasts: f64 },
     /// Calls between controllers are lost.
@@ -116,7 +116,9 @@
             Fault::DuplicatedWrites { probability, lasts } => {
                 self.duplicated_writes = random(probability, lasts);
             }
-            Fault::SlowAnswers { probability, lasts } => self.slow_answers = random(probability, lasts),
+            Fault::DelayedResponses { probability, lasts } => {
+                self.delayed_responses = random(probability, lasts);
+            }
             Fault::LateRequests { probability, lasts } => self.late_requests = random(probability, lasts),
             Fault::LateHeartbeats { probability, lasts } => self.late_heartbeats = random(probability, lasts),
             Fault::CancelAtEnd { probability, lasts } => self.cancel_at_end = random(probability, lasts),
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -103,7 +103,7 @@
     events: JoinSet<Event>,
     /// Messages of stalled controllers, each with its time of delivery.
     held_messages: Vec<(Instant, SimulatedRequest)>,
-    slow_answers: RandomFault,
+    delayed_responses: RandomFault,
     /// Calls between controllers are lost until this time.
     peers_unreachable_until: Instant,
     /// The zone with workers and one controller is partitioned until this time.
@@ -251,7 +251,7 @@
             messages,
             events: JoinSet::new(),
             held_messages: Vec::new(),
-            slow_answers: RandomFault::inactive(begin),
+            delayed_responses: RandomFault::inactive(begin),
             peers_unreachable_until: begin,
             zone_partitioned_until: begin,
             state: in_memory_kv::InMemoryKv::with_pages_of(shape.page),
--- a/src/coordination/tests/simulation/network.rs
+++ b/src/coordination/tests/simulation/network.rs
@@ -53,9 +53,9 @@
         (destination.service != WORKER).then_some(usize::from(destination.sender))
     }
 
-    /// Latency added to an answer by [`Fault::SlowAnswers`].
+    /// Latency added to an answer by [`Fault::DelayedResponses`].
     pub(super) fn extra_latency(&mut self, now: Instant) -> Duration {
-        let slow = self.slow_answers.affects(now, &mut self.rng);
+        let slow = self.delayed_responses.affects(now, &mut self.rng);
         if slow { seconds(self.rng.random_range(0.05..1.2)) } else { Duration::ZERO }
     }
 
