--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -46,7 +46,7 @@
                 8 => Fault::HeartbeatsLost { probability, lasts },
                 9 => Fault::Hung { probability, lasts },
                 10 => Fault::MachinesLost { probability: probability / 2.0 },
-                11 => Fault::CloudDown { lasts },
+                11 => Fault::CloudOutage { lasts },
                 12 => Fault::DelayedWrites { probability, lasts },
                 13 => Fault::LateHeartbeats { probability, lasts },
                 14 => Fault::CancelNow { count: rng.random_range(1..5), hang: lasts / 2.0 },
--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -8,7 +8,7 @@
 impl Simulation {
     /// Answers a request of a controller.
     pub(super) fn handle_cloud_request(&mut self, now: Instant, call: &HttpCall) -> Response {
-        if now < self.cloud_down_until {
+        if now < self.cloud_outage_until {
             return answer(503, &MapBuilder::new().set("error", "unavailable").build());
         }
         let body = decode(&call.body).unwrap_or(Value::Null);
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -27,7 +27,7 @@
     /// Machines are lost, as in a preemption without notice.
     MachinesLost { probability: f64 },
     /// The cloud answers with errors.
-    CloudDown { lasts: f64 },
+    CloudOutage { lasts: f64 },
     /// Transactions are applied late, without an answer.
     DelayedWrites { probability: f64, lasts: f64 },
     /// Copies of heartbeats arrive later, at random controllers.
@@ -110,7 +110,7 @@
                     self.remove(now, &name);
                 }
             }
-            Fault::CloudDown { lasts } => self.cloud_down_until = until(lasts),
+            Fault::CloudOutage { lasts } => self.cloud_outage_until = until(lasts),
             Fault::DelayedWrites { probability, lasts } => self.delayed_writes = random(probability, lasts),
             Fault::LostResponses { probability, lasts } => self.lost_responses = random(probability, lasts),
             Fault::DuplicatedWrites { probability, lasts } => {
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -124,7 +124,7 @@
     watches: Vec<Watch>,
 
     // The cloud.
-    cloud_down_until: Instant,
+    cloud_outage_until: Instant,
     /// Names of the machines of each node pool request.
     node_pools: HashMap<String, Vec<String>>,
     /// Number of machines provisioned so far.
@@ -263,7 +263,7 @@
             duplicated_writes: RandomFault::inactive(begin),
             delayed_transactions: Vec::new(),
             watches: Vec::new(),
-            cloud_down_until: begin,
+            cloud_outage_until: begin,
             node_pools: HashMap::default(),
             next_machine: 0,
             controllers: (0..shape.controllers).map(|_| SimulatedController::new(begin)).collect(),
