--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -208,7 +208,7 @@
 fn heartbeats_of_earlier_incarnations_and_attempts_arrive_after_newer_ones() {
     run_concurrent_faults(
         &[
-            (20.0, LateHeartbeats { probability: 0.5, lasts: 100.0 }),
+            (20.0, DuplicatedHeartbeats { probability: 0.5, lasts: 100.0 }),
             (40.0, Hung { probability: 0.4, lasts: 25.0 }),
             (70.0, OneWayPartition { probability: 0.4, lasts: 25.0 }),
         ],
@@ -219,7 +219,7 @@
 #[test]
 fn a_heartbeat_is_delayed_until_a_new_leader_has_acted() {
     let crash = Crash { controller: None, restart_after: 1.0 };
-    let late = LateHeartbeats { probability: 0.7, lasts: 100.0 };
+    let late = DuplicatedHeartbeats { probability: 0.7, lasts: 100.0 };
     run_concurrent_faults(
         &[(20.0, late), (45.0, crash), (60.0, crash), (75.0, CrashAll { restart_after: 8.0 })],
         |simulation| simulation.leaders.len() >= 4,
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -48,7 +48,7 @@
                 10 => Fault::MachinesLost { probability: probability / 2.0 },
                 11 => Fault::CloudOutage { lasts },
                 12 => Fault::DelayedWrites { probability, lasts },
-                13 => Fault::LateHeartbeats { probability, lasts },
+                13 => Fault::DuplicatedHeartbeats { probability, lasts },
                 14 => Fault::CancelNow { count: rng.random_range(1..5), hang: lasts / 2.0 },
                 15 => Fault::CancelAtEnd { probability: 0.6, lasts },
                 16 => Fault::Burst { jobs: rng.random_range(5..25) },
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -31,7 +31,7 @@
     /// Transactions are applied late, without an answer.
     DelayedWrites { probability: f64, lasts: f64 },
     /// Copies of heartbeats arrive later, at random controllers.
-    LateHeartbeats { probability: f64, lasts: f64 },
+    DuplicatedHeartbeats { probability: f64, lasts: f64 },
     /// Users cancel `count` running jobs; the machines of these are stalled for `hang`.
     CancelNow { count: usize, hang: f64 },
     /// Users cancel jobs when their last task ends.
@@ -120,7 +120,9 @@
                 self.delayed_responses = random(probability, lasts);
             }
             Fault::LateRequests { probability, lasts } => self.late_requests = random(probability, lasts),
-            Fault::LateHeartbeats { probability, lasts } => self.late_heartbeats = random(probability, lasts),
+            Fault::DuplicatedHeartbeats { probability, lasts } => {
+                self.duplicated_heartbeats = random(probability, lasts);
+            }
             Fault::CancelAtEnd { probability, lasts } => self.cancel_at_end = random(probability, lasts),
             Fault::PeersUnreachable { lasts } => self.peers_unreachable_until = until(lasts),
             Fault::Stall { controller, lasts } => {
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -134,7 +134,7 @@
 
     // Workers.
     machines: BTreeMap<String, Worker>,
-    late_heartbeats: RandomFault,
+    duplicated_heartbeats: RandomFault,
 
     // Users.
     jobs: BTreeMap<String, Job>,
@@ -268,7 +268,7 @@
             next_machine: 0,
             controllers: (0..shape.controllers).map(|_| SimulatedController::new(begin)).collect(),
             machines: BTreeMap::new(),
-            late_heartbeats: RandomFault::inactive(begin),
+            duplicated_heartbeats: RandomFault::inactive(begin),
             jobs: BTreeMap::new(),
             next_job: 0,
             shape,
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -125,7 +125,7 @@
             now < self.zone_partitioned_until && (worker.zone == "z2") != (target == PARTITIONED_CONTROLLER);
         let is_received = now >= worker.heartbeats_lost_until && !is_partitioned;
         let handle = self.controllers[target].handle.clone().filter(|_| is_received);
-        if self.late_heartbeats.affects(now, &mut self.rng) {
+        if self.duplicated_heartbeats.affects(now, &mut self.rng) {
             self.send_late_copy_of_heartbeat(&body);
         }
         let machine = name.to_owned();
