--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -40,7 +40,7 @@
                 7..=9 => Fault::LostResponses { probability, lasts },
                 10 => Fault::DuplicatedWrites { probability, lasts },
                 11 | 12 => Fault::DelayedResponses { probability, lasts },
-                13 => Fault::LateRequests { probability, lasts },
+                13 => Fault::DuplicatedRequests { probability, lasts },
                 14 | 15 => Fault::PeersUnreachable { lasts },
                 16 | 17 => Fault::Stall { controller, lasts: rng.random_range(0.2..6.0) },
                 18 => Fault::CancelNow { count: rng.random_range(1..8), hang: 0.0 },
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -45,7 +45,7 @@
     /// Answers of the state service and of other controllers take longer.
     DelayedResponses { probability: f64, lasts: f64 },
     /// Copies of users' requests arrive later, at random controllers.
-    LateRequests { probability: f64, lasts: f64 },
+    DuplicatedRequests { probability: f64, lasts: f64 },
     /// Calls between controllers are lost.
     PeersUnreachable { lasts: f64 },
     /// A controller is stalled while its clocks go on.
@@ -119,7 +119,9 @@
             Fault::DelayedResponses { probability, lasts } => {
                 self.delayed_responses = random(probability, lasts);
             }
-            Fault::LateRequests { probability, lasts } => self.late_requests = random(probability, lasts),
+            Fault::DuplicatedRequests { probability, lasts } => {
+                self.duplicated_requests = random(probability, lasts);
+            }
             Fault::DuplicatedHeartbeats { probability, lasts } => {
                 self.duplicated_heartbeats = random(probability, lasts);
             }
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -142,7 +142,7 @@
     next_job: usize,
     shape: ClusterShape,
     cancel_at_end: RandomFault,
-    late_requests: RandomFault,
+    duplicated_requests: RandomFault,
     /// Answers sent so far, over all controllers.
     answers: Arc<AtomicU64>,
     next_arrival: Instant,
@@ -273,7 +273,7 @@
             next_job: 0,
             shape,
             cancel_at_end: RandomFault::inactive(begin),
-            late_requests: RandomFault::inactive(begin),
+            duplicated_requests: RandomFault::inactive(begin),
             answers: Arc::default(),
             next_arrival: begin + seconds(3.0),
             arrivals_until: begin + seconds(faults_end),
--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -161,7 +161,7 @@
     /// Sends a request; its answer arrives as an [`Event::RequestAnswered`].
     fn send(&mut self, now: Instant, user_request: UserRequest) {
         let UserRequest { id, request_kind, request, at, after, is_extra } = user_request;
-        let has_late_copy = self.late_requests.affects(now, &mut self.rng);
+        let has_late_copy = self.duplicated_requests.affects(now, &mut self.rng);
         if has_late_copy && !matches!(request_kind, RequestKind::Invalid(_) | RequestKind::Unknown) {
             self.send_late_copy_of_request(&request);
         }
