--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_command_delayed_by_a_hung_machine_is_applied_when_it_resumes() {
-    let hung = |lasts| Hung { probability: 0.6, lasts };
+    let hung = |lasts| Hang { probability: 0.6, lasts };
     run_concurrent_faults(
         &[(40.0, hung(3.0)), (50.0, hung(6.0)), (60.0, CancelNow { count: 4, hang: 15.0 })],
         |simulation| simulation.cancellations > 0,
@@ -209,7 +209,7 @@
     run_concurrent_faults(
         &[
             (20.0, DuplicatedHeartbeats { probability: 0.5, lasts: 100.0 }),
-            (40.0, Hung { probability: 0.4, lasts: 25.0 }),
+            (40.0, Hang { probability: 0.4, lasts: 25.0 }),
             (70.0, OneWayPartition { probability: 0.4, lasts: 25.0 }),
         ],
         |simulation| simulation.late_copies > 50,
@@ -242,7 +242,7 @@
             (50.0, HeartbeatsLost { probability: 0.5, lasts: 30.0 }),
             (51.0, Crash { controller: None, restart_after: 5.0 }),
             (54.0, CancelNow { count: 4, hang: 0.0 }),
-            (80.0, Hung { probability: 0.5, lasts: 17.0 }),
+            (80.0, Hang { probability: 0.5, lasts: 17.0 }),
             (81.0, Crash { controller: None, restart_after: 5.0 }),
             (84.0, CancelNow { count: 4, hang: 10.0 }),
         ],
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -44,7 +44,7 @@
                 6 => Fault::StateServiceUnreachable { lasts, peers },
                 7 => Fault::OneWayPartition { probability, lasts },
                 8 => Fault::HeartbeatsLost { probability, lasts },
-                9 => Fault::Hung { probability, lasts },
+                9 => Fault::Hang { probability, lasts },
                 10 => Fault::MachinesLost { probability: probability / 2.0 },
                 11 => Fault::CloudOutage { lasts },
                 12 => Fault::DelayedWrites { probability, lasts },
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -23,7 +23,7 @@
     /// Heartbeats of machines are lost; pushed commands arrive.
     HeartbeatsLost { probability: f64, lasts: f64 },
     /// Machines and their tasks are stalled.
-    Hung { probability: f64, lasts: f64 },
+    Hang { probability: f64, lasts: f64 },
     /// Machines are lost, as in a preemption without notice.
     MachinesLost { probability: f64 },
     /// The cloud answers with errors.
@@ -102,7 +102,7 @@
                     worker.heartbeats_lost_until = until(lasts);
                 });
             }
-            Fault::Hung { probability, lasts } => {
+            Fault::Hang { probability, lasts } => {
                 self.change_random_machines(now, probability, |worker| worker.hung_until = until(lasts));
             }
             Fault::MachinesLost { probability } => {
