--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -107,7 +107,7 @@
     /// Whether replies appear not to reach the agent. The machine's capacity is then not relied on.
     pub one_way_partitioned: bool,
     /// When commands were last pushed to it.
-    pub stops_pushed_at: Option<Instant>,
+    pub commands_pushed_at: Option<Instant>,
 }
 
 /// Whether the stored record of a machine's node pool says that the machine may hold tasks. It must
@@ -256,7 +256,7 @@
     ) -> Option<Effect> {
         let incarnation = self.agent.last_heartbeat?.incarnation;
         let address = self.agent.address.parse().ok()?;
-        self.agent.stops_pushed_at = Some(now);
+        self.agent.commands_pushed_at = Some(now);
         Some(Effect::PushCommands { address, fencing_token, incarnation, commands })
     }
 
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -84,7 +84,7 @@
             if may_delete && is_silent && is_overdue && machine.phase == Phase::Up {
                 silent_machines.push(machine.id.clone());
             }
-            if machine.agent.stops_pushed_at.is_some_and(|at| now < at + push_interval) {
+            if machine.agent.commands_pushed_at.is_some_and(|at| now < at + push_interval) {
                 continue;
             }
             let commands = stops.into_iter().map(|stop| stop.command).take(MAX_COMMANDS).collect();
