--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -237,7 +237,7 @@
         job.cancellation.committed_at = job.record.cancelled.then_some(now);
         self.record_latency_sensitive_class(job.spec());
         if is_ready && self.is_latency_sensitive(job.spec()) {
-            self.latency_classes.announce_work();
+            self.latency_classes.record_new_work();
         }
         self.jobs.insert(job.id().clone(), job);
         self.queue.invalidate();
--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -153,7 +153,7 @@
             ready.record.ready_ms = Some(now_ms);
             let spec = ready.record.spec.clone();
             if self.is_latency_sensitive(&spec) {
-                self.latency_classes.announce_work();
+                self.latency_classes.record_new_work();
             }
             self.queue.invalidate();
             // Its tasks start only once the raised mark is committed.
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -155,7 +155,7 @@
             return self.write_record(now, job_id);
         }
         if write.started_high_water > job.stored.started_high_water {
-            self.latency_classes.announce_work();
+            self.latency_classes.record_new_work();
         }
         job.record.cancelled = write.cancelled;
         job.record.completed = write.completed;
--- a/src/coordination/scheduling/latency.rs
+++ b/src/coordination/scheduling/latency.rs
@@ -21,7 +21,7 @@
 pub(crate) struct LatencySensitiveClasses {
     /// Requirements of a task, by the name of its class.
     classes: HashMap<String, LatencySensitiveTask>,
-    /// Whether work was announced since the last [`Self::take_announcement`].
+    /// Whether work was announced since the last [`Self::take_new_work`].
     has_new_work: bool,
 }
 
@@ -41,12 +41,12 @@
     }
 
     /// Records that latency-sensitive work may have started to wait.
-    pub(crate) fn announce_work(&mut self) {
+    pub(crate) fn record_new_work(&mut self) {
         self.has_new_work = true;
     }
 
     /// Whether latency-sensitive work was announced since the last call.
-    pub(crate) fn take_announcement(&mut self) -> bool {
+    pub(crate) fn take_new_work(&mut self) -> bool {
         std::mem::take(&mut self.has_new_work)
     }
 }
--- a/src/coordination/workers/reply_deferral.rs
+++ b/src/coordination/workers/reply_deferral.rs
@@ -71,7 +71,7 @@
         deferred: impl Iterator<Item = &'a MachineId>,
     ) -> Vec<MachineId> {
         let with_commands = self.outbox.take_machines_with_commands();
-        if !self.latency_classes.take_announcement() {
+        if !self.latency_classes.take_new_work() {
             return with_commands;
         }
         let waiting_images = self.images_of_latency_sensitive_work();
--- a/src/coordination/workers/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -77,7 +77,7 @@
             if !job.record.done.contains(task.index) {
                 job.tasks.requeued.insert(task.index);
                 if job.is_service() {
-                    self.latency_classes.announce_work();
+                    self.latency_classes.record_new_work();
                 }
                 // The job had no task to start until now, so the queue may not contain it.
                 if job.pending() == 1 {
