--- a/src/coordination/fleet/autoscaling.rs
+++ b/src/coordination/fleet/autoscaling.rs
@@ -35,7 +35,7 @@
         self.liveness.record(now, &self.config, &self.machines);
         let needed = self.scale_out(now);
         self.record_needed_machines(now, &needed);
-        self.rebalance(now);
+        self.run_descheduler(now);
         self.scale_in(now);
     }
 
--- a/src/coordination/scheduling/descheduler.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -26,7 +26,7 @@
 impl Leader {
     /// Drains at most one machine, and only while no replica is waiting to start, so that replicas
     /// moved earlier are placed first.
-    pub(crate) fn rebalance(&mut self, now: Instant) {
+    pub(crate) fn run_descheduler(&mut self, now: Instant) {
         let is_stable =
             self.failover.is_complete() && !self.cloud_health.is_down(now) && self.liveness.is_mostly_live();
         for machine in self.machines.values_mut().filter(|machine| machine.need.is_draining) {
