--- a/src/coordination/controller/record_reads.rs
+++ b/src/coordination/controller/record_reads.rs
@@ -54,7 +54,7 @@
     pub(super) fn read_dependencies(&self, epoch: u64, submission: Box<UncheckedSubmission>) {
         let (kv, events) = (self.kv.clone(), self.events.clone());
         tokio::spawn(async move {
-            let read = snapshot::read_dependency_states(&kv, submission.unread.clone());
+            let read = snapshot::read_dependency_states(&kv, submission.unread_dependencies.clone());
             let read = tokio::time::timeout(REQUEST_TIMEOUT, read).await;
             let states = read.ok().and_then(Result::ok);
             let _ = events.send(InternalEvent::DependenciesRead { epoch, submission, states }).await;
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -68,7 +68,12 @@
         let dependencies = match self.check_dependencies(&spec, &dependency_states) {
             DependencyCheck::Known(dependencies) => dependencies,
             DependencyCheck::Unread(unread) => {
-                let submission = UncheckedSubmission { reply, spec, unread, known: dependency_states };
+                let submission = UncheckedSubmission {
+                    reply,
+                    spec,
+                    unread_dependencies: unread,
+                    known: dependency_states,
+                };
                 return self.outbox.push(Effect::ReadDependencies(Box::new(submission)));
             }
             DependencyCheck::Undetermined(reason) => {
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -70,7 +70,7 @@
     /// The submitted job.
     pub spec: JobSpec,
     /// The dependencies whose records have not been read yet.
-    pub unread: Vec<JobId>,
+    pub unread_dependencies: Vec<JobId>,
     /// The states of dependencies that were read before.
     pub known: DependencyStates,
 }
--- a/src/coordination/tests/dag.rs
+++ b/src/coordination/tests/dag.rs
@@ -201,7 +201,7 @@
         let spec = dependent_job(&format!("job-1{index}"), &["job-9"]);
         harness.submit(spec.clone());
         let unchecked = harness.unchecked_submissions.pop().expect("the dependency's record is read");
-        assert_eq!((unchecked.unread, harness.commits.len()), (vec![id("job-9")], 0));
+        assert_eq!((unchecked.unread_dependencies, harness.commits.len()), (vec![id("job-9")], 0));
         let states = DependencyStates::from_iter([(id("job-9"), state)]);
         harness.leader.submit_with_dependency_states(harness.now, NOW_MS, unchecked.reply, spec, states);
         harness.collect_effects();
