--- a/src/coordination/controller/requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -198,7 +198,7 @@
     ) {
         self.record_reads.release();
         let now = Instant::now();
-        let UncheckedSubmission { reply, spec, known: mut dependencies, .. } = submission;
+        let UncheckedSubmission { reply, spec, read_states: mut dependencies, .. } = submission;
         match (states, self.leader_of_epoch(epoch)) {
             (Some(states), Some(leader)) => {
                 dependencies.extend(states);
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -72,7 +72,7 @@
                     reply,
                     spec,
                     unread_dependencies: unread,
-                    known: dependency_states,
+                    read_states: dependency_states,
                 };
                 return self.outbox.push(Effect::ReadDependencies(Box::new(submission)));
             }
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -72,7 +72,7 @@
     /// The dependencies whose records have not been read yet.
     pub unread_dependencies: Vec<JobId>,
     /// The states of dependencies that were read before.
-    pub known: DependencyStates,
+    pub read_states: DependencyStates,
 }
 
 /// Identifies an operation in progress; unique within an epoch.
