--- a/src/coordination/controller/leader_lifecycle.rs
+++ b/src/coordination/controller/leader_lifecycle.rs
@@ -6,7 +6,7 @@
 use crate::coordination::controller::Controller;
 use crate::coordination::controller::heartbeat_answers::redirect_answer;
 use crate::coordination::controller::peers::PeerState;
-use crate::coordination::controller::wall_clock::wall_ms;
+use crate::coordination::controller::system_time::unix_time_ms;
 use crate::coordination::election::Role;
 use crate::coordination::fleet::cloud::CloudResult;
 use crate::coordination::leader::Leader;
@@ -83,7 +83,7 @@
             lease_left_ms = whole_ms(lease_expiry.saturating_duration_since(now)),
             "snapshot read"
         );
-        let mut leader = Leader::new(self.config.clone(), epoch, now, wall_ms(), snapshot);
+        let mut leader = Leader::new(self.config.clone(), epoch, now, unix_time_ms(), snapshot);
         leader.extend_lease(now, lease_expiry);
         self.leader = Some(leader);
     }
@@ -126,7 +126,7 @@
     /// Passes records that were read after the failover to the leader for which they were read.
     pub(super) fn restore_snapshot(&mut self, epoch: u64, restored: Snapshot) {
         if let Some(leader) = self.leader_of_epoch(epoch) {
-            leader.restore_snapshot(Instant::now(), wall_ms(), restored);
+            leader.restore_snapshot(Instant::now(), unix_time_ms(), restored);
         }
     }
 
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -36,9 +36,9 @@
 mod routing;
 mod snapshot_loader;
 mod status;
+mod system_time;
 mod tick;
 mod user_replies;
-mod wall_clock;
 mod worker_redirects;
 
 use std::sync::Arc;
--- a/src/coordination/controller/requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -9,8 +9,8 @@
     ForwardedReply, JobLookup, RecordRead, ReplySender, RequestOrigin, UserRequest,
 };
 use crate::coordination::controller::peers::PeerState;
+use crate::coordination::controller::system_time::unix_time_ms;
 use crate::coordination::controller::user_replies::PendingReply;
-use crate::coordination::controller::wall_clock::wall_ms;
 use crate::coordination::controller::{Controller, POLL_TIMEOUT, REQUEST_TIMEOUT, RETRY_AFTER_S};
 use crate::coordination::jobs::cancellation::CancelOutcome;
 use crate::coordination::jobs::dependency_state::DependencyStates;
@@ -77,7 +77,7 @@
     fn submit(&mut self, now: Instant, spec: JobSpec, request: UserRequest) {
         let reply = self.user_replies.register(now, request.reply, request.job);
         if let Some(leader) = &mut self.leader {
-            leader.submit(now, wall_ms(), reply, spec);
+            leader.submit(now, unix_time_ms(), reply, spec);
         }
     }
 
@@ -202,7 +202,7 @@
         match (states, self.leader_of_epoch(epoch)) {
             (Some(states), Some(leader)) => {
                 dependencies.extend(states);
-                leader.submit_with_dependency_states(now, wall_ms(), reply, spec, dependencies);
+                leader.submit_with_dependency_states(now, unix_time_ms(), reply, spec, dependencies);
             }
             _ => {
                 let failure = Answer::retry_later(503, "awaited jobs cannot be looked up now", RETRY_AFTER_S);
--- a/src/coordination/controller/wall_clock.rs
+++ b/src/coordination/controller/system_time.rs
@@ -5,7 +5,7 @@
 use crate::numeric::whole_ms;
 
 /// Returns the milliseconds since 1970, or the simulated time in a simulation test.
-pub(super) fn wall_ms() -> u64 {
+pub(super) fn unix_time_ms() -> u64 {
     #[cfg(test)]
     if let Some(simulated) = crate::transport::simulated_network::time_of_day_ms() {
         return simulated;
