--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -217,7 +217,7 @@
         version: u64,
         waiters: Vec<ReplyId>,
     ) {
-        let waited_ms = self.clock.at_ms(now).saturating_sub(record.submitted_ms);
+        let waited_ms = self.clock.unix_time_ms(now).saturating_sub(record.submitted_ms);
         tracing::debug!(job = %job_id, waited_ms, "job admitted");
         self.insert_job(now, record, version);
         if self.dependencies.cancellation(job_id) == Cancellation::Cancelled {
--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -145,7 +145,7 @@
     /// Marks the dependents that waited only for this job as ready, once its completion is
     /// committed.
     pub(crate) fn mark_dependents_ready(&mut self, now: Instant, job_id: &JobId) {
-        let now_ms = self.clock.at_ms(now);
+        let now_ms = self.clock.unix_time_ms(now);
         for ready_id in self.dependencies.complete(job_id) {
             let Some(ready) = self.jobs.get_mut(&ready_id) else { continue };
             tracing::debug!(job = %ready_id, "job ready");
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -104,7 +104,7 @@
     /// Writes a job's record unless a write of it is in flight: changes made during a write
     /// are written once that write has ended.
     pub(crate) fn write_record(&mut self, now: Instant, job_id: &JobId) {
-        let now_ms = self.clock.at_ms(now);
+        let now_ms = self.clock.unix_time_ms(now);
         let Some(job) = self.jobs.get_mut(job_id) else { return };
         let is_blocked = job.stored.write_in_flight.is_some() || job.stored.is_rejected;
         if is_blocked || job.record.terminal_state().is_some() {
--- a/src/coordination/leader/wall_clock.rs
+++ b/src/coordination/leader/wall_clock.rs
@@ -19,7 +19,7 @@
     }
 
     /// The time of day at `now`, in milliseconds since the Unix epoch.
-    pub(crate) fn at_ms(&self, now: Instant) -> u64 {
+    pub(crate) fn unix_time_ms(&self, now: Instant) -> u64 {
         let elapsed = now.saturating_duration_since(self.reference);
         self.reference_ms.saturating_add(whole_ms(elapsed))
     }
