--- a/src/coordination/tests/mod.rs
+++ b/src/coordination/tests/mod.rs
@@ -3,8 +3,8 @@
 //! simulated time ([`simulation`]).
 
 mod cancellation;
-mod dag;
 mod decision_trace;
+mod dependencies;
 mod failover;
 mod fixtures;
 mod fleet_size;
