--- a/src/coordination/fleet/inventory_scan.rs
+++ b/src/coordination/fleet/inventory_scan.rs
@@ -84,7 +84,7 @@
             }
             let should_be_listed =
                 machine.listing.was_listed || machine.requested_at + time_until_listed < scan.started_at;
-            let is_silent = machine.agent.heartbeat_at.unwrap_or(snapshot_at) + silence < now;
+            let is_silent = machine.worker.heartbeat_at.unwrap_or(snapshot_at) + silence < now;
             if should_be_listed && is_silent {
                 machine.listing.missed_scans += 1;
                 if machine.listing.missed_scans >= MAX_MISSED_SCANS {
--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -89,7 +89,7 @@
 
 /// The state of the exchange of heartbeats and replies with a machine's agent.
 #[derive(Debug, Default)]
-pub struct AgentContact {
+pub struct WorkerContact {
     /// The address at which the agent accepts pushed commands; empty while it is unknown.
     pub address: String,
     /// The newest heartbeat under this epoch's fencing token.
@@ -161,7 +161,7 @@
     /// billing period are counted from it.
     pub requested_at: Instant,
     /// The state of the heartbeat exchange with its agent.
-    pub agent: AgentContact,
+    pub worker: WorkerContact,
     /// Whether the leader knows which tasks are on it, from a heartbeat under this epoch's fencing
     /// token or because there provably are none.
     pub reconciled: bool,
@@ -209,7 +209,7 @@
             node_pool: request.name.clone(),
             phase: Phase::Booting,
             requested_at: now,
-            agent: AgentContact::default(),
+            worker: WorkerContact::default(),
             // Nothing was ever started on a machine whose use is not recorded.
             reconciled: true,
             use_record: UseRecord::NotRecorded,
@@ -241,8 +241,8 @@
     /// Records that a scan of the cloud's inventory lists it, at this address.
     pub(crate) fn record_listed(&mut self, address: &str) {
         self.listing = Listing { was_listed: true, missed_scans: 0 };
-        if self.agent.address.is_empty() {
-            self.agent.address.push_str(address);
+        if self.worker.address.is_empty() {
+            self.worker.address.push_str(address);
         }
     }
 
@@ -254,16 +254,16 @@
         fencing_token: u64,
         commands: Vec<Command>,
     ) -> Option<Effect> {
-        let incarnation = self.agent.last_heartbeat?.incarnation;
-        let address = self.agent.address.parse().ok()?;
-        self.agent.commands_pushed_at = Some(now);
+        let incarnation = self.worker.last_heartbeat?.incarnation;
+        let address = self.worker.address.parse().ok()?;
+        self.worker.commands_pushed_at = Some(now);
         Some(Effect::PushCommands { address, fencing_token, incarnation, commands })
     }
 
     /// Whether its capacity may be relied on: tasks may be placed on it, and replies reach its
     /// agent.
     pub fn has_usable_capacity(&self) -> bool {
-        self.is_schedulable() && !self.agent.one_way_partitioned
+        self.is_schedulable() && !self.worker.one_way_partitioned
     }
 
     /// Whether tasks may be placed on it.
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -110,12 +110,12 @@
     /// is more likely on the leader's side.
     fn existing_machines(&self, now: Instant) -> Vec<ExistingMachine> {
         let detector = self.liveness.detector(now, &self.config, &self.machines);
-        let partitioned = self.machines.values().filter(|machine| machine.agent.one_way_partitioned).count();
+        let partitioned = self.machines.values().filter(|machine| machine.worker.one_way_partitioned).count();
         let excludes_partitioned = is_minority(partitioned, self.machines.len());
         let is_usable = |machine: &&Machine| {
             let is_up_or_booting = machine.phase != Phase::Deleting;
             let is_healthy = !machine.cordoned && machine.preempted_at.is_none();
-            let is_excluded = machine.agent.one_way_partitioned && excludes_partitioned;
+            let is_excluded = machine.worker.one_way_partitioned && excludes_partitioned;
             is_up_or_booting && is_healthy && !detector.is_suspected(machine) && !is_excluded
         };
         let mut existing: Vec<ExistingMachine> =
--- a/src/coordination/leader/metrics.rs
+++ b/src/coordination/leader/metrics.rs
@@ -50,7 +50,7 @@
             .set("tasksActive", totals.tasks_active as u64)
             .set("machines", self.machines.len() as u64)
             .set("machinesBooting", totals.machines_booting as u64)
-            .set("machinesDoubted", self.count_machines(|machine| machine.agent.one_way_partitioned) as u64)
+            .set("machinesDoubted", self.count_machines(|machine| machine.worker.one_way_partitioned) as u64)
             .set("accountedFor", self.failover.is_complete())
             .set("submissionsRefused", self.admissions.refused())
             .set("recordsUnreadable", self.failover.unreadable().len() as u64)
--- a/src/coordination/recovery/failover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::Instant;
 
-use crate::coordination::fleet::machine::{AgentContact, Phase};
+use crate::coordination::fleet::machine::{Phase, WorkerContact};
 use crate::coordination::fleet::node_pool::NodePool;
 use crate::coordination::jobs::dependency_state::DependencyStates;
 use crate::coordination::jobs::job::Job;
@@ -168,7 +168,7 @@
             .values()
             .filter(|machine| machine.phase != Phase::Booting || !machine.reconciled)
             .filter(|machine| !machine.reconciled || !machine.slots.is_empty())
-            .filter(|machine| now >= lease_expiry(&machine.agent, lease_timeout, unreplied_expiry))
+            .filter(|machine| now >= lease_expiry(&machine.worker, lease_timeout, unreplied_expiry))
             .map(|machine| machine.id.clone())
             .collect();
         for machine in expired {
@@ -181,10 +181,10 @@
         tracing::info!(%machine, "machine lease expired; its tasks are lost");
         self.clear_slots(now, machine);
         if let Some(expired) = self.machines.get_mut(machine) {
-            let agent = &mut expired.agent;
-            let newest_heartbeat = agent.last_heartbeat.max(agent.last_stale_heartbeat);
+            let worker = &mut expired.worker;
+            let newest_heartbeat = worker.last_heartbeat.max(worker.last_stale_heartbeat);
             // A delayed heartbeat of an incarnation seen so far may still list the lost tasks.
-            agent.min_incarnation = newest_heartbeat.map_or(0, |stamp| stamp.incarnation + 1);
+            worker.min_incarnation = newest_heartbeat.map_or(0, |stamp| stamp.incarnation + 1);
             expired.free = self.catalog.resources(expired.machine_type);
         }
         self.mark_machine_reconciled(machine);
@@ -197,9 +197,9 @@
 /// An agent that has sent a heartbeat under this epoch's fencing token ignores the replies of
 /// earlier leaders. Any other agent may never have received a reply of this epoch, and an
 /// earlier leader in its post-lease grace may have renewed its lease since.
-fn lease_expiry(agent: &AgentContact, lease_timeout: Duration, unreplied_expiry: Instant) -> Instant {
-    match agent.replied_at.map(|at| at + lease_timeout) {
-        Some(own_expiry) if agent.last_heartbeat.is_some() => own_expiry,
+fn lease_expiry(worker: &WorkerContact, lease_timeout: Duration, unreplied_expiry: Instant) -> Instant {
+    match worker.replied_at.map(|at| at + lease_timeout) {
+        Some(own_expiry) if worker.last_heartbeat.is_some() => own_expiry,
         Some(own_expiry) => own_expiry.max(unreplied_expiry),
         None => unreplied_expiry,
     }
--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -67,7 +67,7 @@
     fn find_candidates(&self, now: Instant) -> Vec<MachineId> {
         let timeout =
             self.config.settings.cluster.workers.heartbeat_interval().mul_f64(CANDIDATE_TIMEOUT_INTERVALS);
-        let is_live = |machine: &Machine| machine.agent.heartbeat_at.is_some_and(|at| now < at + timeout);
+        let is_live = |machine: &Machine| machine.worker.heartbeat_at.is_some_and(|at| now < at + timeout);
         let has_free_capacity = |machine: &&Machine| {
             machine.free.cpus > MIN_FREE_CPUS && machine.has_usable_capacity() && is_live(machine)
         };
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -167,7 +167,7 @@
         let usable = self
             .machines
             .values()
-            .filter(|machine| !machine.agent.one_way_partitioned && self.passes_filters(job, machine));
+            .filter(|machine| !machine.worker.one_way_partitioned && self.passes_filters(job, machine));
         let free = usable.map(|machine| task.times_in(&machine.free)).fold(0, u32::saturating_add);
         let slots = self.machines.values().flat_map(|machine| machine.slots.values());
         let stopping = slots.filter(|slot| slot.stop_grace_s.is_some()).count();
--- a/src/coordination/scheduling/sampling.rs
+++ b/src/coordination/scheduling/sampling.rs
@@ -61,7 +61,7 @@
         for machine in self.queue.candidates().iter().filter_map(|id| self.machines.get(id)) {
             if is_suitable(machine)
                 && task.fits(&machine.free)
-                && !machine.agent.one_way_partitioned
+                && !machine.worker.one_way_partitioned
                 && self.passes_filters(job, machine)
             {
                 remaining = remaining.saturating_sub(task.times_in(&machine.free));
--- a/src/coordination/scheduling/start_decision.rs
+++ b/src/coordination/scheduling/start_decision.rs
@@ -88,7 +88,7 @@
             .filter_map(|id| self.machines.get(id))
             .filter(|other| self.passes_filters(job, other))
             .filter(|other| {
-                let last_heartbeat = other.agent.heartbeat_at;
+                let last_heartbeat = other.worker.heartbeat_at;
                 let next_heartbeat = last_heartbeat.map_or(now, |at| (at + heartbeat_interval).max(now));
                 self.score(now, job, other, next_heartbeat) > score_here + MIN_SCORE_ADVANTAGE_S
             })
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -148,7 +148,7 @@
     // not adopted, and the same copy extends the failover lease timeout only once.
     let first = harness.send_heartbeat("vm-1", 1, 50, EPOCH - 1, copied_tasks.clone());
     assert_eq!(first, HeartbeatReply::Commands { fencing_token: EPOCH, commands: vec![] });
-    let replied_at = harness.registered_machine("vm-1").agent.replied_at;
+    let replied_at = harness.registered_machine("vm-1").worker.replied_at;
     harness.advance(3.0);
     assert_eq!(
         harness.send_heartbeat("vm-1", 1, 50, EPOCH - 1, copied_tasks.clone()),
@@ -159,7 +159,7 @@
         HeartbeatReply::Redirect
     );
     let vm = harness.registered_machine("vm-1");
-    assert_eq!((vm.agent.replied_at, vm.agent.heartbeat_at, vm.slots.len()), (replied_at, None, 0));
+    assert_eq!((vm.worker.replied_at, vm.worker.heartbeat_at, vm.slots.len()), (replied_at, None, 0));
     assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
     // Once the machine has sent the current fencing token, copies with older ones change
     // nothing.
--- a/src/coordination/tests/heartbeats.rs
+++ b/src/coordination/tests/heartbeats.rs
@@ -197,7 +197,7 @@
         harness.advance(3.0);
     }
     let vm = harness.registered_machine("vm-1");
-    assert!(vm.agent.one_way_partitioned && !vm.need.is_needed, "its capacity does not count");
+    assert!(vm.worker.one_way_partitioned && !vm.need.is_needed, "its capacity does not count");
     let (mut probe, mut sequence) = (starts_of(&mut harness, 9, vec![]), 9);
     assert!(probe.is_empty(), "no start while it is one-way partitioned");
     while probe.is_empty() && sequence < 20 {
--- a/src/coordination/workers/failure_detector.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -55,7 +55,8 @@
     /// Whether the machine's last heartbeat is more than `timeout` ago. The time before the
     /// leader began to listen does not count.
     fn is_overdue_by(&self, machine: &Machine, timeout: Duration) -> bool {
-        let last = machine.agent.heartbeat_at.map_or(self.listening_since, |at| at.max(self.listening_since));
+        let last =
+            machine.worker.heartbeat_at.map_or(self.listening_since, |at| at.max(self.listening_since));
         machine.phase == Phase::Up && self.now > last + timeout
     }
 
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -158,22 +158,22 @@
     fn record_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat, renews_lease: bool) -> bool {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return false };
         let worker_lease = self.config.settings.cluster.workers.lease();
-        let agent = &mut machine.agent;
+        let worker = &mut machine.worker;
         // This epoch's token is the first visible effect of this leader's replies.
-        if agent.last_heartbeat.is_none() || agent.last_stale_heartbeat.take().is_some() {
-            agent.acks.record_acknowledged();
+        if worker.last_heartbeat.is_none() || worker.last_stale_heartbeat.take().is_some() {
+            worker.acks.record_acknowledged();
         }
-        let earlier = agent.last_heartbeat.replace(HeartbeatStamp::of(heartbeat));
+        let earlier = worker.last_heartbeat.replace(HeartbeatStamp::of(heartbeat));
         let has_new_incarnation = earlier.is_some_and(|earlier| earlier.incarnation < heartbeat.incarnation);
-        if has_new_incarnation && agent.replied_at.is_some_and(|at| now < at + worker_lease) {
+        if has_new_incarnation && worker.replied_at.is_some_and(|at| now < at + worker_lease) {
             // The worker's lease expired although a reply should have renewed it.
-            agent.acks.record_missed(now);
+            worker.acks.record_missed(now);
         }
         if renews_lease {
-            agent.replied_at = Some(now);
+            worker.replied_at = Some(now);
         }
-        agent.heartbeat_at = Some(now);
-        agent.address.clone_from(&heartbeat.address);
+        worker.heartbeat_at = Some(now);
+        worker.address.clone_from(&heartbeat.address);
         mark_up(machine, now);
         record_preemption_notice(machine, now, heartbeat);
         has_new_incarnation
@@ -186,13 +186,13 @@
         let Some(entry) = self.machines.get_mut(machine) else {
             return ReplyDelivery::Suspected { may_probe: false };
         };
-        let is_suspected = entry.agent.acks.suspects_one_way_partition(now, heartbeat_interval);
-        if is_suspected && !entry.agent.one_way_partitioned {
+        let is_suspected = entry.worker.acks.suspects_one_way_partition(now, heartbeat_interval);
+        if is_suspected && !entry.worker.one_way_partitioned {
             tracing::info!(%machine, "one-way partition suspected: heartbeats arrive, replies show no effect");
         }
-        entry.agent.one_way_partitioned = is_suspected;
+        entry.worker.one_way_partitioned = is_suspected;
         if is_suspected {
-            ReplyDelivery::Suspected { may_probe: entry.agent.acks.may_probe(now, probe_interval) }
+            ReplyDelivery::Suspected { may_probe: entry.worker.acks.may_probe(now, probe_interval) }
         } else {
             ReplyDelivery::Unsuspected
         }
@@ -212,10 +212,10 @@
         if is_stale_copy(machine, heartbeat) {
             return HeartbeatReply::Redirect;
         }
-        let earlier = machine.agent.last_stale_heartbeat.replace(HeartbeatStamp::of(heartbeat));
+        let earlier = machine.worker.last_stale_heartbeat.replace(HeartbeatStamp::of(heartbeat));
         if earlier.is_some() {
             // After the reply to the earlier one the worker should have sent the new token.
-            machine.agent.acks.record_missed(now);
+            machine.worker.acks.record_missed(now);
         }
         // Each reply postpones the proof that the machine's lease has expired, so a machine that
         // replies do not reach gets no further ones while it may hold tasks. After the proof it
@@ -228,7 +228,7 @@
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return HeartbeatReply::Redirect;
         };
-        machine.agent.replied_at = Some(now);
+        machine.worker.replied_at = Some(now);
         // Starts may follow with the next heartbeat, and need the machine's use on record: the
         // write is started now.
         self.record_machine_use(&heartbeat.machine);
@@ -256,11 +256,11 @@
             return HeartbeatReply::Redirect;
         };
         // Only on machines that this epoch has replied to are all tasks known to be counted.
-        if now >= grace_expiry || machine.agent.replied_at.is_none() || heartbeat.fencing_token < epoch {
+        if now >= grace_expiry || machine.worker.replied_at.is_none() || heartbeat.fencing_token < epoch {
             return HeartbeatReply::Redirect;
         }
-        machine.agent.replied_at = Some(now);
-        machine.agent.heartbeat_at = Some(now);
+        machine.worker.replied_at = Some(now);
+        machine.worker.heartbeat_at = Some(now);
         self.reply_with_terminal_stops(heartbeat)
     }
 
@@ -295,8 +295,8 @@
 /// or until it has been silent for long enough to be replaced.
 fn is_outdated(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     let stamp = HeartbeatStamp::of(heartbeat);
-    machine.agent.last_heartbeat.is_some_and(|last| stamp <= last)
-        || heartbeat.incarnation < machine.agent.min_incarnation
+    machine.worker.last_heartbeat.is_some_and(|last| stamp <= last)
+        || heartbeat.incarnation < machine.worker.min_incarnation
 }
 
 /// Whether a heartbeat with an earlier fencing token is a delayed copy.
@@ -304,10 +304,10 @@
     // Within an incarnation the token never decreases, so this heartbeat was sent before the
     // last accepted one.
     let precedes_last =
-        machine.agent.last_heartbeat.is_some_and(|last| heartbeat.incarnation <= last.incarnation);
+        machine.worker.last_heartbeat.is_some_and(|last| heartbeat.incarnation <= last.incarnation);
     // Each heartbeat may postpone the proof of its machine's lease expiry only once.
     let stamp = HeartbeatStamp::of(heartbeat);
-    precedes_last || machine.agent.last_stale_heartbeat.is_some_and(|last| stamp <= last)
+    precedes_last || machine.worker.last_stale_heartbeat.is_some_and(|last| stamp <= last)
 }
 
 /// Marks a booting machine as up on its first heartbeat.
--- a/src/coordination/workers/reply_deferral.rs
+++ b/src/coordination/workers/reply_deferral.rs
@@ -48,7 +48,7 @@
         let mut commands = self.stop_and_reap_commands(heartbeat);
         let max_starts = MAX_COMMANDS.saturating_sub(commands.len());
         let is_partitioned =
-            self.machines.get(machine).is_some_and(|machine| machine.agent.one_way_partitioned);
+            self.machines.get(machine).is_some_and(|machine| machine.worker.one_way_partitioned);
         if max_starts > 0 && !is_partitioned {
             self.place_tasks(now, machine, heartbeat.sequence, max_starts, &mut commands);
         }
@@ -60,7 +60,7 @@
         let stamp = HeartbeatStamp::of(heartbeat);
         self.machines
             .get(&heartbeat.machine)
-            .is_some_and(|machine| machine.agent.last_heartbeat == Some(stamp))
+            .is_some_and(|machine| machine.worker.last_heartbeat == Some(stamp))
     }
 
     /// Returns the machines whose deferred replies should be decided now: those with new
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -79,12 +79,12 @@
         for machine in self.machines.values_mut().filter(|machine| !machine.slots.is_empty()) {
             let stops = cancellation_stops(&self.jobs, machine);
             let Some(first_commit) = stops.iter().map(|stop| stop.committed_at).min() else { continue };
-            let is_silent = machine.agent.heartbeat_at.is_none_or(|at| at < first_commit);
+            let is_silent = machine.worker.heartbeat_at.is_none_or(|at| at < first_commit);
             let is_overdue = now >= first_commit + delete_after;
             if may_delete && is_silent && is_overdue && machine.phase == Phase::Up {
                 silent_machines.push(machine.id.clone());
             }
-            if machine.agent.commands_pushed_at.is_some_and(|at| now < at + push_interval) {
+            if machine.worker.commands_pushed_at.is_some_and(|at| now < at + push_interval) {
                 continue;
             }
             let commands = stops.into_iter().map(|stop| stop.command).take(MAX_COMMANDS).collect();
--- a/src/coordination/workers/task_reconciliation.rs
+++ b/src/coordination/workers/task_reconciliation.rs
@@ -80,7 +80,7 @@
         let unlisted: Vec<TaskId> = unlisted.map(|(task, _)| task.clone()).collect();
         if has_lost_start {
             // The worker did not receive the reply that carried the start.
-            machine.agent.acks.record_missed(now);
+            machine.worker.acks.record_missed(now);
         }
         for task in unlisted {
             self.remove_slot(now, &heartbeat.machine, &task);
@@ -118,7 +118,7 @@
         let slot = machine.slots.get_mut(&status.task);
         let Some(slot) = slot.filter(|slot| slot.attempt == status.attempt) else { return false };
         if matches!(slot.state, SlotState::StartSent { .. }) {
-            machine.agent.acks.record_acknowledged();
+            machine.worker.acks.record_acknowledged();
         }
         if slot.state == state {
             return true;
@@ -182,7 +182,7 @@
             _ => {}
         }
         if confirms_start && let Some(machine) = self.machines.get_mut(machine) {
-            machine.agent.acks.record_acknowledged();
+            machine.worker.acks.record_acknowledged();
         }
         if has_slot {
             tracing::debug!(%machine, job = %task.job, task = task.index, ?cause, "task exited");
