--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -1,11 +1,19 @@
-//! State learnt from the other controllers (peers) rather than from the store: which of them
+//! State learned from the other controllers (peers) rather than from the store: which of them
 //! leads, and which of them can be reached.
 //!
 //! A controller that has lost its connection to the store cannot read there who leads, but a
-//! peer may know. The peers' statements only decide where requests and heartbeats are
-//! forwarded, and the leader answers those under its own lease. The one other conclusion drawn
-//! from them is that no earlier leader answers workers any more, see
-//! `Leader::record_post_lease_graces_over`.
+//! peer may know. The peers' statements never permit a controller to act as the leader. They
+//! decide the following:
+//!
+//! - where requests and heartbeats are forwarded; the leader answers those under its own lease;
+//! - whether a leader is known, for the readiness check and `/status`;
+//! - which epoch is the newest known: replies that were decided under an older one are rejected
+//!   (`newest_epoch`);
+//! - whether a leader whose lease has expired forwards users' requests to a peer that leads
+//!   (`serves_as_leader`), and whether it steps down because that peer's epoch is higher
+//!   (`handle_peer_state`);
+//! - whether a new leader need not wait for earlier leaders' post-lease grace periods, because
+//!   no peer replies to workers any more (`Leader::record_post_lease_graces_over`).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,9 +24,9 @@
 use crate::protocol::cbor::{Fields, MapBuilder, decode};
 use crate::transport::peer::PeerReply;
 
-/// Field of the answer to a leader query: the epoch in which the controller leads.
+/// Field of the reply to a leader query: the epoch in which the controller leads.
 const EPOCH: &str = "epoch";
-/// Field of the answer of a controller that does not lead: whether it is idle.
+/// Field of the reply of a controller that does not lead: whether it is idle.
 const IDLE: &str = "free";
 /// The leader's lease divided by this is the time between two queries to one peer.
 const QUERY_LEASE_DIVISOR: u32 = 8;
@@ -58,7 +66,7 @@
 }
 
 impl PeerState {
-    /// Encodes the answer to [`PeerCall::LeaderQuery`](crate::transport::peer::PeerCall::LeaderQuery).
+    /// Encodes the reply to [`PeerCall::LeaderQuery`](crate::transport::peer::PeerCall::LeaderQuery).
     pub(super) fn to_answer(self) -> Answer {
         let fields = MapBuilder::new();
         match self {
@@ -68,7 +76,7 @@
         }
     }
 
-    /// Decodes such an answer; `None` if it is malformed.
+    /// Decodes such a reply; `None` if it is malformed.
     pub(super) fn decode(reply: &PeerReply) -> Option<Self> {
         let body = decode(&reply.body).ok()?;
         let fields = Fields::of(&body).ok()?;
@@ -95,7 +103,8 @@
     /// Duration of the leader's lease.
     lease: Duration,
     peers: BTreeMap<String, Peer>,
-    /// Since when the peers are queried because no leader is known.
+    /// Since when the peers are queried because the leader is unknown or unreachable. It is
+    /// reset at each tick while neither is the case, even if a new leader queries them.
     querying_since: Option<Instant>,
 }
 
@@ -107,12 +116,14 @@
         Peers { lease, peers, querying_since: None }
     }
 
-    /// Stops querying the peers, as the leader is known by other means.
+    /// Records that the leader is known by other means, and is not unreachable.
     pub(super) fn stop_querying(&mut self) {
         self.querying_since = None;
     }
 
-    /// Returns the peers to query now, as no leader is known, and marks them as queried.
+    /// Returns the peers whose query is due, and marks them as queried. To be called while the
+    /// leader is unknown or unreachable, and by a new leader until no earlier leader can be in
+    /// its post-lease grace period any more.
     pub(super) fn peers_to_query(&mut self, now: Instant) -> Vec<String> {
         self.querying_since.get_or_insert(now);
         let pause = self.lease / QUERY_LEASE_DIVISOR;
@@ -188,8 +199,8 @@
         names.cloned().collect()
     }
 
-    /// Whether no leader is known and no peer has answered for a whole lease, so that users and
-    /// workers should use another controller.
+    /// Whether the leader has been unknown or unreachable, and no peer has replied, for a whole
+    /// lease, so that users and workers should use another controller.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
         let is_a_lease_ago = |at: Instant| now >= at + self.lease;
         !self.peers.is_empty()
--- a/src/coordination/controller/readiness.rs
+++ b/src/coordination/controller/readiness.rs
@@ -15,7 +15,8 @@
     pub(super) is_known: bool,
     /// The store names a leader, and no call has reached it for a whole lease.
     pub(super) is_lost: bool,
-    /// No leader is known, and no other controller has answered for a whole lease.
+    /// For a whole lease the leader has been unknown or unreachable, and no other controller has
+    /// replied.
     pub(super) is_isolated: bool,
 }
 
@@ -23,7 +24,7 @@
 pub(super) struct Readiness {
     is_ready: watch::Sender<bool>,
     leader_known_at: Instant,
-    /// Longest time without a known leader for which the controller stays ready.
+    /// Maximum time without a known leader for which the controller stays ready.
     max_leader_gap: Duration,
 }
 
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -19,7 +19,7 @@
 use crate::protocol::workers::Heartbeat;
 use crate::transport::peer::{PeerCall, PeerLink};
 
-/// Most routes that are tried for one request.
+/// Maximum number of routes that are tried for one request.
 const MAX_ROUTES: usize = 2;
 /// The leader's lease divided by this is the timeout of a leader query.
 const QUERY_TIMEOUT_LEASE_DIVISOR: u32 = 4;
@@ -147,7 +147,8 @@
         self.is_follower() && self.leader_unreachable_since.is_some_and(|since| now >= since + self.lease)
     }
 
-    /// Whether no leader is known and no peer has answered for a whole lease.
+    /// Whether the leader has been unknown or unreachable, and no peer has replied, for a whole
+    /// lease.
     pub(super) fn is_isolated(&self, now: Instant) -> bool {
         self.peers.is_isolated(now)
     }
@@ -157,7 +158,7 @@
         self.peers.record_timeout(now, peer);
     }
 
-    /// Stops querying the peers, as a leader is known.
+    /// Records that the leader is known and is not unreachable.
     pub(super) fn stop_querying_peers(&mut self) {
         self.peers.stop_querying();
     }
--- a/src/coordination/scheduling/sampling.rs
+++ b/src/coordination/scheduling/sampling.rs
@@ -1,5 +1,9 @@
 //! Sampling: a machine is compared with a small random sample of the others (power-of-k
-//! sampling), so that the cost of a placement does not depend on the size of the fleet.
+//! sampling), so that the cost of this comparison does not depend on the size of the fleet.
+//!
+//! The sample bounds only the scores that are computed. Whether a job fits on the machines that
+//! demand needs, or on those that have its image, is checked on all candidates, until enough of
+//! them are found.
 
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
