--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -48,7 +48,7 @@
         self.types = types;
     }
 
-    /// Updates the types with the cloud's answer. Prices change often, so a change of prices alone
+    /// Updates the types with those that the cloud lists now. Prices change often, so a change of prices alone
     /// is no reason to store the catalog again.
     pub(crate) fn update(&mut self, now: Instant, types: Vec<MachineType>) -> CatalogChange {
         self.read_at = Some(now);
--- a/src/coordination/fleet/cloud.rs
+++ b/src/coordination/fleet/cloud.rs
@@ -39,7 +39,7 @@
     MachinesListed(InventoryPage),
     /// The machines that were provisioned.
     Provisioned(Vec<MachineId>),
-    /// The deletion was accepted.
+    /// The cloud confirms that the machines, and with them all their tasks, are gone.
     Deleted,
 }
 
@@ -67,8 +67,8 @@
     ///
     /// # Errors
     ///
-    /// The error that the cloud answers; [`CloudError::Failed`] also if the lease ends while the
-    /// call is queued.
+    /// The error in the cloud's response; [`CloudError::Failed`] also if the lease expires while
+    /// the call is queued.
     pub async fn call(&self, call: CloudCall) -> CloudResult {
         let (reply, result) = oneshot::channel();
         if self.0.send(Request { call, reply }).await.is_err() {
@@ -81,7 +81,7 @@
 /// Starts the actor, which makes up to `rate` calls a second, each with this deadline.
 ///
 /// Calls are queued here, and the process may be suspended meanwhile. A queued call is not made
-/// once the lease under which it was decided has ended (`lease_expiry`): a late deletion would
+/// once the lease under which it was decided has expired (`lease_expiry`): a late deletion would
 /// remove machines that the next leader uses.
 pub fn start(
     address: SocketAddr,
--- a/src/coordination/fleet/cloud/actor.rs
+++ b/src/coordination/fleet/cloud/actor.rs
@@ -60,7 +60,7 @@
 /// The state of the actor.
 pub(super) struct Actor {
     requests: mpsc::Receiver<Request>,
-    /// When the controller's lease as the leader ends.
+    /// When the controller's lease as the leader expires.
     lease_expiry: watch::Receiver<Instant>,
     /// The deadline of each request.
     deadline: Duration,
--- a/src/coordination/fleet/cloud/tests.rs
+++ b/src/coordination/fleet/cloud/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A controller that was suspended until after its lease ended must make no further calls.
+/// A controller that was suspended until after its lease expired must make no further calls.
 #[tokio::test]
 async fn no_call_is_made_after_the_lease_has_ended() {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -1,5 +1,10 @@
-//! The leader's view of a machine: its phase, its agent's heartbeats, the tasks on it, and whether
+//! The leader's view of a machine: its phase, its worker's heartbeats, the tasks on it, and whether
 //! demand needs it.
+//!
+//! A machine is deleted by a request to the cloud; scaling in is deleting machines that are not
+//! needed. A machine is silent while no heartbeats of its worker arrive. How long it must be silent
+//! to be suspected, or to be considered dead, is decided by
+//! [`crate::coordination::workers::failure_detector`].
 
 use std::time::Duration;
 
@@ -26,7 +31,7 @@
     Deleting,
 }
 
-/// Tracks whether replies and commands reach a machine's agent. In a one-way partition the agent's
+/// Tracks whether replies and commands reach a machine's worker. In a one-way partition the worker's
 /// heartbeats arrive and the replies do not: only the effect of a reply in later heartbeats proves
 /// that it was received.
 #[derive(Debug, Clone, Copy, Default)]
@@ -58,7 +63,7 @@
         *self = AckTracker::default();
     }
 
-    /// Whether replies appear not to reach the agent. `interval`: the time between two heartbeats.
+    /// Whether replies appear not to reach the worker. `interval`: the time between two heartbeats.
     pub fn suspects_one_way_partition(&self, now: Instant, interval: Duration) -> bool {
         self.consecutive_missed >= Self::MAX_MISSED
             && self.first_missed_at.is_some_and(|at| now >= at + interval * Self::MIN_INTERVALS)
@@ -74,7 +79,8 @@
 /// Identifies one heartbeat of a machine. Stamps of a later incarnation are greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatStamp {
-    /// The agent's incarnation.
+    /// The worker's incarnation. It starts at 1 and increases each time the worker's lease expires,
+    /// not at each start of its process.
     pub incarnation: u64,
     /// The heartbeat's number within the incarnation.
     pub sequence: u64,
@@ -87,10 +93,10 @@
     }
 }
 
-/// The state of the exchange of heartbeats and replies with a machine's agent.
+/// The state of the exchange of heartbeats and replies with a machine's worker.
 #[derive(Debug, Default)]
 pub struct WorkerContact {
-    /// The address at which the agent accepts pushed commands; empty while it is unknown.
+    /// The address at which the worker accepts pushed commands; empty while it is unknown.
     pub address: String,
     /// The newest heartbeat under this epoch's fencing token.
     pub last_heartbeat: Option<HeartbeatStamp>,
@@ -100,11 +106,11 @@
     pub min_incarnation: u64,
     /// When the last heartbeat arrived.
     pub heartbeat_at: Option<Instant>,
-    /// When the last heartbeat that was replied to arrived. The reply renews the agent's lease.
+    /// When the last heartbeat that was replied to arrived. The reply renews the worker's lease.
     pub replied_at: Option<Instant>,
     /// Whether later heartbeats show an effect of the replies.
     pub acks: AckTracker,
-    /// Whether replies appear not to reach the agent. The machine's capacity is then not relied on.
+    /// Whether replies appear not to reach the worker. The machine's capacity is then not relied on.
     pub one_way_partitioned: bool,
     /// When commands were last pushed to it.
     pub commands_pushed_at: Option<Instant>,
@@ -160,7 +166,7 @@
     /// When it was requested from the cloud, as far as is known. The boot limit and the minimum
     /// billing period are counted from it.
     pub requested_at: Instant,
-    /// The state of the heartbeat exchange with its agent.
+    /// The state of the heartbeat exchange with its worker.
     pub worker: WorkerContact,
     /// Whether the leader knows which tasks are on it, from a heartbeat under this epoch's fencing
     /// token or because there provably are none.
@@ -246,7 +252,7 @@
         }
     }
 
-    /// Returns an effect that pushes commands to its agent, if the agent's address and incarnation
+    /// Returns an effect that pushes commands to its worker, if the worker's address and incarnation
     /// are known.
     pub fn push_commands(
         &mut self,
@@ -261,7 +267,7 @@
     }
 
     /// Whether its capacity may be relied on: tasks may be placed on it, and replies reach its
-    /// agent.
+    /// worker.
     pub fn has_usable_capacity(&self) -> bool {
         self.is_schedulable() && !self.worker.one_way_partitioned
     }
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -112,7 +112,7 @@
         );
     }
 
-    /// Handles the cloud's answer to a pool's request: registers the machines, and backs off from
+    /// Handles the result of a pool's request to the cloud: registers the machines, and backs off from
     /// the offer if there were fewer machines than requested.
     pub(crate) fn handle_node_pool_provisioned(&mut self, now: Instant, name: &str, result: CloudResult) {
         let Some(pool) = self.node_pools.get_mut(name) else { return };
@@ -129,8 +129,8 @@
                 pool.record.machines = Some(Vec::new());
                 true
             }
-            // The outcome is unknown. The same request is repeated, and its answer lists the machines
-            // that the first request obtained.
+            // The outcome is unknown. The same request is repeated, and the response to it lists the
+            // machines that the first request obtained.
             _ => return,
         };
         let machine_type = self.catalog.id_of(&request.machine_type);
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -18,7 +18,7 @@
 /// Why a machine is deleted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ScaleInReason {
-    /// Its agent has sent no heartbeat for longer than a boot may take.
+    /// Its worker has sent no heartbeat for longer than a boot may take.
     NeverStarted,
     /// The failure detector considers it dead.
     Dead,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -162,7 +162,7 @@
     Starting,
     /// It is up, which does not prove that its worker runs.
     Running,
-    /// It could not be started.
+    /// It has stopped by itself.
     Failed,
 }
 
--- a/src/protocol/wire_words.rs
+++ b/src/protocol/wire_words.rs
@@ -67,7 +67,7 @@
     pub(crate) const IMAGE: &str = "bundle";
     /// Size in GB of the image that a job's tasks run.
     pub(crate) const IMAGE_GB: &str = "pullGb";
-    /// Incarnation of a worker; each start of its process has a higher number.
+    /// Incarnation of a worker: starts at 1, and increases each time the worker's lease expires.
     pub(crate) const INCARNATION: &str = "shift";
     /// Class of a job: a name that its owner gives to similar jobs.
     pub(crate) const JOB_CLASS: &str = "docket";
@@ -169,7 +169,7 @@
     pub(crate) const KIND_ARRAY: &str = "array";
     /// Kind of a job: replicas that run until the job is cancelled.
     pub(crate) const KIND_SERVICE: &str = "daemon";
-    /// State of a machine: it could not be started.
+    /// State of a machine: it has stopped by itself.
     pub(crate) const MACHINE_FAILED: &str = "failed";
     /// State of a machine: it is up.
     pub(crate) const MACHINE_RUNNING: &str = TASK_RUNNING;
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -149,7 +149,8 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// Incarnation of the worker: each start of its process has a higher one.
+    /// Incarnation of the worker: starts at 1, and increases each time the worker's lease expires,
+    /// not at each start of its process.
     pub incarnation: u64,
     /// Sequence number of the heartbeat within the incarnation.
     pub sequence: u64,
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -35,8 +35,9 @@
 /// Jobs that were accepted at least this long before the end must have got a response since then
 /// and, if ready, have started by the end.
 const SETTLE_TIME: Duration = Duration::from_secs(16);
-/// A start command that is in flight when a cancellation is confirmed is dropped by the worker
-/// after this time.
+/// How long a start command that is in flight when a cancellation is confirmed may still arrive in
+/// a heartbeat response: the worker drops a response that takes longer. Pushed commands have no
+/// such limit; the worker checks their fencing token and incarnation.
 const START_IN_FLIGHT: Duration = Duration::from_secs(4);
 /// A run is checked only if the harness's timers were late by no more than this, which is a tenth
 /// of the shortest time limit in the rules.
