--- a/src/coordination/authority/answers.rs
+++ b/src/coordination/authority/answers.rs
@@ -1,5 +1,10 @@
 //! Answers to users, how long each is valid, and the terminal states that were served.
 //!
+//! Three words are kept apart throughout the source: a response is an HTTP message as it is
+//! received or sent; a reply is what the leader decides on a heartbeat, or what one controller
+//! sends to another; an answer is what a user or a worker finally gets, with the time for which
+//! it is valid ([`Answer`]).
+//!
 //! A non-terminal state is correct when it is decided, but before it is sent, another
 //! controller may have become leader and served a terminal state. Such an answer therefore
 //! carries the time until which it may be sent. A terminal state never changes, and replaces
@@ -107,7 +112,7 @@
     /// The body is about another job than the request.
     #[error("it is about another job")]
     OtherJob,
-    /// A cancellation was terminal with a state that is not terminal.
+    /// It answers a cancellation with a state that is not terminal.
     #[error("it answers a cancellation with a state that is not terminal")]
     NotTerminal,
     /// The reply was decided under an older epoch than the newest one known.
--- a/src/coordination/controller/effects.rs
+++ b/src/coordination/controller/effects.rs
@@ -66,7 +66,7 @@
     }
 
     /// Pushes commands to a worker, unless too many pushes are in flight. A push only saves
-    /// time: the answer to the next heartbeat contains the same commands.
+    /// time: the reply to the next heartbeat contains the same commands.
     fn push_commands(&mut self, address: SocketAddr, body: Vec<u8>) {
         if !self.pushes.try_acquire() {
             return;
--- a/src/coordination/controller/heartbeat_answers.rs
+++ b/src/coordination/controller/heartbeat_answers.rs
@@ -29,7 +29,7 @@
     Answer { status, body, retry_after_s: None, job_status: None, validity }
 }
 
-/// Builds the answer to a heartbeat whose answer was deferred. A worker that is redirected
+/// Builds the answer to a heartbeat from a deferred reply. A worker that is redirected
 /// without a leader's name tries the next controller by itself.
 pub(super) fn deferred_answer(leader: &Leader, reply: HeartbeatReply) -> Answer {
     match reply {
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Handles workers' heartbeats. The leader's state machine answers them, immediately or, if
-//! the answer is deferred, once a latency-sensitive start is decided. A controller that does
+//! Handles workers' heartbeats. The leader's state machine replies to them, immediately or, if
+//! the reply is deferred, once a latency-sensitive start is decided. A controller that does
 //! not lead redirects the worker to another controller, or relays the heartbeat to the leader.
 
 use tokio::time::Instant;
@@ -13,11 +13,11 @@
 use crate::protocol::workers::HEARTBEAT_REPLY_TIMEOUT;
 
 impl Controller {
-    /// Answers a heartbeat, now or later.
+    /// Replies to a heartbeat, now or later.
     pub(super) fn handle_heartbeat(&mut self, message: HeartbeatMessage) {
         let now = Instant::now();
-        // The worker has stopped waiting. A start in the answer would be lost, and counting
-        // the answer as sent would only delay the proof that the machine is dead.
+        // The worker has stopped waiting. A start in the reply would be lost, and counting
+        // the reply as sent would only delay the proof that the machine is dead.
         if now >= message.arrived + HEARTBEAT_REPLY_TIMEOUT {
             return;
         }
@@ -36,7 +36,7 @@
         self.latencies.record_heartbeat(message.arrived);
     }
 
-    /// Whether the answer may be deferred until there is a command. The answer to a relayed
+    /// Whether the reply may be deferred until there is a command. The reply to a relayed
     /// heartbeat may not: the relaying controller waits for it.
     fn may_defer_reply(&self, message: &HeartbeatMessage) -> bool {
         let is_direct = message.body.is_some();
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Sends the deferred answers whose time is over, with the commands that the leader
+    /// Sends the deferred replies whose deadline has passed, with the commands that the leader
     /// decides now.
     pub(super) fn flush_expired_replies(&mut self) {
         let now = Instant::now();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends the deferred answers for which there are commands now.
+    /// Sends the deferred replies for which there are commands now.
     pub(super) fn flush_decided_replies(&mut self) {
         let now = Instant::now();
         let Some(leader) = &mut self.leader else { return };
--- a/src/coordination/controller/leader_lifecycle.rs
+++ b/src/coordination/controller/leader_lifecycle.rs
@@ -46,7 +46,7 @@
     }
 
     /// Stops the leader's state machine, if it runs: drops its in-memory state, fails the users'
-    /// requests that wait for it, and redirects the workers whose answers are deferred.
+    /// requests that wait for it, and redirects the workers whose replies are deferred.
     fn step_down(&mut self) {
         if self.leader.take().is_some() {
             tracing::info!("leadership lost; in-memory state dropped");
@@ -133,7 +133,7 @@
     /// Handles the result of a leader query; `None` if the peer did not reply in time.
     pub(super) fn handle_peer_state(&mut self, now: Instant, peer: &str, peer_state: Option<PeerState>) {
         self.routing.record_peer_state(now, peer, peer_state);
-        // Once no other controller answers workers, the wait for silent machines need not
+        // Once no other controller replies to workers, the wait for silent machines need not
         // cover a post-lease grace period.
         if let Some(leader) = &mut self.leader
             && let Some(at) = self.routing.all_peers_idle_since(leader.snapshot_at())
@@ -141,7 +141,7 @@
             leader.record_post_lease_graces_over(at);
         }
         // A higher epoch means that the leader key was rewritten and this leader's epoch is
-        // over. Answering workers for the rest of the post-lease grace period would only delay
+        // over. Replying to workers for the rest of the post-lease grace period would only delay
         // their move to the new leader.
         let peer_epoch = self.routing.epoch_of_leading_peer(now);
         if self.leader.as_ref().is_some_and(|leader| leader.epoch() < peer_epoch) {
--- a/src/coordination/controller/user_replies.rs
+++ b/src/coordination/controller/user_replies.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Answers a request about a job. A terminal state that was already served, or learnt from
+    /// Answers a request about a job. A terminal state that was already served, or learned from
     /// a record, takes precedence over `answer`.
     pub(super) fn answer(&mut self, reply: ReplySender, job: &JobId, answer: Answer) {
         let _ = reply.send(self.terminal_states.resolve(job, answer));
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the job's terminal state, if it was served or learnt.
+    /// Returns the job's terminal state, if it was served or learned.
     pub(super) fn terminal_state(&self, job: &JobId) -> Option<&JobStatus> {
         self.terminal_states.get(job)
     }
--- a/src/coordination/election/runner.rs
+++ b/src/coordination/election/runner.rs
@@ -21,7 +21,7 @@
 /// dropped.
 ///
 /// `address` is written to the leader key, for operators. The leadership of an epoch sent by
-/// `resigned_epoch` is given up before its lease expires.
+/// `resigned_epoch` is resigned before its lease expires.
 pub async fn run(
     election: Election,
     kv: KvClient,
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -178,7 +178,7 @@
     fn state_with_holder(&self, holder: LeaderRecord) -> State {
         if holder.incarnation == self.incarnation {
             return match self.lease {
-                // Our acquire was executed, but the answer to it was lost.
+                // Our acquire was executed, but the response to it was lost.
                 Some(lease) if holder.lease == Some(lease.id) => self.leading(holder.version, lease),
                 // The key is ours, but we no longer know when its lease expires.
                 _ => revoking(holder.lease),
--- a/src/coordination/election/tests.rs
+++ b/src/coordination/election/tests.rs
@@ -97,7 +97,7 @@
 
 /// A process is restarted several times during one election, and the acquire of an earlier
 /// incarnation is still in flight and wins. It must be undone by revoking the lease that the
-/// key is attached to, and no other lease of the expiry_after_failure controller name.
+/// key is attached to, and no other lease of the same controller name.
 #[test]
 fn late_acquires_of_earlier_incarnations_are_revoked_one_by_one() {
     let now = Instant::now();
@@ -122,7 +122,7 @@
         Step::Acquire { lease: 7 },
         "our own lease was not revoked with theirs"
     );
-    // The answer to our acquire is lost; the incarnation in the key shows that it is ours.
+    // The response to our acquire is lost; the incarnation in the key shows that it is ours.
     election.on_acquire(now, AcquireOutcome::Unknown);
     election.on_read(now, LeaderRead::Held(holder_of("c-0", "third", 42, 7)));
     assert!(matches!(election.role(), Role::Leader { epoch: 42, .. }));
