--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -25,9 +25,9 @@
 }
 
 impl Config {
-    /// The time after the arrival of its last answered heartbeat by which a worker has certainly
-    /// given up its lease and killed its tasks: its lease duration, the drift of both clocks,
-    /// and a margin for timer resolution.
+    /// The time after the arrival of its last answered heartbeat by which a worker's lease has
+    /// certainly expired and the worker has killed its tasks: the lease duration, the drift of
+    /// both clocks, and a margin for timer resolution.
     pub fn worker_lease_timeout(&self) -> Duration {
         let workers = &self.settings.cluster.workers;
         workers.lease().mul_f64(WORKER_CLOCK_DRIFT_FACTOR)
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -201,7 +201,7 @@
         self.term.epoch()
     }
 
-    /// When the reading of the snapshot that this leader started from was complete.
+    /// When the snapshot from which this leader started had been read completely.
     pub fn snapshot_at(&self) -> Instant {
         self.failover.snapshot_at()
     }
--- a/src/coordination/recovery/failover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -20,8 +20,8 @@
 use crate::storage::records::{NodePoolRecord, job_record_key, node_pool_key};
 
 impl Leader {
-    /// Whether a confirmation that no earlier leader is in its post-lease grace would shorten
-    /// the failover.
+    /// Whether a confirmation that no earlier leader is in its post-lease grace period would
+    /// shorten the failover.
     pub fn awaits_post_lease_graces(&self) -> bool {
         self.failover.awaits_post_lease_graces()
     }
@@ -158,7 +158,7 @@
         self.check_failover_complete();
     }
 
-    /// Clears the machines whose leases have expired: an agent that has received no reply for
+    /// Clears the machines whose leases have expired: a worker that has received no reply for
     /// its lease and a margin has killed all its tasks.
     pub(crate) fn expire_silent_machines(&mut self, now: Instant) {
         let lease_timeout = self.config.worker_lease_timeout();
@@ -191,12 +191,12 @@
     }
 }
 
-/// Time from which the agent's lease has provably expired. `unreplied_expiry`: that time for an
-/// agent to which this epoch has never replied.
+/// Time from which the worker's lease has provably expired. `unreplied_expiry`: that time for a
+/// worker to which this epoch has never replied.
 ///
-/// An agent that has sent a heartbeat under this epoch's fencing token ignores the replies of
-/// earlier leaders. Any other agent may never have received a reply of this epoch, and an
-/// earlier leader in its post-lease grace may have renewed its lease since.
+/// A worker that has sent a heartbeat under this epoch's fencing token ignores the replies of
+/// earlier leaders. Any other worker may never have received a reply of this epoch, and an
+/// earlier leader in its post-lease grace period may have renewed its lease since.
 fn lease_expiry(worker: &WorkerContact, lease_timeout: Duration, unreplied_expiry: Instant) -> Instant {
     match worker.replied_at.map(|at| at + lease_timeout) {
         Some(own_expiry) if worker.last_heartbeat.is_some() => own_expiry,
--- a/src/coordination/recovery/mod.rs
+++ b/src/coordination/recovery/mod.rs
@@ -1,5 +1,8 @@
 //! Recovery: the snapshot that a new leader reads, the failover that follows, records that
 //! cannot be read, and the reconciliation of rows with records.
+//!
+//! Two things are reconciled: a machine, once the leader knows which tasks are on it
+//! ([`failover`]), and a job's rows with its record ([`reconciler`]).
 
 pub mod failover;
 pub mod progress;
--- a/src/coordination/recovery/progress.rs
+++ b/src/coordination/recovery/progress.rs
@@ -17,7 +17,7 @@
 /// lease has expired. Until then tasks that may have started in earlier epochs wait.
 #[derive(Debug)]
 pub(crate) struct FailoverProgress {
-    /// When the read of the snapshot had ended.
+    /// When the snapshot had been read completely.
     snapshot_at: Instant,
     /// Time since which no earlier leader can have replied to a worker; `None` until that is
     /// confirmed.
@@ -53,7 +53,7 @@
         progress
     }
 
-    /// When the read of the snapshot had ended.
+    /// When the snapshot had been read completely.
     pub(crate) fn snapshot_at(&self) -> Instant {
         self.snapshot_at
     }
@@ -83,8 +83,8 @@
         self.unrecorded_machines_possible
     }
 
-    /// Whether a confirmation that no earlier leader is in its post-lease grace would shorten
-    /// the failover.
+    /// Whether a confirmation that no earlier leader is in its post-lease grace period would
+    /// shorten the failover.
     pub(crate) fn awaits_post_lease_graces(&self) -> bool {
         !self.is_complete && self.post_lease_graces_over_at.is_none()
     }
@@ -96,7 +96,7 @@
     }
 
     /// Expiry of the lease of a machine to which this epoch has never replied: one lease after
-    /// the end of all post-lease graces, by the configured bound or by an earlier confirmation.
+    /// the end of all post-lease grace periods, by the configured bound or by an earlier confirmation.
     pub(crate) fn unreplied_lease_expiry(&self, config: &Config) -> Instant {
         let after_graces = self.snapshot_at + config.failover_lease_timeout();
         self.post_lease_graces_over_at
@@ -105,7 +105,7 @@
 
     /// Whether an unrecorded machine may be replied to while a node pool's record cannot be read.
     ///
-    /// Each reply renews the lease of an agent whose tasks are not counted anywhere. Replies are
+    /// Each reply renews the lease of a worker whose tasks are not counted anywhere. Replies are
     /// therefore given only for one `lease` after the snapshot: every live machine is registered
     /// by then.
     pub(crate) fn may_reply_to_unrecorded(&mut self, now: Instant, lease: Duration) -> bool {
