--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -9,7 +9,7 @@
     /// Answers a request of a controller.
     pub(super) fn handle_cloud_request(&mut self, now: Instant, call: &HttpCall) -> Response {
         if now < self.cloud_outage_until {
-            return answer(503, &MapBuilder::new().set("error", "unavailable").build());
+            return answer(503, &MapBuilder::new().set("error", "trouble").build());
         }
         let body = decode(&call.body).unwrap_or(Value::Null);
         let path = call.target.split('?').next().unwrap_or_default();
