--- a/src/coordination/authority/answers.rs
+++ b/src/coordination/authority/answers.rs
@@ -19,7 +19,7 @@
 use crate::protocol::jobs::{JobId, JobStatus, encode_error};
 use crate::transport::peer::{PeerReply, RemainingLease};
 
-/// Smallest and largest number of seconds that a client is told to wait before a retry.
+/// Minimum and maximum number of seconds that a client is told to wait before a retry.
 const RETRY_AFTER_BOUNDS_S: (u32, u32) = (1, 30);
 
 /// An answer to a user or a worker.
--- a/src/coordination/authority/mod.rs
+++ b/src/coordination/authority/mod.rs
@@ -29,7 +29,7 @@
     epoch: u64,
     /// When the lease expires by the local clock, counted from when the renewal was sent.
     lease_expiry: Instant,
-    /// How long after the lease expires workers may still be answered, with stop commands only.
+    /// How long after the lease expires workers may still be replied to, with stop commands only.
     post_lease_grace: Duration,
     /// Another controller leads or is about to: no state of this epoch may be used any more.
     is_fenced: bool,
@@ -38,7 +38,7 @@
 /// The facts that decide whether a task may be started.
 #[derive(Debug, Clone, Copy)]
 pub struct StartEvidence {
-    /// The job is neither cancelled nor completed, and is not being cancelled.
+    /// The job is not terminal, and is not being cancelled.
     pub job_is_live: bool,
     /// The job has no dependencies, or commits have shown that all of them are done.
     pub dependencies_are_done: bool,
@@ -114,8 +114,8 @@
         self.lease_expiry
     }
 
-    /// When the post-lease grace period ends, in which workers may still be answered, but only
-    /// with stops of terminal jobs.
+    /// When the post-lease grace period ends, in which workers may still be replied to, but
+    /// only with stops of terminal jobs.
     pub fn grace_expiry(&self) -> Instant {
         self.lease_expiry + self.post_lease_grace
     }
--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -25,7 +25,7 @@
 }
 
 impl Config {
-    /// The time after the arrival of its last answered heartbeat by which a worker's lease has
+    /// The time after the arrival of its last heartbeat that was replied to by which a worker's lease has
     /// certainly expired and the worker has killed its tasks: the lease duration, the drift of
     /// both clocks, and a margin for timer resolution.
     pub fn worker_lease_timeout(&self) -> Duration {
@@ -43,8 +43,8 @@
         cancellation.saturating_sub(self.worker_lease_timeout() + HEARTBEAT_REPLY_TIMEOUT)
     }
 
-    /// How long after the expiry of its lease a leader still answers heartbeats, with stop
-    /// commands only. The time is limited because the leader may not know of cancellations that
+    /// How long after the expiry of its lease a leader still replies to heartbeats, with
+    /// stop commands only. The time is limited because the leader may not know of cancellations that
     /// another leader has confirmed since then.
     pub fn post_lease_grace(&self) -> Duration {
         let workers = &self.settings.cluster.workers;
--- a/src/coordination/controller/capacity.rs
+++ b/src/coordination/controller/capacity.rs
@@ -19,9 +19,9 @@
 /// the fleet, and so does the number of messages that arrive at the same time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CapacityLimits {
-    /// Capacity of the queue of requests; further ones are rejected immediately.
+    /// Capacity of the queue of requests; further ones are refused immediately.
     pub(crate) queued_requests: usize,
-    /// Capacity of the queue of heartbeats; further ones are rejected immediately.
+    /// Capacity of the queue of heartbeats; further ones are refused immediately.
     pub(crate) queued_heartbeats: usize,
     /// Concurrent reads of records for users.
     pub(crate) lookups: usize,
--- a/src/coordination/controller/handle.rs
+++ b/src/coordination/controller/handle.rs
@@ -15,7 +15,7 @@
 use crate::transport::peer::{PeerCall, PeerHandler, PeerReply};
 use crate::transport::server::Handler;
 
-/// Sends messages to the actor and awaits its answers. Rejects messages immediately when the
+/// Sends messages to the actor and awaits its answers. Refuses messages immediately when the
 /// actor's queues are full.
 #[derive(Clone)]
 pub struct ControllerHandle {
@@ -74,7 +74,7 @@
 
     async fn ask(&self, message: impl FnOnce(ReplySender) -> RequestMessage) -> Answer {
         let (reply, answer) = oneshot::channel();
-        // A full queue rejects the request immediately instead of blocking the caller.
+        // A full queue refuses the request immediately instead of blocking the caller.
         if self.requests.try_send(message(reply)).is_err() {
             return Answer::retry_later(429, "too many requests at once", RETRY_AFTER_S);
         }
--- a/src/coordination/controller/latencies.rs
+++ b/src/coordination/controller/latencies.rs
@@ -6,12 +6,12 @@
 
 use crate::protocol::cbor::MapBuilder;
 
-/// Longest latency that can be recorded, in microseconds; longer ones are recorded as this.
+/// Maximum latency that can be recorded, in microseconds; longer ones are recorded as this.
 const MAX_MICROS: u64 = 60_000_000;
 /// Significant decimal digits of a latency; with two, a histogram takes a few kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Latencies in microseconds, since the controller started. Requests rejected before they
+/// Latencies in microseconds, since the controller started. Requests refused before they
 /// enter the actor's queues are not counted.
 pub(super) struct LatencyHistograms {
     heartbeats: Histogram<u32>,
--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -41,7 +41,7 @@
     query_in_flight: bool,
     answered_at: Option<Instant>,
     leading: Option<LeadershipClaim>,
-    /// When the peer last stated that it answers no worker, not even after its lease.
+    /// When the peer last stated that it replies to no worker, not even after its lease.
     idle_at: Option<Instant>,
     /// When a call to the peer last timed out.
     timed_out_at: Option<Instant>,
@@ -59,9 +59,9 @@
 pub(super) enum PeerState {
     /// The controller leads in this epoch, under a valid lease.
     Leading(u64),
-    /// Its lease has expired; it may still answer workers for the post-lease grace period.
+    /// Its lease has expired; it may still reply to workers for the post-lease grace period.
     LeaseExpired,
-    /// It has no leader state of any epoch in memory, so it answers no worker.
+    /// It has no leader state of any epoch in memory, so it replies to no worker.
     Idle,
 }
 
@@ -174,7 +174,7 @@
             .max_by_key(|leader| leader.epoch)
     }
 
-    /// Returns the time at which the last peer stated that it answers no worker, if all peers
+    /// Returns the time at which the last peer stated that it replies to no worker, if all peers
     /// have stated that since `since`.
     pub(super) fn all_idle_since(&self, since: Instant) -> Option<Instant> {
         let idle_at = |peer: &Peer| peer.idle_at.filter(|at| *at >= since);
--- a/src/coordination/controller/reconciliation.rs
+++ b/src/coordination/controller/reconciliation.rs
@@ -20,7 +20,7 @@
     events: mpsc::Sender<InternalEvent>,
     /// Time between the starts of two pages.
     interval: Duration,
-    /// Largest value that the store accepts, in KB.
+    /// Maximum size of a value in the store, in KB.
     value_kb: f64,
     /// Where the next page of archived rows starts.
     row_cursor: String,
@@ -51,7 +51,7 @@
     }
 
     /// Compares the next page of archived rows with the jobs' records, if it is due. Without
-    /// this, an archived row of a job that is not finished would lose the job: a failover reads
+    /// this, an archived row of an unfinished job would lose the job: a failover reads
     /// only the live rows.
     pub(super) fn start_if_due(&mut self, now: Instant, leader: &Leader) {
         if self.is_in_flight || now < self.last_started_at + self.interval {
--- a/src/coordination/controller/record_reads.rs
+++ b/src/coordination/controller/record_reads.rs
@@ -11,7 +11,7 @@
 use crate::protocol::jobs::{JobId, JobState, JobStatus};
 use crate::storage::kv::{KvClient, KvError, RequestClass};
 
-/// Most records of dependencies that are read for one answer. If more are needed, the user is
+/// Maximum number of dependencies' records that are read for one answer. If more are needed, the user is
 /// told to retry.
 const MAX_DEPENDENCIES_READ: usize = 64;
 
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Returns the time at which the last peer stated that it answers no worker, if all other
+    /// Returns the time at which the last peer stated that it replies to no worker, if all other
     /// controllers have stated that since `since`.
     pub(super) fn all_peers_idle_since(&self, since: Instant) -> Option<Instant> {
         if self.links_all_peers { self.peers.all_idle_since(since) } else { None }
--- a/src/coordination/controller/snapshot_loader.rs
+++ b/src/coordination/controller/snapshot_loader.rs
@@ -16,7 +16,7 @@
 pub(super) struct SnapshotLoader {
     kv: KvClient,
     events: mpsc::Sender<InternalEvent>,
-    /// Largest value that the store accepts, in KB.
+    /// Maximum size of a value in the store, in KB.
     value_kb: f64,
     retry_pause: Duration,
 }
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -63,9 +63,9 @@
     Heartbeat { fencing_token, ..heartbeat_message("vm-1", 1, Vec::new()) }
 }
 
-/// While the actor's queue is full, requests are rejected immediately instead of blocking.
+/// While the actor's queue is full, requests are refused immediately instead of blocking.
 #[tokio::test]
-async fn a_full_queue_rejects_requests_immediately_with_a_retry_after() {
+async fn a_full_queue_refuses_requests_immediately_with_a_retry_after() {
     let TestHarness { controller, inputs: _inputs, handle, .. } = TestHarness::start().await;
     for _ in 0..CapacityLimits::new(&controller.config.settings.cluster.limits).queued_requests {
         let (reply, _) = oneshot::channel();
--- a/src/coordination/controller/tick.rs
+++ b/src/coordination/controller/tick.rs
@@ -37,7 +37,7 @@
     }
 
     /// Queries the other controllers while no leader is known or reachable. A new leader queries
-    /// them until it knows that no earlier leader answers workers any more.
+    /// them until it knows that no earlier leader replies to workers any more.
     fn query_peers_if_needed(&mut self, now: Instant) {
         let has_leader = self.leads(now) || self.routing.is_follower();
         let needs_leader = !has_leader || self.routing.is_leader_unreachable();
--- a/src/coordination/controller/worker_redirects.rs
+++ b/src/coordination/controller/worker_redirects.rs
@@ -36,7 +36,7 @@
     /// The workers' lease.
     lease: Duration,
     redirects: HashMap<MachineId, RedirectRecord>,
-    /// Most workers tracked. Beyond that old entries are dropped, and those workers are
+    /// Maximum number of workers tracked. Beyond that old entries are dropped, and those workers are
     /// redirected once more.
     capacity: usize,
 }
@@ -54,8 +54,8 @@
 
     /// Decides how to handle the heartbeat of a worker that should send it to the leader.
     ///
-    /// `had_leader_answer` states whether the current leader has answered the worker before. A
-    /// worker leaves its leader only when that no longer answers, so redirecting it back would
+    /// `had_leader_answer` states whether the current leader has replied to the worker before. A
+    /// worker leaves its leader only when that no longer replies, so redirecting it back would
     /// only cost it another timeout.
     pub(super) fn decide(
         &mut self,
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -75,11 +75,11 @@
     pub read_states: DependencyStates,
 }
 
-/// Identifies an operation in progress; unique within an epoch.
+/// Identifies an operation in flight; unique within an epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct OperationId(pub u64);
 
-/// The purpose of an operation in progress.
+/// The purpose of an operation in flight.
 #[derive(Debug)]
 pub(crate) enum PendingOperation {
     /// The first write of a job's record and row.
@@ -170,12 +170,12 @@
         }
     }
 
-    /// Whether a read of the cloud's machine types is in progress.
+    /// Whether a read of the cloud's machine types is in flight.
     pub(crate) fn is_reading_catalog(&self) -> bool {
         self.pending.values().any(|operation| matches!(operation, PendingOperation::ReadCatalog))
     }
 
-    /// Removes and returns an operation that has ended; `None` if it was not in progress.
+    /// Removes and returns an operation that has ended; `None` if it was not in flight.
     pub(crate) fn complete(&mut self, operation: OperationId) -> Option<PendingOperation> {
         self.pending.remove(&operation)
     }
