--- a/src/coordination/workers/deferred_replies.rs
+++ b/src/coordination/workers/deferred_replies.rs
@@ -18,14 +18,14 @@
 use crate::maps::HashMap;
 use crate::protocol::workers::{HEARTBEAT_REPLY_TIMEOUT, Heartbeat, MachineId};
 
-/// Longest delay of a reply, in heartbeat intervals. It is less than three quarters of an
+/// Maximum delay of a reply, in heartbeat intervals. It is less than three quarters of an
 /// interval, the shortest time after which a worker sends its next heartbeat, so that a deferred
 /// reply does not delay a heartbeat.
 const MAX_DELAY_INTERVALS: f64 = 0.7;
-/// Longest delay as a fraction of the time that a worker waits for a reply; the rest is left for
+/// Maximum delay as a fraction of the time that a worker waits for a reply; the rest is left for
 /// the network.
 const MAX_DELAY_REPLY_TIMEOUT_DIVISOR: u32 = 2;
-/// Longest delay as a fraction of the lease that the reply renews.
+/// Maximum delay as a fraction of the lease that the reply renews.
 const MAX_DELAY_LEASE_DIVISOR: u32 = 4;
 
 /// A heartbeat that was handled but not replied to yet.
@@ -42,13 +42,13 @@
 /// The deferred replies of one leader: at most one for each machine.
 #[derive(Debug)]
 pub struct DeferredReplies<R> {
-    /// Longest delay of a reply.
+    /// Maximum delay of a reply.
     max_delay: Duration,
     by_machine: HashMap<MachineId, DeferredReply<R>>,
 }
 
 impl<R> DeferredReplies<R> {
-    /// Creates an empty set; the longest delay follows from the settings.
+    /// Creates an empty set; the maximum delay follows from the settings.
     pub fn new(config: &Config) -> Self {
         let workers = &config.settings.cluster.workers;
         let max_delay = workers
--- a/src/coordination/workers/deferred_replies/tests.rs
+++ b/src/coordination/workers/deferred_replies/tests.rs
@@ -8,7 +8,7 @@
     DeferredReplies::new(&Config { settings, tuning: policy::tests::tuning() })
 }
 
-/// For any settings, the longest delay of a reply is less than the heartbeat interval, the
+/// For any settings, the maximum delay of a reply is less than the heartbeat interval, the
 /// worker's reply timeout and its lease.
 #[test]
 fn delays_are_bounded_by_the_settings() {
--- a/src/coordination/workers/failure_detector.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -12,11 +12,15 @@
 /// Heartbeat intervals after which a machine's next heartbeat is certainly overdue. The worker
 /// may send it a quarter of an interval late, and the network adds a little more.
 const OVERDUE_INTERVALS: f64 = 1.6;
-/// The fleet counts as mostly live while at most one machine in this many is late.
+/// The fleet counts as mostly live while at most one machine in this many is overdue.
 const MAX_LATE_DIVISOR: usize = 10;
 
 /// The machines that are silent at one moment, and whether their silence means failure.
 ///
+/// A machine is silent while no heartbeats of it arrive. It is overdue once a heartbeat should
+/// certainly have arrived, suspected once it has been silent for the suspicion timeout, and dead
+/// once its failure is assumed to be final.
+///
 /// The cause of the silence may be the machine, the network of its zone, or the leader's side:
 ///
 /// - If most machines of its zone are live, the machine has failed.
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -289,10 +289,10 @@
 /// Whether a heartbeat is a copy of one that was accepted before, is older, or comes from an
 /// incarnation that is no longer valid. Such a heartbeat proves nothing.
 ///
-/// The heartbeats of a machine that restarted so quickly that its numbers are lower than those
-/// of its previous incarnation look the same. A reply would renew its lease without its tasks
-/// being counted, so it is redirected until its lease has expired and its incarnation is higher,
-/// or until it has been silent for long enough to be replaced.
+/// The heartbeats of a machine that has restarted before its lease expired look the same, because
+/// their numbers are lower than before. A reply would renew its lease without its tasks being
+/// counted, so it is redirected until its lease has expired and its incarnation is higher, or
+/// until it has been silent for long enough to be replaced.
 fn is_outdated(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     let stamp = HeartbeatStamp::of(heartbeat);
     machine.worker.last_heartbeat.is_some_and(|last| stamp <= last)
--- a/src/coordination/workers/task_failures.rs
+++ b/src/coordination/workers/task_failures.rs
@@ -13,7 +13,7 @@
 const FAILURES_TO_CORDON: usize = 3;
 /// Machines on which a job must have failed to be backed off.
 const FAILED_MACHINES_TO_BACK_OFF: usize = 3;
-/// Longest backoff of a failing job, in heartbeat intervals.
+/// Maximum backoff of a failing job, in heartbeat intervals.
 const MAX_BACKOFF_INTERVALS: u32 = 10;
 
 impl Leader {
@@ -24,7 +24,7 @@
     }
 
     /// Backs off a job that fails on several machines, for one heartbeat interval per machine on
-    /// which it has failed. The job is never given up.
+    /// which it has failed. The job is retried without limit.
     fn back_off_failing_job(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
         let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         let Some(job) = self.jobs.get_mut(job) else { return };
