--- a/src/coordination/jobs/dependency_state.rs
+++ b/src/coordination/jobs/dependency_state.rs
@@ -11,7 +11,7 @@
     Absent,
     /// A service, which is never done.
     Service,
-    /// Neither done nor cancelled.
+    /// Not terminal: neither done nor cancelled.
     Unfinished,
     /// All its tasks are done.
     Done {
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,5 +1,14 @@
 //! Jobs: admission, records in the store, dependencies between jobs, cancellation, archiving
 //! and quotas.
+//!
+//! A submission is admitted once its record and row are committed; a user sees it as accepted
+//! once an answer says so. A job is terminal once it is done or cancelled for good, and
+//! unfinished until then. A task is waiting, or pending, while it is neither done nor assigned
+//! to a machine.
+//!
+//! Dependencies are in three modules: [`dependency_graph`] holds the edges between jobs,
+//! [`dependency_state`] is what a record says of a job that others depend on, and
+//! [`dependencies`] are the leader's operations on both.
 
 pub mod admission;
 pub mod admissions;
--- a/src/coordination/recovery/snapshot.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -229,7 +229,7 @@
     Ok(states)
 }
 
-/// Reads a job's record; `None` if the job was never accepted.
+/// Reads a job's record; `None` if the job was never admitted.
 ///
 /// # Errors
 ///
--- a/src/coordination/scheduling/latency.rs
+++ b/src/coordination/scheduling/latency.rs
@@ -21,7 +21,7 @@
 pub(crate) struct LatencySensitiveClasses {
     /// Requirements of a task, by the name of its class.
     classes: HashMap<String, LatencySensitiveTask>,
-    /// Whether work was announced since the last [`Self::take_new_work`].
+    /// Whether new work was recorded since the last [`Self::take_new_work`].
     has_new_work: bool,
 }
 
@@ -45,7 +45,7 @@
         self.has_new_work = true;
     }
 
-    /// Whether latency-sensitive work was announced since the last call.
+    /// Whether new work was recorded since the last call.
     pub(crate) fn take_new_work(&mut self) -> bool {
         std::mem::take(&mut self.has_new_work)
     }
--- a/src/coordination/scheduling/run_estimates.rs
+++ b/src/coordination/scheduling/run_estimates.rs
@@ -9,7 +9,7 @@
 const MAX_STORED_CLASSES: usize = 64;
 /// Weight of a single run in the ratio of its class (exponential smoothing).
 const SMOOTHING: f64 = 0.02;
-/// Smallest and largest ratio of measured to estimated run time that a single run contributes.
+/// Minimum and maximum ratio of measured to estimated run time that a single run contributes.
 const RATIO_BOUNDS: (f64, f64) = (0.05, 20.0);
 /// Upper bound for the expected run time of any task, in seconds.
 const MAX_RUN_S: f64 = 1e6;
--- a/src/coordination/scheduling/score.rs
+++ b/src/coordination/scheduling/score.rs
@@ -11,7 +11,7 @@
 /// Cost in seconds of a machine that stays empty apart from the task, compared with one that the
 /// task fills: tasks are packed onto few machines (bin packing).
 const EMPTINESS_WEIGHT_S: f64 = 1.5;
-/// Cost in seconds of a regular machine for a task that may run on spot machines.
+/// Cost in seconds of an on-demand machine for a task that may run on spot machines.
 const NON_SPOT_PENALTY_S: f64 = 2.0;
 /// Cost in seconds of a machine that no demand needs.
 const UNNEEDED_PENALTY_S: f64 = 2.0;
@@ -59,7 +59,7 @@
     if machine_type.cpus > 0.0 { remaining_cpus / machine_type.cpus } else { 0.0 }
 }
 
-/// Penalty that keeps work which may run on spot machines off regular ones, so that those stay
+/// Penalty that keeps work which may run on spot machines off on-demand ones, so that those stay
 /// free for work that may not.
 fn non_spot_penalty_s(spec: &JobSpec, machine: &Machine) -> f64 {
     if spec.spot && !machine.spot { NON_SPOT_PENALTY_S } else { 0.0 }
--- a/src/coordination/scheduling/slack.rs
+++ b/src/coordination/scheduling/slack.rs
@@ -185,7 +185,7 @@
     }
 }
 
-/// CPUs and GPUs that all unfinished tasks of the job require together. Guarantees do not cover
+/// CPUs and GPUs that all tasks of the job that are not done require together. Guarantees do not cover
 /// memory.
 fn unfinished_resources(job: &Job) -> Resources {
     let tasks = f64::from(job.unfinished());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -27,12 +27,12 @@
 //! | module | responsibility |
 //! | --- | --- |
 //! | [`coordination::election`] | the leader's lease, its renewal and the epoch |
-//! | [`coordination::authority`] | which actions an epoch permits, and how long a response is valid |
+//! | [`coordination::authority`] | which actions an epoch permits, and how long an answer is valid |
 //! | [`coordination::leader`] | the leader's state machine: takes events and the time, returns effects |
 //! | [`coordination::jobs`] | jobs, their admission, dependencies and record writes |
 //! | [`coordination::workers`] | heartbeats, commands, slots and the failure detector |
 //! | [`coordination::fleet`] | machines, the cloud's inventory, demand, scale out and scale in |
-//! | [`coordination::scheduling`] | the queue, placement, preemption and rebalancing |
+//! | [`coordination::scheduling`] | the queue, placement, preemption and the descheduler |
 //! | [`coordination::recovery`] | failover, snapshots, reconciliation of rows with records |
 //! | [`coordination::controller`] | the actor: routing, relays between controllers, metrics |
 //!
