--- a/src/protocol/wire_words.rs
+++ b/src/protocol/wire_words.rs
@@ -149,7 +149,7 @@
     pub(crate) const COMMAND_STOP: &str = "stop";
     /// Exit cause: another attempt of the same task is on the machine.
     pub(crate) const EXIT_ATTEMPT_PRESENT: &str = "in_use";
-    /// Exit cause: the task is complete. Not the field [`super::field::DONE_TASKS`].
+    /// Exit cause: the task is done. Not the field [`super::field::DONE_TASKS`].
     pub(crate) const EXIT_DONE: &str = "done";
     /// Exit cause: the machine had too few free resources.
     pub(crate) const EXIT_INSUFFICIENT_RESOURCES: &str = "no_room";
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -47,7 +47,7 @@
 /// Why a task is no longer running on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitCause {
-    /// The task is complete.
+    /// The task is done.
     Done,
     /// It was stopped by a command or by the preemption of its machine.
     Stopped {
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -60,7 +60,7 @@
 pub struct Cluster {
     /// Number of controllers, including this one; at least 1.
     pub size: u32,
-    /// Largest difference between two hosts' clocks, in milliseconds (`skew_ms`). Default: 0.
+    /// Maximum difference between two hosts' clocks, in milliseconds (`skew_ms`). Default: 0.
     /// Validated but not used: each process measures leases on its own monotonic clock.
     #[serde(rename = "skew_ms", default)]
     pub clock_skew_ms: f64,
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -12,10 +12,10 @@
 
 /// Exclusive upper bound of numbers. It keeps every duration computed from them in range.
 const NUMBER_LIMIT: f64 = 1e9;
-/// Smallest allowed maximum of changes per transaction. A smaller transaction cannot hold all
+/// Minimum allowed maximum of changes per transaction. A smaller transaction cannot hold all
 /// changes that must be committed together.
 const MIN_TRANSACTION_CHANGES: usize = 4;
-/// Smallest allowed number of sockets. With fewer, the numbers of connections and the queues
+/// Minimum allowed number of sockets. With fewer, the numbers of connections and the queues
 /// derived from it are too small to be useful.
 const MIN_CONNECTIONS: usize = 16;
 
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -18,7 +18,7 @@
 use crate::transport::client::{Connection, ConnectionPool, HttpCall, PreparedCall};
 use crate::transport::codec::Limits;
 
-/// Largest response accepted: a page of 512 KiB and its framing.
+/// Maximum size of a response: a page of 512 KiB and its framing.
 const RESPONSE_LIMITS: Limits = Limits { head: 8 * 1024, body: 640 * 1024 };
 /// Maximum number of requests in flight.
 const MAX_IN_FLIGHT: usize = 8;
--- a/src/storage/rate_limit.rs
+++ b/src/storage/rate_limit.rs
@@ -6,7 +6,7 @@
 
 /// Tolerance for accumulated rounding errors, in tokens.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
-/// Longest wait that [`TokenBucket::wait`] returns, in seconds; callers then ask again.
+/// Maximum wait that [`TokenBucket::wait`] returns, in seconds; callers then ask again.
 const MAX_WAIT_S: f64 = 5.0;
 
 /// A token bucket: tokens refill at a steady rate up to the burst, and each request or write
--- a/src/storage/records/production_tests.rs
+++ b/src/storage/records/production_tests.rs
@@ -21,7 +21,7 @@
     };
 }
 
-/// Largest value of the store in production, in KiB.
+/// Maximum size of a value in the store in production, in KiB.
 const VALUE_KB: f64 = 8.0;
 
 fn spec() -> JobSpec {
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -87,7 +87,7 @@
     /// Jobs that are accepted and ready at least this long before the end must have started by
     /// the end.
     pub settle_time: Duration,
-    /// Largest tolerated delay of the harness's own timers; added to every time limit.
+    /// Maximum tolerated delay of the harness's own timers; added to every time limit.
     pub max_lag: Duration,
 }
 
