--- a/src/coordination/tests/dependencies.rs
+++ b/src/coordination/tests/dependencies.rs
@@ -188,7 +188,7 @@
         Some(422),
         "depends on a service"
     );
-    // A dependency that is not in memory is terminal or was never accepted: its record
+    // A dependency that is not in memory is terminal or was never admitted: its record
     // decides.
     let cases = [
         (DependencyState::Absent, Some(422), None),
@@ -218,7 +218,7 @@
         [Some(JobState::Queued), None],
         "job-14 is archived already"
     );
-    // A dependency whose admission is in flight is not accepted yet.
+    // A dependency whose admission is in flight is not admitted yet.
     harness.submit(sample("job-20", "red", 1, 1.0));
     let early_reply = harness.submit(dependent_job("job-21", &["job-20"]));
     assert_eq!(harness.answer(early_reply).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
--- a/src/coordination/tests/harness.rs
+++ b/src/coordination/tests/harness.rs
@@ -194,7 +194,7 @@
         reply
     }
 
-    /// Submits a job and commits its record; it must be accepted.
+    /// Submits a job and commits its record; it must be admitted.
     pub(super) fn accept(&mut self, spec: JobSpec) {
         let reply = self.submit(spec);
         self.commit_all();
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -64,10 +64,10 @@
 fn a_resubmission_is_answered_from_the_record() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.submit(sample("job-1", "red", 1, 1.0));
-    // The record exists: the job was accepted before.
+    // The record exists: the job was admitted before.
     harness.fail_next_commit(KvError::Conflict);
     assert_eq!(harness.record_lookups.len(), 1);
-    // A job that would be rejected today may have been accepted earlier.
+    // A job that would be rejected today may have been admitted earlier.
     harness.submit(sample("job-2", "nobody", 1, 1.0));
     let (job, if_absent) = &harness.record_lookups[1];
     assert_eq!((job, if_absent.status), (&id("job-2"), 422));
@@ -100,7 +100,7 @@
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.accept(sample("job-1", "blue", 1, 8.0));
     let first = starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).remove(0);
-    // The job is accepted without free capacity, so its record does not mark it as started: a new
+    // The job is admitted without free capacity, so its record does not mark it as started: a new
     // leader may start it at once.
     harness.accept(sample("job-2", "red", 2, 1.0));
     assert_eq!(starts(&harness.heartbeat("vm-1", 6, EPOCH, vec![task_status(&first, DONE)])), vec![]);
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -26,9 +26,9 @@
     Hang { probability: f64, lasts: f64 },
     /// Machines are lost, as in a preemption without notice.
     MachinesLost { probability: f64 },
-    /// The cloud answers with errors.
+    /// The cloud refuses every request.
     CloudOutage { lasts: f64 },
-    /// Transactions are applied late, without an answer.
+    /// Transactions get no response, and are applied later.
     DelayedWrites { probability: f64, lasts: f64 },
     /// Copies of heartbeats arrive later, at random controllers.
     DuplicatedHeartbeats { probability: f64, lasts: f64 },
@@ -38,11 +38,11 @@
     CancelAtEnd { probability: f64, lasts: f64 },
     /// Many jobs are submitted at the same time.
     Burst { jobs: usize },
-    /// Transactions and reads are carried out immediately; their answers are lost.
+    /// Transactions and reads are carried out immediately; their responses are lost.
     LostResponses { probability: f64, lasts: f64 },
     /// Transactions are applied immediately, and a second time later.
     DuplicatedWrites { probability: f64, lasts: f64 },
-    /// Answers of the state service and of other controllers take longer.
+    /// Responses of the state service and replies of other controllers take longer.
     DelayedResponses { probability: f64, lasts: f64 },
     /// Copies of users' requests arrive later, at random controllers.
     DuplicatedRequests { probability: f64, lasts: f64 },
--- a/src/coordination/tests/simulation/network.rs
+++ b/src/coordination/tests/simulation/network.rs
@@ -15,7 +15,7 @@
 pub(super) const WORKER: u8 = 9;
 /// The port of a controller's addresses is this plus its incarnation.
 pub(super) const BASE_PORT: u16 = 1000;
-/// Latency of an answer of the cloud.
+/// Latency of a response of the cloud.
 const CLOUD_LATENCY: Duration = Duration::from_millis(50);
 
 /// The parts of the address to which a message was sent.
@@ -53,7 +53,7 @@
         (destination.service != WORKER).then_some(usize::from(destination.sender))
     }
 
-    /// Latency added to an answer by [`Fault::DelayedResponses`].
+    /// Latency added to a response or reply by [`Fault::DelayedResponses`].
     pub(super) fn extra_latency(&mut self, now: Instant) -> Duration {
         let slow = self.delayed_responses.affects(now, &mut self.rng);
         if slow { seconds(self.rng.random_range(0.05..1.2)) } else { Duration::ZERO }
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -42,7 +42,7 @@
         self.note_leases(now, &request, status);
         if is_lost {
             // The request was carried out and others may read its effect; only its sender gets no
-            // answer.
+            // response.
             return;
         }
         let latency = latency.max(self.stalled_until(at).saturating_duration_since(now));
@@ -70,7 +70,7 @@
         });
     }
 
-    /// Whether a transaction is applied only later, after newer ones and without an answer. A
+    /// Whether a transaction is applied only later, after newer ones and without a response. A
     /// transaction that is not delayed may be duplicated: applied now, and once more later.
     fn delay_or_duplicate(&mut self, now: Instant, request: &Request) -> bool {
         if request.target != "/commit" {
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -156,7 +156,7 @@
         });
     }
 
-    /// Handles the answer to a worker's heartbeat, or its timeout, and chooses the controller for
+    /// Handles the response to a worker's heartbeat, or its timeout, and chooses the controller for
     /// the next one.
     pub(super) fn heartbeat_answered(
         &mut self,
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -168,7 +168,7 @@
     let commands = harness.heartbeat("vm-1", 3, EPOCH, vec![ended.clone()]);
     assert_eq!(starts(&commands).len(), 1, "the orphan task has ended");
     assert!(!commands.iter().any(|command| matches!(command, Command::Reap { .. })), "{commands:?}");
-    // The user is told to retry; the job is not accepted a second time.
+    // The user is told to retry; the job is not admitted a second time.
     harness.submit(sample("job-1", "red", 2, 1.0));
     harness.fail_next_commit(KvError::Conflict);
     assert_eq!(harness.record_lookups.pop().map(|(_, if_absent)| if_absent.status), Some(503));
