--- a/src/coordination/fleet/cloud/actor.rs
+++ b/src/coordination/fleet/cloud/actor.rs
@@ -32,7 +32,7 @@
 pub(super) struct Request {
     /// The call.
     pub(super) call: CloudCall,
-    /// Takes the result.
+    /// Receives the result.
     pub(super) reply: oneshot::Sender<CloudResult>,
 }
 
--- a/src/coordination/fleet/inventory_scan.rs
+++ b/src/coordination/fleet/inventory_scan.rs
@@ -13,9 +13,9 @@
 
 /// The minimum lag assumed for the inventory, in seconds.
 const MIN_INVENTORY_LAG_S: f64 = 1.0;
-/// The minimum time between the snapshot and the start of a scan for the scan's unregistered machines
-/// to be registered, in multiples of the inventory's lag. An earlier scan may still list machines
-/// that a previous leader deleted.
+/// A scan registers machines only if it has started at least this long after the snapshot, in
+/// multiples of the inventory's lag. An earlier scan may still list machines that a previous leader
+/// deleted.
 const MIN_SCAN_DELAY_LAGS: u32 = 2;
 /// The time after its request within which a machine should appear in the inventory, in multiples
 /// of the inventory's lag.
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -66,8 +66,8 @@
     /// When the last job that it depends on was done, or its submission if that was later;
     /// `None` while it waits for its dependencies.
     pub ready_at: Option<Instant>,
-    /// Set for a job that was restored after the failover: until then, machines may still hold
-    /// tasks of it that the leader could not attribute to the job.
+    /// The time until which machines may still hold tasks of the job that the leader could not
+    /// attribute to it. Set for a job that was restored after the failover.
     pub not_before: Option<Instant>,
     /// The load of all its tasks running at once, in units of its demand group, when it was
     /// added to the measured demand.
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -2,8 +2,8 @@
 //! and quotas.
 //!
 //! A submission is admitted once its record and row are committed; a user sees it as accepted
-//! once an answer says so. A job is terminal once it is done or cancelled for good, and
-//! unfinished until then. A task is waiting, or pending, while it is neither done nor assigned
+//! once an answer says so. A job is terminal once its completion or cancellation is
+//! committed, and unfinished until then. A task is waiting, or pending, while it is neither done nor assigned
 //! to a machine.
 //!
 //! Dependencies are in three modules: [`dependency_graph`] holds the edges between jobs,
--- a/src/coordination/jobs/record_state.rs
+++ b/src/coordination/jobs/record_state.rs
@@ -104,10 +104,10 @@
     pub write_in_flight: Option<RecordWriteInFlight>,
     /// The conversion in progress, if its done tasks are being copied into smaller blocks.
     pub conversion: Option<BlockConversion>,
-    /// The store rejected its terminal state for its size: it is then written without done
-    /// tasks.
+    /// Whether the store rejected its terminal state for its size. It is then written without
+    /// done tasks.
     pub is_too_large: bool,
-    /// The store rejected it in every size; it is not written until its next retry.
+    /// Whether the store rejected it in every size. It is not written until its next retry.
     pub is_rejected: bool,
     /// Where its row is.
     pub row: RowState,
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -90,7 +90,7 @@
 
 /// Starts the actor for the store at this address.
 ///
-/// * `state`: the store's limits, in force and announced.
+/// * `state`: the store's limits, initial and announced.
 /// * `controllers`: number of controllers in the cluster, which share the store's rates.
 /// * `deadline`: timeout of each request.
 /// * `is_leader`: whether this controller leads. The actor stops when its sender is dropped.
