--- a/src/coordination/fleet/cloud/tests.rs
+++ b/src/coordination/fleet/cloud/tests.rs
@@ -2,7 +2,7 @@
 
 /// A controller that was suspended until after its lease expired must make no further calls.
 #[tokio::test]
-async fn no_call_is_made_after_the_lease_has_ended() {
+async fn no_call_is_made_after_the_lease_has_expired() {
     let listener = std::net::TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     listener.set_nonblocking(true).expect("a listener");
     let address = listener.local_addr().expect("bound");
--- a/src/coordination/tests/dependencies.rs
+++ b/src/coordination/tests/dependencies.rs
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_submission_may_depend_only_on_accepted_array_jobs() {
+fn a_submission_may_depend_only_on_admitted_array_jobs() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     harness.accept(JobSpec { kind: JobKind::Service, ..sample("job-1", "red", 1, 1.0) });
     let status_if_absent = |harness: &mut Harness, spec: JobSpec| {
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -33,8 +33,8 @@
     (harness, reply)
 }
 
-/// A terminal write that is refused may have been committed by an earlier attempt whose reply was
-/// lost. No request is answered from the refused write, and the in-memory state is no longer
+/// A terminal write that is refused may have been committed by an earlier attempt whose response
+/// was lost. No request is answered from the refused write, and the in-memory state is no longer
 /// used.
 #[test]
 fn a_refused_terminal_write_ends_the_epoch_and_is_not_answered_from_memory() {
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -74,10 +74,10 @@
     }
 }
 
-/// Transactions are carried out and only their replies are lost, while other controllers read
+/// Transactions are carried out and only their responses are lost, while other controllers read
 /// what they wrote.
 #[test]
-fn transaction_replies_are_lost_while_controllers_are_partitioned() {
+fn transaction_responses_are_lost_while_controllers_are_partitioned() {
     let lost = LostResponses { probability: 0.6, lasts: 90.0 };
     let cancel = CancelNow { count: 4, hang: 0.0 };
     let at_end = CancelAtEnd { probability: 0.4, lasts: 90.0 };
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn submissions_beyond_the_write_capacity_are_rejected_at_once() {
+fn submissions_beyond_the_write_capacity_are_refused_at_once() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     let mut refused = 0;
     for n in 0..40 {
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn finished_tasks_add_no_demand_whatever_their_estimate() {
+fn done_tasks_add_no_demand_whatever_their_estimate() {
     let mut harness = Harness::with_machines(&["vm-1"]);
     let mut job = sample("job-1", "red", 2, 4.0);
     job.estimated_run_s = 600.0;
