--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -32,7 +32,7 @@
             let controller = rng.random_bool(0.3).then(|| rng.random_range(0..controllers));
             let fault = match rng.random_range(0..20) {
                 0 => Fault::Crash { controller, restart_after },
-                1 => Fault::CrashAll { restart_after },
+                1 => Fault::KillAll { restart_after },
                 2 => Fault::Outage { lasts: lasts / 2.0 },
                 3 => Fault::StateServiceRefuses { lasts, peers },
                 4 | 5 => Fault::StateServiceUnreachable { lasts, peers },
@@ -111,7 +111,7 @@
         max_tasks: 2,
         ..ClusterShape::crowded(3)
     };
-    let restart = vec![(110.0, Fault::CrashAll { restart_after: 0.5 })];
+    let restart = vec![(110.0, Fault::KillAll { restart_after: 0.5 })];
     let (simulation, terminal_jobs) = in_simulated_time(async {
         let mut simulation = Simulation::shaped(8, shape, restart, 100.0);
         simulation.run(108.0).await;
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -95,11 +95,11 @@
         &[
             (40.0, quick_restart),
             (41.0, quick_restart),
-            (55.0, CrashAll { restart_after: 0.4 }),
+            (55.0, KillAll { restart_after: 0.4 }),
             (57.0, Crash { controller: Some(0), restart_after: 0.1 }),
             (57.3, Crash { controller: Some(1), restart_after: 0.1 }),
             (58.0, CancelNow { count: 2, hang: 5.0 }),
-            (75.0, CrashAll { restart_after: 3.0 }),
+            (75.0, KillAll { restart_after: 3.0 }),
         ],
         |simulation| simulation.leaders.len() >= 3,
     );
@@ -221,7 +221,7 @@
     let crash = Crash { controller: None, restart_after: 1.0 };
     let late = DuplicatedHeartbeats { probability: 0.7, lasts: 100.0 };
     run_concurrent_faults(
-        &[(20.0, late), (45.0, crash), (60.0, crash), (75.0, CrashAll { restart_after: 8.0 })],
+        &[(20.0, late), (45.0, crash), (60.0, crash), (75.0, KillAll { restart_after: 8.0 })],
         |simulation| simulation.leaders.len() >= 4,
     );
 }
@@ -229,7 +229,7 @@
 #[test]
 fn all_controllers_are_down_for_longer_than_a_worker_lease() {
     run_concurrent_faults(
-        &[(45.0, CrashAll { restart_after: 27.0 }), (44.0, CancelNow { count: 3, hang: 0.0 })],
+        &[(45.0, KillAll { restart_after: 27.0 }), (44.0, CancelNow { count: 3, hang: 0.0 })],
         |simulation| simulation.lost_leases > 0,
     );
 }
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -38,7 +38,7 @@
             let fault = match rng.random_range(0..24) {
                 0 | 1 => Fault::Crash { controller: None, restart_after },
                 2 => Fault::Crash { controller: Some(rng.random_range(0..3)), restart_after },
-                3 => Fault::CrashAll { restart_after: restart_after * rng.random_range(1.0..4.0) },
+                3 => Fault::KillAll { restart_after: restart_after * rng.random_range(1.0..4.0) },
                 4 => Fault::Outage { lasts },
                 5 => Fault::StateServiceRefuses { lasts, peers },
                 6 => Fault::StateServiceUnreachable { lasts, peers },
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -10,7 +10,7 @@
     /// A controller's process ends, and is started again after `restart_after`.
     Crash { controller: Option<usize>, restart_after: f64 },
     /// All controllers crash at once.
-    CrashAll { restart_after: f64 },
+    KillAll { restart_after: f64 },
     /// The state service answers all requests with an error.
     Outage { lasts: f64 },
     /// The state service answers the leader's requests with an error; with `peers` the leader is
@@ -80,7 +80,7 @@
             Fault::Crash { controller, restart_after } => {
                 self.crash(controller.unwrap_or(leader), restart_after);
             }
-            Fault::CrashAll { restart_after } => {
+            Fault::KillAll { restart_after } => {
                 (0..self.controllers.len()).for_each(|at| self.crash(at, restart_after));
             }
             Fault::Outage { lasts } => self.outage_until = until(lasts),
