--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -31,7 +31,7 @@
             let peers = rng.random_bool(0.5);
             let controller = rng.random_bool(0.3).then(|| rng.random_range(0..controllers));
             let fault = match rng.random_range(0..20) {
-                0 => Fault::Crash { controller, restart_after },
+                0 => Fault::Kill { controller, restart_after },
                 1 => Fault::KillAll { restart_after },
                 2 => Fault::Outage { lasts: lasts / 2.0 },
                 3 => Fault::StateServiceRefuses { lasts, peers },
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -42,9 +42,9 @@
 #[test]
 fn delayed_transactions_arrive_after_newer_ones_and_a_failover() {
     let late = DelayedWrites { probability: 0.4, lasts: 90.0 };
-    let crash = Crash { controller: None, restart_after: 0.3 };
+    let kill = Kill { controller: None, restart_after: 0.3 };
     run_concurrent_faults(
-        &[(25.0, late), (60.0, crash), (80.0, crash), (90.0, CancelNow { count: 3, hang: 0.0 })],
+        &[(25.0, late), (60.0, kill), (80.0, kill), (90.0, CancelNow { count: 3, hang: 0.0 })],
         |simulation| simulation.late_transactions > 20 && simulation.leaders.len() >= 3,
     );
 }
@@ -56,7 +56,7 @@
 fn dependencies_are_cancelled_while_the_leader_or_the_state_service_is_lost() {
     let cancel = CancelNow { count: 4, hang: 0.0 };
     let lost = [
-        Crash { controller: None, restart_after: 3.0 },
+        Kill { controller: None, restart_after: 3.0 },
         Outage { lasts: 55.0 },
         StateServiceRefuses { lasts: 60.0, peers: false },
         StateServiceUnreachable { lasts: 60.0, peers: true },
@@ -90,14 +90,14 @@
 
 #[test]
 fn leadership_moves_back_and_forth_and_a_controller_restarts_within_a_second() {
-    let quick_restart = Crash { controller: None, restart_after: 0.2 };
+    let quick_restart = Kill { controller: None, restart_after: 0.2 };
     run_concurrent_faults(
         &[
             (40.0, quick_restart),
             (41.0, quick_restart),
             (55.0, KillAll { restart_after: 0.4 }),
-            (57.0, Crash { controller: Some(0), restart_after: 0.1 }),
-            (57.3, Crash { controller: Some(1), restart_after: 0.1 }),
+            (57.0, Kill { controller: Some(0), restart_after: 0.1 }),
+            (57.3, Kill { controller: Some(1), restart_after: 0.1 }),
             (58.0, CancelNow { count: 2, hang: 5.0 }),
             (75.0, KillAll { restart_after: 3.0 }),
         ],
@@ -116,9 +116,9 @@
 
 #[test]
 fn a_cancellation_a_poll_and_a_resubmission_coincide_with_the_last_task_end() {
-    let crash = Crash { controller: None, restart_after: 2.0 };
+    let kill = Kill { controller: None, restart_after: 2.0 };
     run_concurrent_faults(
-        &[(20.0, CancelAtEnd { probability: 1.0, lasts: 100.0 }), (60.0, crash), (90.0, crash)],
+        &[(20.0, CancelAtEnd { probability: 1.0, lasts: 100.0 }), (60.0, kill), (90.0, kill)],
         |simulation| simulation.cancellations > 5,
     );
 }
@@ -153,8 +153,8 @@
 
 #[test]
 fn tasks_of_a_job_end_far_apart_across_failovers() {
-    let crash = Crash { controller: None, restart_after: 5.0 };
-    let changes: Vec<_> = (0..7).map(|n| (30.0 + 12.0 * f64::from(n), crash)).collect();
+    let kill = Kill { controller: None, restart_after: 5.0 };
+    let changes: Vec<_> = (0..7).map(|n| (30.0 + 12.0 * f64::from(n), kill)).collect();
     run_concurrent_faults(&changes, |simulation| simulation.leaders.len() >= 7);
 }
 
@@ -175,9 +175,9 @@
 
 #[test]
 fn more_work_than_capacity_at_all_priorities_across_failovers() {
-    let crash = Crash { controller: None, restart_after: 4.0 };
+    let kill = Kill { controller: None, restart_after: 4.0 };
     run_concurrent_faults(
-        &[(30.0, Burst { jobs: 25 }), (50.0, crash), (70.0, Burst { jobs: 10 }), (71.0, crash)],
+        &[(30.0, Burst { jobs: 25 }), (50.0, kill), (70.0, Burst { jobs: 10 }), (71.0, kill)],
         |simulation| simulation.starts > 100,
     );
 }
@@ -186,7 +186,7 @@
 fn zone_bound_jobs_lose_their_machines() {
     let lost = MachinesLost { probability: 0.5 };
     run_concurrent_faults(
-        &[(40.0, lost), (60.0, lost), (61.0, Crash { controller: None, restart_after: 3.0 }), (80.0, lost)],
+        &[(40.0, lost), (60.0, lost), (61.0, Kill { controller: None, restart_after: 3.0 }), (80.0, lost)],
         |simulation| simulation.leaders.len() >= 2,
     );
 }
@@ -195,11 +195,11 @@
 fn a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease() {
     let partition = ZonePartition { lasts: 32.0 };
     // The rules must hold whether or not the controller in the zone leads.
-    let crash = Crash { controller: None, restart_after: 6.0 };
+    let kill = Kill { controller: None, restart_after: 6.0 };
     run_concurrent_faults(&[(40.0, partition), (48.0, CancelNow { count: 3, hang: 0.0 })], |simulation| {
         simulation.cancellations > 0
     });
-    run_concurrent_faults(&[(35.0, crash), (40.0, crash), (48.0, partition), (55.0, crash)], |simulation| {
+    run_concurrent_faults(&[(35.0, kill), (40.0, kill), (48.0, partition), (55.0, kill)], |simulation| {
         simulation.leaders.len() >= 2
     });
 }
@@ -218,10 +218,10 @@
 
 #[test]
 fn a_heartbeat_is_delayed_until_a_new_leader_has_acted() {
-    let crash = Crash { controller: None, restart_after: 1.0 };
+    let kill = Kill { controller: None, restart_after: 1.0 };
     let late = DuplicatedHeartbeats { probability: 0.7, lasts: 100.0 };
     run_concurrent_faults(
-        &[(20.0, late), (45.0, crash), (60.0, crash), (75.0, KillAll { restart_after: 8.0 })],
+        &[(20.0, late), (45.0, kill), (60.0, kill), (75.0, KillAll { restart_after: 8.0 })],
         |simulation| simulation.leaders.len() >= 4,
     );
 }
@@ -240,10 +240,10 @@
         &[
             (30.0, Burst { jobs: 20 }),
             (50.0, HeartbeatsLost { probability: 0.5, lasts: 30.0 }),
-            (51.0, Crash { controller: None, restart_after: 5.0 }),
+            (51.0, Kill { controller: None, restart_after: 5.0 }),
             (54.0, CancelNow { count: 4, hang: 0.0 }),
             (80.0, Hang { probability: 0.5, lasts: 17.0 }),
-            (81.0, Crash { controller: None, restart_after: 5.0 }),
+            (81.0, Kill { controller: None, restart_after: 5.0 }),
             (84.0, CancelNow { count: 4, hang: 10.0 }),
         ],
         |simulation| simulation.leaders.len() >= 3 && simulation.cancellations >= 3,
@@ -252,13 +252,13 @@
 
 #[test]
 fn a_failover_while_machines_are_unreachable_or_one_way_partitioned() {
-    let crash = Crash { controller: None, restart_after: 5.0 };
+    let kill = Kill { controller: None, restart_after: 5.0 };
     run_concurrent_faults(
         &[
             (40.0, OneWayPartition { probability: 0.5, lasts: 40.0 }),
-            (42.0, crash),
+            (42.0, kill),
             (85.0, HeartbeatsLost { probability: 0.5, lasts: 15.0 }),
-            (86.0, crash),
+            (86.0, kill),
         ],
         |simulation| simulation.leaders.len() >= 3,
     );
@@ -266,8 +266,8 @@
 
 #[test]
 fn ten_failovers_in_two_minutes_with_an_outage_among_them() {
-    let crash = Crash { controller: None, restart_after: 0.5 };
-    let mut faults: Vec<_> = (0..12).map(|n| (25.0 + 8.0 * f64::from(n), crash)).collect();
+    let kill = Kill { controller: None, restart_after: 0.5 };
+    let mut faults: Vec<_> = (0..12).map(|n| (25.0 + 8.0 * f64::from(n), kill)).collect();
     faults.extend([(60.0, Outage { lasts: 20.0 }), (58.0, CancelNow { count: 3, hang: 0.0 })]);
     run_concurrent_faults(&faults, |simulation| simulation.leaders.len() >= 6);
 }
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -36,8 +36,8 @@
             let peers = rng.random_bool(0.5);
             let controller = rng.random_bool(0.3).then(|| rng.random_range(0..3));
             let fault = match rng.random_range(0..24) {
-                0 | 1 => Fault::Crash { controller: None, restart_after },
-                2 => Fault::Crash { controller: Some(rng.random_range(0..3)), restart_after },
+                0 | 1 => Fault::Kill { controller: None, restart_after },
+                2 => Fault::Kill { controller: Some(rng.random_range(0..3)), restart_after },
                 3 => Fault::KillAll { restart_after: restart_after * rng.random_range(1.0..4.0) },
                 4 => Fault::Outage { lasts },
                 5 => Fault::StateServiceRefuses { lasts, peers },
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -54,7 +54,7 @@
     }
 
     /// Ends a controller's process; it is started again `restart_after` seconds later.
-    pub(super) fn crash(&mut self, at: usize, restart_after: f64) {
+    pub(super) fn kill(&mut self, at: usize, restart_after: f64) {
         let controller = &mut self.controllers[at];
         controller.tasks.drain(..).for_each(|task| task.abort());
         controller.handle = None;
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     /// A controller's process ends, and is started again after `restart_after`.
-    Crash { controller: Option<usize>, restart_after: f64 },
+    Kill { controller: Option<usize>, restart_after: f64 },
     /// All controllers crash at once.
     KillAll { restart_after: f64 },
     /// The state service answers all requests with an error.
@@ -77,11 +77,11 @@
         let until = |lasts: f64| now + seconds(lasts);
         let random = |probability: f64, lasts: f64| RandomFault { probability, until: until(lasts) };
         match fault {
-            Fault::Crash { controller, restart_after } => {
-                self.crash(controller.unwrap_or(leader), restart_after);
+            Fault::Kill { controller, restart_after } => {
+                self.kill(controller.unwrap_or(leader), restart_after);
             }
             Fault::KillAll { restart_after } => {
-                (0..self.controllers.len()).for_each(|at| self.crash(at, restart_after));
+                (0..self.controllers.len()).for_each(|at| self.kill(at, restart_after));
             }
             Fault::Outage { lasts } => self.outage_until = until(lasts),
             Fault::StateServiceRefuses { lasts, peers } => {
