--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -184,7 +184,7 @@
 
 #[test]
 fn zone_bound_jobs_lose_their_machines() {
-    let lost = MachinesLost { probability: 0.5 };
+    let lost = TerminateMachines { probability: 0.5 };
     run_concurrent_faults(
         &[(40.0, lost), (60.0, lost), (61.0, Kill { controller: None, restart_after: 3.0 }), (80.0, lost)],
         |simulation| simulation.leaders.len() >= 2,
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -45,7 +45,7 @@
                 7 => Fault::OneWayPartition { probability, lasts },
                 8 => Fault::HeartbeatsLost { probability, lasts },
                 9 => Fault::Hang { probability, lasts },
-                10 => Fault::MachinesLost { probability: probability / 2.0 },
+                10 => Fault::TerminateMachines { probability: probability / 2.0 },
                 11 => Fault::CloudOutage { lasts },
                 12 => Fault::DelayedWrites { probability, lasts },
                 13 => Fault::DuplicatedHeartbeats { probability, lasts },
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -25,7 +25,7 @@
     /// Machines and their tasks are stalled.
     Hang { probability: f64, lasts: f64 },
     /// Machines are lost, as in a preemption without notice.
-    MachinesLost { probability: f64 },
+    TerminateMachines { probability: f64 },
     /// The cloud refuses every request.
     CloudOutage { lasts: f64 },
     /// Transactions get no response, and are applied later.
@@ -105,7 +105,7 @@
             Fault::Hang { probability, lasts } => {
                 self.change_random_machines(now, probability, |worker| worker.hung_until = until(lasts));
             }
-            Fault::MachinesLost { probability } => {
+            Fault::TerminateMachines { probability } => {
                 for name in self.random_machines(now, probability) {
                     self.remove(now, &name);
                 }
