--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -49,7 +49,7 @@
     );
 }
 
-/// Users cancel the first jobs of chains of dependent jobs. Right after that, the leader crashes,
+/// Users cancel the first jobs of chains of dependent jobs. Right after that, the leader is killed,
 /// the state service is down, or it refuses or loses the requests of the leader alone; meanwhile
 /// the limits of the state service are lowered.
 #[test]
--- a/src/coordination/tests/simulation/cluster.rs
+++ b/src/coordination/tests/simulation/cluster.rs
@@ -9,7 +9,7 @@
     pub(super) incarnation: u16,
     /// Accepts requests; `None` while the controller is down.
     pub(super) handle: Option<ControllerHandle>,
-    /// The async tasks that a crash aborts.
+    /// The async tasks that are aborted when it is killed.
     pub(super) tasks: Vec<AbortHandle>,
     /// When the controller is started, if it is down.
     pub(super) restart_at: Option<Instant>,
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers of the cluster: their starts and crashes, and which one leads.
+//! The controllers of the cluster: how they are started and killed, and which one leads.
 
 use super::*;
 
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -7,16 +7,17 @@
 /// each machine or event.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// A controller's process ends, and is started again after `restart_after`.
+    /// A controller is killed, and started again after `restart_after`.
     Kill { controller: Option<usize>, restart_after: f64 },
-    /// All controllers crash at once.
+    /// All controllers are killed at once.
     KillAll { restart_after: f64 },
     /// The state service answers all requests with an error.
     Outage { lasts: f64 },
     /// The state service answers the leader's requests with an error; with `peers` the leader is
     /// also isolated from the other controllers.
     StateServiceRefuses { lasts: f64, peers: bool },
-    /// The same, but the leader's requests are lost, so that they time out.
+    /// As [`Fault::StateServiceRefuses`], but the leader's requests are lost, so that they time
+    /// out.
     StateServiceUnreachable { lasts: f64, peers: bool },
     /// Machines receive neither replies nor pushed commands.
     OneWayPartition { probability: f64, lasts: f64 },
@@ -24,7 +25,7 @@
     HeartbeatsLost { probability: f64, lasts: f64 },
     /// Machines and their tasks are stalled.
     Hang { probability: f64, lasts: f64 },
-    /// Machines are lost, as in a preemption without notice.
+    /// Machines are terminated with all tasks on them, as in a preemption without notice.
     TerminateMachines { probability: f64 },
     /// The cloud refuses every request.
     CloudOutage { lasts: f64 },
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Starts the controllers that are due, at the beginning and after crashes.
+    /// Starts the controllers that are due, at the beginning and after they were killed.
     fn restart_due_controllers(&mut self, now: Instant) {
         for at in 0..self.controllers.len() {
             if self.controllers[at].restart_at.is_some_and(|restart| now >= restart) {
