--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -53,7 +53,8 @@
     pub(super) on_demand_units: f64,
 }
 
-/// The minimum fraction of a machine that a group must claim for the machine to count as needed.
+/// A machine counts as needed if a group claims more than this fraction of it. The first machine
+/// that is claimed counts in any case.
 const MIN_NEEDED_FRACTION: f64 = 0.2;
 /// Up to this number of machines is a minority, however small the total.
 const MAX_ALWAYS_MINORITY: usize = 2;
--- a/src/coordination/scheduling/start_decision.rs
+++ b/src/coordination/scheduling/start_decision.rs
@@ -115,8 +115,8 @@
 }
 
 /// Whether tasks of a job that the reconciler has restored may still be on machines. The job was
-/// believed terminal; none of its tasks is started again until every machine is gone, or has
-/// sent a heartbeat and stopped the tasks that it had of the job.
+/// believed terminal. None of its tasks is started before [`Job::not_before`], by when every machine
+/// has sent a heartbeat or its lease has expired, nor while any machine holds orphan tasks.
 fn must_await_other_machines(now: Instant, job: &Job, machines: &MachineTable) -> bool {
     let has_orphan_tasks = || machines.values().any(|machine| machine.has_orphan_tasks);
     job.not_before.is_some_and(|not_before| now < not_before || has_orphan_tasks())
