--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -84,7 +84,7 @@
 }
 
 /// The state service fails right after the cancellation. Every reply in the post-lease grace
-/// renews the worker's lease, so every reply must carry the stop.
+/// period renews the worker's lease, so every reply must carry the stop.
 #[test]
 fn heartbeat_replies_in_the_post_lease_grace_stop_only_cancelled_tasks() {
     let mut harness = Harness::with_machines(&["vm-1"]);
@@ -125,7 +125,7 @@
 }
 
 /// If a worker ignores stop commands, its heartbeats are redirected early enough that its lease
-/// ends within the cancellation limit. The limit is measured from the cancellation and does not
+/// expires within the cancellation limit. The limit is measured from the cancellation and does not
 /// depend on the number of ignored commands.
 #[test]
 fn heartbeats_of_a_machine_that_ignores_stops_are_redirected_in_time() {
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -22,7 +22,7 @@
     assert_eq!(job_ids(&starts(&commands)), [id("job-2")]);
     // vm-3 never had a start, so the job waits only for vm-2. It waits for the whole failover
     // lease timeout, since an earlier leader may also have replied to vm-2 in its post-lease
-    // grace.
+    // grace period.
     let timeout_s = harness.config.failover_lease_timeout().as_secs_f64();
     let running = task_status(&starts(&commands)[0], TaskState::Running);
     let mut sequence = 8;
@@ -270,7 +270,7 @@
 }
 
 /// A sent reply is not proof that the worker received it: the worker may have gone back to the
-/// former leader, which still replies in its post-lease grace.
+/// former leader, which still replies in its post-lease grace period.
 #[test]
 fn an_unacknowledged_reply_does_not_shorten_the_failover_lease_timeout() {
     let older_job = loaded_job(sample("job-1", "red", 1, 1.0));
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Tests of a leader whose lease has expired or whose epoch has ended.
+//! Tests of a leader whose lease has expired or whose epoch is over.
 
 use ciborium::value::Value;
 
@@ -13,7 +13,7 @@
     harness.fail_next_commit(KvError::Fenced);
     assert_eq!(harness.answer(reply).map(|a| (a.status, a.retry_after_s)), Some((503, Some(1))));
     assert!(harness.leader.is_fenced());
-    // The leader sends nothing more once its epoch has ended.
+    // The leader sends nothing more once its epoch is over.
     assert_eq!(harness.send_heartbeat("vm-1", 1, 9, EPOCH, vec![]), HeartbeatReply::Redirect);
     let late = harness.submit(sample("job-2", "red", 1, 1.0));
     assert_eq!(harness.answer(late).map(|a| a.status), Some(503));
@@ -110,7 +110,7 @@
     assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
 }
 
-/// A process is stalled past its lease and its post-lease grace while its clocks run on. When it
+/// A process is stalled past its lease and its post-lease grace period while its clocks run on. When it
 /// resumes, neither delayed copies of heartbeats nor repeated requests make it act, whichever
 /// arrives first.
 #[test]
--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -322,8 +322,8 @@
     );
 }
 
-/// The commands of a deferred reply are decided when it is sent: after the end of the leader's
-/// lease it starts nothing, and after a newer heartbeat was handled it is a redirect.
+/// The commands of a deferred reply are decided when it is sent: once the leader's lease has
+/// expired it starts nothing, and after a newer heartbeat was handled it is a redirect.
 #[test]
 fn a_deferred_reply_is_decided_when_it_is_sent() {
     let (mut harness, heartbeat) = harness_with_deferred_reply();
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -114,7 +114,7 @@
     };
     assert!(harness.commit_all().iter().any(started));
     assert_eq!(starts(&harness.heartbeat("vm-1", 7, EPOCH, vec![])).len(), 2);
-    // With free capacity, the record that accepts a job already marks it as started, so no second
+    // With free capacity, the record that admits a job already marks it as started, so no second
     // write is needed.
     harness.submit(sample("job-3", "red", 1, 1.0));
     let Change::Put { value, .. } = &harness.commits[0].1.changes[0] else { panic!("a record") };
--- a/src/coordination/tests/simulation/cluster.rs
+++ b/src/coordination/tests/simulation/cluster.rs
@@ -84,7 +84,8 @@
     pub(super) sequence: u64,
     /// The highest fencing token that it has received.
     pub(super) fencing_token: u64,
-    /// Start of the lease: when the last heartbeat that was replied to was sent, or the incarnation began.
+    /// Start of the lease: when the last heartbeat that was replied to was sent, or the
+    /// incarnation began.
     pub(super) lease_from: Instant,
     pub(super) tasks: Vec<(TaskKey, RunningTask)>,
     /// The controller to which it sends heartbeats.
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -119,7 +119,7 @@
     delayed_writes: RandomFault,
     lost_responses: RandomFault,
     duplicated_writes: RandomFault,
-    /// Transactions that are applied late, each with the time at which it is applied.
+    /// Delayed transactions, each with the time at which it is applied.
     delayed_transactions: Vec<(Instant, Request)>,
     watches: Vec<Watch>,
 
@@ -160,7 +160,7 @@
     pub violations: Vec<String>,
     /// Tasks started on workers.
     pub starts: usize,
-    /// Transactions that were applied late.
+    /// Transactions that were delayed.
     pub late_transactions: usize,
     /// Transactions rejected because of the limits in force.
     pub over_limits: usize,
--- a/src/coordination/tests/simulation/shape.rs
+++ b/src/coordination/tests/simulation/shape.rs
@@ -9,7 +9,7 @@
     pub controllers: usize,
     /// Mean interval between two submissions, in seconds.
     pub mean_submit_interval_s: f64,
-    /// Longest run time of a task, in seconds.
+    /// Maximum run time of a task, in seconds.
     pub max_run_s: f64,
     /// Number of tasks of the largest arrays.
     pub max_tasks: u32,
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -1,5 +1,5 @@
 //! The state service: an in-memory store with leases that expire in simulated time, watches,
-//! outages, and requests whose effects or replies are late, duplicated or lost.
+//! outages, and requests whose effects or responses are delayed, duplicated or lost.
 
 use super::*;
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Processes late transactions, expired leases and watches, in this order.
+    /// Processes delayed transactions, expired leases and watches, in this order.
     pub(super) fn step_state(&mut self, now: Instant) {
         if now < self.outage_until {
             // After an outage every lease has its full TTL again.
@@ -131,7 +131,7 @@
         self.answer_watches(now);
     }
 
-    /// Applies the late transactions that are due, in the order of their times.
+    /// Applies the delayed transactions that are due, in the order of their times.
     fn apply_late_transactions(&mut self, now: Instant) {
         let (mut due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.delayed_transactions).into_iter().partition(|(at, _)| now >= *at);
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -63,7 +63,7 @@
         harness.advance(1.0);
         harness.commit_all();
     }
-    // The wait is bounded: by then the machines have lost their leases.
+    // The wait is bounded: by then the machines' leases have expired.
     harness.advance(harness.config.worker_lease_timeout().as_secs_f64() * 2.0);
     assert_eq!(starts(&harness.heartbeat("vm-1", sequence, EPOCH, vec![])).len(), 1);
 }
