--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -231,8 +231,8 @@
             return HeartbeatRoute::NoLeader;
         }
         let Some(link) = self.links.get(&name).cloned() else { return HeartbeatRoute::NoLeader };
-        let had_leader_answer = heartbeat.fencing_token == epoch;
-        match self.worker_redirects.decide(now, &heartbeat.machine, had_leader_answer) {
+        let had_leader_reply = heartbeat.fencing_token == epoch;
+        match self.worker_redirects.decide(now, &heartbeat.machine, had_leader_reply) {
             RedirectDecision::Redirect => HeartbeatRoute::Redirect(name),
             RedirectDecision::Relay if self.relays.try_acquire() => {
                 HeartbeatRoute::Relay(HeartbeatRelay { leader: name, link })
--- a/src/coordination/controller/worker_redirects.rs
+++ b/src/coordination/controller/worker_redirects.rs
@@ -54,19 +54,19 @@
 
     /// Decides how to handle the heartbeat of a worker that should send it to the leader.
     ///
-    /// `had_leader_answer` states whether the current leader has replied to the worker before. A
+    /// `had_leader_reply` states whether the current leader has replied to the worker before. A
     /// worker leaves its leader only when that no longer replies, so redirecting it back would
     /// only cost it another timeout.
     pub(super) fn decide(
         &mut self,
         now: Instant,
         worker: &MachineId,
-        had_leader_answer: bool,
+        had_leader_reply: bool,
     ) -> RedirectDecision {
         self.evict_if_full(now);
         let has_room = self.redirects.len() < self.capacity;
         let redirected = RedirectRecord { redirected_at: now, relaying_since: None };
-        let new_record = RedirectRecord { relaying_since: had_leader_answer.then_some(now), ..redirected };
+        let new_record = RedirectRecord { relaying_since: had_leader_reply.then_some(now), ..redirected };
         match self.redirects.get_mut(worker) {
             // A worker that returns this soon did not reach the leader. Its heartbeats are relayed
             // for a few leases, since each attempt to reach the leader costs it several seconds;
@@ -85,7 +85,7 @@
             None if has_room => drop(self.redirects.insert(worker.clone(), new_record)),
             None => {}
         }
-        if had_leader_answer { RedirectDecision::Relay } else { RedirectDecision::Redirect }
+        if had_leader_reply { RedirectDecision::Relay } else { RedirectDecision::Redirect }
     }
 
     /// If the map is full, removes workers that were redirected at least a lease ago.
