--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -197,7 +197,7 @@
         14 => Fault::KvStore(KvFault::DuplicatedWrites { share, duration }),
         15 => Fault::KvStore(KvFault::DelayedResponses { share, duration }),
         16 => Fault::CloudOutage { duration },
-        17 => Fault::Machines { share, fault: MachineFault::LosesIncoming { duration } },
+        17 => Fault::Machines { share, fault: MachineFault::OneWayPartition { duration } },
         18 => Fault::Machines { share, fault: MachineFault::LosesOutgoing { duration } },
         19 => Fault::Machines { share, fault: MachineFault::Hang { duration } },
         20 => Fault::Machines {
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum MachineFault {
     /// Its heartbeats arrive, but responses to them and pushed commands are lost.
-    LosesIncoming { duration: Duration },
+    OneWayPartition { duration: Duration },
     /// Its heartbeats are lost, but pushed commands arrive.
     LosesOutgoing { duration: Duration },
     /// Its worker and tasks are suspended.
@@ -252,7 +252,7 @@
                 self.handle_response(now, incarnation, sent, response);
             }
             Message::Inject(fault) => match fault {
-                MachineFault::LosesIncoming { duration } => self.incoming_lost_until = now + duration,
+                MachineFault::OneWayPartition { duration } => self.incoming_lost_until = now + duration,
                 MachineFault::LosesOutgoing { duration } => self.outgoing_lost_until = now + duration,
                 MachineFault::Hang { duration } => self.hang(now, duration),
                 MachineFault::DuplicatedHeartbeats { share, duration } => {
