--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -198,7 +198,7 @@
         15 => Fault::KvStore(KvFault::DelayedResponses { share, duration }),
         16 => Fault::CloudOutage { duration },
         17 => Fault::Machines { share, fault: MachineFault::OneWayPartition { duration } },
-        18 => Fault::Machines { share, fault: MachineFault::LosesOutgoing { duration } },
+        18 => Fault::Machines { share, fault: MachineFault::HeartbeatsLost { duration } },
         19 => Fault::Machines { share, fault: MachineFault::Hang { duration } },
         20 => Fault::Machines {
             share,
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -46,7 +46,7 @@
     /// Its heartbeats arrive, but responses to them and pushed commands are lost.
     OneWayPartition { duration: Duration },
     /// Its heartbeats are lost, but pushed commands arrive.
-    LosesOutgoing { duration: Duration },
+    HeartbeatsLost { duration: Duration },
     /// Its worker and tasks are suspended.
     Hang { duration: Duration },
     /// Copies of this share of its heartbeats arrive later.
@@ -253,7 +253,7 @@
             }
             Message::Inject(fault) => match fault {
                 MachineFault::OneWayPartition { duration } => self.incoming_lost_until = now + duration,
-                MachineFault::LosesOutgoing { duration } => self.outgoing_lost_until = now + duration,
+                MachineFault::HeartbeatsLost { duration } => self.outgoing_lost_until = now + duration,
                 MachineFault::Hang { duration } => self.hang(now, duration),
                 MachineFault::DuplicatedHeartbeats { share, duration } => {
                     self.duplicated_heartbeats = DuplicatedHeartbeats { share, until: now + duration };
