--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -475,7 +475,7 @@
             Fault::KillAll { restart_after } => {
                 (0..self.controllers.count()).for_each(|index| self.kill(index, restart_after));
             }
-            Fault::Pause { target, duration } => {
+            Fault::Stall { target, duration } => {
                 self.controllers.pause(resolve(target), true);
                 self.schedule_fault_end(duration, FaultEnd::Resume(resolve(target)));
             }
--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -30,7 +30,7 @@
     /// All controllers are killed, and restarted later.
     KillAll { restart_after: Duration },
     /// A controller's process is stopped with SIGSTOP, and resumed later.
-    Pause { target: Target, duration: Duration },
+    Stall { target: Target, duration: Duration },
     /// A controller is cut off from the key-value store and, if `peers`, from the other
     /// controllers.
     CutKv { target: Target, cut: Cut, peers: bool, duration: Duration },
@@ -108,7 +108,7 @@
     for _ in 0..rng.random_range(2..5) {
         let fault = match rng.random_bool(0.6) {
             true => Fault::Kill { target: Target::Leader, restart_after: random_duration(rng, 0.05..2.5) },
-            false => Fault::Pause { target: Target::Leader, duration: random_duration(rng, 0.5..6.0) },
+            false => Fault::Stall { target: Target::Leader, duration: random_duration(rng, 0.5..6.0) },
         };
         planned.push(PlannedFault { at, trigger: None, fault });
         at += random_duration(rng, 0.3..2.5);
@@ -136,7 +136,7 @@
     let target = if rng.random_bool(0.5) { Target::Leader } else { Target::Responder };
     let fault = match rng.random_range(0..4) {
         0 => Fault::Kill { target, restart_after: random_duration(rng, 0.05..3.0) },
-        1 => Fault::Pause { target, duration: random_duration(rng, 0.8..6.0) },
+        1 => Fault::Stall { target, duration: random_duration(rng, 0.8..6.0) },
         2 => Fault::CutKv {
             target,
             cut: random_cut(rng),
@@ -180,7 +180,7 @@
     match rng.random_range(0..22) {
         0 | 1 => Fault::Kill { target, restart_after: random_duration(rng, 0.05..3.0) },
         2 => Fault::KillAll { restart_after: random_duration(rng, 0.05..3.0) },
-        3 | 4 => Fault::Pause { target, duration },
+        3 | 4 => Fault::Stall { target, duration },
         5 => Fault::CutKv { target, cut, peers: rng.random_bool(0.5), duration },
         6 => Fault::CutPeers { target, cut, duration },
         7 => Fault::CutWorkers { target, cut, duration },
