--- a/src/coordination/controller/forwarding.rs
+++ b/src/coordination/controller/forwarding.rs
@@ -72,9 +72,9 @@
 }
 
 impl HeartbeatRelay {
-    /// Relays the heartbeat and answers the worker. The leader's answer is returned
-    /// unchanged, under the leader's fencing token and lease. The worker drops an answer that
-    /// takes too long, as it does with direct answers.
+    /// Relays the heartbeat and returns the leader's reply to the worker, unchanged, under the
+    /// leader's fencing token and lease. The worker drops a reply that takes too long, as it
+    /// does with direct replies.
     pub(super) async fn run(self, body: Vec<u8>, reply: ReplySender, events: mpsc::Sender<InternalEvent>) {
         let HeartbeatRelay { leader, link } = self;
         let relayed_at = Instant::now();
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Spawns a task that relays a heartbeat to the leader and answers the worker, see
+    /// Spawns a task that relays a heartbeat to the leader and replies to the worker, see
     /// [`HeartbeatRelay::run`].
     pub(super) fn relay_heartbeat(&self, relay: HeartbeatRelay, body: Vec<u8>, reply: ReplySender) {
         tokio::spawn(relay.run(body, reply, self.events.clone()));
--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -60,7 +60,8 @@
     }
 
     /// Chooses the dependencies of a new job: mostly none, otherwise some of the last few or of all
-    /// earlier jobs, in any state, so that chains, diamonds and dependencies that have long been terminal occur.
+    /// earlier jobs, in any state, so that chains, diamonds and dependencies that have long been
+    /// terminal occur.
     fn choose_dependencies(&mut self, n: usize) -> Vec<JobId> {
         let r = &mut self.rng;
         if self.shape.dependent_probability == 0.0
