--- a/src/coordination/controller/worker_redirects/tests.rs
+++ b/src/coordination/controller/worker_redirects/tests.rs
@@ -21,7 +21,7 @@
         RedirectDecision::Redirect,
         "the worker had reached the leader since"
     );
-    // A worker that the leader has answered can no longer reach it.
+    // A worker that the leader has replied to can no longer reach it.
     assert_eq!(redirects.decide(at(30), &worker, true), RedirectDecision::Relay);
     assert_eq!(redirects.decide(at(41), &worker, true), RedirectDecision::Relay);
     assert_eq!(
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Checks the placement constraints of a task's job: zone, spot instances, one zone for all
+    /// Checks the placement constraints of a task's job: zone, spot machines, one zone for all
     /// tasks, and spread.
     fn check_place(&mut self, name: &str, key: &TaskKey, spec: &JobSpec) {
         let Some(worker) = self.machines.get(name) else { return };
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -82,7 +82,7 @@
     pub lease: Duration,
     /// Number of machines scored for each placement (power-of-k sampling).
     pub sampled_machines: usize,
-    /// Weight, in a machine's score, of the work expected to be lost with a spot instance.
+    /// Weight, in a machine's score, of the work expected to be lost with a spot machine.
     pub spot_risk: f64,
     /// Maximum work that a task may lose when it is preempted for another team's guarantee, in
     /// seconds of run time; 0 disables such preemption.
@@ -98,15 +98,15 @@
     pub headroom: f64,
     /// Time over which demand statistics are taken, as a multiple of the longest boot time.
     pub demand_memory_boots: f64,
-    /// Factor applied to spot prices when offers are compared; above 1, spot instances count
+    /// Factor applied to spot prices when offers are compared; above 1, spot machines count
     /// as more expensive than they are.
     pub spot_price_weight: f64,
-    /// Idle time after which an unneeded machine is returned, as a multiple of its boot time.
+    /// Idle time after which an unneeded machine is deleted, as a multiple of its boot time.
     pub idle_boots: f64,
     /// Time after which a machine that has not come up is deleted, as a multiple of its boot
     /// time.
     pub boot_limit_boots: f64,
-    /// Time without a heartbeat after which a machine is replaced.
+    /// Time without a heartbeat after which a machine is suspected to have failed and is replaced.
     pub suspicion_timeout: Duration,
     /// Time within which every job should start its first task if any capacity exists. A job
     /// that has not started after half of this time is scheduled before all others.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,4 +1,4 @@
-//! Messages to and from the cloud, which rents machines in node pools.
+//! Messages to and from the cloud, which provisions machines in node pools.
 
 use ciborium::value::Value;
 
@@ -73,13 +73,13 @@
     }
 }
 
-/// Encodes a catalog in the form of the cloud's own reply. It is stored in this form too.
+/// Encodes a catalog in the form of the cloud's own response. It is stored in this form too.
 pub fn encode_catalog(types: &[MachineType]) -> Value {
     let types = types.iter().map(MachineType::encode).collect();
     MapBuilder::new().set(field::MACHINE_TYPES, Value::Array(types)).build()
 }
 
-/// Decodes a catalog from the cloud's reply or from its stored record.
+/// Decodes a catalog from the cloud's response or from its stored record.
 ///
 /// # Errors
 ///
@@ -89,19 +89,20 @@
     Fields::of(value)?.list(field::MACHINE_TYPES)?.iter().map(MachineType::decode).collect()
 }
 
-/// A node pool request, which asks the cloud to rent machines.
+/// A node pool request, which asks the cloud to provision machines.
 ///
-/// Its name makes it idempotent: a repeated request with the same name rents nothing new.
+/// Its name makes it idempotent: a repeated request with the same name provisions nothing
+/// new.
 /// A name is never used for a second request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePoolRequest {
     /// Unique name of the request.
     pub name: String,
-    /// Name of the machine type to rent.
+    /// Name of the machine type to provision.
     pub machine_type: String,
-    /// Zone to rent in.
+    /// Zone to provision them in.
     pub zone: String,
-    /// Whether to rent spot machines instead of on-demand machines.
+    /// Whether to provision spot machines instead of on-demand machines.
     pub spot: bool,
     /// Number of machines; at most [`MAX_MACHINES_PER_REQUEST`].
     pub machine_count: u32,
@@ -141,7 +142,7 @@
     value.as_text().and_then(MachineId::parse).ok_or(Malformed::Invalid(field::MACHINES))
 }
 
-/// Decodes the machines that the cloud rented for a node pool request.
+/// Decodes the machines that the cloud provisioned for a node pool request.
 ///
 /// # Errors
 ///
@@ -192,7 +193,7 @@
     pub spot: bool,
     /// Its state in the cloud.
     pub state: ListedState,
-    /// Seconds since it was rented; 0 if the cloud does not say.
+    /// Seconds since it was provisioned; 0 if the cloud does not say.
     pub age_s: f64,
 }
 
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -357,7 +357,7 @@
         })
     }
 
-    /// Encodes the reply to a poll.
+    /// Encodes the answer to a poll.
     pub fn encode(&self) -> Value {
         MapBuilder::new()
             .set(field::ID, self.id.as_str())
--- a/src/protocol/wire_words.rs
+++ b/src/protocol/wire_words.rs
@@ -11,7 +11,7 @@
 pub(super) mod field {
     /// Network address of a machine's worker, as host and port.
     pub(crate) const ADDRESS: &str = "address";
-    /// Seconds since the machine was rented.
+    /// Seconds since the machine was provisioned.
     pub(crate) const AGE_S: &str = "heldS";
     /// Attempt number of a task; each start of the same task has a higher number.
     pub(crate) const ATTEMPT: &str = "try";
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -48,7 +48,7 @@
 /// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// The cloud provider's API for renting machines.
+    /// The cloud provider's API for provisioning machines.
     pub cloud: SocketAddr,
     /// The state service (`state`): the consensus-backed key-value store.
     #[serde(rename = "state")]
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-/// Checks that a worker's lease is longer than its heartbeat interval, since heartbeats extend
+/// Checks that a worker's lease is longer than its heartbeat interval, since heartbeats renew
 /// the lease.
 fn check_workers(workers: &Workers) -> Result<(), InvalidField> {
     let lease_outlasts_heartbeat = workers.lease_s > workers.heartbeat_interval_s;
--- a/src/storage/records/learned_statistics.rs
+++ b/src/storage/records/learned_statistics.rs
@@ -12,7 +12,7 @@
     pub types: Vec<String>,
     /// The zone that these jobs must run in, if any.
     pub zone: Option<String>,
-    /// Whether these jobs may run on spot instances.
+    /// Whether these jobs may run on spot machines.
     pub spot: bool,
     /// Whether these jobs need GPUs.
     pub gpus: bool,
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -18,7 +18,7 @@
     RanTwice,
     /// A team used more CPUs than its quota.
     Quota,
-    /// A task ran in a zone or on a spot instance that its job does not allow.
+    /// A task ran in a zone or on a spot machine that its job does not allow.
     WrongPlace,
     /// A task of a cancelled job kept running for too long, or started too late.
     RanCancelled,
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Checks a task's zone and spot instance against the placement constraints of its job.
+    /// Checks a task's zone and spot machine against the placement constraints of its job.
     fn check_placement(&mut self, at: Elapsed, job: usize, zone: &'static str, spot: bool, name: &str) {
         let tasks_of_job = self.running.iter().filter(|(other, _)| other.job == job);
         let zones: Vec<&str> = tasks_of_job.map(|(_, (zone, _))| *zone).collect();
--- a/tests/soak/jobs.rs
+++ b/tests/soak/jobs.rs
@@ -38,7 +38,7 @@
     pub one_zone: bool,
     /// Whether its tasks must be spread over the zones.
     pub spread: bool,
-    /// Whether its tasks may run on spot instances.
+    /// Whether its tasks may run on spot machines.
     pub spot: bool,
     /// Indices of the jobs that must complete before it starts; all are earlier in the plan.
     pub dependencies: Vec<usize>,
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -118,7 +118,7 @@
     pub name: String,
     /// Zone of the machine.
     pub zone: &'static str,
-    /// Whether it is a spot instance.
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
