--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! A submission is admitted once its record and row are committed; a user sees it as accepted
 //! once an answer says so. A job is terminal once its completion or cancellation is
-//! committed, and unfinished until then. A task is waiting, or pending, while it is neither done nor assigned
-//! to a machine.
+//! committed, and unfinished until then. A task is waiting, or pending, while it is neither done
+//! nor assigned to a machine.
 //!
 //! Dependencies are in three modules: [`dependency_graph`] holds the edges between jobs,
 //! [`dependency_state`] is what a record says of a job that others depend on, and
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -92,8 +92,7 @@
 /// A node pool request, which asks the cloud to provision machines.
 ///
 /// Its name makes it idempotent: a repeated request with the same name provisions nothing
-/// new.
-/// A name is never used for a second request.
+/// new. A name is never used for a second request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePoolRequest {
     /// Unique name of the request.
