--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -48,8 +48,8 @@
         self.types = types;
     }
 
-    /// Updates the types with those that the cloud lists now. Prices change often, so a change of prices alone
-    /// is no reason to store the catalog again.
+    /// Updates the types with those that the cloud lists now. Prices change often, so a change of
+    /// prices alone is no reason to store the catalog again.
     pub(crate) fn update(&mut self, now: Instant, types: Vec<MachineType>) -> CatalogChange {
         self.read_at = Some(now);
         let was_empty = self.types.is_empty();
