--- a/src/coordination/config.rs
+++ b/src/coordination/config.rs
@@ -1,5 +1,5 @@
-//! A controller's configuration, and the timeouts derived from it, which bound how long the
-//! replies of an earlier leader may still take effect.
+//! A controller's configuration and the timeouts derived from it. The timeouts bound how long
+//! workers may still run tasks because of the replies of an earlier leader.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use crate::protocol::workers::HEARTBEAT_REPLY_TIMEOUT;
 use crate::settings::Settings;
 
-/// How long a worker's lease lasts at most when measured by another machine's clock, as a
-/// multiple of its duration.
+/// Allowance for clock drift: measured by another machine's clock, a worker's lease lasts at
+/// most this multiple of its duration.
 const WORKER_CLOCK_DRIFT_FACTOR: f64 = 1.002;
 /// The margin for timer resolution is the heartbeat interval divided by this.
 const TIMER_MARGIN_DIVISOR: u32 = 4;
@@ -35,9 +35,9 @@
     }
 
     /// How long after a cancellation a controller may still reply to a worker that keeps running
-    /// the cancelled tasks. After the last reply, which may take [`HEARTBEAT_REPLY_TIMEOUT`] to
-    /// arrive, the worker's lease must expire ([`Self::worker_lease_timeout`]) before the time
-    /// by which all tasks of a cancelled job must have ended.
+    /// the cancelled tasks: the time within which all tasks of a cancelled job must end, less
+    /// [`HEARTBEAT_REPLY_TIMEOUT`], which the last reply may take to arrive, and less
+    /// [`Self::worker_lease_timeout`], by which the worker's lease has then expired.
     pub fn cancelled_task_reply_window(&self) -> Duration {
         let cancellation = self.settings.cluster.workers.cancellation();
         cancellation.saturating_sub(self.worker_lease_timeout() + HEARTBEAT_REPLY_TIMEOUT)
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -24,7 +24,7 @@
         LeadershipPublisher { is_leader, lease_expiry, resigned_epoch }
     }
 
-    /// Publishes that the controller was elected for a new epoch.
+    /// Publishes that the controller leads; called once for each epoch for which it is elected.
     pub(super) fn publish_leading(&self) {
         let _ = self.is_leader.send(true);
     }
@@ -34,7 +34,7 @@
         let _ = self.lease_expiry.send(lease_expiry);
     }
 
-    /// Publishes that the controller does not lead.
+    /// Publishes that the controller does not lead, and `now` as the expiry of its lease.
     pub(super) fn publish_not_leading(&self, now: Instant) {
         let _ = self.is_leader.send(false);
         let _ = self.lease_expiry.send(now);
--- a/src/coordination/controller/snapshot_loader.rs
+++ b/src/coordination/controller/snapshot_loader.rs
@@ -16,7 +16,7 @@
 pub(super) struct SnapshotLoader {
     kv: KvClient,
     events: mpsc::Sender<InternalEvent>,
-    /// Maximum size of a value in the store, in KB.
+    /// Maximum size of a value in the store, in KiB.
     value_kb: f64,
     retry_pause: Duration,
 }
@@ -32,15 +32,17 @@
         }
     }
 
-    /// Starts reading the snapshot for an epoch.
+    /// Starts reading the snapshot for an epoch. If the read fails, the controller calls this
+    /// again when it receives the result.
     pub(super) fn start(&self, epoch: u64) {
         let (kv, events) = (self.kv.clone(), self.events.clone());
         let (value_kb, retry_pause) = (self.value_kb, self.retry_pause);
         tokio::spawn(async move {
             let snapshot = read_snapshot(&kv, value_kb).await.ok();
             if snapshot.is_none() {
-                // During an outage reads fail immediately. Retrying without a pause
-                // would use up the request rate that lease renewals need.
+                // During an outage reads fail immediately. If the failure were reported
+                // without a pause, the retries would use up the request rate that lease
+                // renewals need.
                 tokio::time::sleep(retry_pause).await;
             }
             let _ = events.send(InternalEvent::SnapshotRead { epoch, snapshot }).await;
--- a/src/coordination/election/tests.rs
+++ b/src/coordination/election/tests.rs
@@ -4,7 +4,7 @@
 
 const TTL: Duration = Duration::from_secs(10);
 
-fn holder_of(name: &str, incarnation: &str, version: u64, lease: u64) -> LeaderRecord {
+fn leader_record(name: &str, incarnation: &str, version: u64, lease: u64) -> LeaderRecord {
     LeaderRecord { name: name.into(), incarnation: incarnation.into(), version, lease: Some(lease) }
 }
 
@@ -47,11 +47,11 @@
     election.on_renew(late, late, RenewOutcome::Renewed);
     assert!(!election.is_confirmed());
     assert_eq!(election.next_step(late), Step::ReadLeader);
-    election.on_read(late, LeaderRead::Held(holder_of("c-0", "mine", 40, 5)));
+    election.on_read(late, LeaderRead::Held(leader_record("c-0", "mine", 40, 5)));
     assert!(election.is_confirmed());
     let mut election = leading(start);
     election.on_renew(late, late, RenewOutcome::Renewed);
-    election.on_read(late, LeaderRead::Held(holder_of("c-1", "other", 41, 6)));
+    election.on_read(late, LeaderRead::Held(leader_record("c-1", "other", 41, 6)));
     assert_eq!(election.role(), Role::Follower { leader: "c-1".into(), epoch: 41 });
 }
 
@@ -68,22 +68,22 @@
     let later = now + TTL / 10;
     let mut executed = with_unknown_outcome();
     assert_eq!(executed.next_step(later), Step::ReadLeader);
-    executed.on_read(later, LeaderRead::Held(holder_of("c-0", "mine", 41, 5)));
+    executed.on_read(later, LeaderRead::Held(leader_record("c-0", "mine", 41, 5)));
     assert!(matches!(executed.role(), Role::Leader { epoch: 41, lease_expiry } if lease_expiry < now + TTL));
     let mut not_executed = with_unknown_outcome();
     not_executed.on_read(later, LeaderRead::Vacant);
     assert_eq!(not_executed.next_step(later), Step::Acquire { lease: 5 });
     let mut lost = with_unknown_outcome();
-    lost.on_read(later, LeaderRead::Held(holder_of("c-1", "other", 41, 9)));
+    lost.on_read(later, LeaderRead::Held(leader_record("c-1", "other", 41, 9)));
     assert_eq!(
         lost.next_step(later),
         Step::RevokeLease { lease: 5 },
-        "a late copy of its acquire must not win afterwards"
+        "its delayed acquire must not win afterwards"
     );
 }
 
 #[test]
-fn a_resigned_epoch_revokes_its_lease() {
+fn resigning_the_current_epoch_revokes_its_lease() {
     let now = Instant::now();
     let mut election = leading(now);
     election.resign(39);
@@ -107,13 +107,13 @@
     // The first incarnation's acquire was delayed, and is executed only now.
     election.on_acquire(now, AcquireOutcome::Lost);
     assert_eq!(election.next_step(now), Step::ReadLeader);
-    election.on_read(now, LeaderRead::Held(holder_of("c-0", "first", 40, 5)));
+    election.on_read(now, LeaderRead::Held(leader_record("c-0", "first", 40, 5)));
     assert_eq!(
         (election.role(), election.next_step(now)),
         (Role::Leaderless, Step::RevokeLease { lease: 5 })
     );
     election.on_lease_revoked(now, 5, true);
-    election.on_read(now, LeaderRead::Held(holder_of("c-0", "second", 41, 6)));
+    election.on_read(now, LeaderRead::Held(leader_record("c-0", "second", 41, 6)));
     assert_eq!(election.next_step(now), Step::RevokeLease { lease: 6 });
     election.on_lease_revoked(now, 6, true);
     election.on_read(now, LeaderRead::Vacant);
@@ -124,15 +124,15 @@
     );
     // The response to our acquire is lost; the incarnation in the key shows that it is ours.
     election.on_acquire(now, AcquireOutcome::Unknown);
-    election.on_read(now, LeaderRead::Held(holder_of("c-0", "third", 42, 7)));
+    election.on_read(now, LeaderRead::Held(leader_record("c-0", "third", 42, 7)));
     assert!(matches!(election.role(), Role::Leader { epoch: 42, .. }));
 }
 
 #[test]
-fn a_follower_without_contact_to_the_store_reports_its_leader_for_two_leases_at_most() {
+fn a_follower_that_cannot_reach_the_store_reports_its_leader_for_two_lease_durations_at_most() {
     let now = Instant::now();
     let mut election = Election::new("c-0", "mine", TTL);
-    election.on_read(now, LeaderRead::Held(holder_of("c-1", "x", 41, 6)));
+    election.on_read(now, LeaderRead::Held(leader_record("c-1", "x", 41, 6)));
     election.on_watch(now + TTL, WatchOutcome::Failed);
     assert_eq!(
         election.role(),
@@ -145,7 +145,7 @@
         matches!(election.next_step(now + TTL * 2), Step::Wait { .. }),
         "the read is not retried without a pause"
     );
-    election.on_read(now + TTL * 3, LeaderRead::Held(holder_of("c-2", "y", 45, 7)));
+    election.on_read(now + TTL * 3, LeaderRead::Held(leader_record("c-2", "y", 45, 7)));
     assert_eq!(election.role(), Role::Follower { leader: "c-2".into(), epoch: 45 });
 }
 
@@ -153,11 +153,11 @@
 fn a_restarted_controller_revokes_the_lease_of_its_earlier_incarnation() {
     let now = Instant::now();
     let mut election = Election::new("c-0", "second", TTL);
-    election.on_read(now, LeaderRead::Held(holder_of("c-0", "first", 40, 5)));
+    election.on_read(now, LeaderRead::Held(leader_record("c-0", "first", 40, 5)));
     assert_eq!(election.next_step(now), Step::RevokeLease { lease: 5 });
     election.on_lease_revoked(now, 5, true);
     assert_eq!(election.next_step(now), Step::ReadLeader);
-    election.on_read(now, LeaderRead::Held(holder_of("c-1", "x", 41, 6)));
+    election.on_read(now, LeaderRead::Held(leader_record("c-1", "x", 41, 6)));
     assert_eq!(
         election.next_step(now),
         Step::Watch { from: 41 },
--- a/src/coordination/fleet/inventory.rs
+++ b/src/coordination/fleet/inventory.rs
@@ -49,7 +49,8 @@
         self.scan = Some(scan);
     }
 
-    /// Drops the scan after a page could not be read. A new scan begins when it is due.
+    /// Drops the scan after a page could not be read. It does not count as completed, so
+    /// [`Inventory::is_due`] does not delay the next scan by another interval.
     pub(crate) fn abort(&mut self) {
         self.scan = None;
     }
--- a/src/coordination/jobs/dependency_state.rs
+++ b/src/coordination/jobs/dependency_state.rs
@@ -28,7 +28,7 @@
 pub type DependencyStates = HashMap<JobId, DependencyState>;
 
 impl DependencyState {
-    /// The state that a job's record implies; `None` for a job without a record.
+    /// The state according to the job's record; `record` is `None` if the job has none.
     pub fn of(record: Option<&JobRecord>) -> Self {
         let Some(record) = record else { return DependencyState::Absent };
         match record.terminal_state() {
--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -68,7 +68,8 @@
     JobSnapshot { record, record_version: 5, live_row_version: 5, block_versions: Vec::new() }
 }
 
-/// A job as a new leader reads it; none of its tasks has been started.
+/// A job as a new leader reads it; none of its tasks has been started. Its versions are those
+/// of [`loaded_job`].
 pub(super) fn unstarted_job(spec: JobSpec) -> JobSnapshot {
     JobSnapshot { record: JobRecord::new(spec, NOW_MS), ..loaded_job(sample("job-0", "red", 1, 1.0)) }
 }
--- a/src/coordination/tests/placement.rs
+++ b/src/coordination/tests/placement.rs
@@ -4,7 +4,7 @@
 use crate::settings::{Objective, Workers};
 
 #[test]
-fn one_zone_and_spread_count_tasks_wherever_they_may_run() {
+fn one_zone_and_spread_count_tasks_that_may_be_running() {
     let mut harness = Harness::with_machines(&["vm-1", "vm-2b"]);
     let mut one_zone_job = sample("job-1", "red", 2, 8.0);
     one_zone_job.one_zone = true;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_guaranteed_quota_preempts_borrowers_and_no_more() {
+fn a_team_preempts_borrowers_only_up_to_its_guaranteed_quota() {
     let mut harness = Harness::with_machines(&["vm-1", "vm-2b"]);
     let mut borrower = sample("job-1", "blue", 2, 8.0);
     borrower.priority = Priority::Critical;
@@ -42,7 +42,7 @@
     assert_eq!(
         harness.pushed_commands.len(),
         1,
-        "one of team blue's two tasks is beyond the guaranteed quota"
+        "only one of team blue's two tasks exceeds blue's guaranteed quota"
     );
     // Beyond its own guarantee of 8 CPUs team red preempts nothing.
     harness.accept(sample("job-3", "red", 4, 4.0));
@@ -58,7 +58,8 @@
     large.priority = Priority::BestEffort;
     let bound_s = harness.config.tuning.start_within.as_secs_f64();
     let (mut sequence, mut n, mut running) = (5, 2, Vec::new());
-    // Two small tasks are always running, and their ends are half a run apart.
+    // Two small tasks are always running and end alternately, so the machine is never idle
+    // unless it is reserved.
     let begin = harness.now;
     let mut started_after = None;
     harness.accept(sample("job-2", "blue", 2, 4.0));
@@ -131,16 +132,17 @@
     let mut large = sample("job-2", "red", 1, 8.0);
     large.priority = Priority::BestEffort;
     harness.accept(large);
-    let half_bound = harness.config.tuning.start_within.as_secs_f64() / 2.0;
+    let starvation_threshold_s = harness.config.tuning.start_within.as_secs_f64() / 2.0;
     let mut sequence = 5;
-    let mut heartbeat = |harness: &mut Harness, at: usize, tasks: &[StartedTask]| {
+    let mut heartbeat = |harness: &mut Harness, machine_index: usize, tasks: &[StartedTask]| {
         sequence += 1;
         let tasks = running_statuses(tasks);
-        starts(&harness.heartbeat(["vm-1", "vm-3"][at], sequence, EPOCH, tasks))
+        starts(&harness.heartbeat(["vm-1", "vm-3"][machine_index], sequence, EPOCH, tasks))
     };
-    for _ in 0..(half_bound / 3.0) as u32 + 1 {
+    for _ in 0..(starvation_threshold_s / 3.0) as u32 + 1 {
         harness.advance(3.0);
-        (0..2).for_each(|at| drop(heartbeat(&mut harness, at, &running[at])));
+        (0..2)
+            .for_each(|machine_index| drop(heartbeat(&mut harness, machine_index, &running[machine_index])));
     }
     let mut urgent = sample("job-3", "blue", 4, 4.0);
     urgent.priority = Priority::Critical;
@@ -231,8 +233,9 @@
     JobSpec { image_gb: 5.0, ..sample(job, "blue", task_count, 1.0) }
 }
 
-/// A start on a machine that must fetch the image first misses a latency objective: the fetch
-/// took longer than any heartbeat interval, while machines with the image had free capacity.
+/// Jobs with a latency objective started on machines that had to fetch their image first,
+/// although machines with the image had free capacity. The fetch took longer than any heartbeat
+/// interval, so these starts missed the objective.
 #[test]
 fn latency_sensitive_work_goes_to_a_machine_that_has_its_image() {
     let node_pools = ["vm-1", "vm-3"].map(|name| single_machine_pool(name, true)).into();
@@ -260,6 +263,7 @@
     let mut harness = Harness::with_config(jobs, node_pools, config_with_latency_objective());
     let running = TaskStatus {
         task: TaskId { job: id("job-1"), index: 0 },
+        // An attempt of an earlier epoch: the upper half of an attempt number is the epoch.
         attempt: EPOCH << 31,
         state: TaskState::Running,
     };
@@ -301,12 +305,13 @@
 fn a_deferred_reply_carries_the_start_of_a_job_submitted_meanwhile() {
     let (mut harness, heartbeat) = harness_with_deferred_reply();
     let deferred = [machine("vm-1")];
+    // Clears what the setup announced, so that only later changes end the deferral.
     harness.leader.deferred_replies_to_decide(deferred.iter());
     harness.accept(sample("job-2", "blue", 1, 1.0));
     assert_eq!(
         harness.leader.deferred_replies_to_decide(deferred.iter()),
         deferred,
-        "its deferred reply is decided at once"
+        "vm-1's deferred reply is decided at once"
     );
     let HeartbeatReply::Commands { fencing_token: EPOCH, commands } =
         harness.leader.decide_deferred_reply(harness.now, &heartbeat)
@@ -314,16 +319,17 @@
         panic!("unexpected reply to the deferred heartbeat")
     };
     assert_eq!(starts(&commands)[0].task.job, id("job-2"));
-    // The next heartbeat, with a higher sequence, proves whether the start was received.
+    // The next heartbeat has a higher sequence and does not list the task, which proves that
+    // the start was not received.
     assert_eq!(
         starts(&harness.heartbeat("vm-1", 5, EPOCH, vec![])).len(),
         1,
-        "it was not received, so the task starts again"
+        "the start was not received, so the task starts again"
     );
 }
 
-/// The commands of a deferred reply are decided when it is sent: once the leader's lease has
-/// expired it starts nothing, and after a newer heartbeat was handled it is a redirect.
+/// The content of a deferred reply is decided when it is sent: it starts no tasks if the
+/// leader's lease has expired by then, and is a redirect if a newer heartbeat was handled.
 #[test]
 fn a_deferred_reply_is_decided_when_it_is_sent() {
     let (mut harness, heartbeat) = harness_with_deferred_reply();
@@ -353,6 +359,7 @@
     let heartbeat = heartbeat_message("vm-1", 3, running);
     assert!(harness.leader.may_defer_reply(&heartbeat));
     let deferred = [machine("vm-1")];
+    // Clears what the setup announced, so that only later changes end the deferral.
     harness.leader.deferred_replies_to_decide(deferred.iter());
     harness.cancel("job-1");
     harness.commit_all();
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -52,7 +52,8 @@
             let assigned = job.tasks.assigned.iter();
             return assigned.map(|(index, machine)| (machine.clone(), task_id(*index))).collect();
         }
-        // Some slots hold tasks that are not assigned to them; only the machines list those.
+        // Some slots hold tasks that should not be on their machine and are not in `assigned`.
+        // Only the machines list those.
         let slots = |machine: &Machine| {
             let of_job = machine.slots.keys().filter(|task| &task.job == job_id);
             of_job.map(|task| (machine.id.clone(), task.clone())).collect::<Vec<_>>()
@@ -66,8 +67,8 @@
     /// nothing new.
     ///
     /// A machine that has sent no heartbeat since the cancellation is deleted once half of the
-    /// time that a cancellation may take has passed: the cloud's confirmation then proves that
-    /// the tasks are gone.
+    /// time that a cancellation may take has passed: when the cloud confirms the deletion, the
+    /// tasks are proven gone.
     pub(crate) fn resend_stops(&mut self, now: Instant) {
         if self.is_fenced() || !self.has_cancelled_tasks() {
             return;
@@ -78,9 +79,9 @@
         let mut silent_machines = Vec::new();
         for machine in self.machines.values_mut().filter(|machine| !machine.slots.is_empty()) {
             let stops = cancellation_stops(&self.jobs, machine);
-            let Some(first_commit) = stops.iter().map(|stop| stop.committed_at).min() else { continue };
-            let is_silent = machine.worker.heartbeat_at.is_none_or(|at| at < first_commit);
-            let is_overdue = now >= first_commit + delete_after;
+            let Some(first_cancelled_at) = stops.iter().map(|stop| stop.committed_at).min() else { continue };
+            let is_silent = machine.worker.heartbeat_at.is_none_or(|at| at < first_cancelled_at);
+            let is_overdue = now >= first_cancelled_at + delete_after;
             if may_delete && is_silent && is_overdue && machine.phase == Phase::Up {
                 silent_machines.push(machine.id.clone());
             }
@@ -104,9 +105,12 @@
         self.jobs.values().any(|job| job.cancellation.committed_at.is_some() && job.tasks.slot_count > 0)
     }
 
-    /// Whether the heartbeat still lists a task of a cancelled job that has not exited, so long
-    /// after the cancellation that the worker must now lose its lease. The time is counted from
-    /// the cancellation, not from the stops that were missed.
+    /// Whether the heartbeat lists a task that has not exited although the cancellation of its
+    /// job was committed at least [`Config::cancelled_task_reply_window`] ago. The worker must
+    /// then lose its lease. The window starts with the cancellation, even if the worker has not
+    /// received the stops.
+    ///
+    /// [`Config::cancelled_task_reply_window`]: crate::coordination::config::Config::cancelled_task_reply_window
     pub(crate) fn ignores_cancellation_stops(&self, now: Instant, heartbeat: &Heartbeat) -> bool {
         let reply_window = self.config.cancelled_task_reply_window();
         let cancelled_at = |job: &JobId| self.jobs.get(job).and_then(|job| job.cancellation.committed_at);
@@ -161,8 +165,8 @@
                 }
                 let ran_s = now.saturating_duration_since(slot.since).as_secs_f64();
                 let run_s = job.mean_run_s().unwrap_or_else(|| self.run_estimates.expected_run_s(spec));
-                // Once the announced time has passed, the preemption may come at any moment, or
-                // late enough for the task to finish.
+                // Once the announced time has passed, the task runs on: the preemption may come
+                // at any moment, but also late enough for the task to finish.
                 let ends_too_late = remaining_s > 0.0 && run_s - ran_s > remaining_s;
                 (!job.is_service() && ends_too_late).then_some(0.0)
             }
--- a/src/storage/records/layout.rs
+++ b/src/storage/records/layout.rs
@@ -5,14 +5,14 @@
 
 /// Bytes in one KiB.
 const BYTES_PER_KIB: f64 = 1024.0;
-/// Fraction of the largest value that a bitmap of one block may take. The rest of the value
-/// is left for the job's description.
+/// The bitmap of one block takes at most this fraction of the maximum value size. The rest of
+/// the value is left for the job's description.
 const BITMAP_FRACTION: f64 = 0.5;
 /// Tasks in each character of a bitmap.
 const TASKS_PER_CHARACTER: u32 = 6;
 
-/// Tasks in one block of done tasks if no value may exceed `value_kb` KiB. Even a bitmap of
-/// the block takes at most half a value.
+/// Tasks in one block of done tasks if no value may exceed `value_kb` KiB: as many as a bitmap,
+/// the largest encoding of a block, holds in half that size.
 pub fn block_size(value_kb: f64) -> u32 {
     let bitmap_bytes = whole_u32(value_kb * BYTES_PER_KIB * BITMAP_FRACTION);
     bitmap_bytes.saturating_mul(TASKS_PER_CHARACTER).max(TASKS_PER_CHARACTER)
@@ -20,16 +20,16 @@
 
 /// How a job's done tasks are stored.
 ///
-/// `Inline` and `Blocks` are not named in the record; every build derives them from the
-/// store's limits in force. Earlier builds, which do not know `NamedBlocks`, misread a record
-/// that names its block size. Such a record is written only after the store has refused a
-/// value that its limits in force allow, which happens only after the last of those builds
-/// has been replaced.
+/// A record does not say whether its layout is `Inline` or `Blocks`; every build derives that
+/// from the store's initial limits (`KvSettings::initial`). A record with `NamedBlocks` states
+/// its block size. Earlier builds, which do not know `NamedBlocks`, misread such a record. It
+/// is therefore written only after the store has refused a value that the initial limits
+/// allow, which happens only after the last of those builds has been replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Layout {
     /// Within the job's record.
     Inline,
-    /// In blocks of this many tasks, derived from the store's limits in force.
+    /// In blocks of this many tasks, derived from the store's initial limits.
     Blocks(u32),
     /// In blocks of this many tasks, as the job's record says.
     NamedBlocks(u32),
@@ -63,8 +63,8 @@
         (start, start.saturating_add(size))
     }
 
-    /// Key of a block. Blocks of a named size have keys of their own, so they never mix with
-    /// those that the job had before.
+    /// Key of a block. The keys of named blocks contain the block size, so these blocks never
+    /// overwrite the job's blocks of another size.
     pub fn block_key(self, job: &JobId, block: u32) -> String {
         match self {
             Layout::Inline | Layout::Blocks(_) => format!("set/{job}/{block}"),
