--- a/src/coordination/workers/deferred_replies.rs
+++ b/src/coordination/workers/deferred_replies.rs
@@ -22,10 +22,10 @@
 /// interval, the shortest time after which a worker sends its next heartbeat, so that a deferred
 /// reply does not delay a heartbeat.
 const MAX_DELAY_INTERVALS: f64 = 0.7;
-/// Maximum delay as a fraction of the time that a worker waits for a reply; the rest is left for
-/// the network.
+/// A reply is delayed at most by the time that a worker waits for it, divided by this; the rest is
+/// left for the network.
 const MAX_DELAY_REPLY_TIMEOUT_DIVISOR: u32 = 2;
-/// Maximum delay as a fraction of the lease that the reply renews.
+/// A reply is delayed at most by the lease that it renews, divided by this.
 const MAX_DELAY_LEASE_DIVISOR: u32 = 4;
 
 /// A heartbeat that was handled but not replied to yet.
@@ -93,7 +93,7 @@
         expired.iter().filter_map(|machine| self.by_machine.remove(machine)).collect()
     }
 
-    /// Removes and returns all replies, because their leader is gone.
+    /// Removes and returns all replies, because their leader no longer leads.
     pub fn drain(&mut self) -> impl Iterator<Item = DeferredReply<R>> + '_ {
         self.by_machine.drain().map(|(_, deferred)| deferred)
     }
--- a/src/coordination/workers/deferred_replies/tests.rs
+++ b/src/coordination/workers/deferred_replies/tests.rs
@@ -8,8 +8,8 @@
     DeferredReplies::new(&Config { settings, tuning: policy::tests::tuning() })
 }
 
-/// For any settings, the maximum delay of a reply is less than the heartbeat interval, the
-/// worker's reply timeout and its lease.
+/// For any settings, the longest delay of a reply is less than three quarters of the heartbeat
+/// interval and a third of the worker's lease, and at most half of the worker's reply timeout.
 #[test]
 fn delays_are_bounded_by_the_settings() {
     for (report_s, lease_s) in [(3.0, 18.0), (60.0, 300.0), (0.5, 5.0), (30.0, 6.0)] {
@@ -28,7 +28,7 @@
     let mut replies = deferred_replies(|_| {});
     let now = Instant::now();
     assert!(replies.defer(now, heartbeat_message("vm-1", 1, Vec::new()), 1).is_none());
-    let earlier = replies.defer(now, heartbeat_message("vm-1", 2, Vec::new()), 2).expect("given up");
+    let earlier = replies.defer(now, heartbeat_message("vm-1", 2, Vec::new()), 2).expect("deferred earlier");
     assert_eq!((earlier.heartbeat.sequence, earlier.reply), (1, 1));
     assert!(replies.take_expired(now).is_empty());
     let expired = replies.take_expired(now + replies.max_delay);
--- a/src/coordination/workers/failure_detector.rs
+++ b/src/coordination/workers/failure_detector.rs
@@ -15,7 +15,7 @@
 /// The fleet counts as mostly live while at most one machine in this many is overdue.
 const MAX_LATE_DIVISOR: usize = 10;
 
-/// The machines that are silent at one moment, and whether their silence means failure.
+/// Decides for one moment which silent machines are suspected to have failed, and which are dead.
 ///
 /// A machine is silent while no heartbeats of it arrive. It is overdue once a heartbeat should
 /// certainly have arrived, suspected once it has been silent for the suspicion timeout, and dead
@@ -23,19 +23,21 @@
 ///
 /// The cause of the silence may be the machine, the network of its zone, or the leader's side:
 ///
-/// - If most machines of its zone are live, the machine has failed.
+/// - If at least half of the machines of its zone are live, a suspected machine is dead.
 /// - A zone that is mostly silent is more likely partitioned. Heartbeats of its machines may
 ///   arrive again, over another path or after the partition has healed, and the machines keep
-///   their tasks for the duration of a lease.
-/// - If most machines of the fleet are silent, the fault is assumed to be on the leader's side.
-///   A leader that has lost its workers gets their heartbeats back one by one, and the first few
+///   their tasks for the duration of a lease. They are dead only once they have been silent for
+///   that long.
+/// - If most machines of the fleet are silent, the fault is assumed to be on the leader's side,
+///   and a machine is suspected only once it has been silent for the duration of a lease. A
+///   leader that has lost its workers gets their heartbeats back one by one, and the first few
 ///   must not make the others seem dead.
 /// - If no machine is live, no machine is suspected.
 /// - If all but a few machines have been live for a while, a single missed heartbeat is enough
 ///   for suspicion, so that lost tasks are restarted elsewhere sooner.
 pub(crate) struct FailureDetector {
     now: Instant,
-    /// Since when this leader has been able to receive heartbeats.
+    /// Since when this leader has accepted heartbeats without a break.
     listening_since: Instant,
     /// How long a machine must be silent to be suspected, given the state of the fleet.
     suspicion_timeout: Duration,
@@ -72,13 +74,13 @@
     /// Whether the machine is considered failed for good, and has to be deleted.
     pub(crate) fn is_dead(&self, machine: &Machine) -> bool {
         let zone = self.zones.get(&machine.zone).copied().unwrap_or_default();
-        let is_zone_live = is_majority(zone.live, zone.up);
+        let is_zone_live = is_at_least_half(zone.live, zone.up);
         self.is_suspected(machine) && (is_zone_live || self.is_overdue_by(machine, self.lease))
     }
 }
 
 /// Whether `count` is at least half of `all`.
-fn is_majority(count: usize, all: usize) -> bool {
+fn is_at_least_half(count: usize, all: usize) -> bool {
     count * 2 >= all
 }
 
@@ -93,7 +95,8 @@
 /// The leader's record of whether its workers' heartbeats arrive in time.
 #[derive(Debug)]
 pub(crate) struct Liveness {
-    /// Since when this leader has replied to heartbeats without a break.
+    /// Since when this leader has accepted heartbeats without a break: since the beginning of its
+    /// epoch, or since it renewed a lease that had expired.
     listening_since: Instant,
     /// Since when all but a few machines have been live.
     mostly_live_since: Option<Instant>,
@@ -105,8 +108,8 @@
         Liveness { listening_since: now, mostly_live_since: None }
     }
 
-    /// Records that the leader listens again after a break. Silence during the break proves
-    /// nothing.
+    /// Records that the leader accepts heartbeats again after a break. Silence during the break
+    /// proves nothing.
     pub(crate) fn restart(&mut self, now: Instant) {
         self.listening_since = now;
     }
@@ -118,7 +121,7 @@
 
     /// Returns the failure detector for the current moment.
     pub(crate) fn detector(&self, now: Instant, config: &Config, machines: &MachineTable) -> FailureDetector {
-        let (overdue, lease) = (heartbeat_timeout(config), config.settings.cluster.workers.lease());
+        let (timeout, lease) = (heartbeat_timeout(config), config.settings.cluster.workers.lease());
         let mut detector = FailureDetector {
             now,
             listening_since: self.listening_since,
@@ -136,10 +139,10 @@
         let up: usize = detector.zones.values().map(|zone| zone.up).sum();
         let live: usize = detector.zones.values().map(|zone| zone.live).sum();
         detector.any_live = live > 0;
-        if !is_majority(live, up) {
+        if !is_at_least_half(live, up) {
             detector.suspicion_timeout = lease;
-        } else if self.mostly_live_since.is_some_and(|at| now >= at + overdue) {
-            detector.suspicion_timeout = overdue;
+        } else if self.mostly_live_since.is_some_and(|at| now >= at + timeout) {
+            detector.suspicion_timeout = timeout;
         }
         detector
     }
@@ -147,9 +150,9 @@
     /// Updates since when the heartbeats of all but a few machines have arrived in time.
     pub(crate) fn record(&mut self, now: Instant, config: &Config, machines: &MachineTable) {
         let detector = self.detector(now, config, machines);
-        let overdue = heartbeat_timeout(config);
+        let timeout = heartbeat_timeout(config);
         let up = machines.values().filter(|machine| machine.phase == Phase::Up);
-        let late = up.clone().filter(|machine| detector.is_overdue_by(machine, overdue)).count();
+        let late = up.clone().filter(|machine| detector.is_overdue_by(machine, timeout)).count();
         if late * MAX_LATE_DIVISOR > up.count() {
             self.mostly_live_since = None;
         } else {
--- a/src/coordination/workers/heartbeats.rs
+++ b/src/coordination/workers/heartbeats.rs
@@ -107,7 +107,8 @@
     /// A heartbeat with an earlier fencing token may be a delayed copy from a machine that was
     /// deleted long ago. A live machine sends this epoch's token with its next heartbeat, and is
     /// registered only then. Tasks are started only on machines that a record lists, so the
-    /// reply cannot keep a task alive, unless a record is unreadable.
+    /// reply cannot keep a task alive. While a record is unreadable it can, and is given only for
+    /// a limited time after the failover.
     fn handle_unregistered_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
         let worker_lease = self.config.settings.cluster.workers.lease();
         if self.failover.unrecorded_machines_possible()
@@ -201,10 +202,10 @@
     /// Handles a heartbeat with an earlier fencing token: from a worker that has not received
     /// this leader's first reply yet, or a delayed copy.
     ///
-    /// A worker that has seen this epoch's token refuses commands with a lower token. Only its
-    /// heartbeats are therefore guaranteed to be newer than any command of an earlier leader
-    /// that can still take effect. The task list of a stale heartbeat is ignored; the reply lets
-    /// a live worker learn the token.
+    /// A worker that has seen this epoch's token refuses commands with a lower one, so the tasks
+    /// that its heartbeats list can no longer be changed by commands of an earlier leader. A
+    /// stale heartbeat gives no such guarantee: its task list is ignored. The reply lets a live
+    /// worker learn the token.
     fn handle_stale_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatReply {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else {
             return HeartbeatReply::Redirect;
@@ -264,7 +265,8 @@
         self.reply_with_terminal_stops(heartbeat)
     }
 
-    /// Builds a reply that starts nothing, and stops the tasks of terminal or cancelled jobs.
+    /// Builds a reply that starts nothing, and stops the tasks of jobs that are terminal,
+    /// cancelled or not in memory.
     ///
     /// Every reply renews a worker's lease and so keeps its tasks alive. If the first reply after
     /// a failover and the replies in the post-lease grace period left out the stops of cancelled
@@ -274,11 +276,11 @@
     /// names the task and the attempt. A worker that receives the reply receives the stop with
     /// it; the lease of a worker that does not is not renewed.
     fn reply_with_terminal_stops(&self, heartbeat: &Heartbeat) -> HeartbeatReply {
-        let has_ended = |job: &JobId| self.jobs.get(job).is_none_or(|job| !job.is_startable());
+        let must_not_run = |job: &JobId| self.jobs.get(job).is_none_or(|job| !job.is_startable());
         let commands = heartbeat
             .tasks
             .iter()
-            .filter(|status| !status.state.has_exited() && has_ended(&status.task.job))
+            .filter(|status| !status.state.has_exited() && must_not_run(&status.task.job))
             .map(|status| Command::Stop { task: status.task.clone(), attempt: status.attempt, grace_s: 0.0 })
             .take(MAX_COMMANDS)
             .collect();
@@ -289,10 +291,10 @@
 /// Whether a heartbeat is a copy of one that was accepted before, is older, or comes from an
 /// incarnation that is no longer valid. Such a heartbeat proves nothing.
 ///
-/// The heartbeats of a machine that has restarted before its lease expired look the same, because
-/// their numbers are lower than before. A reply would renew its lease without its tasks being
-/// counted, so it is redirected until its lease has expired and its incarnation is higher, or
-/// until it has been silent for long enough to be replaced.
+/// The heartbeats of a machine that restarted so quickly that its incarnation did not increase, while
+/// its sequence numbers began anew, look the same. A reply would renew its lease without its tasks
+/// being counted. It is therefore redirected until its lease has expired and its incarnation is
+/// higher, or until it counts as silent for long enough to be replaced.
 fn is_outdated(machine: &Machine, heartbeat: &Heartbeat) -> bool {
     let stamp = HeartbeatStamp::of(heartbeat);
     machine.worker.last_heartbeat.is_some_and(|last| stamp <= last)
--- a/src/coordination/workers/reply_commands.rs
+++ b/src/coordination/workers/reply_commands.rs
@@ -31,7 +31,7 @@
             return (!must_stay_listed).then_some(Command::Reap { task, attempt });
         }
         let Some(slot) = machine.slots.get(&task) else {
-            // The task's job is terminal or was never admitted.
+            // The task's job is not in memory: it is terminal, unreadable or was never admitted.
             return Some(Command::Stop { task, attempt, grace_s: 0.0 });
         };
         let grace_s = slot.stop_grace_s?;
@@ -41,9 +41,10 @@
         is_needed.then_some(Command::Stop { task, attempt, grace_s })
     }
 
-    /// Whether the job's stored record may not show yet that the task is done. Until it does, the
-    /// worker must keep listing the task. A job that is not in memory is either terminal or
-    /// unreadable.
+    /// Whether the task, which is done, may still be missing among the done tasks in its job's
+    /// stored record. While it may, the worker must keep listing the task. If the job is not in
+    /// memory, its record may be unreadable; otherwise the job is terminal, and the task need not
+    /// be recorded.
     fn may_be_uncommitted(&self, task: &TaskId) -> bool {
         match self.jobs.get(&task.job) {
             Some(job) => {
--- a/src/coordination/workers/reply_deferral.rs
+++ b/src/coordination/workers/reply_deferral.rs
@@ -13,8 +13,8 @@
 impl Leader {
     /// Whether the empty reply to a heartbeat that was just handled should be deferred because a
     /// latency-sensitive start on the machine is likely. The reply is not deferred if the
-    /// machine has tasks that end by themselves: its next heartbeat may show free capacity or
-    /// results.
+    /// machine has tasks that end by themselves, because its next heartbeat may show free
+    /// capacity or results.
     pub fn may_defer_reply(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.fencing_token == self.term.epoch()
             && heartbeat.preemption_notice_s.is_none()
@@ -65,7 +65,8 @@
 
     /// Returns the machines whose deferred replies should be decided now: those with new
     /// commands, or all of them if latency-sensitive work was queued since the last call. In the
-    /// latter case machines whose free capacity should be used first come first.
+    /// latter case machines that have an image of that work come first, then those that demand
+    /// needs, then those with the least free CPUs.
     pub fn deferred_replies_to_decide<'a>(
         &mut self,
         deferred: impl Iterator<Item = &'a MachineId>,
--- a/src/coordination/workers/stops.rs
+++ b/src/coordination/workers/stops.rs
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Stops tasks on a machine whose preemption the cloud has announced.
+    /// Stops tasks on the machine if the cloud has announced its preemption.
     pub(super) fn stop_for_preemption_notice(&mut self, now: Instant, machine: &MachineId) {
         let Some(entry) = self.machines.get(machine) else { return };
         let Some(preempted_at) = entry.preempted_at else { return };
@@ -140,10 +140,11 @@
     /// Returns the grace period in seconds with which a task is stopped because its machine is
     /// preempted in `remaining_s` seconds; `None` if the task is not stopped.
     ///
-    /// A task that can save a checkpoint before the preemption saves it now. Any other task runs
-    /// on if it is expected to finish in time. Otherwise it is stopped immediately: its work is
-    /// lost anyway, and it restarts elsewhere sooner than it could after the machine has been
-    /// preempted and is proven gone.
+    /// A task that can save a checkpoint before the preemption saves it now. Any other running task
+    /// runs on if it is expected to finish in time, or is a replica of a service. Otherwise it is
+    /// stopped immediately: its work is lost anyway, and it restarts elsewhere sooner than it
+    /// could after the machine has been preempted and is proven gone. A task that is not running
+    /// yet is stopped immediately, too.
     fn stop_grace_before_preemption(
         &self,
         now: Instant,
--- a/src/coordination/workers/task_failures.rs
+++ b/src/coordination/workers/task_failures.rs
@@ -8,10 +8,10 @@
 use crate::protocol::jobs::JobId;
 use crate::protocol::workers::MachineId;
 
-/// Task failures on one machine that cordon it. Failures of jobs that fail on several machines
-/// do not count.
+/// Number of task failures on one machine after which it is cordoned. Failures of jobs that fail
+/// on several machines do not count.
 const FAILURES_TO_CORDON: usize = 3;
-/// Machines on which a job must have failed to be backed off.
+/// Number of machines on which a job's tasks must have failed before the job is backed off.
 const FAILED_MACHINES_TO_BACK_OFF: usize = 3;
 /// Maximum backoff of a failing job, in heartbeat intervals.
 const MAX_BACKOFF_INTERVALS: u32 = 10;
@@ -24,7 +24,7 @@
     }
 
     /// Backs off a job that fails on several machines, for one heartbeat interval per machine on
-    /// which it has failed. The job is retried without limit.
+    /// which it has failed, up to a limit. However often it fails, it is started again.
     fn back_off_failing_job(&mut self, now: Instant, machine: &MachineId, job: &JobId) {
         let heartbeat_interval = self.config.settings.cluster.workers.heartbeat_interval();
         let Some(job) = self.jobs.get_mut(job) else { return };
--- a/src/coordination/workers/task_reconciliation.rs
+++ b/src/coordination/workers/task_reconciliation.rs
@@ -67,9 +67,10 @@
         self.queue.invalidate();
     }
 
-    /// Removes the slots whose tasks the heartbeat does not list. Either the start was in the
-    /// reply to an earlier heartbeat, which the worker has dropped by now, or the task has ended.
-    /// A start in the reply to this heartbeat or a later one cannot be listed yet.
+    /// Removes the slots whose tasks the heartbeat does not list. Either the task has ended, or its
+    /// start was in the reply to an earlier heartbeat, which the worker drops if it arrives only
+    /// now. A start in the reply to this heartbeat or a later one cannot be listed yet, so its
+    /// slot is kept.
     fn remove_unlisted_slots(&mut self, now: Instant, heartbeat: &Heartbeat, present: &HashSet<&TaskId>) {
         let Some(machine) = self.machines.get_mut(&heartbeat.machine) else { return };
         let is_sent_later = |state: SlotState| matches!(state, SlotState::StartSent { sequence } if sequence >= heartbeat.sequence);
@@ -79,7 +80,7 @@
             unlisted.clone().any(|(_, slot)| matches!(slot.state, SlotState::StartSent { .. }));
         let unlisted: Vec<TaskId> = unlisted.map(|(task, _)| task.clone()).collect();
         if has_lost_start {
-            // The worker did not receive the reply that carried the start.
+            // The reply that carried the start did not reach the worker in time.
             machine.worker.acks.record_missed(now);
         }
         for task in unlisted {
