--- a/src/coordination/scheduling/descheduler.rs
+++ b/src/coordination/scheduling/descheduler.rs
@@ -19,13 +19,14 @@
 
 /// Heartbeat intervals that a replica must have run before it may be moved.
 const MIN_HEARTBEATS_BEFORE_MOVE: u32 = 10;
-/// Before a machine is drained, it must have been unneeded for this fraction of the longest boot
-/// time.
+/// Before a machine is drained, it must have been unneeded for the longest boot time divided by
+/// this.
 const UNNEEDED_BOOT_DIVISOR: u32 = 2;
 
 impl Leader {
     /// Drains at most one machine, and only while no replica is waiting to start, so that replicas
-    /// moved earlier are placed first.
+    /// moved earlier are placed first. Machines that are needed again stop draining, as do all
+    /// machines during a failover, an outage of the cloud, or while many workers are silent.
     pub(crate) fn run_descheduler(&mut self, now: Instant) {
         let is_stable =
             self.failover.is_complete() && !self.cloud_health.is_down(now) && self.liveness.is_mostly_live();
--- a/src/coordination/scheduling/filters.rs
+++ b/src/coordination/scheduling/filters.rs
@@ -47,8 +47,8 @@
         })
     }
 
-    /// Whether the quota of the job's team has capacity for one more task. False if
-    /// the settings do not name the team.
+    /// Whether the quota of the job's team has capacity for one more task. False if the settings
+    /// do not name the team.
     pub(crate) fn is_within_quota(&self, job: &Job) -> bool {
         let Some(quota) = job.team.map(|team| self.quotas.get(team)) else { return false };
         let mut used = quota.used;
--- a/src/coordination/scheduling/ordering.rs
+++ b/src/coordination/scheduling/ordering.rs
@@ -12,7 +12,7 @@
 
 /// A machine with fewer free CPUs counts as full.
 pub(crate) const MIN_FREE_CPUS: f64 = 1e-3;
-/// The queue is reordered after this fraction of a heartbeat interval.
+/// The order of the queue is used for at most a heartbeat interval divided by this.
 const MAX_ORDER_AGE_DIVISOR: u32 = 12;
 /// A machine is a candidate for this many heartbeat intervals after its last heartbeat.
 const CANDIDATE_TIMEOUT_INTERVALS: f64 = 1.5;
@@ -46,7 +46,8 @@
     }
 
     /// Total capacity of the machines that may hold unknown tasks. Machines are reconciled one by
-    /// one and stay reconciled, so an earlier count is never too low.
+    /// one and stay reconciled, and the queue is ordered again when orphan tasks are found, so an
+    /// earlier count is never too low.
     fn unreconciled_capacity(&self) -> Resources {
         if self.failover.unrecorded_machines_possible() {
             return Resources::UNBOUNDED;
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -33,8 +33,8 @@
     lowest_priority: Option<Priority>,
 }
 
-/// Why a job may preempt others. A guarantee is less urgent than a priority, so the job waits
-/// longer for capacity to become free without preemption.
+/// Why a job may preempt others. Enforcing a guarantee is less urgent than priority, so for a
+/// guarantee the job waits longer for capacity to become free without preemption.
 struct PreemptionReason {
     /// The job is urgent: tasks of lower priority may be preempted.
     by_priority: bool,
@@ -216,10 +216,10 @@
                     continue;
                 }
                 let Some(victim) = self.jobs.get(&task.job) else { continue };
-                let is_borrowed =
+                let is_over_guarantee =
                     slot.team != job.team && slot.team.is_some_and(|team| over_guarantee.contains(&team));
                 let has_lower_priority = self.priority(victim) < queued.priority;
-                let has_reason = has_lower_priority || (queued.guaranteed && is_borrowed);
+                let has_reason = has_lower_priority || (queued.guaranteed && is_over_guarantee);
                 if !has_reason || self.would_starve_without_task(victim, now) || victim.is_service() {
                     continue;
                 }
--- a/src/coordination/scheduling/queue.rs
+++ b/src/coordination/scheduling/queue.rs
@@ -59,8 +59,8 @@
     jobs: Vec<QueuedJob>,
     /// When the queue was last ordered; `None` if it has to be ordered before the next use.
     ordered_at: Option<Instant>,
-    /// The fewest CPUs that any task in the queue requires. A machine with fewer free CPUs can be
-    /// skipped without looking at any job.
+    /// The fewest CPUs that any task in the queue requires; 0 while a starved job waits. A machine
+    /// with fewer free CPUs can be skipped without looking at any job.
     min_task_cpus: f64,
     /// Machines that had free capacity when the queue was last ordered.
     candidates: Vec<MachineId>,
@@ -156,7 +156,7 @@
     }
 
     /// Subtracts the capacity of a machine that was reconciled since the queue was last ordered.
-    /// The total is counted anew at each ordering, and does not fall below zero until then.
+    /// Does nothing if the capacity exceeds the total, which is counted anew at each ordering.
     pub(crate) fn subtract_reconciled(&mut self, capacity: &Resources) {
         if capacity.fits(&self.unreconciled_capacity) {
             self.unreconciled_capacity.sub(capacity);
--- a/src/coordination/scheduling/score.rs
+++ b/src/coordination/scheduling/score.rs
@@ -1,4 +1,4 @@
-//! Scores: how suitable a machine is for a task. Each term of a score is a cost in seconds.
+//! Scores: how suitable a machine is for a task. A score is the negative sum of costs in seconds.
 
 use tokio::time::Instant;
 
@@ -17,7 +17,7 @@
 const UNNEEDED_PENALTY_S: f64 = 2.0;
 
 impl Leader {
-    /// Returns the machine's score for a task of the job, in seconds saved; higher is better.
+    /// Returns the machine's score for a task of the job, in seconds; higher is better.
     /// `starts_at`: when the reply to the machine's heartbeat can carry the start.
     pub(crate) fn score(&self, now: Instant, job: &Job, machine: &Machine, starts_at: Instant) -> f64 {
         let spec = job.spec();
@@ -40,9 +40,9 @@
         }
     }
 
-    /// Work that is expected to be lost through the preemption of a spot machine, in weighted
-    /// seconds. Without checkpoints all work of a task is lost with its machine. A longer run makes
-    /// both the preemption more likely and the loss larger.
+    /// Work that is expected to be lost through the loss of a spot machine, in seconds of run time
+    /// multiplied by the policy's weight. Without checkpoints all work of a task is lost with its
+    /// machine. A longer run makes the loss of the machine more likely, and more work is lost.
     fn expected_spot_loss_s(&self, spec: &JobSpec, machine: &Machine) -> f64 {
         let may_lose_all_work = machine.spot && spec.checkpoint_interval_s <= 0.0;
         if !may_lose_all_work {
--- a/src/coordination/scheduling/slack.rs
+++ b/src/coordination/scheduling/slack.rs
@@ -26,14 +26,14 @@
 /// Seconds of waiting after which a job that has missed all its objectives has half the slack
 /// of a new one.
 const HALF_SLACK_AGE_S: f64 = 600.0;
-/// Upper bound for the time that an objective or a deadline allows, in seconds.
+/// Upper bound for the time to the start that an objective or a deadline allows, in seconds.
 const MAX_LIMIT_S: f64 = 1e7;
 
 impl Leader {
-    /// The latest start of a job's tasks at which the next objective that can still be met is
-    /// met. A job that has missed all its objectives gets up to the longest boot time from now as
-    /// slack, which ranks it behind jobs that need to start sooner to meet an objective. This
-    /// slack shrinks with the job's age.
+    /// The latest time at which a job's tasks may start to meet its next objective, of those that
+    /// can still be met. A job that has missed all its objectives gets up to the longest boot time
+    /// from now as slack, which ranks it behind jobs that need to start sooner to meet an
+    /// objective. This slack shrinks with the job's age.
     pub(crate) fn latest_start(&self, job: &Job, now: Instant) -> Instant {
         let next = self.objective_start_times(job, now).filter(|&at| at > now).min();
         next.unwrap_or_else(|| {
@@ -117,12 +117,13 @@
     /// Whether a task that is started on the machine now meets an objective for its start that is
     /// shorter than a heartbeat interval. Machines that send their heartbeats later cannot be
     /// expected to meet it. If the machine would miss the objective as well, because it has to
-    /// fetch the image first, it is compared with the others as for any other job.
+    /// fetch the image first, it is compared with the others as for any other job. Also true for
+    /// a further replica of a service if the machine has the image.
     pub(crate) fn meets_latency_objective(&self, now: Instant, job: &Job, machine: &Machine) -> bool {
         let waited_s = now.saturating_duration_since(job.waiting_since(now)).as_secs_f64();
         let fetch_s = self.image_fetch_s(job.spec(), machine);
         if job.is_service() && !job.tasks.assigned.is_empty() && fetch_s <= 0.0 {
-            // A replica of a running service is down and should be replaced without delay.
+            // The service runs with a replica missing, which should be started without delay.
             return true;
         }
         self.latency_objectives(job.spec()).any(|within_s| waited_s + fetch_s < within_s)
@@ -193,8 +194,8 @@
     Resources { cpus: spec.cpus * tasks, gpus: spec.gpus * tasks, memory_gb: 0.0 }
 }
 
-/// Converts seconds to a duration, negative values to zero. Returns `None` if the value is not
-/// finite.
+/// Converts seconds to a duration between zero and [`MAX_LIMIT_S`]; values outside are clamped.
+/// Returns `None` if the value is not finite.
 fn limit_from_seconds(seconds: f64) -> Option<Duration> {
     seconds.is_finite().then(|| Duration::from_secs_f64(seconds.clamp(0.0, MAX_LIMIT_S)))
 }
--- a/src/coordination/scheduling/start_decision.rs
+++ b/src/coordination/scheduling/start_decision.rs
@@ -10,8 +10,7 @@
 use crate::coordination::scheduling::queue::QueuedJob;
 use crate::protocol::workers::MachineId;
 
-/// A machine is clearly better than another if its score is higher by more than this, in seconds
-/// saved.
+/// A machine is clearly better than another if its score is higher by more than this, in seconds.
 const MIN_SCORE_ADVANTAGE_S: f64 = 0.5;
 
 impl Leader {
@@ -22,7 +21,7 @@
         let Some(job) = self.jobs.get_mut(&queued.job) else { return false };
         if job.pending() == 0
             || must_back_off(now, job)
-            || must_await_other_machines(now, job, &self.machines)
+            || must_await_orphan_tasks(now, job, &self.machines)
             || must_await_failover(job, failover_complete)
         {
             return false;
@@ -82,7 +81,7 @@
         let task = queued.task_resources;
         let sample = self.sample_candidates(machine_id, &task);
         let Some(job) = self.jobs.get(&queued.job) else { return true };
-        let better_slots: u32 = sample
+        let better_capacity: u32 = sample
             .machines
             .iter()
             .filter_map(|id| self.machines.get(id))
@@ -95,8 +94,8 @@
             .map(|other| task.times_in(&other.free))
             .fold(0, u32::saturating_add);
         let sampled = sample.machines.len().max(1) as f64;
-        let estimated_better_slots = f64::from(better_slots) * sample.population / sampled;
-        estimated_better_slots >= f64::from(job.pending())
+        let estimated_better_capacity = f64::from(better_capacity) * sample.population / sampled;
+        estimated_better_capacity >= f64::from(job.pending())
     }
 }
 
@@ -114,10 +113,11 @@
     backs_off && !job.tasks.assigned.is_empty()
 }
 
-/// Whether tasks of a job that the reconciler has restored may still be on machines. The job was
-/// believed terminal. None of its tasks is started before [`Job::not_before`], by when every machine
-/// has sent a heartbeat or its lease has expired, nor while any machine holds orphan tasks.
-fn must_await_other_machines(now: Instant, job: &Job, machines: &MachineTable) -> bool {
+/// Whether machines may still hold orphan tasks of a job that was restored after the failover,
+/// because it was believed terminal or its record was unreadable. None of its tasks is started
+/// until `not_before`, when every machine has sent a heartbeat or its lease has expired, and until
+/// the orphan tasks on all machines are gone.
+fn must_await_orphan_tasks(now: Instant, job: &Job, machines: &MachineTable) -> bool {
     let has_orphan_tasks = || machines.values().any(|machine| machine.has_orphan_tasks);
     job.not_before.is_some_and(|not_before| now < not_before || has_orphan_tasks())
 }
