--- a/src/coordination/fleet/autoscaling.rs
+++ b/src/coordination/fleet/autoscaling.rs
@@ -16,12 +16,13 @@
 const CATALOG_AGE_LAGS: u32 = 10;
 /// The interval between reads while there is no catalog.
 const CATALOG_RETRY: Duration = Duration::from_secs(1);
-/// How often the learned statistics are stored within the longest boot time.
+/// How many times the learned statistics are stored within the longest boot time.
 const STATISTICS_WRITES_PER_BOOT: u32 = 5;
 
 impl Leader {
     /// The tick of the autoscaler, to be called once a second: reads what is due from the cloud,
-    /// measures demand, and scales out and in. Nothing is scaled before there is a catalog.
+    /// measures demand, scales out, drains a machine if possible, and scales in. Nothing is scaled
+    /// before there is a catalog.
     pub(crate) fn autoscale(&mut self, now: Instant) {
         self.read_due_catalog(now);
         if self.catalog.is_empty() {
--- a/src/coordination/fleet/catalog.rs
+++ b/src/coordination/fleet/catalog.rs
@@ -93,7 +93,7 @@
         self.types.get(id.0)
     }
 
-    /// The id of the type with that name; an id without a type if the name is not known.
+    /// The id of the type with that name; [`MachineTypeId::UNKNOWN`] if the name is not known.
     pub(crate) fn id_of(&self, name: &str) -> MachineTypeId {
         self.find(name).unwrap_or(MachineTypeId::UNKNOWN)
     }
@@ -148,7 +148,8 @@
         self.get(id).is_some_and(|machine_type| Resources::of(spec).fits(&Resources::of_type(machine_type)))
     }
 
-    /// How long a machine of the type takes to fetch the job's image, in seconds.
+    /// How long a machine of the type takes to fetch the job's image, in seconds; 0 if the type or
+    /// its fetch rate is not known.
     pub(crate) fn image_fetch_s(&self, spec: &JobSpec, id: MachineTypeId) -> f64 {
         match self.get(id) {
             Some(machine_type) if machine_type.fetch_gb_per_s > 0.0 => {
--- a/src/coordination/fleet/cloud.rs
+++ b/src/coordination/fleet/cloud.rs
@@ -46,8 +46,8 @@
 /// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloudError {
-    /// The cloud currently has no capacity for the requested machine type and zone, spot or on-demand
-    /// as requested.
+    /// The cloud currently has no capacity for the requested offer: the machine type and zone, as
+    /// spot or on-demand machines.
     NoCapacity,
     /// The cloud rejects the request as malformed.
     Rejected,
@@ -67,8 +67,8 @@
     ///
     /// # Errors
     ///
-    /// The error in the cloud's response; [`CloudError::Failed`] also if the lease expires while
-    /// the call is queued.
+    /// The error in the cloud's response; [`CloudError::Failed`] also if there is no usable
+    /// response, or the lease ends while the call is queued.
     pub async fn call(&self, call: CloudCall) -> CloudResult {
         let (reply, result) = oneshot::channel();
         if self.0.send(Request { call, reply }).await.is_err() {
@@ -78,7 +78,8 @@
     }
 }
 
-/// Starts the actor, which makes up to `rate` calls a second, each with this deadline.
+/// Starts the actor, which makes calls with this deadline. `rate`: the cloud's limit, in calls a
+/// second; the actor stays below it.
 ///
 /// Calls are queued here, and the process may be suspended meanwhile. A queued call is not made
 /// once the lease under which it was decided has expired (`lease_expiry`): a late deletion would
--- a/src/coordination/fleet/demand.rs
+++ b/src/coordination/fleet/demand.rs
@@ -13,7 +13,7 @@
 
 /// The maximum number of groups whose demand is stored for the next leader.
 const MAX_STORED_GROUPS: usize = 32;
-/// A group without work is removed once its mean demand is not above this, in units.
+/// A group without work is removed once its mean demand has fallen to this, in units.
 const MIN_RETAINED_MEAN: f64 = 0.05;
 /// The maximum number of tasks assumed to fit on one machine.
 const MAX_TASKS_PER_MACHINE: u32 = 10_000;
@@ -23,7 +23,8 @@
 const JOB_SIZE_WINDOW: f64 = 100.0;
 /// The minimum time that one sample represents, in seconds.
 const MIN_SAMPLE_S: f64 = 0.1;
-/// The weight of the typical task relative to that of a new job, in multiples of the mean job size.
+/// The weight of the typical task when a new job's task is blended into it, in multiples of the
+/// mean job size. The weight of the new task is the size of its job.
 const TASK_SHAPE_INERTIA: f64 = 4.0;
 
 /// A group of jobs that may use the same machines.
@@ -37,18 +38,19 @@
     pub(crate) spot: bool,
     /// Whether they need GPUs. Their demand is then counted in GPUs instead of CPUs.
     pub(crate) gpus: bool,
-    /// Whether they may wait for as long as machines take to boot. No headroom beyond their usual
+    /// Whether they may wait for longer than machines take to boot. No headroom beyond their mean
     /// demand is kept for them.
     pub(crate) delay_tolerant: bool,
 }
 
 /// Demand of one group over time, in units: CPUs, or GPUs for jobs that need them.
 ///
-/// The offered load is measured as if every task had started when it was submitted, and ran for
-/// the run time that is now expected of its class. Counting waiting tasks instead would mistake a
-/// backlog, such as the one that forms while the first machines boot, for lasting demand. Using
-/// the owners' run time estimates would keep counting a job with too high an estimate until the
-/// stated time has passed. A terminal job adds no demand, whatever run time was expected of it.
+/// The offered load is measured as if every task had started soon after its job became ready, and
+/// ran for the run time that is now expected of its class. Counting waiting tasks instead would
+/// mistake a backlog, such as the one that forms while the first machines boot, for lasting
+/// demand. Using the owners' run time estimates would keep counting a job with too high an
+/// estimate until the stated time has passed. A terminal job adds no demand, whatever run time
+/// was expected of it.
 #[derive(Debug, Clone)]
 pub(crate) struct Demand {
     /// Units of work that would be running now.
@@ -73,8 +75,8 @@
     pub(crate) idle_since: Option<Instant>,
     /// Units that are needed to complete the backlog in time.
     pub(crate) backlog_rate: f64,
-    /// How long its jobs may wait without missing their first objective; zero if they may not wait
-    /// while machines boot.
+    /// How long its jobs may wait without missing their first objective; zero if the group is not
+    /// delay-tolerant.
     max_delay: Duration,
     /// The resources of a typical task.
     task_shape: Resources,
@@ -118,8 +120,8 @@
         self.mean_square_size += (units * units - self.mean_square_size) * weight;
     }
 
-    /// Adds the offered load to the mean. `memory` is the time constant with which older samples
-    /// decay.
+    /// Adds the offered load to the mean, and updates since when the group has had no work.
+    /// `memory` is the time constant with which older samples decay.
     fn sample(&mut self, now: Instant, memory: Duration) {
         if self.active + self.pending + self.offered_load > 0.0 {
             self.idle_since = None;
@@ -135,8 +137,8 @@
     }
 
     /// The standard deviation of the offered load, in units, for jobs of the measured sizes that
-    /// arrive independently of each other: the square root of the mean load times the mean job
-    /// size weighted by size.
+    /// arrive independently of each other. Its square is the product of the mean load and the mean
+    /// job size, in which each job is weighted by its size.
     pub(crate) fn standard_deviation(&self) -> f64 {
         if self.mean_size <= 0.0 { 0.0 } else { (self.mean * self.mean_square_size / self.mean_size).sqrt() }
     }
@@ -153,20 +155,21 @@
     pub(crate) limit: f64,
     /// Units that are needed to complete its waiting tasks in time.
     pub(crate) backlog_rate: f64,
-    /// Units that it requested when it was submitted, up to its team's limit.
+    /// Units that all its unfinished tasks required when it was first measured, up to its team's
+    /// limit.
     pub(crate) offered: f64,
     /// Whether it is measured for the first time.
     pub(crate) is_new: bool,
-    /// Whether it would still be running if every task had started when it was submitted.
+    /// Whether it would still be running if every task had started soon after the job became ready.
     pub(crate) would_be_running: bool,
-    /// How long its group's jobs may wait; zero if they may not wait while machines boot.
+    /// How long its group's jobs may wait; zero if the group is not delay-tolerant.
     pub(crate) max_delay: Duration,
     /// The resources of one task.
     pub(crate) task: Resources,
 }
 
 impl Demand {
-    /// Adds one job to the measurement.
+    /// Adds one job to the measurement of its group.
     fn add(&mut self, load: &JobLoad) {
         self.max_delay = load.max_delay;
         self.active += load.active;
--- a/src/coordination/fleet/demand_measurement.rs
+++ b/src/coordination/fleet/demand_measurement.rs
@@ -101,9 +101,9 @@
         latest_end.saturating_duration_since(now).clamp(boot * MIN_BACKLOG_BOOTS, boot * MAX_BACKLOG_BOOTS)
     }
 
-    /// How long a job may wait without missing its first objective. The deadline of a job with
-    /// dependencies is ignored, since most of the time until then may have passed when the job
-    /// becomes ready.
+    /// How long a job may wait without missing its first objective; zero if it has none. The
+    /// deadline of a job with dependencies is ignored, since most of the time until then may have
+    /// passed when the job becomes ready.
     fn max_start_delay(&self, spec: &JobSpec) -> Duration {
         let after_ready = self.start_limits_after_ready(spec).min();
         let by_deadline = self.start_limits_by_deadline(spec).filter(|_| spec.dependencies.is_empty()).min();
--- a/src/coordination/fleet/instance_offers.rs
+++ b/src/coordination/fleet/instance_offers.rs
@@ -42,7 +42,8 @@
     }
 
     /// Records that the cloud had fewer machines than requested. The first backoff is half the
-    /// type's boot time (`boot_s`, in seconds), later ones up to twice that.
+    /// type's boot time (`boot_s`, in seconds), and each later one is twice as long as the last, up
+    /// to the whole boot time.
     pub(crate) fn record_shortage(&mut self, now: Instant, offer: InstanceOffer, boot_s: f64) {
         let first = Duration::from_secs_f64(boot_s / 2.0);
         let longest = first * 2;
--- a/src/coordination/fleet/inventory_scan.rs
+++ b/src/coordination/fleet/inventory_scan.rs
@@ -13,9 +13,9 @@
 
 /// The minimum lag assumed for the inventory, in seconds.
 const MIN_INVENTORY_LAG_S: f64 = 1.0;
-/// A scan registers machines only if it has started at least this long after the snapshot, in
-/// multiples of the inventory's lag. An earlier scan may still list machines that a previous leader
-/// deleted.
+/// Unregistered machines are registered only from scans that start at least this long after the
+/// failover's snapshot, in multiples of the inventory's lag. An earlier scan may still list
+/// machines that a previous leader deleted.
 const MIN_SCAN_DELAY_LAGS: u32 = 2;
 /// The time after its request within which a machine should appear in the inventory, in multiples
 /// of the inventory's lag.
@@ -69,9 +69,8 @@
 
     /// Deletes silent machines that several consecutive scans did not list.
     ///
-    /// A machine that was listed and no longer is has probably gone, but the scan may also show an
-    /// older state than an earlier scan. Deleting the machine proves that it is gone, and costs
-    /// nothing.
+    /// A machine that is no longer listed is probably gone, but the scan may also show an older
+    /// state than an earlier scan. Deleting the machine proves that it is gone, and costs nothing.
     fn delete_unlisted(&mut self, now: Instant, scan: &InventoryScan) {
         let cluster = &self.config.settings.cluster;
         let time_until_listed = Duration::from_secs_f64(cluster.cloud.list_lag_s) * LAGS_UNTIL_LISTED;
--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -45,8 +45,9 @@
 }
 
 impl AckTracker {
-    /// Consecutive missed replies, over at least [`Self::MIN_INTERVALS`], after which a one-way
-    /// partition is suspected. A single lost reply or a burst of delayed copies has no effect.
+    /// Consecutive missed replies after which a one-way partition is suspected, if
+    /// [`Self::MIN_INTERVALS`] have passed as well. A single lost reply or a burst of delayed copies
+    /// thus raises no suspicion.
     const MAX_MISSED: u32 = 3;
     /// Heartbeat intervals that must have passed since the first missed reply.
     const MIN_INTERVALS: u32 = 2;
@@ -100,19 +101,20 @@
     pub address: String,
     /// The newest heartbeat under this epoch's fencing token.
     pub last_heartbeat: Option<HeartbeatStamp>,
-    /// The newest heartbeat under an earlier fencing token. Only its arrival is used.
+    /// The newest heartbeat under an earlier fencing token. Its task list is not used.
     pub last_stale_heartbeat: Option<HeartbeatStamp>,
     /// Heartbeats of incarnations earlier than this one are ignored.
     pub min_incarnation: u64,
-    /// When the last heartbeat arrived.
+    /// When the last heartbeat under this epoch's fencing token arrived.
     pub heartbeat_at: Option<Instant>,
-    /// When the last heartbeat that was replied to arrived. The reply renews the worker's lease.
+    /// When the last heartbeat that was not redirected arrived. The reply to it renews the worker's
+    /// lease.
     pub replied_at: Option<Instant>,
     /// Whether later heartbeats show an effect of the replies.
     pub acks: AckTracker,
     /// Whether replies appear not to reach the worker. The machine's capacity is then not relied on.
     pub one_way_partitioned: bool,
-    /// When commands were last pushed to it.
+    /// When stops, the only commands that are pushed, were last pushed to it.
     pub commands_pushed_at: Option<Instant>,
 }
 
@@ -133,7 +135,7 @@
 pub struct Listing {
     /// Whether it was listed at least once.
     pub was_listed: bool,
-    /// Consecutive scans that should have listed it and did not.
+    /// Scans since it was last listed that should have listed it and did not, while it was silent.
     pub missed_scans: u32,
 }
 
@@ -142,7 +144,7 @@
 pub struct MachineNeed {
     /// Whether some demand relies on it. A machine that is not needed is left to become empty.
     pub is_needed: bool,
-    /// Since when no demand has relied on it.
+    /// Since when no demand has relied on it; `None` while some does.
     pub unneeded_since: Option<Instant>,
     /// Whether its replicas are being moved elsewhere. Nothing is placed on it then.
     pub is_draining: bool,
@@ -181,13 +183,13 @@
     pub slots: HashMap<TaskId, Slot>,
     /// The capacity that its slots leave free.
     pub free: Resources,
-    /// Whether it holds orphan tasks, whose job is unknown. Nothing else is placed on it then.
+    /// Whether it holds orphan tasks, whose job is not in memory. Nothing else is placed on it then.
     pub has_orphan_tasks: bool,
     /// The images believed to be cached on it.
     pub images: ImageCache,
     /// Jobs whose tasks have failed here since the last success, with one entry for each failure.
     pub failures: Vec<JobId>,
-    /// Whether tasks of several jobs have failed here. Nothing is placed on it, and it is replaced.
+    /// Whether tasks have failed here repeatedly. Nothing is placed on it, and it is replaced.
     pub cordoned: bool,
     /// Since when it has had no slot.
     pub idle_since: Instant,
@@ -240,7 +242,7 @@
         self.reconciled = false;
         self.use_record = UseRecord::Recorded;
         // It was listed in an earlier epoch, so its absence from the inventory is meaningful even
-        // if no scan of this epoch has listed it.
+        // if no scan of this epoch has listed it, and counts as if one scan had missed it already.
         self.listing = Listing { was_listed: true, missed_scans: 1 };
     }
 
--- a/src/coordination/fleet/offer_selection.rs
+++ b/src/coordination/fleet/offer_selection.rs
@@ -13,8 +13,8 @@
 const TOLERATED_SHORTFALL: f64 = 0.05;
 /// A candidate is clearly cheaper than another one if the ratio of their costs is below this.
 const CLEARLY_CHEAPER_RATIO: f64 = 0.99;
-/// Candidates of which neither is clearly cheaper count as equally expensive below this ratio of
-/// costs.
+/// A candidate that is not clearly cheaper than another one costs about the same if the ratio of
+/// their costs is below this.
 const EQUALLY_EXPENSIVE_RATIO: f64 = 1.01;
 
 /// A possible request to cover a need.
@@ -23,7 +23,7 @@
     cost: f64,
     /// The number of machines in its zone, including those that are being requested.
     machines_in_zone: usize,
-    /// The request; its count is limited to one node pool.
+    /// The request; its count is limited to the machines that one node pool may have.
     request: ScaleOutRequest,
 }
 
--- a/src/coordination/fleet/provisioning.rs
+++ b/src/coordination/fleet/provisioning.rs
@@ -34,8 +34,9 @@
             Change::Put { key, value: pool.record.encode(), lease: None }
         };
         // No task starts on a machine before its use is recorded. The first jobs wait for the
-        // machines that were up before any were requested, so the first write of their records
-        // must not queue behind many admissions.
+        // machines that were up before any were requested. The first write of their records is
+        // therefore sent with the priority of admissions; otherwise it would be sent after all
+        // waiting ones.
         let has_existing_machines = pool.version == 0 && !pool.is_pending();
         let class = if has_existing_machines { RequestClass::Admission } else { RequestClass::Completion };
         self.commit(PendingOperation::WriteNodePool(name.to_owned()), class, compares, vec![change]);
--- a/src/coordination/fleet/registry.rs
+++ b/src/coordination/fleet/registry.rs
@@ -41,7 +41,7 @@
         let ids = pool.record.machines.clone().unwrap_or_default();
         let machine_type = self.catalog.id_of(&request.machine_type);
         let capacity = self.catalog.resources(machine_type);
-        // A machine that has held tasks booted before this epoch, so its minimum billing period
+        // A machine that may hold tasks booted before this epoch, so its minimum billing period
         // counts as over. Restarting the period at each failover kept hundreds of idle machines
         // when leaders changed in quick succession.
         let billed_since = now.checked_sub(MIN_BILLING_PERIOD).unwrap_or(now);
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Records a machine that is not in any node pool's record. It is registered before it is used
-    /// or deleted. Machines that are found together are registered together, see
+    /// Records a machine that is not in any node pool's record, to be registered before it is used
+    /// or deleted. Machines that are found together are registered together by
     /// [`Leader::register_unregistered`].
     pub(crate) fn record_unregistered(
         &mut self,
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -53,14 +53,13 @@
     pub(super) on_demand_units: f64,
 }
 
-/// A machine counts as needed if a group claims more than this fraction of it. The first machine
-/// that is claimed counts in any case.
+/// A machine counts as needed if a group claims more than this fraction of it.
 const MIN_NEEDED_FRACTION: f64 = 0.2;
 /// Up to this number of machines is a minority, however small the total.
 const MAX_ALWAYS_MINORITY: usize = 2;
 
-/// Whether the affected machines (`count` of `all`) are so few that the fault is more likely on
-/// their side than on the leader's.
+/// Whether the affected machines (`count` of `all`) are so few, at most half, that the fault is more
+/// likely on their side than on the leader's.
 fn is_minority(count: usize, all: usize) -> bool {
     count * 2 <= all.max(1) || count <= MAX_ALWAYS_MINORITY
 }
@@ -191,6 +190,7 @@
             if !supply.offer.spot {
                 need.on_demand_units += claimed * units_per_machine;
             }
+            // The first machine that is claimed counts as needed, however little of it is claimed.
             if claimed > MIN_NEEDED_FRACTION || needed.is_empty() {
                 needed.insert(id.clone());
             }
