--- a/src/coordination/controller/capacity.rs
+++ b/src/coordination/controller/capacity.rs
@@ -3,8 +3,8 @@
 use crate::numeric::whole_usize;
 use crate::settings::ProcessLimits;
 
-/// Machines tracked for each connection. The connections cover the machines that run now; as
-/// many again may just have been replaced.
+/// Machines tracked for each allowed connection: each machine that runs now has one, and as many
+/// machines again may just have been replaced.
 const MACHINES_PER_CONNECTION: usize = 2;
 /// Lower bound on the machines tracked.
 const MIN_MACHINES: usize = 1024;
@@ -31,8 +31,8 @@
     pub(crate) relays: usize,
     /// Terminal job states cached; they never change.
     pub(crate) terminal_states: usize,
-    /// Machines tracked outside the leader's in-memory state: deleted machines, and workers
-    /// that were redirected to the leader. Every machine of a fleet has a connection to some
+    /// Machines tracked besides the registered ones: deleted machines, and workers that were
+    /// redirected to the leader. Every machine of a fleet has a connection to some
     /// controller, so a fleet is not larger than this.
     pub(crate) machines: usize,
 }
--- a/src/coordination/controller/events.rs
+++ b/src/coordination/controller/events.rs
@@ -78,7 +78,7 @@
 pub(super) enum RecordRead {
     /// The job has no record: it was never admitted.
     Absent,
-    /// The job's state by its record.
+    /// The job's state according to its record.
     Found(JobStatus),
     /// The record exists but cannot be decoded.
     Unreadable,
@@ -161,16 +161,17 @@
     RequestForwarded(Box<ForwardedReply>),
     /// A user's request could not be forwarded to the leader on any route.
     RequestNotForwarded(UserRequest),
-    /// A forwarded request reached the leader, after earlier ones had failed.
+    /// The leader or a relay replied to a forwarded request, after an earlier request had got no
+    /// reply.
     LeaderReached,
-    /// A forwarded request could not reach the leader on any route.
+    /// A forwarded request got no reply on any route to the leader.
     LeaderNotReached,
     /// The relay of a heartbeat to the leader has ended.
     HeartbeatRelayed {
         /// The leader's name if it did not answer in time.
         timed_out_peer: Option<String>,
     },
-    /// Another controller was asked whether it leads.
+    /// A leader query to another controller has ended.
     PeerQueried {
         /// The controller.
         peer: String,
@@ -182,13 +183,14 @@
         /// The controller.
         peer: String,
     },
-    /// One page of archived rows was compared with the jobs' records.
+    /// The comparison of one page of archived rows with the jobs' records has ended, successfully
+    /// or not.
     RowsReconciled {
         /// The epoch of the leader for which the page was compared.
         epoch: u64,
-        /// Where the next page starts.
+        /// Where the next page starts; after a failure, where this page started.
         next_cursor: String,
-        /// The unfinished jobs that were found.
+        /// The unfinished jobs whose archived rows were made live again.
         restored: Snapshot,
     },
     /// Records that could not be decoded earlier were read again.
--- a/src/coordination/controller/latencies.rs
+++ b/src/coordination/controller/latencies.rs
@@ -1,4 +1,4 @@
-//! Histograms of a controller's response times.
+//! Histograms of the time in which a controller handles messages.
 
 use ciborium::value::Value;
 use hdrhistogram::Histogram;
@@ -6,13 +6,18 @@
 
 use crate::protocol::cbor::MapBuilder;
 
-/// Maximum latency that can be recorded, in microseconds; longer ones are recorded as this.
+/// Longest latency that can be recorded, in microseconds; longer ones are recorded as this value.
 const MAX_MICROS: u64 = 60_000_000;
 /// Significant decimal digits of a latency; with two, a histogram takes a few kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// Latencies in microseconds, since the controller started. Requests refused before they
-/// enter the actor's queues are not counted.
+/// Latencies in microseconds, recorded since the controller started. A latency is the time from
+/// when a message enters the actor's queue until the actor has handled it. For a request that is
+/// answered later, for example after a read or a call to another controller, the time until the
+/// answer is not included.
+///
+/// Not counted are messages rejected before they enter the queues, and heartbeats that are
+/// dropped, deferred or relayed, or for which no leader is known.
 pub(super) struct LatencyHistograms {
     heartbeats: Histogram<u32>,
     requests: Histogram<u32>,
@@ -65,7 +70,8 @@
     micros_to_ms(histogram.value_at_quantile(quantile))
 }
 
-/// Converts without loss of precision, since a latency is at most [`MAX_MICROS`].
+/// Converts microseconds to milliseconds. An `f64` represents the microseconds exactly, since a
+/// latency is at most [`MAX_MICROS`].
 fn micros_to_ms(micros: u64) -> f64 {
     micros as f64 / 1000.0
 }
--- a/src/coordination/controller/leadership.rs
+++ b/src/coordination/controller/leadership.rs
@@ -15,7 +15,7 @@
 
 impl LeadershipPublisher {
     /// Publishes on these channels: whether the controller leads, when its lease expires, and
-    /// the last epoch that it resigned before the lease expired.
+    /// the last epoch whose lease the election should revoke.
     pub(super) fn new(
         is_leader: watch::Sender<bool>,
         lease_expiry: watch::Sender<Instant>,
@@ -40,7 +40,7 @@
         let _ = self.lease_expiry.send(now);
     }
 
-    /// Asks the election to release the lease of this epoch before it expires.
+    /// Asks the election to revoke the lease of this epoch instead of letting it expire.
     pub(super) fn resign(&self, epoch: u64) {
         let _ = self.resigned_epoch.send(epoch);
     }
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -5,11 +5,11 @@
 //!
 //! | part | owns |
 //! | --- | --- |
-//! | `routing` | the role given by the election, the links to other controllers, relays; its tasks are in `forwarding` |
-//! | `user_replies` | requests that wait for the leader, terminal states served |
+//! | `routing` | the role given by the election, the links to other controllers, their known state (`peers`), redirected workers (`worker_redirects`); its tasks are in `forwarding` |
+//! | `user_replies` | requests that wait for the leader's state machine, the cache of terminal job states |
 //! | `record_reads` | reads of job records for users |
 //! | `snapshot_loader` | reads of the snapshot from which a new leader starts |
-//! | `reconciliation` | the background comparison of rows and records |
+//! | `reconciliation` | the background comparison of archived rows with job records |
 //! | `leadership` | the channels that publish the leadership and its lease; the last epoch led |
 //! | `readiness` | whether users and workers should be sent to this controller |
 //! | `latencies` | latency histograms |
@@ -68,10 +68,11 @@
 
 pub use handle::ControllerHandle;
 
-/// Time after which a user's request fails. Users wait five seconds for a submission.
+/// Time after which a user's request fails; shorter than the five seconds for which users wait
+/// for the answer to a submission.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Time after which a poll fails; users wait two seconds for it. Also the timeout of calls to
-/// other controllers.
+/// Time after which a poll fails; shorter than the two seconds for which users wait for its
+/// answer. Also the total timeout of the calls that forward a request or relay a heartbeat.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Seconds after which a user may retry a request that failed.
 const RETRY_AFTER_S: u32 = 1;
@@ -86,8 +87,8 @@
     kv: KvClient,
     cloud: Cloud,
     events: mpsc::Sender<InternalEvent>,
-    /// The leader's state machine; present while this controller leads and for the post-lease
-    /// grace period afterwards.
+    /// The leader's state machine; present from when the snapshot of an epoch has been read until
+    /// this controller learns that the epoch is over, which may be after the lease has expired.
     leader: Option<Leader>,
     leadership: LeadershipPublisher,
     epoch_guard: EpochGuard,
@@ -119,7 +120,7 @@
     /// messages to them.
     ///
     /// The controller publishes whether it leads (`is_leader`), when its lease expires
-    /// (`lease_expiry`), and the last epoch that it resigned before the lease expired
+    /// (`lease_expiry`), and the last epoch whose lease the election should revoke
     /// (`resigned_epoch`). The election sends this controller's role on `roles`.
     pub fn new(
         config: Arc<Config>,
@@ -166,8 +167,8 @@
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                // Polled by priority: the lease, results of writes, workers,
-                // then users.
+                // Polled by priority: the role and its lease, results of spawned tasks, periodic
+                // work, workers, then users.
                 biased;
                 role = inputs.roles.recv() => match role {
                     Some(role) => self.handle_role(role),
--- a/src/coordination/controller/record_reads.rs
+++ b/src/coordination/controller/record_reads.rs
@@ -11,8 +11,8 @@
 use crate::protocol::jobs::{JobId, JobState, JobStatus};
 use crate::storage::kv::{KvClient, KvError, RequestClass};
 
-/// Maximum number of dependencies' records that are read for one answer. If more are needed, the user is
-/// told to retry.
+/// Maximum number of dependencies' records that are read for one answer. If more are needed, the
+/// user is told to retry.
 const MAX_DEPENDENCIES_READ: usize = 64;
 
 /// Reads records in spawned tasks, which send the results as [`InternalEvent`]s.
--- a/src/coordination/controller/requests.rs
+++ b/src/coordination/controller/requests.rs
@@ -20,7 +20,7 @@
 use crate::transport::peer::PeerCall;
 
 /// Seconds after which a user may retry a request about a job whose record cannot be decoded.
-/// Only an operator or the reconciliation can repair that.
+/// Longer than for other failures, since only an operator can repair the record.
 const UNREADABLE_RETRY_AFTER_S: u32 = 5;
 
 impl Controller {
@@ -68,8 +68,9 @@
         match &self.leader {
             Some(leader) if leader.holds_lease(now) => PeerState::Leading(leader.epoch()),
             Some(_) => PeerState::LeaseExpired,
-            // Without a leader's state machine this controller answers no heartbeat with 200,
-            // and a state machine starts only with a new epoch.
+            // Without a leader's state machine this controller answers no heartbeat with 200 on
+            // its own, it only redirects or relays; and a state machine is started only in a new
+            // epoch.
             None => PeerState::Idle,
         }
     }
@@ -154,8 +155,9 @@
     }
 
     /// Answers a user after the job's record was read. A terminal state in the record is the
-    /// answer. Otherwise, unless only a terminal state may answer, the leader's in-memory state
-    /// is preferred: it may be terminal by now, and it includes the running tasks.
+    /// answer. If the recorded state is not terminal, the leader's in-memory state is preferred:
+    /// it may be terminal by now, and it includes the running tasks. If only a terminal state may
+    /// be the answer, the user is told to retry instead.
     pub(super) fn handle_job_looked_up(&mut self, lookup: JobLookup, started: Instant, read: RecordRead) {
         self.record_reads.release();
         let JobLookup { reply, job, if_absent, only_terminal } = lookup;
@@ -188,8 +190,8 @@
         self.record_reads.read_dependencies(epoch, submission);
     }
 
-    /// Submits a job again, with the states of the jobs that it depends on. `states` is `None` if
-    /// their records could not be read.
+    /// Continues a submission, now with the states of the jobs that it depends on. `states` is
+    /// `None` if their records could not be read.
     pub(super) fn handle_dependencies_read(
         &mut self,
         epoch: u64,
--- a/src/coordination/controller/user_replies.rs
+++ b/src/coordination/controller/user_replies.rs
@@ -1,5 +1,5 @@
-//! Answers to users: the requests that wait for the leader's state machine, and the terminal
-//! states served, which make all later reads monotonic.
+//! Answers to users: the requests that wait for the leader's state machine, and a cache of
+//! terminal job states, with which no later answer contradicts a terminal one.
 
 use tokio::time::Instant;
 
@@ -20,7 +20,7 @@
     registered_at: Instant,
 }
 
-/// The requests that wait for an answer, and the terminal states served so far.
+/// The requests that wait for an answer, and the cached terminal states.
 ///
 /// Invariant: every answer about a job passes through [`Self::answer`], whatever its source.
 pub(super) struct UserReplies {
@@ -60,8 +60,7 @@
         }
     }
 
-    /// Answers a request about a job. A terminal state that was already served, or learned from
-    /// a record, takes precedence over `answer`.
+    /// Answers a request about a job. A cached terminal state takes precedence over `answer`.
     pub(super) fn answer(&mut self, reply: ReplySender, job: &JobId, answer: Answer) {
         let _ = reply.send(self.terminal_states.resolve(job, answer));
     }
@@ -83,7 +82,7 @@
         }
     }
 
-    /// Returns the job's terminal state, if it was served or learned.
+    /// Returns the job's terminal state, if it is cached.
     pub(super) fn terminal_state(&self, job: &JobId) -> Option<&JobStatus> {
         self.terminal_states.get(job)
     }
