--- a/src/coordination/controller/heartbeat_answers.rs
+++ b/src/coordination/controller/heartbeat_answers.rs
@@ -21,7 +21,7 @@
 
 /// Builds the answer to a heartbeat that was relayed, from the leader's reply. The answer is
 /// valid for the remaining lease that the reply states, counted from the start of the relay;
-/// leaders of earlier builds do not state one.
+/// leaders of earlier builds do not state one, and their answers are sent without a time limit.
 pub(super) fn relayed_answer(reply: PeerReply, relayed_at: Instant) -> Answer {
     let PeerReply { status, body, lease, .. } = reply;
     let validity =
--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -1,6 +1,7 @@
-//! Handles workers' heartbeats. The leader's state machine replies to them, immediately or, if
-//! the reply is deferred, once a latency-sensitive start is decided. A controller that does
-//! not lead redirects the worker to another controller, or relays the heartbeat to the leader.
+//! Handles workers' heartbeats. The leader's state machine answers them, immediately or, if
+//! the answer is deferred, once there is a command for the worker or the deferral ends. A
+//! controller that does not lead redirects the worker to another controller, or relays the
+//! heartbeat to the leader.
 
 use tokio::time::Instant;
 
@@ -16,8 +17,9 @@
     /// Replies to a heartbeat, now or later.
     pub(super) fn handle_heartbeat(&mut self, message: HeartbeatMessage) {
         let now = Instant::now();
-        // The worker has stopped waiting. A start in the reply would be lost, and counting
-        // the reply as sent would only delay the proof that the machine is dead.
+        // The worker no longer waits for the answer. A start in it would be lost, and the leader
+        // would assume that the answer renewed the worker's lease, which would only delay the
+        // proof that the machine is dead.
         if now >= message.arrived + HEARTBEAT_REPLY_TIMEOUT {
             return;
         }
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Sends the deferred replies whose deadline has passed, with the commands that the leader
+    /// Sends the answers that cannot be deferred any longer, with the commands that the leader
     /// decides now.
     pub(super) fn flush_expired_replies(&mut self) {
         let now = Instant::now();
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Redirects the worker to the leader. If the worker comes back, it cannot reach the
+    /// Redirects the worker to the leader. If the worker returns after that, it cannot reach the
     /// leader, for example because of a network partition between two zones, and the heartbeat
     /// is relayed to the leader. A heartbeat that was already relayed is not relayed again.
     fn redirect_or_relay(&mut self, now: Instant, message: HeartbeatMessage) {
--- a/src/coordination/controller/leader_lifecycle.rs
+++ b/src/coordination/controller/leader_lifecycle.rs
@@ -133,8 +133,8 @@
     /// Handles the result of a leader query; `None` if the peer did not reply in time.
     pub(super) fn handle_peer_state(&mut self, now: Instant, peer: &str, peer_state: Option<PeerState>) {
         self.routing.record_peer_state(now, peer, peer_state);
-        // Once no other controller replies to workers, the wait for silent machines need not
-        // cover a post-lease grace period.
+        // A new leader waits until the leases of silent machines must have expired. Once no other
+        // controller answers workers, that wait need not include a post-lease grace period.
         if let Some(leader) = &mut self.leader
             && let Some(at) = self.routing.all_peers_idle_since(leader.snapshot_at())
         {
--- a/src/coordination/controller/readiness.rs
+++ b/src/coordination/controller/readiness.rs
@@ -5,7 +5,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Worker leases for which a controller stays ready without a known leader.
+/// How long a controller stays ready without a known leader, in worker leases.
 const TOLERATED_LEASES: u32 = 2;
 
 /// A controller's view of the leader at one moment.
@@ -36,9 +36,9 @@
 
     /// Recomputes whether the controller is ready, and publishes a change.
     ///
-    /// A load balancer removes a controller for longer than most leader changes take, so a
-    /// ready controller stays ready during a short one, unless it is cut off from the leader or
-    /// from all other controllers.
+    /// Once a load balancer has removed a controller, it keeps it out for longer than most leader
+    /// changes take. A ready controller therefore stays ready during a short leader change, unless
+    /// it is cut off from the leader or from all other controllers.
     pub(super) fn update(&mut self, now: Instant, leader: LeaderVisibility) {
         if leader.is_known {
             self.leader_known_at = now;
--- a/src/coordination/controller/reconciliation.rs
+++ b/src/coordination/controller/reconciliation.rs
@@ -20,7 +20,7 @@
     events: mpsc::Sender<InternalEvent>,
     /// Time between the starts of two pages.
     interval: Duration,
-    /// Maximum size of a value in the store, in KB.
+    /// Largest value that the store accepts, in KiB.
     value_kb: f64,
     /// Where the next page of archived rows starts.
     row_cursor: String,
@@ -65,8 +65,8 @@
         self.reread_cursor = unreadable.last().cloned().unwrap_or_default();
         tokio::spawn(async move {
             let page = reconcile_page(&kv, epoch, &cursor, value_kb).await;
-            let unchanged = ReconciledPage { next: cursor, restored: Snapshot::default() };
-            let ReconciledPage { next: next_cursor, restored } = page.unwrap_or(unchanged);
+            let same_page_again = ReconciledPage { next: cursor, restored: Snapshot::default() };
+            let ReconciledPage { next: next_cursor, restored } = page.unwrap_or(same_page_again);
             let _ = events.send(InternalEvent::RowsReconciled { epoch, next_cursor, restored }).await;
             if let Ok(restored) = reread_unreadable(&kv, unreadable, value_kb).await {
                 let _ = events.send(InternalEvent::UnreadableReread { epoch, restored }).await;
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Records that a page was compared; the next one starts at `next_cursor`.
+    /// Records that the comparison of a page has ended; the next page starts at `next_cursor`.
     pub(super) fn finish_page(&mut self, next_cursor: String) {
         self.is_in_flight = false;
         self.row_cursor = next_cursor;
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -30,9 +30,9 @@
     NoLeader,
     /// Redirect the worker to the leader with this name.
     Redirect(String),
-    /// The heartbeat should be relayed, but too many relays are in flight. The worker retries,
-    /// with this or another controller, which is better than waiting for a leader that does not
-    /// answer it.
+    /// The heartbeat should be relayed, but too many relays are in flight. The worker should retry
+    /// with this or another controller: a redirect to the leader, which it cannot reach, would
+    /// only cost it a timeout.
     TooManyRelays,
     /// Relay the heartbeat with [`LeaderRouting::relay_heartbeat`].
     Relay(HeartbeatRelay),
@@ -49,7 +49,7 @@
     links_all_peers: bool,
     peers: Peers,
     worker_redirects: WorkerRedirects,
-    /// Since when no user's call has reached the leader.
+    /// Since when no forwarded request has got a reply from the leader or a relay.
     leader_unreachable_since: Option<Instant>,
     /// Limits concurrent relays of heartbeats.
     relays: ConcurrencyLimit,
@@ -98,8 +98,8 @@
         matches!(self.role, Role::Follower { .. })
     }
 
-    /// Returns the leader if it is another controller: the one named by the store or, without
-    /// the store, the peer that states that it leads.
+    /// Returns the leader if it is another controller: the one that the store names, otherwise
+    /// the peer that states that it leads.
     pub(super) fn other_leader(&self, now: Instant) -> Option<KnownLeader<'_>> {
         match &self.role {
             Role::Follower { leader, epoch } => Some(KnownLeader { name: leader, epoch: *epoch }),
@@ -126,12 +126,12 @@
         by_role.max(self.epoch_of_leading_peer(now))
     }
 
-    /// Records that a user's call has reached the leader.
+    /// Records that the leader or a relay has replied to a forwarded request.
     pub(super) fn record_leader_reached(&mut self) {
         self.leader_unreachable_since = None;
     }
 
-    /// Records that a user's call could not reach the leader on any route.
+    /// Records that a forwarded request got no reply on any route to the leader.
     pub(super) fn record_leader_unreachable(&mut self, now: Instant) {
         self.leader_unreachable_since.get_or_insert(now);
     }
@@ -142,7 +142,8 @@
     }
 
     /// Whether no call has reached the leader for a whole lease. A dead leader would have lost
-    /// its lease by now, so users should use a controller that can reach the leader.
+    /// its lease by now, so the leader is probably alive and only this controller cannot reach it:
+    /// users should use another one.
     pub(super) fn is_leader_lost(&self, now: Instant) -> bool {
         self.is_follower() && self.leader_unreachable_since.is_some_and(|since| now >= since + self.lease)
     }
@@ -158,7 +159,7 @@
         self.peers.record_timeout(now, peer);
     }
 
-    /// Records that the leader is known and is not unreachable.
+    /// Records that the peers need not be queried, as a leader is known.
     pub(super) fn stop_querying_peers(&mut self) {
         self.peers.stop_querying();
     }
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Returns the time at which the last peer stated that it replies to no worker, if all other
-    /// controllers have stated that since `since`.
+    /// Returns the latest time at which a peer stated that it answers no worker, if every other
+    /// controller has stated that at `since` or later.
     pub(super) fn all_peers_idle_since(&self, since: Instant) -> Option<Instant> {
         if self.links_all_peers { self.peers.all_idle_since(since) } else { None }
     }
--- a/src/coordination/controller/worker_redirects.rs
+++ b/src/coordination/controller/worker_redirects.rs
@@ -1,8 +1,8 @@
-//! Tracks workers that were redirected to the leader and came back.
+//! Tracks workers that were redirected to the leader, and whether they return.
 //!
 //! A worker that cannot reach the leader, for example because of a network partition between
-//! two zones, returns to the controller that redirected it. From then on that controller relays
-//! the worker's heartbeats.
+//! two zones, returns to the controller that redirected it. That controller then relays the
+//! worker's heartbeats for a few leases before it redirects the worker again.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::maps::HashMap;
 use crate::protocol::workers::MachineId;
 
-/// Worker leases for which a worker's heartbeats are relayed before it is redirected again.
+/// How long a worker's heartbeats are relayed before it is redirected again, in worker leases.
 const RELAY_LEASES: u32 = 3;
 
 /// How to handle the heartbeat of a worker that should send it to the leader.
@@ -36,8 +36,8 @@
     /// The workers' lease.
     lease: Duration,
     redirects: HashMap<MachineId, RedirectRecord>,
-    /// Maximum number of workers tracked. Beyond that old entries are dropped, and those workers are
-    /// redirected once more.
+    /// Maximum number of workers tracked. Beyond that old entries are dropped, and those workers
+    /// are redirected once more.
     capacity: usize,
 }
 
@@ -54,9 +54,9 @@
 
     /// Decides how to handle the heartbeat of a worker that should send it to the leader.
     ///
-    /// `had_leader_reply` states whether the current leader has replied to the worker before. A
-    /// worker leaves its leader only when that no longer replies, so redirecting it back would
-    /// only cost it another timeout.
+    /// `had_leader_answer` states whether the current leader has answered the worker before. A
+    /// worker leaves its leader only when the leader no longer answers it, so redirecting it back
+    /// would only cost it another timeout.
     pub(super) fn decide(
         &mut self,
         now: Instant,
