--- a/src/coordination/controller/peers/tests.rs
+++ b/src/coordination/controller/peers/tests.rs
@@ -56,7 +56,11 @@
     peers.record_answer(now, "c-1", Some(PeerState::Idle));
     peers.record_answer(now + LEASE, "c-1", Some(PeerState::LeaseExpired));
     peers.record_answer(now + LEASE, "c-2", Some(PeerState::Idle));
-    assert_eq!(peers.all_idle_since(now), Some(now + LEASE), "an idle peer resumes no earlier epoch");
+    assert_eq!(
+        peers.all_idle_since(now),
+        Some(now + LEASE),
+        "c-1 stays confirmed: after being idle it cannot resume an earlier epoch"
+    );
     assert_eq!(
         peers.all_idle_since(now + LEASE),
         None,
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -90,8 +90,9 @@
     assert_eq!(answer.status, 400);
 }
 
-/// During a network partition between two controllers the third one relays calls, once. A
-/// controller that another one assumes to lead forwards nothing.
+/// During a network partition between two controllers the third one relays calls. A call is
+/// relayed at most once, and a controller that receives a call as the assumed leader does not
+/// forward it.
 #[tokio::test]
 async fn calls_are_relayed_around_a_partition_by_one_other_controller() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -116,9 +117,10 @@
     assert_eq!(routes_from(&controller, RequestOrigin::User), [direct], "no other route is left");
 }
 
-/// Guards against a follower that stays ready although controllers reject each other's calls:
-/// it cannot reach the leader on any route, so it can admit nothing. Once a dead leader would
-/// have lost its lease, the follower is not ready, so that users use the controller that is.
+/// Guards against a follower that stays ready although it cannot reach the leader on any route,
+/// for example because controllers reject each other's calls: it can admit no job. After a whole
+/// lease, in which a dead leader would have lost its lease, the follower is no longer ready, so
+/// that users are sent to a controller that is.
 #[tokio::test]
 async fn a_follower_that_cannot_reach_the_leader_is_not_ready() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -130,7 +132,9 @@
     assert!(controller.readiness.is_ready(), "a leader that has just died is soon replaced");
     let a_lease_ago = Instant::now().checked_sub(controller.config.tuning.lease);
     controller.routing.record_leader_reached();
-    controller.routing.record_leader_unreachable(a_lease_ago.expect("the clock has run for a lease"));
+    controller
+        .routing
+        .record_leader_unreachable(a_lease_ago.expect("the clock started at least a lease ago"));
     controller.tick();
     assert!(!controller.readiness.is_ready());
     controller.handle_peer_state(Instant::now(), "c-2", Some(PeerState::Idle));
@@ -164,7 +168,7 @@
 /// Workers in a zone that cannot reach the leader's zone have their heartbeats relayed by a
 /// controller that can reach it. A relayed heartbeat is not relayed again.
 #[tokio::test]
-async fn heartbeats_of_workers_that_come_back_are_relayed_once() {
+async fn heartbeats_of_workers_that_return_after_a_redirect_are_relayed_once() {
     let TestHarness { mut controller, inputs: _inputs, handle: _handle, .. } = TestHarness::start().await;
     controller.routing.set_role(follower_of("c-1"));
     let heartbeat = heartbeat(1);
@@ -190,8 +194,8 @@
     assert_eq!(controller.routing.relays_in_flight(), 0);
     let _again = send(&mut controller, Some(Vec::new()));
     assert_eq!(controller.routing.relays_in_flight(), 1, "the worker came back");
-    // A worker that the leader has replied to before is not redirected to it first.
-    let from_leader = Heartbeat {
+    // A worker that the leader has answered before is not redirected to it first.
+    let answered_before = Heartbeat {
         machine: MachineId::parse("vm-2").expect("valid"),
         fencing_token: 7,
         ..heartbeat.clone()
@@ -199,17 +203,17 @@
     let (reply, _answer) = oneshot::channel();
     let body = Some(Vec::new());
     controller.handle_heartbeat(HeartbeatMessage {
-        heartbeat: from_leader,
+        heartbeat: answered_before,
         body,
         reply,
         arrived: Instant::now(),
     });
     assert_eq!(controller.routing.relays_in_flight(), 2, "relayed immediately");
-    // A leader that this controller cannot reach is not named.
+    // A worker is not redirected to a leader that this controller cannot reach.
     controller.routing.record_timeout(Instant::now(), "c-1");
     let unnamed = send(&mut controller, Some(Vec::new())).await.expect("answered immediately");
     assert_eq!(status_and_leader(unnamed), (421, None));
-    // The worker may be able to reach another leader.
+    // After a leader change the worker is redirected again: it may be able to reach the new leader.
     controller.routing.record_peer_state(Instant::now(), "c-1", Some(PeerState::Idle));
     controller.handle_role(follower_of("c-2"));
     let next = send(&mut controller, Some(Vec::new())).await.expect("answered");
@@ -227,7 +231,7 @@
     controller.leader = Some(leader);
     for (waited, answered) in [(Duration::ZERO, true), (HEARTBEAT_REPLY_TIMEOUT, false)] {
         let (reply, answer) = oneshot::channel();
-        let arrived = now.checked_sub(waited).expect("the clock has run for a reply timeout");
+        let arrived = now.checked_sub(waited).expect("the clock started at least a reply timeout ago");
         controller.handle_heartbeat(HeartbeatMessage { heartbeat: heartbeat(1), body: None, reply, arrived });
         assert_eq!(answer.await.is_ok(), answered);
     }
@@ -270,8 +274,8 @@
 }
 
 /// A job's dependency is cancelled, but no leader has written that to the job's own record yet.
-/// A controller that read only that record would answer "queued" after the leader, which wrote
-/// the dependency's cancellation, has answered "cancelled".
+/// A controller that read only the job's record would answer "queued", although the leader that
+/// wrote the dependency's cancellation may already have answered "cancelled".
 #[tokio::test]
 async fn an_answer_from_records_takes_account_of_cancelled_dependencies() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -341,8 +345,8 @@
     }
 }
 
-/// If a job is not terminal by its record and not in the leader's memory, the outcome of its
-/// cancellation is unknown, and the record must not be the answer.
+/// If a job is not terminal according to its record and not in the leader's memory, the outcome
+/// of its cancellation is unknown, and the recorded state must not be the answer.
 #[tokio::test]
 async fn a_cancellation_is_answered_from_a_record_only_if_its_state_is_terminal() {
     let TestHarness { mut controller, mut inputs, handle: _handle, .. } = TestHarness::start().await;
@@ -359,8 +363,9 @@
     }
 }
 
-/// Makes the controller lead with a job of one task whose terminal write was sent and has an
-/// unknown outcome. If `completes`, the task is done; otherwise the job is cancelled.
+/// Makes the controller lead with a job of one task. The write of the job's terminal state was
+/// sent, and its outcome is unknown. If `completes`, the task is done; otherwise the job is
+/// cancelled.
 fn lead_with_terminal_write_in_flight(controller: &mut Controller, spec: &JobSpec, completes: bool) {
     let now = Instant::now();
     let record = JobRecord { started_high_water: 1, ..JobRecord::new(spec.clone(), 0) };
@@ -380,9 +385,10 @@
     controller.leader = Some(leader);
 }
 
-/// Guards against the cause of `went_back` (docs/incidents/inc-went-back.md): a transaction was
-/// committed but its answer was lost, another controller read the record and served the terminal
-/// state, and the leader kept answering with the earlier state from memory, under a valid lease.
+/// Guards against a fault that violated the rule `went_back` of the simulation's checks
+/// (docs/incidents/inc-went-back.md): a transaction was committed but its answer was lost, another
+/// controller read the record and served the terminal state, and the leader kept answering with
+/// the earlier state from memory, under a valid lease.
 #[tokio::test]
 async fn a_leader_reads_the_record_while_a_terminal_write_of_its_own_is_in_flight() {
     let spec = crate::protocol::jobs::tests::sample("job-1", "red", 1, 1.0);
@@ -448,7 +454,7 @@
     assert_eq!(state_of(&last), "cancelled");
     let delayed = forwarded(&mut controller, JobState::Running, Some(lease)).await.expect("answered");
     assert_eq!(state_of(&delayed), "cancelled");
-    // Nor may the state of a record that was read earlier.
+    // A state that was read from the record earlier must not be sent either.
     let (reply, answer) = oneshot::channel();
     let absent = Answer::error(404, "no such job");
     let lookup = JobLookup { reply, job: job.clone(), if_absent: absent, only_terminal: false };
@@ -473,7 +479,8 @@
 }
 
 /// The actor decides an answer under a valid lease, and the process is suspended before the
-/// answer is sent. Sending it, to users or to other controllers, must check the lease again.
+/// answer is sent. The lease must be checked again when the answer is sent, both to users and to
+/// other controllers.
 #[tokio::test(start_paused = true)]
 async fn an_answer_delayed_past_its_lease_is_not_sent() {
     let TestHarness { controller: _controller, mut inputs, handle, .. } = TestHarness::start().await;
--- a/src/coordination/election/tests.rs
+++ b/src/coordination/election/tests.rs
@@ -78,7 +78,7 @@
     assert_eq!(
         lost.next_step(later),
         Step::RevokeLease { lease: 5 },
-        "its delayed acquire must not win afterwards"
+        "a delayed acquire with this lease must not win afterwards"
     );
 }
 
