--- a/src/coordination/authority/answers.rs
+++ b/src/coordination/authority/answers.rs
@@ -42,8 +42,9 @@
 pub struct Validity {
     /// The epoch under which the answer was decided; 0 if it was read from a record.
     pub epoch: u64,
-    /// When that epoch's lease expires, as known when the answer was decided. For an answer
-    /// read from a record: until when the read counts as fresh.
+    /// When that epoch's lease expires, as known when the answer was decided; for a heartbeat
+    /// reply that makes no decision, when the post-lease grace period ends. For an answer read
+    /// from a record: until when the read counts as fresh.
     pub valid_until: Instant,
 }
 
@@ -103,7 +104,7 @@
 /// Why another controller's reply is not forwarded to the user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum UnusableReply {
-    /// The status is not one that answers to users have.
+    /// No answer to a user has this status.
     #[error("unexpected status for an answer to a user")]
     Status,
     /// The body cannot be decoded as a job status.
@@ -112,7 +113,7 @@
     /// The body is about another job than the request.
     #[error("it is about another job")]
     OtherJob,
-    /// It answers a cancellation with a state that is not terminal.
+    /// A cancellation was answered with a state that is not terminal.
     #[error("it answers a cancellation with a state that is not terminal")]
     NotTerminal,
     /// The reply was decided under an older epoch than the newest one known.
@@ -125,8 +126,7 @@
 /// `forwarded_at` is when the request was forwarded. The reply states how long its lease
 /// remained valid when the reply was sent. That was after `forwarded_at`, so counting the
 /// remaining time from `forwarded_at` never makes the lease longer. A reply that states no lease
-/// comes from a build that did not send it yet, or is based on a record; it is valid until
-/// `fresh_until`.
+/// comes from an earlier build, which did not send one; it is valid until `fresh_until`.
 ///
 /// # Errors
 ///
--- a/src/coordination/authority/mod.rs
+++ b/src/coordination/authority/mod.rs
@@ -46,7 +46,7 @@
     pub start_is_recorded: bool,
     /// The record of the job says that the task is done.
     pub task_is_done: bool,
-    /// No machine has a slot for the task, and the task cannot be on a machine that is not
+    /// The task occupies no slot of a machine, and it cannot be on a machine that is not
     /// reconciled yet.
     pub is_on_no_machine: bool,
     /// The committed record of the node pool says that the machine may hold tasks.
@@ -99,7 +99,7 @@
 pub struct LeaderPermit(());
 
 impl LeadershipTerm {
-    /// A term whose lease has not been extended yet: it permits nothing.
+    /// A term whose lease has not been extended yet: it grants no permits.
     pub fn new(epoch: u64, now: Instant, post_lease_grace: Duration) -> Self {
         LeadershipTerm { epoch, lease_expiry: now, post_lease_grace, is_fenced: false }
     }
--- a/src/coordination/election/runner.rs
+++ b/src/coordination/election/runner.rs
@@ -20,8 +20,8 @@
 /// Runs the election and sends each change of the role to `roles`, until its receiver is
 /// dropped.
 ///
-/// `address` is written to the leader key, for operators. The leadership of an epoch sent by
-/// `resigned_epoch` is resigned before its lease expires.
+/// `address` is written to the leader key, for operators. `resigned_epoch` holds the last epoch
+/// that this controller resigned; if it still leads in that epoch, its lease is revoked.
 pub async fn run(
     election: Election,
     kv: KvClient,
--- a/src/coordination/election/state.rs
+++ b/src/coordination/election/state.rs
@@ -8,8 +8,8 @@
 use crate::coordination::election::steps::{AcquireOutcome, LeaderRead, RenewOutcome, Step, WatchOutcome};
 use crate::coordination::election::{LeaderRecord, Role};
 
-/// Fraction of the lease duration by which the lease expires early here, as a margin for clock
-/// drift, timer resolution and late wake-ups.
+/// Fraction of the lease duration by which the lease expires earlier here than in the store, as a
+/// margin for clock drift, timer resolution and late wake-ups.
 const LEASE_SAFETY_MARGIN: f64 = 0.03;
 /// Number of renewals in one lease duration.
 const RENEWALS_PER_LEASE: u32 = 4;
@@ -238,7 +238,7 @@
     /// known not to exist any more.
     pub fn on_lease_revoked(&mut self, now: Instant, lease: u64, ended: bool) {
         if self.lease.is_some_and(|own| own.id == lease) {
-            // It may be forgotten even if it might still exist: it expires by itself, which
+            // The lease may be forgotten even if it might still exist: it expires by itself, which
             // deletes a key attached to it.
             self.lease = None;
         }
--- a/src/coordination/election/steps.rs
+++ b/src/coordination/election/steps.rs
@@ -61,7 +61,7 @@
     Lost,
     /// The lease had expired; the key was not written.
     LeaseExpired,
-    /// There was no response: the key may have been written.
+    /// There was no usable answer: the key may have been written.
     Unknown,
 }
 
@@ -72,15 +72,16 @@
     Renewed,
     /// The lease has expired.
     LeaseExpired,
-    /// There was no response: the lease may have been renewed.
+    /// There was no usable answer: the lease may have been renewed.
     Failed,
 }
 
 /// The result of [`Step::Watch`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchOutcome {
-    /// The key has changed, or the watch has reached its time limit.
+    /// The key may have changed: the watch reported a change, ended without one, or got no valid
+    /// response in time.
     Ended,
-    /// The store did not answer.
+    /// The store could not be reached, or its answer cannot be used.
     Failed,
 }
--- a/src/coordination/leader/effects.rs
+++ b/src/coordination/leader/effects.rs
@@ -22,7 +22,7 @@
         /// Its answer.
         answer: Answer,
     },
-    /// Read the records of jobs that a submission depends on, then submit it again with them.
+    /// Read the records of jobs that a submission depends on, then continue the submission.
     ReadDependencies(Box<UncheckedSubmission>),
     /// Read the job's record and answer with the state that follows from it.
     LookUpJob {
--- a/src/coordination/leader/mod.rs
+++ b/src/coordination/leader/mod.rs
@@ -102,7 +102,7 @@
     pub(crate) cloud_health: CloudHealth,
     /// The measurements that scaling out and in is based on.
     pub(crate) autoscaler: Autoscaler,
-    /// How well the workers' heartbeats arrive.
+    /// Whether the workers' heartbeats arrive in time.
     pub(crate) liveness: Liveness,
     /// The waiting jobs, in scheduling order.
     pub(crate) queue: WorkQueue,
@@ -120,8 +120,8 @@
 }
 
 impl Leader {
-    /// Creates a leader from the snapshot that was just read from the store. It may do nothing
-    /// until its lease is extended.
+    /// Creates a leader from the snapshot that was just read from the store. It may make no
+    /// decision until its lease is extended.
     pub fn new(config: Arc<Config>, epoch: u64, now: Instant, now_ms: u64, snapshot: Snapshot) -> Self {
         let cluster = &config.settings.cluster;
         let mut leader = Leader {
--- a/src/coordination/leader/singleton_keys.rs
+++ b/src/coordination/leader/singleton_keys.rs
@@ -7,7 +7,7 @@
 use crate::protocol::cbor::max_json_size;
 use crate::protocol::kv::{Change, Compare};
 
-/// Allowance in bytes for what a stored value holds besides the encoded one.
+/// Bytes reserved for what the key-value client adds to a stored value: the write marker.
 const VALUE_OVERHEAD_BYTES: usize = 64;
 
 /// The state of one key as last read or written.
