--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Handles workers' heartbeats. The leader's state machine answers them, immediately or, if
-//! the answer is deferred, once there is a command for the worker or the deferral ends. A
+//! Handles workers' heartbeats. The leader's state machine replies to them, immediately or, if
+//! the reply is deferred, once there is a command for the worker or the deferral ends. A
 //! controller that does not lead redirects the worker to another controller, or relays the
 //! heartbeat to the leader.
 
@@ -17,8 +17,8 @@
     /// Replies to a heartbeat, now or later.
     pub(super) fn handle_heartbeat(&mut self, message: HeartbeatMessage) {
         let now = Instant::now();
-        // The worker no longer waits for the answer. A start in it would be lost, and the leader
-        // would assume that the answer renewed the worker's lease, which would only delay the
+        // The worker no longer waits for the reply. A start in it would be lost, and the leader
+        // would assume that the reply renewed the worker's lease, which would only delay the
         // proof that the machine is dead.
         if now >= message.arrived + HEARTBEAT_REPLY_TIMEOUT {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Sends the answers that cannot be deferred any longer, with the commands that the leader
+    /// Sends the replies that cannot be deferred any longer, with the commands that the leader
     /// decides now.
     pub(super) fn flush_expired_replies(&mut self) {
         let now = Instant::now();
--- a/src/coordination/controller/latencies.rs
+++ b/src/coordination/controller/latencies.rs
@@ -6,7 +6,7 @@
 
 use crate::protocol::cbor::MapBuilder;
 
-/// Longest latency that can be recorded, in microseconds; longer ones are recorded as this value.
+/// Maximum latency that can be recorded, in microseconds; longer ones are recorded as this value.
 const MAX_MICROS: u64 = 60_000_000;
 /// Significant decimal digits of a latency; with two, a histogram takes a few kilobytes.
 const SIGNIFICANT_DIGITS: u8 = 2;
@@ -16,7 +16,7 @@
 /// answered later, for example after a read or a call to another controller, the time until the
 /// answer is not included.
 ///
-/// Not counted are messages rejected before they enter the queues, and heartbeats that are
+/// Not counted are messages refused before they enter the queues, and heartbeats that are
 /// dropped, deferred or relayed, or for which no leader is known.
 pub(super) struct LatencyHistograms {
     heartbeats: Histogram<u32>,
--- a/src/coordination/controller/leader_lifecycle.rs
+++ b/src/coordination/controller/leader_lifecycle.rs
@@ -134,7 +134,7 @@
     pub(super) fn handle_peer_state(&mut self, now: Instant, peer: &str, peer_state: Option<PeerState>) {
         self.routing.record_peer_state(now, peer, peer_state);
         // A new leader waits until the leases of silent machines must have expired. Once no other
-        // controller answers workers, that wait need not include a post-lease grace period.
+        // controller replies to workers, that wait need not include a post-lease grace period.
         if let Some(leader) = &mut self.leader
             && let Some(at) = self.routing.all_peers_idle_since(leader.snapshot_at())
         {
--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -41,7 +41,8 @@
     query_in_flight: bool,
     answered_at: Option<Instant>,
     leading: Option<LeadershipClaim>,
-    /// When the peer last stated that it answers no worker, not even in a post-lease grace period.
+    /// When the peer last stated that it replies to no worker, not even in a post-lease
+    /// grace period.
     idle_at: Option<Instant>,
     /// When a call to the peer last timed out.
     timed_out_at: Option<Instant>,
@@ -59,7 +60,7 @@
 pub(super) enum PeerState {
     /// The controller leads in this epoch, under a valid lease.
     Leading(u64),
-    /// Its lease has expired; it may still answer workers until its post-lease grace period ends.
+    /// Its lease has expired; it may still reply to workers until its post-lease grace period ends.
     LeaseExpired,
     /// It has no leader state of any epoch in memory, so it replies to no worker.
     Idle,
@@ -116,12 +117,14 @@
         Peers { lease, peers, querying_since: None }
     }
 
-    /// Records that the peers need not be queried, as the leader is known by other means.
+    /// Records that the leader is known by other means, and is not unreachable.
     pub(super) fn stop_querying(&mut self) {
         self.querying_since = None;
     }
 
-    /// Returns the peers whose query is due, and marks them as queried.
+    /// Returns the peers whose query is due, and marks them as queried. To be called while the
+    /// leader is unknown or unreachable, and by a new leader until no earlier leader can be in
+    /// its post-lease grace period any more.
     pub(super) fn peers_to_query(&mut self, now: Instant) -> Vec<String> {
         self.querying_since.get_or_insert(now);
         let pause = self.lease / QUERY_LEASE_DIVISOR;
@@ -172,7 +175,7 @@
             .max_by_key(|leader| leader.epoch)
     }
 
-    /// Returns the latest time at which a peer stated that it answers no worker, if every peer
+    /// Returns the latest time at which a peer stated that it replies to no worker, if every peer
     /// has stated that at `since` or later.
     pub(super) fn all_idle_since(&self, since: Instant) -> Option<Instant> {
         let idle_at = |peer: &Peer| peer.idle_at.filter(|at| *at >= since);
--- a/src/coordination/controller/reconciliation.rs
+++ b/src/coordination/controller/reconciliation.rs
@@ -20,7 +20,7 @@
     events: mpsc::Sender<InternalEvent>,
     /// Time between the starts of two pages.
     interval: Duration,
-    /// Largest value that the store accepts, in KiB.
+    /// Maximum size of a value in the store, in KiB.
     value_kb: f64,
     /// Where the next page of archived rows starts.
     row_cursor: String,
--- a/src/coordination/controller/routing.rs
+++ b/src/coordination/controller/routing.rs
@@ -159,7 +159,7 @@
         self.peers.record_timeout(now, peer);
     }
 
-    /// Records that the peers need not be queried, as a leader is known.
+    /// Records that the leader is known and is not unreachable.
     pub(super) fn stop_querying_peers(&mut self) {
         self.peers.stop_querying();
     }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Returns the latest time at which a peer stated that it answers no worker, if every other
+    /// Returns the latest time at which a peer stated that it replies to no worker, if every other
     /// controller has stated that at `since` or later.
     pub(super) fn all_peers_idle_since(&self, since: Instant) -> Option<Instant> {
         if self.links_all_peers { self.peers.all_idle_since(since) } else { None }
--- a/src/coordination/controller/tests.rs
+++ b/src/coordination/controller/tests.rs
@@ -194,7 +194,7 @@
     assert_eq!(controller.routing.relays_in_flight(), 0);
     let _again = send(&mut controller, Some(Vec::new()));
     assert_eq!(controller.routing.relays_in_flight(), 1, "the worker came back");
-    // A worker that the leader has answered before is not redirected to it first.
+    // A worker that the leader has replied to before is not redirected to it first.
     let answered_before = Heartbeat {
         machine: MachineId::parse("vm-2").expect("valid"),
         fencing_token: 7,
--- a/src/coordination/controller/worker_redirects.rs
+++ b/src/coordination/controller/worker_redirects.rs
@@ -54,8 +54,8 @@
 
     /// Decides how to handle the heartbeat of a worker that should send it to the leader.
     ///
-    /// `had_leader_answer` states whether the current leader has answered the worker before. A
-    /// worker leaves its leader only when the leader no longer answers it, so redirecting it back
+    /// `had_leader_reply` states whether the current leader has replied to the worker before. A
+    /// worker leaves its leader only when the leader no longer replies to it, so redirecting it back
     /// would only cost it another timeout.
     pub(super) fn decide(
         &mut self,
--- a/src/coordination/controller/worker_redirects/tests.rs
+++ b/src/coordination/controller/worker_redirects/tests.rs
@@ -21,7 +21,7 @@
         RedirectDecision::Redirect,
         "the worker stayed away long enough to have reached the leader"
     );
-    // A worker that the leader has answered before came here because it can no longer reach it.
+    // A worker that the leader has replied to before came here because it can no longer reach it.
     assert_eq!(redirects.decide(at(30), &worker, true), RedirectDecision::Relay);
     assert_eq!(redirects.decide(at(41), &worker, true), RedirectDecision::Relay);
     assert_eq!(
--- a/src/coordination/election/steps.rs
+++ b/src/coordination/election/steps.rs
@@ -61,7 +61,7 @@
     Lost,
     /// The lease had expired; the key was not written.
     LeaseExpired,
-    /// There was no usable answer: the key may have been written.
+    /// There was no usable response: the key may have been written.
     Unknown,
 }
 
@@ -72,7 +72,7 @@
     Renewed,
     /// The lease has expired.
     LeaseExpired,
-    /// There was no usable answer: the lease may have been renewed.
+    /// There was no usable response: the lease may have been renewed.
     Failed,
 }
 
