--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -30,8 +30,9 @@
 /// Maximum number of jobs in memory per MB of the memory limit.
 const JOBS_PER_MB: f64 = 32.0;
 
-/// Whether the record fits into one value under the present and the announced limits, with its
-/// done tasks in the form that leaves the most room for the description.
+/// Whether the record fits into one value under the present and the announced limits, together
+/// with a bitmap of its done tasks. If the tasks do not fit into one block, the bitmap of one
+/// block is counted.
 fn fits_a_value(record: &JobRecord, kv: &KvSettings) -> bool {
     let limits = kv.strictest();
     let bitmap = (record.spec.task_count.min(block_size(limits.value_kb)) / 6) as usize;
@@ -44,7 +45,8 @@
         self.submit_with_dependency_states(now, now_ms, reply, spec, DependencyStates::default());
     }
 
-    /// Handles a submission, with the states that were read of the jobs that it depends on.
+    /// Handles a submission. `dependency_states`: states of jobs that it depends on, as read
+    /// from the store.
     pub fn submit_with_dependency_states(
         &mut self,
         now: Instant,
@@ -106,8 +108,9 @@
         self.outbox.push(Effect::LookUpJob { reply, job, if_absent });
     }
 
-    /// Whether another admission can be written soon. A submission that could not be written
-    /// within a second or two is refused at once instead of being kept waiting.
+    /// Whether another admission can be written soon and its job fits into memory. A submission
+    /// that could not be written within a second or two is refused at once instead of being kept
+    /// waiting.
     fn has_room_for_admission(&self) -> bool {
         let write_rps = self.record_writes.limits().write_rps;
         let max_admissions = whole_usize((write_rps / CHANGES_PER_ADMISSION).max(MIN_ADMISSIONS));
@@ -200,7 +203,8 @@
     /// Answers a submission whose first write was not carried out.
     fn answer_not_admitted(&mut self, reply: ReplyId, job: JobId, error: KvError) {
         match error {
-            // The job was admitted earlier and is terminal: its record has the answer.
+            // The job was admitted earlier and is not in memory, usually because it is terminal:
+            // its record has the answer.
             KvError::Conflict => self.answer_from_record(reply, job),
             KvError::Rejected => {
                 self.reject_unless_admitted(reply, job, "its description is too large for a record");
@@ -230,7 +234,7 @@
         }
     }
 
-    /// Adds a new job to memory as it is stored.
+    /// Adds a newly admitted job to memory.
     fn insert_job(&mut self, now: Instant, record: JobRecord, version: u64) {
         let spec = &record.spec;
         let is_ready = spec.dependencies.is_empty() || self.dependencies.is_ready(&spec.id);
@@ -248,8 +252,8 @@
         self.queue.invalidate();
     }
 
-    /// Removes a job from the graph whose admission was not carried out. A job that the
-    /// reconciler has restored in the meantime stays in the graph.
+    /// Removes a job whose admission was not carried out from the dependency graph, unless the
+    /// job has been restored from the store in the meantime.
     fn retract_admission(&mut self, job: &JobId) {
         if !self.jobs.contains_key(job) {
             self.dependencies.retract(job);
@@ -264,9 +268,10 @@
         if is_undecided { None } else { self.status_from_memory(now, job) }
     }
 
-    /// The answer from memory about a job whose outcome is not pending, or whose record was just
-    /// read and is not terminal: memory may have become terminal since the read, and knows
-    /// which tasks run. `None` if memory may not be used.
+    /// The answer about a job from its state in memory; `None` if that state may be outdated.
+    /// To be called only if the job's outcome is not pending, or after its record was read and
+    /// was not terminal: the job may have become terminal since that read, and only the state in
+    /// memory shows which tasks run.
     pub fn status_from_memory(&self, now: Instant, job: &JobId) -> Option<Answer> {
         let status = self.jobs.get(job)?.status();
         // Without the lease another leader may have changed the job; a terminal state is final.
--- a/src/coordination/jobs/admissions.rs
+++ b/src/coordination/jobs/admissions.rs
@@ -37,7 +37,7 @@
         self.pending.get_mut(job)
     }
 
-    /// Adds an admission whose write was sent.
+    /// Adds an admission whose write is about to be sent.
     pub(crate) fn begin(&mut self, job: JobId, admission: PendingAdmission) {
         self.pending.insert(job, admission);
     }
--- a/src/coordination/jobs/archive.rs
+++ b/src/coordination/jobs/archive.rs
@@ -15,8 +15,8 @@
     /// then the row stays live, so that a new leader knows which resources its tasks take.
     pub(crate) fn try_archive(&mut self, job_id: &JobId) {
         let Some(job) = self.jobs.get_mut(job_id) else { return };
-        let is_in_use = job.tasks.slot_count > 0 || job.stored.write_in_flight.is_some();
-        if job.record.terminal_state().is_none() || is_in_use {
+        let has_slots_or_write = job.tasks.slot_count > 0 || job.stored.write_in_flight.is_some();
+        if job.record.terminal_state().is_none() || has_slots_or_write {
             return;
         }
         match job.stored.row {
@@ -61,7 +61,8 @@
         self.commit(operation, RequestClass::Background, compares, changes);
     }
 
-    /// Handles the outcome of a row's move to the archive, and evicts the job from memory.
+    /// Handles the outcome of a row's move to the archive, and evicts the job from memory unless
+    /// a machine has since reported a task of it.
     pub(crate) fn handle_row_archived(&mut self, job_id: &JobId, result: Result<u64, KvError>) {
         self.record_writes.archive_ended();
         match result {
--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -119,7 +119,7 @@
             return;
         }
         let KnownDependencies { unmet, mut cancellation } = known;
-        // Whether this job is cancelled too is known once the cancellation is committed.
+        // This job is cancelled too only once the cancellation of the dependency is committed.
         let is_being_cancelled =
             |id: &JobId| self.jobs.get(id).is_some_and(|job| job.cancellation.is_requested);
         if unmet.iter().any(is_being_cancelled) {
@@ -156,13 +156,14 @@
                 self.latency_classes.record_new_work();
             }
             self.queue.invalidate();
-            // Its tasks start only once the raised mark is committed.
+            // Its tasks start only once the raised high-water mark is committed.
             self.raise_started_high_water(now, &ready_id);
         }
     }
 
-    /// Restores the dependencies of a job that was read from the store. The job also waits for
-    /// dependencies that are neither terminal nor in memory, because their state is unknown.
+    /// Restores the dependencies of a job that was read from the store. The job waits for each
+    /// dependency that is not known to be done or cancelled, including those that are neither in
+    /// memory nor in `read_states`.
     pub(crate) fn restore_dependencies(
         &mut self,
         now: Instant,
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -94,8 +94,8 @@
         self.unmet.is_empty() && !self.is_cancelled()
     }
 
-    /// The urgency that its dependencies inherit from it: their deadline is earlier than its own
-    /// by its expected duration.
+    /// The urgency that its dependencies inherit from it. Their deadline is the earlier of its
+    /// own and its inherited deadline, minus its expected duration.
     fn urgency_for_dependencies(&self) -> Option<Urgency> {
         let (own, duration) = self.own_urgency?;
         let combined = self.inherited.map_or(own, |inherited| own.most_urgent(inherited));
@@ -131,8 +131,8 @@
         self.propagate_urgency(job);
     }
 
-    /// Whether a job with dependencies is known to wait for none of them any more. A job that
-    /// is not in the graph is not known to be ready: its absence proves nothing.
+    /// Whether a job has no unmet dependencies and is not cancelled because of one. `false` for
+    /// a job that is not in the graph: nothing is known about its dependencies.
     pub fn is_ready(&self, job: &JobId) -> bool {
         self.nodes.get(job).is_some_and(GraphNode::is_ready)
     }
@@ -173,7 +173,8 @@
     pub fn cancel(&mut self, job: &JobId) -> Vec<JobId> {
         let dependents = self.propagate_cancellation(job, Cancellation::Cancelled);
         let cancelled: HashSet<&JobId> = dependents.iter().chain(std::iter::once(job)).collect();
-        // Their dependencies that are not cancelled may have inherited urgency from them.
+        // A dependency of a cancelled job that is not itself cancelled may have inherited
+        // urgency from the cancelled job.
         let mut remaining: BTreeSet<JobId> = BTreeSet::new();
         for member in &cancelled {
             let Some(node) = self.nodes.get(*member) else { continue };
@@ -188,8 +189,9 @@
         dependents
     }
 
-    /// Removes the dependencies of a job whose admission was not carried out. Its dependents
-    /// rely on an earlier admission of the job and stay in the graph.
+    /// Removes a job whose admission was not carried out. If other jobs depend on it, it was
+    /// admitted earlier: it then stays in the graph with these dependents, but without
+    /// dependencies of its own.
     pub fn retract(&mut self, job: &JobId) {
         let Some(node) = self.nodes.get_mut(job) else { return };
         let dependents = std::mem::take(&mut node.dependents);
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Removes a terminal job that is evicted from memory.
+    /// Removes a job: a terminal job that is evicted from memory, or one that is retracted.
     pub fn remove(&mut self, job: &JobId) {
         let Some(node) = self.nodes.remove(job) else { return };
         for dependency in &node.unmet {
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -34,7 +34,8 @@
 pub struct JobFailures {
     /// Machines on which tasks have failed since a task last succeeded.
     pub machines: BTreeSet<MachineId>,
-    /// If the job fails on every machine, it may run only one task at a time until then.
+    /// End of the job's backoff, which begins when its tasks have failed on several machines:
+    /// until then, only one of its tasks runs at a time.
     pub backoff_until: Option<Instant>,
 }
 
@@ -66,11 +67,13 @@
     /// When the last job that it depends on was done, or its submission if that was later;
     /// `None` while it waits for its dependencies.
     pub ready_at: Option<Instant>,
-    /// The time until which machines may still hold tasks of the job that the leader could not
-    /// attribute to it. Set for a job that was restored after the failover.
+    /// No task of the job starts before this time. Set for a job that was restored after the
+    /// failover: machines may still hold tasks of it that they had reported when the leader did
+    /// not know the job.
     pub not_before: Option<Instant>,
-    /// The load of all its tasks running at once, in units of its demand group, when it was
-    /// added to the measured demand.
+    /// The CPUs (GPUs if it needs any) that its unfinished tasks would use if all ran at once, at
+    /// most its team's limit, as of when it was first added to the measured demand; `None`
+    /// before.
     pub offered_load: Option<f64>,
     run_times: RunTimes,
 }
@@ -133,7 +136,8 @@
         self.ready_at.is_none()
     }
 
-    /// Time from which its age and its waits count; `now` while it waits for its dependencies.
+    /// Time from which the job's age and waiting time are measured; `now` while it waits for its
+    /// dependencies.
     pub fn waiting_since(&self, now: Instant) -> Instant {
         self.ready_at.unwrap_or(now)
     }
--- a/src/coordination/jobs/record_state.rs
+++ b/src/coordination/jobs/record_state.rs
@@ -7,7 +7,7 @@
 use crate::storage::done_set::DoneSet;
 use crate::storage::records::JobRecord;
 
-/// A write of a job's record that is in flight: the state once it is committed.
+/// A write of a job's record that is in flight: the stored state once it is committed.
 #[derive(Debug)]
 pub struct RecordWriteInFlight {
     /// The record will say that the job is cancelled.
@@ -104,10 +104,10 @@
     pub write_in_flight: Option<RecordWriteInFlight>,
     /// The conversion in progress, if its done tasks are being copied into smaller blocks.
     pub conversion: Option<BlockConversion>,
-    /// Whether the store rejected its terminal state for its size. It is then written without
-    /// done tasks.
+    /// The store rejected the job's terminal record for its size: a terminal record of the job
+    /// is written without done tasks from now on.
     pub is_too_large: bool,
-    /// Whether the store rejected it in every size. It is not written until its next retry.
+    /// The store rejected the record in every size; it is not written until its next retry.
     pub is_rejected: bool,
     /// Where its row is.
     pub row: RowState,
@@ -153,7 +153,8 @@
         }
     }
 
-    /// Replaces the blocks after a conversion: the record now names the new ones.
+    /// Replaces the blocks after a conversion: the record now names the new ones. Tasks that
+    /// were done during the conversion are not in them yet, so their blocks become dirty.
     pub fn adopt_blocks(&mut self, record: &JobRecord, conversion: BlockConversion, value_kb: f64) {
         self.block_versions = conversion.versions;
         let layout = record.layout(value_kb);
--- a/src/coordination/jobs/record_write.rs
+++ b/src/coordination/jobs/record_write.rs
@@ -1,9 +1,9 @@
 //! One write of a job's record: which keys it changes, under which conditions.
 //!
-//! A value that was allowed when it was written may be too large for limits that take effect
-//! later. The done tasks of such a job are then copied into smaller blocks under new keys, in
-//! as many transactions as needed. One last transaction makes the record name the new blocks:
-//! the old blocks are valid until it is committed, and the new ones from then on.
+//! A record or block that was allowed when it was written may be too large for limits that
+//! take effect later. The job's done tasks are then copied into smaller blocks under new keys,
+//! in as many transactions as needed. One last transaction makes the record name the new
+//! blocks: the old blocks are valid until it is committed, and the new ones from then on.
 
 use ciborium::value::Value;
 
@@ -81,8 +81,8 @@
     }
 
     /// The next blocks of a conversion, or the record that names them once all are written.
-    /// Each transaction is conditional on the record's version, so a transaction that reaches
-    /// the store after the last one fails.
+    /// Each transaction is conditional on the record's version, so a delayed one that reaches
+    /// the store after the record names the blocks fails.
     fn block_conversion(
         job: &Job,
         conversion: &BlockConversion,
@@ -110,7 +110,8 @@
     }
 }
 
-/// The record as it is to be stored by the next write.
+/// The record as it is to be stored by the next write. Sets the job's completion time if all
+/// its tasks are done.
 fn target_record(job: &mut Job, now_ms: u64) -> JobRecord {
     let cancelled = job.cancellation.is_requested;
     let completed = job.record.all_tasks_done() && !cancelled;
@@ -131,7 +132,7 @@
         (true, _) if job.cancellation.by_dependency => RequestClass::Completion,
         (true, _) => RequestClass::Cancellation,
         (_, true) => RequestClass::Completion,
-        // The first start of its tasks waits only for this write.
+        // Tasks beyond the stored high-water mark wait only for this write before they start.
         _ if record.started_high_water > job.stored.started_high_water => RequestClass::Completion,
         _ => RequestClass::Progress,
     }
--- a/src/coordination/jobs/record_writes.rs
+++ b/src/coordination/jobs/record_writes.rs
@@ -47,10 +47,11 @@
         }
     }
 
-    /// Writes the records whose done tasks have waited for the batch delay, at most at the
-    /// share of the store's write rate that is for them. Admissions and completions, for which
-    /// users wait, must never queue behind done tasks: under load the done tasks wait longer
-    /// and are written in fewer, larger batches.
+    /// Writes the records whose done tasks have waited for the batch delay, using at most the
+    /// share of the store's write rate that is reserved for done tasks. Admissions and
+    /// completions, for which users wait, must never queue behind done tasks: under load the
+    /// done tasks wait longer and are written in fewer, larger batches. Also retries rejected
+    /// records and archives queued rows.
     pub(crate) fn flush_dirty_records(&mut self, now: Instant) {
         let max_writes = self.record_writes.begin_flush(now);
         let delay = self.config.tuning.done_task_batch_delay;
@@ -101,8 +102,9 @@
         }
     }
 
-    /// Writes a job's record unless a write of it is in flight: changes made during a write
-    /// are written once that write has ended.
+    /// Writes a job's record, unless the record is terminal, a write of it is in flight, or the
+    /// store has rejected it in every size. Changes made during a write are written once that
+    /// write has ended.
     pub(crate) fn write_record(&mut self, now: Instant, job_id: &JobId) {
         let now_ms = self.clock.unix_time_ms(now);
         let Some(job) = self.jobs.get_mut(job_id) else { return };
@@ -173,7 +175,8 @@
     }
 
     /// Writes the changes that were made while the last write was in flight: a cancellation, a
-    /// completion or a first start at once, other done tasks with the next batch.
+    /// completion or a raised started high-water mark at once, other done tasks with the next
+    /// batch.
     fn write_pending_changes(&mut self, now: Instant, job_id: &JobId) {
         let Some(job) = self.jobs.get(job_id) else { return };
         let is_urgent = job.cancellation.is_requested
@@ -186,8 +189,9 @@
         }
     }
 
-    /// Handles the commit of a job's terminal state: answers the users who wait for it, and
-    /// makes its dependents ready or cancels them.
+    /// Handles the commit of a job's terminal state: answers the users who requested a
+    /// cancellation, makes its dependents ready or cancels them, stops its remaining tasks, and
+    /// archives its row once it may.
     fn handle_job_terminated(&mut self, now: Instant, job_id: &JobId, state: JobState) {
         tracing::debug!(epoch = self.epoch(), job = %job_id, state = state.as_str(), "job terminated");
         self.answer_cancel_waiters(job_id);
@@ -200,7 +204,8 @@
     }
 
     /// Handles a write that the store rejected because it no longer accepts values of that
-    /// size: writes the record in a smaller form. Other writes are not delayed.
+    /// size: writes the record in a smaller form, or schedules a retry if there is none. Writes
+    /// of other records are not delayed.
     fn handle_record_rejected(&mut self, now: Instant, job_id: &JobId, write: &RecordWriteInFlight) {
         let kv = &self.config.settings.cluster.kv;
         let (value_kb, allowed_block_tasks) = (kv.value_kb, block_size(kv.strictest().value_kb));
--- a/src/coordination/jobs/write_queue.rs
+++ b/src/coordination/jobs/write_queue.rs
@@ -17,7 +17,7 @@
 /// A job whose done tasks are to be written.
 #[derive(Debug, Clone)]
 pub(crate) struct DirtyJob {
-    /// When the first unwritten task was done.
+    /// When the first of its done tasks that are not written yet was done.
     pub(crate) since: Instant,
     /// The job.
     pub(crate) job: JobId,
