--- a/src/coordination/recovery/failover.rs
+++ b/src/coordination/recovery/failover.rs
@@ -29,8 +29,8 @@
     /// Records that no earlier leader can have replied to a worker since `at`: every other
     /// controller has stated, between the start of this epoch and `at`, that it is not a leader
     /// and so replies to no worker. That covers earlier terms of the same controllers, including
-    /// those of processes that have died: a name is used by one process at a time, and a process
-    /// only becomes a leader with a new epoch.
+    /// those of processes that have died: a controller name is used by one process at a time, and
+    /// a process only becomes a leader with a new epoch.
     pub fn record_post_lease_graces_over(&mut self, at: Instant) {
         self.failover.record_post_lease_graces_over(at);
     }
@@ -73,7 +73,7 @@
 
     /// Restores data that was read after the failover: jobs that the reconciler has made live
     /// again, and records that could not be read before. No task of these jobs is started
-    /// before the leases of an earlier leader's workers have expired.
+    /// before all worker leases that an earlier leader has renewed have expired.
     pub fn restore_snapshot(&mut self, now: Instant, now_ms: u64, restored: Snapshot) {
         for key in &restored.deleted_keys {
             self.failover.unreadable_mut().remove(key);
@@ -159,7 +159,7 @@
     }
 
     /// Clears the machines whose leases have expired: a worker that has received no reply for
-    /// its lease and a margin has killed all its tasks.
+    /// the lease time plus a margin has killed all its tasks.
     pub(crate) fn expire_silent_machines(&mut self, now: Instant) {
         let lease_timeout = self.config.worker_lease_timeout();
         let unreplied_expiry = self.failover.unreplied_lease_expiry(&self.config);
@@ -192,7 +192,7 @@
 }
 
 /// Time from which the worker's lease has provably expired. `unreplied_expiry`: that time for a
-/// worker to which this epoch has never replied.
+/// worker to which this leader has never replied.
 ///
 /// A worker that has sent a heartbeat under this epoch's fencing token ignores the replies of
 /// earlier leaders. Any other worker may never have received a reply of this epoch, and an
--- a/src/coordination/recovery/progress.rs
+++ b/src/coordination/recovery/progress.rs
@@ -19,8 +19,9 @@
 pub(crate) struct FailoverProgress {
     /// When the snapshot had been read completely.
     snapshot_at: Instant,
-    /// Time since which no earlier leader can have replied to a worker; `None` until that is
-    /// confirmed.
+    /// Time since which no earlier leader can have replied to a worker, not even in its
+    /// post-lease grace, in which it still replies although its own lease has expired; `None`
+    /// until that is confirmed.
     post_lease_graces_over_at: Option<Instant>,
     /// Whether every machine that may hold tasks is reconciled. Never reset within an epoch.
     is_complete: bool,
@@ -95,8 +96,9 @@
         self.post_lease_graces_over_at.get_or_insert(at);
     }
 
-    /// Expiry of the lease of a machine to which this epoch has never replied: one lease after
-    /// the end of all post-lease grace periods, by the configured bound or by an earlier confirmation.
+    /// Expiry of the lease of a machine to which this leader has never replied: one worker lease
+    /// after the end of all post-lease grace periods. That end is the configured bound, or earlier if it
+    /// was confirmed earlier.
     pub(crate) fn unreplied_lease_expiry(&self, config: &Config) -> Instant {
         let after_graces = self.snapshot_at + config.failover_lease_timeout();
         self.post_lease_graces_over_at
@@ -106,8 +108,8 @@
     /// Whether an unrecorded machine may be replied to while a node pool's record cannot be read.
     ///
     /// Each reply renews the lease of a worker whose tasks are not counted anywhere. Replies are
-    /// therefore given only for one `lease` after the snapshot: every live machine is registered
-    /// by then.
+    /// therefore given only for one `lease` after the snapshot: by then every live machine has
+    /// been registered by a heartbeat.
     pub(crate) fn may_reply_to_unrecorded(&mut self, now: Instant, lease: Duration) -> bool {
         let may_reply = now < self.snapshot_at + lease;
         if may_reply {
--- a/src/coordination/recovery/reconciler.rs
+++ b/src/coordination/recovery/reconciler.rs
@@ -20,8 +20,8 @@
 /// The stored state of one job, as far as the reconciler compares it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoredJob {
-    /// The terminal state in the record, if the job is terminal; the outer `None` if there is no
-    /// record.
+    /// The terminal state in the record: `None` if there is no record, `Some(None)` if the
+    /// record is not terminal.
     pub record: Option<Option<JobState>>,
     /// Whether there is a live row.
     pub live_row: bool,
@@ -119,8 +119,8 @@
 
 /// Reads the record and the rows of one job and compares them.
 ///
-/// The rows are read before the record: a row is only ever written after the record that it
-/// follows, so a row that is ahead of a record read later is damage and not a write in flight.
+/// The rows are read before the record: a row is never written before the record state that it
+/// reflects, so a row that is ahead of a record read later is damage and not a write in flight.
 ///
 /// # Errors
 ///
--- a/src/coordination/recovery/snapshot.rs
+++ b/src/coordination/recovery/snapshot.rs
@@ -35,7 +35,8 @@
     pub statistics: Option<(LearnedStatistics, u64)>,
     /// Records that exist and cannot be used.
     pub unreadable: UnreadableRecords,
-    /// Keys that could not be read earlier and no longer exist.
+    /// Keys of records that could not be used earlier and are no longer needed: the node pool's
+    /// record, or the job's live row, no longer exists.
     pub deleted_keys: Vec<String>,
 }
 
@@ -46,7 +47,7 @@
     pub record: JobRecord,
     /// The version of the record's key.
     pub record_version: u64,
-    /// The version of the live row's key; 0 if the row was not written yet.
+    /// The version of the live row's key; never 0, because only jobs with a live row are read.
     pub live_row_version: u64,
     /// The versions of the blocks of done tasks, by block number; 0 for a block that was
     /// never written.
@@ -117,7 +118,7 @@
 }
 
 /// Reads the keys of unusable records again. The result holds the jobs and node pools that
-/// can be read now, and the keys that no longer exist.
+/// can be read now, and in [`Snapshot::deleted_keys`] the keys that need not be read any more.
 ///
 /// # Errors
 ///
