--- a/src/storage/in_memory_kv.rs
+++ b/src/storage/in_memory_kv.rs
@@ -39,7 +39,8 @@
     delayed: Option<Value>,
     /// How the next commits fail.
     script: VecDeque<Script>,
-    /// Number of changes in each requested commit.
+    /// Number of changes in each commit that was checked against the store, without those
+    /// beyond the limits.
     commit_sizes: Vec<usize>,
 }
 
@@ -102,7 +103,8 @@
         assert!(self.messages.send(Message::Limit(limits)).await.is_ok());
     }
 
-    /// Number of changes in each requested commit.
+    /// Number of changes in each commit that was checked against the store, without those
+    /// beyond the limits.
     pub async fn commit_sizes(&self) -> Vec<usize> {
         let (reply, sizes) = oneshot::channel();
         assert!(self.messages.send(Message::CommitSizes(reply)).await.is_ok());
--- a/src/storage/kv.rs
+++ b/src/storage/kv.rs
@@ -191,8 +191,9 @@
     ///
     /// # Errors
     ///
-    /// [`KvError::Fenced`] if the epoch is over, [`KvError::Conflict`] if a key has another
-    /// version than expected, [`KvError::Rejected`] if the store rejects the transaction.
+    /// [`KvError::Fenced`] if the epoch is over or the actor has stopped, [`KvError::Conflict`]
+    /// if a key has another version than expected, [`KvError::Rejected`] if the store rejects
+    /// the transaction.
     pub async fn compare_and_swap(&self, mut transaction: Transaction) -> Result<u64, KvError> {
         let marker = format!("{:x}", new_write_marker());
         for change in &mut transaction.changes {
--- a/src/storage/kv/actor.rs
+++ b/src/storage/kv/actor.rs
@@ -20,9 +20,9 @@
 
 /// Maximum size of a response: a page of 512 KiB and its framing.
 const RESPONSE_LIMITS: Limits = Limits { head: 8 * 1024, body: 640 * 1024 };
-/// Maximum number of requests in flight.
+/// Maximum number of requests in flight, not counting long polls. Renewals may exceed it.
 const MAX_IN_FLIGHT: usize = 8;
-/// Number of requests in flight that all other classes leave to renewals.
+/// Number of [`MAX_IN_FLIGHT`] requests that all other classes leave for renewals.
 const RENEWAL_SLOTS: usize = 2;
 /// Capacity of the channel on which the actor receives requests.
 const REQUEST_CHANNEL_CAPACITY: usize = 256;
@@ -164,8 +164,9 @@
         }
     }
 
-    /// Decides what to do next. Renewals may use every slot and the whole rates; the other
-    /// classes leave a reserve, so that a backlog cannot make the lease expire.
+    /// Decides what to do next. Renewals wait neither for requests in flight nor for the end of
+    /// a pause, and may use the whole rates; the other classes leave a reserve, so that a
+    /// backlog cannot make the lease expire.
     fn next_action(&mut self, now: Instant) -> NextAction {
         let Some((class, request)) = self.queues.first() else { return NextAction::WaitForEvent };
         let writes = request.write_count();
--- a/src/storage/kv/outcome.rs
+++ b/src/storage/kv/outcome.rs
@@ -148,6 +148,7 @@
     let response = result.as_ref().ok()?;
     let change = pending.transaction.changes.first();
     match (response.status, change) {
+        // The key is gone, as the delete requires; the revision of the commit is not known.
         (404, Some(Change::Delete { .. })) => Some(Ok(0)),
         (404, _) => Some(Err(KvError::Conflict)),
         (200, Some(change)) => {
--- a/src/storage/kv/rates.rs
+++ b/src/storage/kv/rates.rs
@@ -37,9 +37,9 @@
 }
 
 /// Number of writes that a class leaves for classes of higher priority in a token bucket of this
-/// burst. Without this reserve, the classes that nobody waits for would use up all tokens as
-/// they refill, and each admission would wait until the bucket has refilled by the tokens that
-/// the admission needs.
+/// burst. Without this reserve, the classes of lower priority would use up all tokens as they
+/// refill, and each admission would wait until the bucket has refilled by the tokens that the
+/// admission needs.
 pub(super) fn write_reserve(class: RequestClass, burst: f64) -> f64 {
     let min_reserve = if class == RequestClass::Renewal { 0.0 } else { RENEWAL_WRITE_RESERVE };
     (burst * reserved_fraction(class)).max(min_reserve)
--- a/src/storage/kv/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -32,8 +32,8 @@
 async fn a_commit_with_unknown_outcome_is_resolved_before_it_is_reported() {
     for script in [Script::LoseAnswer, Script::Delay, Script::Refuse] {
         let (kv, _server) = client_and_server(&[script]).await;
-        let version = kv.compare_and_swap(put(7, "a", 0)).await.expect("carried out");
-        let entry = kv.get(RequestClass::Admission, "a").await.expect("served").expect("there");
+        let version = kv.compare_and_swap(put(7, "a", 0)).await.expect("committed");
+        let entry = kv.get(RequestClass::Admission, "a").await.expect("a response").expect("an entry");
         assert_eq!(entry.version, version, "{script:?}");
         assert_eq!(version, 8, "written once: {script:?}");
     }
@@ -100,7 +100,7 @@
     }
     while let Some(result) = tasks.join_next().await {
         let (n, result) = result.expect("no panic");
-        assert_eq!(result.is_err(), n == 3, "only what is too large itself is refused: {n} {result:?}");
+        assert_eq!(result.is_err(), n == 3, "only the oversized transaction is rejected: {n} {result:?}");
     }
     assert_eq!(kv.limits(), state.announced());
     assert!(server.commit_sizes().await.iter().all(|&changes| changes <= 2));
@@ -113,7 +113,7 @@
         server.seed(&format!("k/{n:04}"), Value::Null, n + 8).await;
     }
     server.seed("l/1", Value::Null, 9000).await;
-    assert_eq!(kv.scan("k/").await.expect("served").len(), 1203);
+    assert_eq!(kv.scan("k/").await.expect("a response").len(), 1203);
 }
 
 #[test]
--- a/src/storage/records/job_record.rs
+++ b/src/storage/records/job_record.rs
@@ -139,9 +139,10 @@
         Ok(self.done.decode_into(start, fields.text("done")?)?)
     }
 
-    /// The job's terminal state, if the record has one. A cancellation that arrives after the
-    /// last task was done is never written, so a job is not both completed and cancelled. If
-    /// a record nevertheless says both, the completion came first.
+    /// The job's terminal state, if the record has one. A write makes a record either completed
+    /// or cancelled: a cancellation that arrives while the completion is being written has no
+    /// effect, and one that arrives before that is written instead of the completion. If a
+    /// record nevertheless says both, the completion came first.
     pub fn terminal_state(&self) -> Option<JobState> {
         match (self.completed, self.cancelled) {
             (true, _) => Some(JobState::Done),
--- a/src/storage/records/learned_statistics.rs
+++ b/src/storage/records/learned_statistics.rs
@@ -20,11 +20,12 @@
     pub delay_tolerant: bool,
     /// Mean amount of work that would run at once if every task started when submitted.
     pub mean: f64,
-    /// Mean size of a job.
+    /// Mean size of a job: the amount of work if all its tasks ran at once, up to the limit of
+    /// its team.
     pub mean_size: f64,
     /// Mean of the square of a job's size.
     pub mean_square_size: f64,
-    /// Number of jobs that the mean sizes were measured on.
+    /// Number of jobs whose sizes the means include.
     pub job_count: f64,
     /// Time over which the demand has been measured, in seconds.
     pub age_s: f64,
