--- a/src/coordination/controller/heartbeats.rs
+++ b/src/coordination/controller/heartbeats.rs
@@ -17,9 +17,9 @@
     /// Replies to a heartbeat, now or later.
     pub(super) fn handle_heartbeat(&mut self, message: HeartbeatMessage) {
         let now = Instant::now();
-        // The worker no longer waits for the reply. A start in it would be lost, and the leader
-        // would assume that the reply renewed the worker's lease, which would only delay the
-        // proof that the machine is dead.
+        // The worker no longer waits for the reply, so a start command in it would be lost. The
+        // leader would nevertheless assume that the reply renewed the worker's lease, which would
+        // only delay the proof that the machine is dead.
         if now >= message.arrived + HEARTBEAT_REPLY_TIMEOUT {
             return;
         }
@@ -41,11 +41,13 @@
     /// Whether the reply may be deferred until there is a command. The reply to a relayed
     /// heartbeat may not: the relaying controller waits for it.
     fn may_defer_reply(&self, message: &HeartbeatMessage) -> bool {
+        // A relayed heartbeat comes without its encoded body.
         let is_direct = message.body.is_some();
         is_direct && self.leader.as_ref().is_some_and(|leader| leader.may_defer_reply(&message.heartbeat))
     }
 
     fn defer_reply(&mut self, now: Instant, message: HeartbeatMessage) {
+        // The worker no longer waits for a reply that is still deferred from an earlier heartbeat.
         if let Some(earlier) = self.deferred_replies.defer(now, message.heartbeat, message.reply) {
             let _ = earlier.reply.send(redirect_answer(None));
         }
@@ -83,6 +85,7 @@
     /// is relayed to the leader. A heartbeat that was already relayed is not relayed again.
     fn redirect_or_relay(&mut self, now: Instant, message: HeartbeatMessage) {
         let HeartbeatMessage { heartbeat, body, reply, arrived } = message;
+        // Without a body, the heartbeat was relayed by another controller.
         let Some(body) = body else { return drop(reply.send(redirect_answer(None))) };
         let leader = match self.routing.route_heartbeat(now, &heartbeat) {
             HeartbeatRoute::NoLeader => return drop(reply.send(redirect_answer(None))),
--- a/src/coordination/controller/leader_lifecycle.rs
+++ b/src/coordination/controller/leader_lifecycle.rs
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Passes records that were read after the failover to the leader for which they were read.
+    /// Passes records that were missing from the leader's snapshot and have been read since to the
+    /// leader, unless its epoch, in which they were read, is over.
     pub(super) fn restore_snapshot(&mut self, epoch: u64, restored: Snapshot) {
         if let Some(leader) = self.leader_of_epoch(epoch) {
             leader.restore_snapshot(Instant::now(), unix_time_ms(), restored);
@@ -133,8 +134,9 @@
     /// Handles the result of a leader query; `None` if the peer did not reply in time.
     pub(super) fn handle_peer_state(&mut self, now: Instant, peer: &str, peer_state: Option<PeerState>) {
         self.routing.record_peer_state(now, peer, peer_state);
-        // A new leader waits until the leases of silent machines must have expired. Once no other
-        // controller replies to workers, that wait need not include a post-lease grace period.
+        // A new leader waits until the leases of silent machines have provably expired. The wait
+        // includes the post-lease grace period, in which an earlier leader may still reply to
+        // workers, unless all other controllers have stated that they reply to no worker.
         if let Some(leader) = &mut self.leader
             && let Some(at) = self.routing.all_peers_idle_since(leader.snapshot_at())
         {
--- a/src/coordination/election/runner.rs
+++ b/src/coordination/election/runner.rs
@@ -165,6 +165,7 @@
             None => AcquireOutcome::Unknown,
         },
         409 => AcquireOutcome::Lost,
+        // The store rejects a put that names a lease which no longer exists.
         400 => AcquireOutcome::LeaseExpired,
         _ => AcquireOutcome::Unknown,
     }
@@ -178,8 +179,8 @@
                 None => WatchOutcome::Failed,
             }
         }
-        // The store can no longer watch from that version. The key is read next, which is
-        // enough.
+        // The store can no longer watch from that version. No retry is needed: the key is read
+        // next, which shows any change.
         Ok(response) if response.status == 410 => WatchOutcome::Ended,
         Ok(_) | Err(ClientError::NotSent | ClientError::ConnectionLost(_)) => WatchOutcome::Failed,
         // The key is read next, which shows whether the store can be reached.
--- a/src/coordination/tests/simulation/faults.rs
+++ b/src/coordination/tests/simulation/faults.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// A fault. A fault of one controller that names none affects the leader according to the
-/// state service. `lasts`, `restart_after` and `hang` are seconds; `probability` applies to
-/// each machine or event.
+/// A fault. A fault that affects a single controller affects the leader according to the state
+/// service, unless the fault names another controller. `lasts`, `restart_after` and `hang` are
+/// seconds; `probability` applies to each machine or event.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
     /// A controller is killed, and started again after `restart_after`.
@@ -33,9 +33,10 @@
     DelayedWrites { probability: f64, lasts: f64 },
     /// Copies of heartbeats arrive later, at random controllers.
     DuplicatedHeartbeats { probability: f64, lasts: f64 },
-    /// Users cancel `count` running jobs; the machines of these are stalled for `hang`.
+    /// Users cancel the jobs of the first `count` running tasks; the machines that run tasks of
+    /// these jobs are stalled for `hang`.
     CancelNow { count: usize, hang: f64 },
-    /// Users cancel jobs when their last task ends.
+    /// Users cancel jobs at the moment when their last task is done.
     CancelAtEnd { probability: f64, lasts: f64 },
     /// Many jobs are submitted at the same time.
     Burst { jobs: usize },
@@ -53,19 +54,20 @@
     Stall { controller: Option<usize>, lasts: f64 },
     /// The announced limits of the state service take effect permanently.
     LimitsLowered,
-    /// The zone with workers and one controller is partitioned from everything.
+    /// Zone `z2`, with its workers and one controller, is partitioned from everything else.
     ZonePartition { lasts: f64 },
 }
 
 impl Simulation {
-    /// Selects each machine that is up with this probability; returns their names.
+    /// Selects each running machine with this probability, and returns the names of those
+    /// selected.
     fn random_machines(&mut self, now: Instant, probability: f64) -> Vec<String> {
         let up = self.machines.iter().filter(|(_, m)| m.gone_at.is_none() && now >= m.up_at);
         let names: Vec<String> = up.map(|(name, _)| name.clone()).collect();
         names.into_iter().filter(|_| self.rng.random_bool(probability)).collect()
     }
 
-    /// Changes each machine that is up with this probability.
+    /// Applies a change to each running machine with this probability.
     fn change_random_machines(&mut self, now: Instant, probability: f64, change: impl Fn(&mut Worker)) {
         for name in self.random_machines(now, probability) {
             change(self.machines.get_mut(&name).expect("the machine exists"));
@@ -82,7 +84,7 @@
                 self.kill(controller.unwrap_or(leader), restart_after);
             }
             Fault::KillAll { restart_after } => {
-                (0..self.controllers.len()).for_each(|at| self.kill(at, restart_after));
+                (0..self.controllers.len()).for_each(|controller| self.kill(controller, restart_after));
             }
             Fault::Outage { lasts } => self.outage_until = until(lasts),
             Fault::StateServiceRefuses { lasts, peers } => {
@@ -150,14 +152,15 @@
         }
     }
 
-    /// Isolates a controller from the others until this time, if `isolates` is set.
-    fn isolate_if(&mut self, isolates: bool, at: usize, until: Instant) {
-        if isolates {
-            self.controllers[at].isolated_until = until;
+    /// Isolates a controller from the others until this time, if `should_isolate` is set.
+    fn isolate_if(&mut self, should_isolate: bool, controller: usize, until: Instant) {
+        if should_isolate {
+            self.controllers[controller].isolated_until = until;
         }
     }
 
-    /// Cancels the first `count` running jobs and stalls the machines that run them.
+    /// Cancels the jobs of the first `count` running tasks, and stalls the machines that run tasks
+    /// of these jobs.
     fn cancel_running_jobs(&mut self, now: Instant, count: usize, hung_until: Instant) {
         let running: Vec<(String, String)> =
             self.on_machines().map(|(name, _, key)| (name.to_owned(), key.0.clone())).collect();
--- a/src/coordination/workers/slots.rs
+++ b/src/coordination/workers/slots.rs
@@ -1,5 +1,5 @@
-//! Adding and removing slots. No other code does so: machines' free capacity and teams' quota
-//! use are updated together with the slots.
+//! Adds and removes slots. Slots are added and removed only here, so that each change also
+//! updates the machine's free capacity and the team's quota use.
 
 use tokio::time::Instant;
 
@@ -11,8 +11,9 @@
 
 impl Leader {
     /// Adds a slot for an attempt of a task, and charges its resources to the machine and to
-    /// the team's quota. `is_assigned`: whether the task is assigned to this machine; if not,
-    /// it should not be there. Does nothing if the machine or the job is not in memory.
+    /// the team's quota. `is_assigned` tells whether the task is assigned to this machine; a
+    /// task that is not should not be on it. Does nothing if the machine or the job is not in
+    /// memory.
     pub(crate) fn add_slot(
         &mut self,
         now: Instant,
@@ -50,7 +51,7 @@
     }
 
     /// Removes a slot whose task is provably no longer on the machine, and releases its
-    /// resources. A task that was assigned to the slot and is not done is requeued.
+    /// resources. If the task was assigned to this machine and is not done, it is requeued.
     pub(crate) fn remove_slot(&mut self, now: Instant, machine_id: &MachineId, task: &TaskId) {
         let Some(machine) = self.machines.get_mut(machine_id) else { return };
         let Some(slot) = machine.slots.remove(task) else { return };
--- a/src/storage/kv/queue.rs
+++ b/src/storage/kv/queue.rs
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Number of puts and deletes that count against the store's write rate.
+    /// Number of puts and deletes that count against the store's write rate. A raw commit counts
+    /// as one: only the election sends them, and each writes only the leader key.
     pub(super) fn write_count(&self) -> usize {
         match self {
             Request::Raw { call, .. } => usize::from(call.target == "/commit"),
@@ -65,7 +66,7 @@
 pub(super) struct PendingTransaction {
     /// The caller's changes, with the write marker in each value.
     pub(super) transaction: Transaction,
-    /// Upper estimate of the bytes that it takes in a request.
+    /// Upper bound on the bytes that it takes in a request.
     pub(super) size: usize,
     /// Marker in the values of this transaction and of no other.
     pub(super) write_marker: String,
--- a/src/storage/records/rows.rs
+++ b/src/storage/records/rows.rs
@@ -1,4 +1,5 @@
-//! Summary rows: a job's state under a key that can be scanned without reading its record.
+//! Summary rows: each holds only the state of one job, under a key of its own, so that jobs can
+//! be listed without reading their records.
 
 use ciborium::value::Value;
 
--- a/tests/soak/network.rs
+++ b/tests/soak/network.rs
@@ -18,7 +18,8 @@
     Delayed(Duration),
     /// Delivered in order once the fault has ended.
     Held,
-    /// Dropped, and the connection is lost.
+    /// Dropped. A connection whose bytes were dropped stays open until the fault has ended, and
+    /// is then closed.
     Lost,
 }
 
@@ -27,7 +28,7 @@
 pub struct LinkState {
     /// Where the server behind the link listens; `None` while it is down.
     pub target: Option<SocketAddr>,
-    /// Whether new connections are refused and open ones are closed.
+    /// Whether open connections are closed, and new ones right after they are accepted.
     pub refusing: bool,
     /// Delivery from client to server.
     pub forward: Delivery,
@@ -63,7 +64,8 @@
         Ok(Link { address, state })
     }
 
-    /// Sets the server for new connections; `None` refuses them.
+    /// Sets the server for new connections; with `None` they are closed right after they are
+    /// accepted.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.state.send_modify(|state| state.target = target);
     }
@@ -88,8 +90,8 @@
 async fn accept(listener: TcpListener, state: watch::Receiver<LinkState>) {
     loop {
         tokio::select! {
-            // The link has been dropped at the end of the run.
-            () = wait_until_dropped(state.clone()) => return,
+            // The `Link` has been dropped at the end of the run, which closes its state channel.
+            () = wait_until_link_dropped(state.clone()) => return,
             accepted = listener.accept() => {
                 let Ok((client, _)) = accepted else { continue };
                 tokio::spawn(proxy(client, state.clone()));
@@ -98,7 +100,7 @@
     }
 }
 
-async fn wait_until_dropped(mut state: watch::Receiver<LinkState>) {
+async fn wait_until_link_dropped(mut state: watch::Receiver<LinkState>) {
     while state.changed().await.is_ok() {}
 }
 
@@ -142,7 +144,8 @@
                     return;
                 }
             }
-            // Keep the connection open without forwarding bytes until the fault has ended.
+            // Keep the connection open without forwarding bytes until the fault has ended, then
+            // close it, since bytes are missing from the stream.
             Delivery::Lost => {
                 let _ = state.wait_for(|state| delivery_of(state) != Delivery::Lost).await;
                 return;
