--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -33,7 +33,7 @@
     fn as_str(self) -> &'static str {
         match self {
             ScaleInReason::NeverStarted => "never started",
-            ScaleInReason::Dead => "silent",
+            ScaleInReason::Dead => "dead",
             ScaleInReason::CordonedOrPreempted => "cordoned or preempted",
             ScaleInReason::Idle => "idle",
         }
