--- a/src/coordination/fleet/cloud/actor.rs
+++ b/src/coordination/fleet/cloud/actor.rs
@@ -166,7 +166,7 @@
         self.in_flight -= 1;
         self.pool.put_back(finished.connection);
         if let Some(Failure { status }) = finished.failure
-            && let Some(times) = self.failure_log.should_log(Instant::now())
+            && let Some(times) = self.failure_log.record_failure(Instant::now())
         {
             tracing::error!(times, ?status, "cloud request failed");
         }
--- a/src/storage/kv/outcome.rs
+++ b/src/storage/kv/outcome.rs
@@ -108,7 +108,7 @@
     }
 
     fn log_not_committed(&mut self, result: &HttpResult, outcome_unknown: bool) {
-        if let Some(times) = self.log_throttle.should_log(Instant::now()) {
+        if let Some(times) = self.log_throttle.record_failure(Instant::now()) {
             let status = result.as_ref().map(|response| response.status).ok();
             tracing::error!(times, ?status, outcome_unknown, "commit failed, retrying");
         }
--- a/src/storage/kv/tests.rs
+++ b/src/storage/kv/tests.rs
@@ -120,9 +120,9 @@
 fn log_throttle_counts_suppressed_failures() {
     let now = Instant::now();
     let mut throttle = LogThrottle::default();
-    assert_eq!(throttle.should_log(now), Some(1));
-    assert_eq!(throttle.should_log(now + Duration::from_secs(1)), None);
-    assert_eq!(throttle.should_log(now + Duration::from_secs(6)), Some(2));
+    assert_eq!(throttle.record_failure(now), Some(1));
+    assert_eq!(throttle.record_failure(now + Duration::from_secs(1)), None);
+    assert_eq!(throttle.record_failure(now + Duration::from_secs(6)), Some(2));
 }
 
 #[test]
--- a/src/storage/rate_limit.rs
+++ b/src/storage/rate_limit.rs
@@ -78,7 +78,7 @@
 
     /// Counts one failure. If a line may be logged now, returns the number of failures since
     /// the last line, this one included.
-    pub fn should_log(&mut self, now: Instant) -> Option<u32> {
+    pub fn record_failure(&mut self, now: Instant) -> Option<u32> {
         self.suppressed += 1;
         if self.logged_at.is_some_and(|at| now < at + Self::INTERVAL) {
             return None;
