--- a/src/protocol/cbor.rs
+++ b/src/protocol/cbor.rs
@@ -237,8 +237,8 @@
 /// Size in bytes assumed for a value that has no JSON form; such a value is never sent.
 const JSON_OTHER_BYTES: usize = 64;
 
-/// An upper bound in bytes of a value's size as JSON, in which the platform measures its size
-/// limits. Each byte that JSON may have to escape is counted as escaped.
+/// An upper bound of a value's size in bytes when it is encoded as JSON. The platform's size
+/// limits refer to that encoding. Each byte that JSON may have to escape is counted as escaped.
 pub fn max_json_size(value: &Value) -> usize {
     match value {
         Value::Text(text) => 2 + text.bytes().map(json_byte_size).sum::<usize>(),
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -91,8 +91,8 @@
 
 /// A node pool request, which asks the cloud to provision machines.
 ///
-/// Its name makes it idempotent: a repeated request with the same name provisions nothing
-/// new. A name is never used for a second request.
+/// Its name makes it idempotent: sending the same request again provisions no further
+/// machines. Two different requests never have the same name.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePoolRequest {
     /// Unique name of the request.
--- a/src/protocol/jobs.rs
+++ b/src/protocol/jobs.rs
@@ -225,8 +225,9 @@
     ///
     /// # Errors
     ///
-    /// [`Malformed`], which names the first field that is missing or invalid. Only fields that
-    /// may be null may be omitted: no default is assumed for a missing required field.
+    /// [`Malformed::NotAMap`] if the value is not a map; otherwise an error that names a field
+    /// which is missing or invalid. An optional field may be absent or null; a required field
+    /// has no default.
     pub fn decode(value: &Value) -> Result<Self, Malformed> {
         let fields = Fields::of(value)?;
         let machine_types = decode_machine_types(&fields)?;
--- a/src/protocol/jobs/tests.rs
+++ b/src/protocol/jobs/tests.rs
@@ -36,8 +36,7 @@
     assert_eq!(JobSpec::decode(&spec.encode().build()), Ok(spec));
 }
 
-/// Only fields that may be null may be omitted: no default is assumed for a required field that
-/// the user left out.
+/// No default is assumed for a required field that the user left out.
 #[test]
 fn a_job_that_lacks_a_field_is_malformed() {
     let Value::Map(fields) = sample("job-1", "vision", 1, 1.0).encode().build() else { panic!("a map") };
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! The platform uses its own names on the wire ("sheet" for a task, "bench" for a machine,
 //! "baton" for a fencing token). `wire_words` maps each name to the standard term. The other
-//! modules hold the message types with their only encoders and decoders. Other layers do not
-//! use the wire names.
+//! modules define the message types, and are the only code that encodes and decodes them, so
+//! other layers need no wire names.
 
 pub mod cbor;
 pub mod cloud;
--- a/src/protocol/wire_words.rs
+++ b/src/protocol/wire_words.rs
@@ -4,8 +4,9 @@
 //! The messages of users, workers, the cloud and the key-value store use their own names
 //! ("sheet" for a task, "bench" for a machine). These names are part of the protocol and of
 //! stored records and must never change. The encoders and decoders of the other modules of
-//! `protocol` use the constants below for both directions; no other source file contains such
-//! a word as a literal. `tests` holds the whole table.
+//! `protocol` use the constants below for both directions, and contain none of the words as
+//! literals. Other layers contain only those words that are ordinary terms too ("name"), and a
+//! few exceptions. `tests` checks this, and lists all words and the exceptions.
 
 /// Keys of CBOR maps.
 pub(super) mod field {
@@ -115,7 +116,8 @@
     pub(crate) const RUNNING_TASKS: &str = "running";
     /// Sequence number of a heartbeat within an incarnation.
     pub(crate) const SEQUENCE: &str = "tick";
-    /// Whether a machine or request is for spot, or whether a job allows spot machines.
+    /// Whether a machine is a spot machine, a request asks for spot machines, or a job allows
+    /// them.
     pub(crate) const SPOT: &str = "loaners";
     /// Price of a spot machine.
     pub(crate) const SPOT_PRICE: &str = "spotPrice";
@@ -149,7 +151,8 @@
     pub(crate) const COMMAND_STOP: &str = "stop";
     /// Exit cause: another attempt of the same task is on the machine.
     pub(crate) const EXIT_ATTEMPT_PRESENT: &str = "in_use";
-    /// Exit cause: the task is done. Not the field [`super::field::DONE_TASKS`].
+    /// Exit cause: the task is done. The field [`super::field::DONE_TASKS`] is the same word, but
+    /// unrelated.
     pub(crate) const EXIT_DONE: &str = "done";
     /// Exit cause: the machine had too few free resources.
     pub(crate) const EXIT_INSUFFICIENT_RESOURCES: &str = "no_room";
--- a/src/protocol/wire_words/tests.rs
+++ b/src/protocol/wire_words/tests.rs
@@ -105,8 +105,8 @@
     (value::TASK_SAVING, "flushing", "task state: saving"),
 ];
 
-/// Words that only the wire format may use. The other wire words ("name", "running") are
-/// ordinary terms that other layers also use for their own purposes.
+/// Words that only `protocol` may use. The other wire words ("name", "running") are ordinary
+/// terms that other layers also use for their own purposes.
 const WIRE_ONLY_WORDS: &[&str] = &[
     "accelerators",
     "awaits",
@@ -165,12 +165,12 @@
 
 /// Uses of [`WIRE_ONLY_WORDS`] in another layer with a different meaning: folder, word, reason.
 const EXCEPTIONS: &[(&str, &str, &str)] = &[
-    ("src/coordination/controller", "build", "a `status` figure: the version of the program"),
+    ("src/coordination/controller", "build", "a metric of `status`: the version of the program"),
     ("src/storage", "standing", "the key of stored summary rows, which belongs to the records"),
 ];
 
-/// Test code outside files named `…tests.rs` and folders named `tests`. It simulates the
-/// key-value store and therefore spells the wire words independently of the constants.
+/// Test code outside files named `…tests.rs` and folders named `tests`: the simulated key-value
+/// store, which spells the wire words independently of the constants.
 const TEST_DOUBLES: &[&str] = &["src/storage/in_memory_kv.rs", "src/storage/in_memory_kv/store.rs"];
 
 fn words() -> impl Iterator<Item = &'static (&'static str, &'static str, &'static str)> {
@@ -197,7 +197,8 @@
     }
 }
 
-/// Each source file outside tests and `wire_words`, with its code without comment lines.
+/// The path of each source file other than test code and `wire_words`, and its text without
+/// comment lines.
 fn sources() -> Vec<(PathBuf, String)> {
     let mut paths = Vec::new();
     rust_files(Path::new("src"), &mut paths);
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -135,8 +135,8 @@
 
 /// A worker's heartbeat: describes its machine and the status of each task on it.
 ///
-/// Heartbeats of a machine are ordered by (`incarnation`, `sequence`), which identifies an
-/// older one that arrives late.
+/// The pair (`incarnation`, `sequence`) orders the heartbeats of a machine, so that one which
+/// arrives after a newer one can be recognized.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Heartbeat {
     /// The machine that the worker runs on.
--- a/src/transport/call.rs
+++ b/src/transport/call.rs
@@ -23,7 +23,8 @@
 /// it out; after any other error the outcome is unknown.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// The connection could not be established, so nothing was sent.
+    /// The connection could not be established, so nothing was sent; only a GET may have been
+    /// sent before, on an idle connection that was lost.
     #[error("could not connect")]
     NotSent,
     /// The timeout of the call ran out.
--- a/src/transport/peer.rs
+++ b/src/transport/peer.rs
@@ -23,7 +23,7 @@
 use wire::peer_server::{Peer, PeerServer};
 use wire::{JobRequest, LeadRequest, Reply, ReportRequest, SubmitRequest};
 
-/// Handles calls from other controllers. Cloned for every connection.
+/// Handles calls from other controllers. All connections share one handler.
 pub trait PeerHandler: Clone + Send + Sync + 'static {
     /// Handles one call. With `relay` set, a controller that does not lead relays the call to
     /// the leader, on behalf of a caller that cannot reach the leader.
@@ -119,7 +119,8 @@
 
 impl PeerLink {
     /// Creates a link to the controller at an address without connecting yet. `timeout` limits
-    /// the time to connect and the time without an acknowledgement on an open connection.
+    /// the time to connect, and the wait for the acknowledgement of a keep-alive on an open
+    /// connection.
     ///
     /// # Errors
     ///
@@ -141,8 +142,8 @@
     }
 
     /// Calls the other controller. Returns `None` if the controller could not be reached,
-    /// rejected the call as malformed, or gave no valid reply within the timeout; the outcome
-    /// is then unknown.
+    /// returned a gRPC error, such as for a malformed call, or gave no valid reply within the
+    /// timeout; the outcome is then unknown.
     pub async fn call(&self, call: PeerCall, relay: bool, timeout: Duration) -> Option<PeerReply> {
         #[cfg(test)]
         match tokio::time::timeout(timeout, super::simulated_network::peer(self.address, &call, relay)).await
--- a/src/transport/peer/tests.rs
+++ b/src/transport/peer/tests.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Messages of the build before job dependencies (commit 652c9af) are decoded, and encode to
-/// the same bytes.
+/// Messages recorded from the last build without job dependencies (commit 652c9af) are decoded,
+/// and encode to the same bytes.
 #[test]
 fn messages_of_the_previous_build_are_read_and_written_unchanged() {
     macro_rules! sent {
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -1,7 +1,7 @@
 //! A small HTTP server: one task per connection, requests answered in order.
 //!
-//! The number of connections, the size of heads and bodies, and idle times are all bounded,
-//! so a hostile or slow client uses at most the buffers of one connection.
+//! The number of connections served, the size of heads and bodies, and idle times are all
+//! bounded, so hostile or slow clients cannot use an unlimited amount of memory.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -29,7 +29,8 @@
     /// Maximum number of concurrent connections; further ones are refused with status 503.
     /// At least one connection is served, even if this is 0.
     pub max_connections: usize,
-    /// Maximum time that a connection may be idle between two requests.
+    /// Maximum time that a connection may be idle before its first request and between two
+    /// requests.
     pub idle_timeout: Duration,
     /// Timeout for a whole request to arrive after its first byte, and for a response to be
     /// sent.
@@ -109,7 +110,7 @@
     Request(Request),
     /// An invalid or incomplete request, to be rejected with this HTTP status.
     Invalid { status: u16 },
-    /// No request: the client closed the connection, or was idle for too long.
+    /// No whole request: the connection was closed or failed, or was idle for too long.
     Disconnected,
 }
 
