--- a/src/cli/audit.rs
+++ b/src/cli/audit.rs
@@ -79,10 +79,10 @@
 /// Acquires the leader's lease under a name unique to this audit, and returns the epoch.
 /// Waits for at most one lease duration.
 ///
-/// This function drops the election's channels when it returns, so the election task ends
-/// when it reports its next role change, at the latest at the first renewal. After that the
-/// lease expires unless it is released first, and the store refuses writes of an epoch whose
-/// lease has expired.
+/// This function drops its ends of the election's channels when it returns, so the election
+/// task ends when it reports its next role change, at the latest after the first renewal. The
+/// lease then expires unless it is released first, and the store refuses writes of an epoch
+/// whose lease has expired.
 async fn acquire_leadership(kv: &KvClient, lease_ttl: Duration) -> Result<u64, CliError> {
     let name = format!("audit-{:08x}", rand::random::<u32>());
     let (role_sender, mut roles) = mpsc::channel(4);
@@ -170,7 +170,8 @@
     Ok(())
 }
 
-/// Writes the totals. The line on waiting jobs and block sizes is left out if both are 0.
+/// Writes the totals. The line on waiting jobs and on records that state their block size is
+/// left out if both numbers are 0.
 fn write_summary(counts: &AuditCounts, out: &mut impl Write) -> std::io::Result<()> {
     let AuditCounts { jobs, inconsistent, waiting_for_dependencies, naming_blocks } = counts;
     if waiting_for_dependencies + naming_blocks > 0 {
@@ -182,8 +183,8 @@
     writeln!(out, "{jobs} jobs, {inconsistent} inconsistent")
 }
 
-/// Maps any read error to [`CliError::StateServiceUnavailable`]: without all reads an audit
-/// cannot judge the records, whatever the cause.
+/// Maps any read error to [`CliError::StateServiceUnavailable`]: an audit cannot continue after
+/// a failed read, whatever the cause.
 fn unavailable(_: KvError) -> CliError {
     CliError::StateServiceUnavailable
 }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -26,16 +26,16 @@
 
 /// One line with the state service's present limits and, if there are any, the limits
 /// announced for later.
-pub(super) fn describe_limits(state: &KvSettings) -> String {
+pub(super) fn describe_limits(kv: &KvSettings) -> String {
     let describe = |limits: KvLimits| {
         format!(
             "{} requests and {} changes a second, values up to {} KiB, {} changes a transaction",
             limits.rps, limits.write_rps, limits.value_kb, limits.txn_ops
         )
     };
-    let present = describe(state.initial());
-    match state.next {
-        Some(_) => format!("state service: {present}; later: {}", describe(state.announced())),
+    let present = describe(kv.initial());
+    match kv.next {
+        Some(_) => format!("state service: {present}; later: {}", describe(kv.announced())),
         None => format!("state service: {present}"),
     }
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -73,7 +73,7 @@
 /// Runs the program. The first argument is the program's name.
 ///
 /// Prints errors to standard error. With `--config`, returns only if the controller cannot
-/// start or if its main actor ends.
+/// start or if its controller actor ends.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let status = match Arguments::try_parse_from(arguments) {
         Ok(arguments) => dispatch(arguments).unwrap_or_else(|error| {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,7 +20,8 @@
 //!
 //! Outside the layers are [`settings`] (the platform's settings file) and [`policy`] (tuning
 //! parameters set by operators), which all layers except `transport` and `protocol` may use,
-//! and `maps` (hash maps with an order that tests can reproduce).
+//! `maps` (hash maps with an order that tests can reproduce) and `numeric` (conversions between
+//! numeric types).
 //!
 //! # Coordination
 //!
--- a/src/policy/expression.rs
+++ b/src/policy/expression.rs
@@ -11,7 +11,7 @@
 //! ```
 //!
 //! Both branches of an `if` are evaluated, so that an error in the branch not taken is
-//! reported at once, before a change of the settings selects it.
+//! reported at once, and not only after a change of the settings selects that branch.
 
 use super::tokens::{ExpressionError, Token, TokenKind, fail, tokenize};
 use super::values::{Type, Value, add, divide, multiply, subtract};
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -80,7 +80,7 @@
 pub struct Tuning {
     /// Time to live of the leader's lease.
     pub lease: Duration,
-    /// Number of machines scored for each placement (power-of-k sampling).
+    /// Maximum number of machines scored for each placement (power-of-k sampling).
     pub sampled_machines: usize,
     /// Weight, in a machine's score, of the work expected to be lost with a spot machine.
     pub spot_risk: f64,
@@ -96,15 +96,17 @@
     pub delay_tolerant_ratio: f64,
     /// Additional capacity beyond the multiple of the mean, in standard deviations of demand.
     pub headroom: f64,
-    /// Time over which demand statistics are taken, as a multiple of the longest boot time.
+    /// Time over which demand statistics are taken, as a multiple of the longest boot time. For
+    /// work that may wait for longer, they are taken over that wait, up to `start_within`.
     pub demand_memory_boots: f64,
     /// Factor applied to spot prices when offers are compared; above 1, spot machines count
     /// as more expensive than they are.
     pub spot_price_weight: f64,
     /// Idle time after which an unneeded machine is deleted, as a multiple of its boot time.
+    /// Machines are not deleted for being idle within the cloud's minimum billing period.
     pub idle_boots: f64,
     /// Time after which a machine that has not come up is deleted, as a multiple of its boot
-    /// time.
+    /// time; at least the cloud's minimum billing period.
     pub boot_limit_boots: f64,
     /// Time without a heartbeat after which a machine is suspected to have failed and is replaced.
     pub suspicion_timeout: Duration,
--- a/src/settings/load.rs
+++ b/src/settings/load.rs
@@ -22,7 +22,8 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Malformed`] if the text cannot be parsed into the structures,
+    /// [`SettingsError::Malformed`] if the text is not TOML, or lacks a field or has one of the
+    /// wrong type,
     /// [`SettingsError::InvalidField`] for the first field with an invalid value.
     pub fn parse(text: &str, file: &Path) -> Result<Self, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::Malformed {
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -24,8 +24,9 @@
     /// Address of the gRPC server for other controllers (`internal_addr`).
     #[serde(rename = "internal_addr")]
     pub peer_listen: SocketAddr,
-    /// The other controllers (`known`). Default: none. The list may be incomplete; if it is,
-    /// nothing is inferred from what the listed controllers report about themselves.
+    /// The other controllers (`known`). Default: none. The list may be incomplete; the leader
+    /// then cannot conclude from the answers of its peers that no other controller replies to
+    /// workers.
     #[serde(rename = "known", default)]
     pub peers: Vec<Peer>,
     /// The external services that controllers use (`external`).
@@ -229,10 +230,11 @@
     pub list_lag_s: f64,
 }
 
-/// Resource limits of the controller process. Queues, caches and tables are sized from them.
+/// Resource limits of the controller process. Queues, caches and tables are sized from the
+/// limits on memory and sockets.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
-    /// CPU cores (`core_share`); above 0, and usually a fraction.
+    /// CPU cores (`core_share`); above 0, and usually a fraction. Only policies read it.
     #[serde(rename = "core_share")]
     pub cpu_share: f64,
     /// Memory, in MB (`ram_mb`); above 0.
@@ -245,8 +247,8 @@
 
 impl ProcessLimits {
     /// Sockets reserved for outgoing connections, in addition to those reserved by
-    /// [`Self::OUTGOING_DIVISOR`].
-    const MIN_OUTGOING: usize = 16;
+    /// [`Self::OUTGOING_DIVISOR`]. Both together reserve at most half of all sockets.
+    const BASE_OUTGOING: usize = 16;
     /// One in this many sockets is reserved for outgoing connections.
     const OUTGOING_DIVISOR: usize = 16;
 
@@ -255,7 +257,7 @@
     /// remaining sockets are for the state service, the cloud, commands pushed to workers and
     /// the other controllers, whose number grows more slowly than the fleet.
     pub fn incoming(&self) -> usize {
-        let outgoing = self.max_connections / Self::OUTGOING_DIVISOR + Self::MIN_OUTGOING;
+        let outgoing = self.max_connections / Self::OUTGOING_DIVISOR + Self::BASE_OUTGOING;
         self.max_connections.saturating_sub(outgoing).max(self.max_connections / 2)
     }
 }
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -10,13 +10,14 @@
 const POSITIVE: &str = "must be a number above 0";
 const NOT_NEGATIVE: &str = "must be a number of at least 0";
 
-/// Exclusive upper bound of numbers. It keeps every duration computed from them in range.
+/// Exclusive upper bound of all numbers with a fraction except the teams' CPUs and GPUs. It
+/// keeps every duration computed from them in range.
 const NUMBER_LIMIT: f64 = 1e9;
-/// Minimum allowed maximum of changes per transaction. A smaller transaction cannot hold all
-/// changes that must be committed together.
+/// Smallest limit on the changes of a transaction that is accepted. A smaller transaction cannot
+/// hold all changes that must be committed together.
 const MIN_TRANSACTION_CHANGES: usize = 4;
-/// Minimum allowed number of sockets. With fewer, the numbers of connections and the queues
-/// derived from it are too small to be useful.
+/// Minimum allowed number of sockets. With fewer, the connection limits and queue sizes that are
+/// derived from it would be too small to be useful.
 const MIN_CONNECTIONS: usize = 16;
 
 /// A field with an invalid value.
@@ -51,8 +52,8 @@
         check_teams(&cluster.teams)
     }
 
-    /// Checks that the names of this controller and its peers are distinct: the leader record
-    /// identifies a controller only by its name.
+    /// Checks that this controller has a name, and that its peers have different ones: the leader
+    /// record identifies a controller only by its name.
     fn check_controller_names(&self) -> Result<(), InvalidField> {
         require(!self.name.is_empty(), "host_name", "must not be empty")?;
         let mut names = HashSet::from([self.name.as_str()]);
@@ -102,9 +103,9 @@
 }
 
 /// Checks the maximum size of transactions, both initial and announced.
-fn check_transaction_size(state: &KvSettings) -> Result<(), InvalidField> {
+fn check_transaction_size(kv: &KvSettings) -> Result<(), InvalidField> {
     const REASON: &str = "must be at least 4";
-    let (present, announced) = (state.initial().txn_ops, state.announced().txn_ops);
+    let (present, announced) = (kv.initial().txn_ops, kv.announced().txn_ops);
     require(present >= MIN_TRANSACTION_CHANGES, "cluster.state.txn_ops", REASON)?;
     require(announced >= MIN_TRANSACTION_CHANGES, "cluster.state.next.txn_ops", REASON)
 }
