--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -37,7 +37,7 @@
     #[error("the controller stopped because its election task ended")]
     ControllerEnded,
     /// The state service gave no usable response.
-    #[error("the state service does not answer")]
+    #[error("the state service gave no usable response")]
     StateServiceUnavailable,
     /// A repair was refused because it needs the leader's lease, which a controller holds.
     #[error("{leader} leads; stop the controllers before a repair")]
@@ -46,7 +46,7 @@
         leader: String,
     },
     /// The command's output could not be written.
-    #[error("{0}")]
+    #[error("cannot write the output: {0}")]
     Output(#[source] std::io::Error),
     /// The controller did not answer a request for its metrics.
     #[error("{address}: {source}")]
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -162,10 +162,7 @@
         let Some(assignment) = Assignment::parse(line)? else { return Ok(()) };
         let Assignment { name, name_column, value_column, .. } = &assignment;
         let Some(parameter) = Parameter::find(name) else {
-            return Err(ExpressionError::new(
-                *name_column,
-                format!("there is nothing named `{name}` to set"),
-            ));
+            return Err(ExpressionError::new(*name_column, format!("there is no parameter `{name}`")));
         };
         if names_set.contains(&parameter.name) {
             return Err(ExpressionError::new(*name_column, format!("`{name}` is set a second time")));
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -99,12 +99,12 @@
         (
             "write_rps = 20.0",
             "write_rps = nan",
-            "s.toml: field `cluster.state.write_rps` must be a number above 0",
+            "s.toml: field `cluster.state.write_rps` must be a number above 0 and below 1000000000",
         ),
         (
             "txn_ops = 12",
             "txn_ops = 12\nnext = { value_kb = 0.0 }",
-            "s.toml: field `cluster.state.next.value_kb` must be a number above 0",
+            "s.toml: field `cluster.state.next.value_kb` must be a number above 0 and below 1000000000",
         ),
         (
             "txn_ops = 12",
--- a/src/settings/validate.rs
+++ b/src/settings/validate.rs
@@ -7,7 +7,7 @@
 
 use super::{Cluster, KvSettings, ProcessLimits, Settings, Team, Workers};
 
-const POSITIVE: &str = "must be a number above 0";
+const POSITIVE: &str = "must be a number above 0 and below 1000000000";
 const NOT_NEGATIVE: &str = "must be a number of at least 0";
 
 /// Exclusive upper bound of all numbers with a fraction except the teams' CPUs and GPUs. It
