--- a/src/coordination/tests/simulation/answers.rs
+++ b/src/coordination/tests/simulation/answers.rs
@@ -18,7 +18,8 @@
 
 impl Simulation {
     /// Handles the answer to a user's request, or its timeout. If the user learned that the job
-    /// was accepted or is terminal, extra requests go to all controllers.
+    /// was accepted or is terminal, and the extra request rate is above 1, extra requests go to
+    /// all controllers.
     pub fn request_answered(
         &mut self,
         id: &str,
@@ -139,9 +140,10 @@
         let was_done = |job: &Job| job.terminal.as_ref().is_some_and(|terminal| terminal.state == "done");
         let ancestors = self.ancestors(answer.id);
         let is_ancestor_cancelled = ancestors.iter().any(|job| wants_cancelled(job) && !was_done(job));
-        let within = self.settings.cluster.workers.cancellation();
-        let is_orphaned =
-            ancestors.iter().any(|job| job.cancelled.is_some_and(|at| answer.origin.sent > at + within));
+        let cancellation_limit = self.settings.cluster.workers.cancellation();
+        let is_orphaned = ancestors
+            .iter()
+            .any(|job| job.cancelled.is_some_and(|at| answer.origin.sent > at + cancellation_limit));
         match state {
             "done" if job.has_unfinished_tasks() => Some(("not_done", "tasks are unfinished")),
             "queued" | "running" if is_orphaned => Some(("orphaned", "a dependency was cancelled long ago")),
@@ -158,7 +160,9 @@
     /// reported.
     fn note_terminal_state(&mut self, answer: &UserAnswer<'_>, state: &str) {
         let Some(job) = self.jobs.get_mut(answer.id) else { return };
-        let Some(state) = ["done", "cancelled"].into_iter().find(|last| *last == state) else { return };
+        let Some(state) = ["done", "cancelled"].into_iter().find(|terminal| *terminal == state) else {
+            return;
+        };
         let first = || TerminalState { state, reported_at: answer.now, reporters: BTreeMap::new() };
         let terminal = job.terminal.get_or_insert_with(first);
         terminal.reporters.entry(answer.origin.process).or_insert(answer.origin.order);
--- a/src/coordination/tests/simulation/cluster.rs
+++ b/src/coordination/tests/simulation/cluster.rs
@@ -122,7 +122,8 @@
     pub(super) reporters: BTreeMap<Process, u64>,
 }
 
-/// When an answer was requested, and when and by which process it was sent.
+/// When a request was sent, which process answered it, and the position of the answer among all
+/// answers.
 #[derive(Debug, Clone, Copy)]
 pub struct Origin {
     /// When the request was sent.
@@ -158,8 +159,7 @@
     pub(super) in_flight: bool,
     /// Indices of the tasks that workers have run to completion.
     pub(super) done: BTreeSet<u32>,
-    /// Since when it has waited although a machine had free capacity and its team was within
-    /// its quota.
+    /// Since when it has waited although an idle machine could run it within its team's quota.
     pub(super) passed_over_since: Option<Instant>,
 }
 
--- a/src/coordination/tests/simulation/mod.rs
+++ b/src/coordination/tests/simulation/mod.rs
@@ -119,7 +119,8 @@
     delayed_writes: RandomFault,
     lost_responses: RandomFault,
     duplicated_writes: RandomFault,
-    /// Delayed transactions, each with the time at which it is applied.
+    /// Delayed transactions and late copies of duplicated ones, each with the time at which it is
+    /// applied.
     delayed_transactions: Vec<(Instant, Request)>,
     watches: Vec<Watch>,
 
@@ -153,18 +154,19 @@
     next_metrics: Instant,
     /// Faults not injected yet, ordered by their times in seconds.
     faults: Vec<(f64, Fault)>,
-    /// No fault is injected and no job arrives from this time on.
+    /// Jobs arrive until this time, and the time limits of waiting jobs and unanswered users count
+    /// from it at the earliest. Some tests have later faults, and end before these limits.
     pub faults_end_at: Instant,
 
     /// Violated rules, each with its time; at most [`MAX_VIOLATIONS`].
     pub violations: Vec<String>,
     /// Tasks started on workers.
     pub starts: usize,
-    /// Transactions that were delayed.
+    /// Delayed transactions and late copies of duplicated ones that were applied.
     pub late_transactions: usize,
     /// Transactions rejected because of the limits in force.
     pub over_limits: usize,
-    /// Heartbeats of which a copy arrived later.
+    /// Heartbeats chosen for a late copy, including copies whose receiver was down.
     pub late_copies: usize,
     /// Jobs whose users learned that they are cancelled.
     pub cancellations: usize,
@@ -232,8 +234,8 @@
 }
 
 impl Simulation {
-    /// A cluster of the usual shape. The times of `faults` are in seconds, as is `faults_end`, by
-    /// which the last fault is over.
+    /// A cluster of the usual shape. The times of `faults` are in seconds, as is `faults_end`,
+    /// which sets [`Simulation::faults_end_at`].
     pub fn new(seed: u64, controllers: usize, faults: Vec<(f64, Fault)>, faults_end: f64) -> Self {
         Simulation::shaped(seed, ClusterShape::usual(controllers), faults, faults_end)
     }
@@ -323,6 +325,7 @@
         self.step_state(now);
         self.inject_due_faults(now);
         self.restart_due_controllers(now);
+        // Called only to record the leader's epoch.
         self.leader();
         self.submit_due_requests(now);
         self.release_held_messages(now);
--- a/src/coordination/tests/simulation/rules.rs
+++ b/src/coordination/tests/simulation/rules.rs
@@ -3,9 +3,10 @@
 
 use super::*;
 
-/// After the last fault, a user gets an answer about each accepted job within this time.
+/// After the end of the faults, a user gets an answer about each accepted job within this time.
 const ANSWERED_WITHIN: Duration = Duration::from_secs(75);
-/// After the last fault, no job waits for longer than this while a machine has free capacity.
+/// After the end of the faults, no job waits for longer than this while an idle machine could run
+/// it.
 const STARTED_WITHIN: Duration = Duration::from_secs(90);
 
 impl Simulation {
@@ -26,13 +27,13 @@
             return self.record_violation("unknown_job", format!("{}/{}", key.0, key.1));
         };
         let (spec, cancelled) = (job.spec.clone(), job.cancelled);
-        self.check_place(name, key, &spec);
+        self.check_placement(name, key, &spec);
         self.check_dependencies(key, &spec);
-        let within = self.settings.cluster.workers.cancellation();
-        if cancelled.is_some_and(|at| now > at + within) {
+        let cancellation_limit = self.settings.cluster.workers.cancellation();
+        if cancelled.is_some_and(|at| now > at + cancellation_limit) {
             self.record_violation("ran_cancelled", format!("{}/{} starts on {name}", key.0, key.1));
         }
-        self.check_limits();
+        self.check_quotas();
     }
 
     /// Checks that no task runs on two machines at once.
@@ -49,7 +50,7 @@
 
     /// Checks the placement constraints of a task's job: zone, spot machines, one zone for all
     /// tasks, and spread.
-    fn check_place(&mut self, name: &str, key: &TaskKey, spec: &JobSpec) {
+    fn check_placement(&mut self, name: &str, key: &TaskKey, spec: &JobSpec) {
         let Some(worker) = self.machines.get(name) else { return };
         let same_job = self.on_machines().filter(|(_, _, running)| running.0 == key.0);
         let zones: Vec<&str> = same_job.map(|(_, worker, _)| worker.zone).collect();
@@ -74,7 +75,7 @@
     }
 
     /// Checks that no team uses more than its quota.
-    pub fn check_limits(&mut self) {
+    pub fn check_quotas(&mut self) {
         for team in self.settings.cluster.teams.clone().into_iter().filter(|t| t.cpus_max > 0.0) {
             let used: f64 = self
                 .on_machines()
@@ -90,9 +91,12 @@
 
     /// Checks that no task of a cancelled job runs beyond the cancellation limit.
     pub fn check_cancelled(&mut self, now: Instant) {
-        let within = self.settings.cluster.workers.cancellation();
+        let cancellation_limit = self.settings.cluster.workers.cancellation();
         let is_late = |key: &TaskKey| {
-            self.jobs.get(&key.0).and_then(|job| job.cancelled).is_some_and(|at| now > at + within)
+            self.jobs
+                .get(&key.0)
+                .and_then(|job| job.cancelled)
+                .is_some_and(|at| now > at + cancellation_limit)
         };
         let late: Vec<String> = self
             .on_machines()
@@ -104,7 +108,8 @@
         }
     }
 
-    /// Records that a worker has run a task to completion.
+    /// Records that a worker has run a task to completion. During [`Fault::CancelAtEnd`] the user
+    /// may cancel the job at the end of its last task.
     pub(super) fn note_task_done(&mut self, now: Instant, key: &TaskKey) {
         let is_cancelled = self.cancel_at_end.affects(now, &mut self.rng);
         let Some(job) = self.jobs.get_mut(&key.0) else { return };
@@ -116,7 +121,7 @@
     }
 
     /// Checks that users keep getting answers about accepted jobs, and that no job waits for too
-    /// long while capacity is free; both after the last fault.
+    /// long while an idle machine could run it; both after the end of the faults.
     pub fn check_waiting(&mut self, now: Instant) {
         let passed_over = self.passed_over_jobs(now);
         let faults_end_at = self.faults_end_at;
@@ -139,7 +144,8 @@
         }
     }
 
-    /// Jobs that wait although a machine has free capacity and their teams are within quota.
+    /// Jobs that wait although an idle machine could run one of their tasks within the quota of
+    /// their team.
     fn passed_over_jobs(&self, now: Instant) -> BTreeSet<String> {
         let up = self.machines.values().filter(|worker| worker.gone_at.is_none());
         let live = up.flat_map(|worker| &worker.tasks).filter(|(_, task)| task.is_live());
@@ -167,7 +173,7 @@
             && job.spec.dependencies.iter().all(is_terminal)
     }
 
-    /// CPUs that a team may use; 0 for a team without settings.
+    /// CPUs that a team may use: 0 for a team without settings, unlimited if its maximum is 0.
     fn quota(&self, team: &str) -> f64 {
         let team = self.settings.cluster.teams.iter().find(|t| t.name == team);
         team.map_or(0.0, |t| if t.cpus_max > 0.0 { t.cpus_max } else { f64::INFINITY })
--- a/src/coordination/tests/simulation/shape.rs
+++ b/src/coordination/tests/simulation/shape.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Hundreds of small jobs, some of several blocks, more rows than a page holds and more
-    /// terminal states than a controller remembers.
+    /// Hundreds of small jobs, some with several blocks of done tasks, more rows than a page holds
+    /// and more terminal states than a controller remembers.
     pub fn crowded(controllers: usize) -> Self {
         ClusterShape {
             mean_submit_interval_s: 0.25,
--- a/src/coordination/tests/simulation/users.rs
+++ b/src/coordination/tests/simulation/users.rs
@@ -62,24 +62,24 @@
     /// Chooses the dependencies of a new job: mostly none, otherwise some of the last few or of all
     /// earlier jobs, in any state, so that chains, diamonds and dependencies that have long been
     /// terminal occur.
-    fn choose_dependencies(&mut self, n: usize) -> Vec<JobId> {
-        let r = &mut self.rng;
+    fn choose_dependencies(&mut self, number: usize) -> Vec<JobId> {
+        let rng = &mut self.rng;
         if self.shape.dependent_probability == 0.0
-            || n < 2
-            || !r.random_bool(self.shape.dependent_probability)
+            || number < 2
+            || !rng.random_bool(self.shape.dependent_probability)
         {
             return Vec::new();
         }
         let mut dependencies = BTreeSet::new();
-        for _ in 0..r.random_range(1..4) {
-            let first = if r.random_bool(0.8) { n.saturating_sub(5).max(1) } else { 1 };
-            dependencies.insert(format!("job-{:05}", r.random_range(first..n)));
+        for _ in 0..rng.random_range(1..4) {
+            let first = if rng.random_bool(0.8) { number.saturating_sub(5).max(1) } else { 1 };
+            dependencies.insert(format!("job-{:05}", rng.random_range(first..number)));
         }
-        let arrays =
+        let is_array =
             |dependency: &String| self.jobs.get(dependency).is_some_and(|j| j.spec.kind == JobKind::Array);
         dependencies
             .iter()
-            .filter(|dependency| arrays(dependency))
+            .filter(|dependency| is_array(dependency))
             .filter_map(|dependency| JobId::parse(dependency))
             .collect()
     }
@@ -100,8 +100,8 @@
         found.into_values().collect()
     }
 
-    /// Adds a job that its user submits in the next step; `run_s` is the run time of each task
-    /// in seconds.
+    /// Adds a job that its user submits as soon as all its dependencies are accepted; `run_s` is
+    /// the run time of each task in seconds.
     pub fn submit(&mut self, now: Instant, spec: JobSpec, run_s: f64, cancel_from: Option<Instant>) {
         let id = spec.id.as_str().to_owned();
         self.jobs.insert(id, Job::new(now, spec, run_s, cancel_from));
@@ -153,8 +153,8 @@
         let is_up = |at: &usize| {
             !(is_partitioned && *at == PARTITIONED_CONTROLLER) && self.controllers[*at].handle.is_some()
         };
-        let reached: Vec<usize> = (0..self.controllers.len()).filter(is_up).collect();
-        let at = (!reached.is_empty()).then(|| reached[self.rng.random_range(0..reached.len())]);
+        let reachable: Vec<usize> = (0..self.controllers.len()).filter(is_up).collect();
+        let at = (!reachable.is_empty()).then(|| reachable[self.rng.random_range(0..reachable.len())]);
         let (id, after) = (id.to_owned(), Duration::from_millis(2));
         self.send(now, UserRequest { id, request_kind, request, at, after, is_extra: false });
     }
@@ -208,7 +208,8 @@
         });
     }
 
-    /// Sends extra requests to all controllers within milliseconds, and again within a second.
+    /// Sends extra requests about a job to all controllers: the first within milliseconds, the
+    /// last after about a second.
     pub(super) fn poll_all_controllers(&mut self, now: Instant, id: &str) {
         for at in 0..self.controllers.len() {
             for after in [0.001, 0.02, 0.2, 0.9] {
--- a/src/coordination/tests/simulation/workers.rs
+++ b/src/coordination/tests/simulation/workers.rs
@@ -7,7 +7,7 @@
 /// CPUs of every machine.
 const CPUS: f64 = 8.0;
 
-/// A command as the protocol encodes it.
+/// A decoded command of a controller.
 struct WorkerCommand<'a> {
     verb: &'a str,
     key: TaskKey,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Starts tasks whose image has been fetched, and ends those whose run time is over.
+    /// Starts tasks whose image has been fetched, and ends those of array jobs whose run time is
+    /// over or which have run to completion before.
     fn progress_tasks(&mut self, now: Instant, name: &str) {
         let Some(worker) = self.machines.get_mut(name) else { return };
         let (mut started, mut ended) = (Vec::new(), Vec::new());
