--- a/src/coordination/tests/simulation/cloud.rs
+++ b/src/coordination/tests/simulation/cloud.rs
@@ -36,7 +36,7 @@
         let name = fields.text("hire").expect("a name").to_owned();
         if !self.node_pools.contains_key(&name) {
             let zone = if fields.text("hall").expect("a zone") == "z2" { "z2" } else { "z1" };
-            let spot = fields.bool("loaners").expect("a kind");
+            let spot = fields.bool("loaners").expect("a spot flag");
             let existing = self.machines.values().filter(|worker| worker.gone_at.is_none()).count();
             let free = CAPACITY.saturating_sub(existing) as u64;
             let count = fields.count("howMany").expect("a count").min(free);
--- a/src/coordination/tests/simulation/controllers.rs
+++ b/src/coordination/tests/simulation/controllers.rs
@@ -15,19 +15,25 @@
         let cluster = settings.cluster.clone();
         let tuning = policy::Tuning::load(&cluster, None).expect("the default policy is valid");
         let ttl = tuning.lease;
-        let (leads, leading) = watch::channel(false);
-        let store = kv::start(settings.services.kv, &cluster.kv, cluster.size, ttl / 6, leading);
-        let (term, until) = watch::channel(now);
-        let cloud = cloud_client::start(settings.services.cloud, cluster.cloud.rps, seconds(4.0), until);
+        let (is_leader, is_leader_receiver) = watch::channel(false);
+        let store = kv::start(settings.services.kv, &cluster.kv, cluster.size, ttl / 6, is_leader_receiver);
+        let (lease_expiry, lease_expiry_receiver) = watch::channel(now);
+        let cloud = cloud_client::start(
+            settings.services.cloud,
+            cluster.cloud.rps,
+            seconds(4.0),
+            lease_expiry_receiver,
+        );
         let election = Election::new(&settings.name, &format!("{at}-{incarnation}"), ttl);
-        let (roles_in, roles) = mpsc::channel(16);
-        let (abandoned, abandoned_epoch) = watch::channel(0);
+        let (role_sender, roles) = mpsc::channel(16);
+        let (resigned_epoch, resigned_epoch_receiver) = watch::channel(0);
         let address = settings.peer_listen.to_string();
         let controller = &mut self.controllers[at];
-        let electing = election::run(election, store.clone(), address, roles_in, abandoned_epoch);
+        let electing = election::run(election, store.clone(), address, role_sender, resigned_epoch_receiver);
         let election_task = tokio::spawn(controller.stalls.clone().run(electing));
         let config = Arc::new(Config { settings, tuning });
-        let (actor, inputs, handle) = Controller::new(config, store, cloud, leads, term, abandoned, roles);
+        let (actor, inputs, handle) =
+            Controller::new(config, store, cloud, is_leader, lease_expiry, resigned_epoch, roles);
         let actor_task = tokio::spawn(controller.stalls.clone().run(actor.run(inputs)));
         controller.tasks = vec![election_task.abort_handle(), actor_task.abort_handle()];
         controller.handle = Some(handle);
--- a/src/coordination/tests/simulation/events.rs
+++ b/src/coordination/tests/simulation/events.rs
@@ -39,7 +39,9 @@
     },
     /// A controller replied to a call of another.
     PeerReplied {
+        /// The controller that replied.
         sender: usize,
+        /// The controller that made the call.
         peer: usize,
         reply: PeerReply,
     },
--- a/src/coordination/tests/simulation/network.rs
+++ b/src/coordination/tests/simulation/network.rs
@@ -25,7 +25,7 @@
     service: u8,
     /// Third octet: the controller that sent the message.
     sender: u8,
-    /// Last octet: the controller that it is for.
+    /// Last octet: the controller that receives the message.
     receiver: u8,
     port: u16,
 }
@@ -85,7 +85,8 @@
         self.controllers[usize::from(destination.sender)].incarnation + BASE_PORT == destination.port
     }
 
-    /// Delivers a call to another controller, unless the two cannot reach each other.
+    /// Delivers a call to another controller, unless the caller has ended or the two cannot reach
+    /// each other.
     fn deliver_peer_call(
         &mut self,
         now: Instant,
--- a/src/coordination/tests/simulation/state_service.rs
+++ b/src/coordination/tests/simulation/state_service.rs
@@ -4,8 +4,8 @@
 use super::*;
 
 impl Simulation {
-    /// Handles a request of a controller. Random numbers are drawn in the order of the code,
-    /// whether or not their values are used.
+    /// Handles a request of a controller. Some random numbers are drawn before it is known
+    /// whether they are used; moving a draw changes everything that follows it.
     pub(super) fn handle_state_request(
         &mut self,
         now: Instant,
@@ -131,7 +131,7 @@
         self.answer_watches(now);
     }
 
-    /// Applies the delayed transactions that are due, in the order of their times.
+    /// Applies the delayed transactions and late copies that are due, in the order of their times.
     fn apply_late_transactions(&mut self, now: Instant) {
         let (mut due, rest): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.delayed_transactions).into_iter().partition(|(at, _)| now >= *at);
