--- a/src/coordination/tests/dependencies.rs
+++ b/src/coordination/tests/dependencies.rs
@@ -380,9 +380,9 @@
 /// A description of how an admission in flight ends, and the function that ends it.
 type AdmissionPath = (&'static str, fn(&mut Harness));
 
-/// Whichever path brings a job into memory (an admission whose outcome was read back, an
-/// admission requested twice, a failover or the reconciler), the job starts only once its
-/// dependencies are known to be done.
+/// Whichever path brings a job into memory (a committed admission, whose outcome the client of the
+/// state service may have read back, an admission requested twice, a failover or the reconciler),
+/// the job starts only once its dependencies are known to be done.
 #[test]
 fn a_dependent_job_waits_whether_submitted_retried_restored_or_failed_over() {
     let dependent = || dependent_job("job-2", &["job-1"]);
@@ -391,7 +391,7 @@
         harness.submit(dependent());
     };
     let paths: [AdmissionPath; 3] = [
-        ("its outcome was read back", |harness| drop(harness.commit_all())),
+        ("committed", |harness| drop(harness.commit_all())),
         ("submitted again while in flight", |harness| {
             harness.submit(dependent_job("job-2", &["job-1"]));
             harness.commit_all();
--- a/src/coordination/tests/failover.rs
+++ b/src/coordination/tests/failover.rs
@@ -295,7 +295,7 @@
     assert_eq!(starts(&harness.heartbeat("vm-2", sequence + 1, EPOCH, vec![])).len(), 1);
 }
 
-/// If machines report tasks to a new leader that are done already or run elsewhere, the reply to
+/// If machines report to a new leader tasks that are already done or run elsewhere, the reply to
 /// the first heartbeat under the new fencing token stops them. They count against the quota until
 /// they have ended.
 #[test]
--- a/src/coordination/tests/fixtures.rs
+++ b/src/coordination/tests/fixtures.rs
@@ -97,7 +97,6 @@
 /// An attempt of a task that the leader has commanded a machine to start.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct StartedTask {
-    /// The task.
     pub(super) task: TaskId,
     /// The attempt number, which is unique among the starts of the task.
     pub(super) attempt: u64,
--- a/src/coordination/tests/lease.rs
+++ b/src/coordination/tests/lease.rs
@@ -110,9 +110,9 @@
     assert_eq!(harness.job_state("job-1"), Some(JobState::Queued));
 }
 
-/// A process is stalled past its lease and its post-lease grace period while its clocks run on. When it
-/// resumes, neither delayed copies of heartbeats nor repeated requests make it act, whichever
-/// arrives first.
+/// A process is stalled past its lease and its post-lease grace period while its clocks run on.
+/// When it resumes, neither delayed copies of heartbeats nor repeated requests make it act,
+/// whichever arrives first.
 #[test]
 fn a_leader_stalled_past_its_lease_does_nothing_when_it_resumes() {
     let mut harness = Harness::with_machines(&["vm-1"]);
--- a/src/coordination/tests/monotonic_answers.rs
+++ b/src/coordination/tests/monotonic_answers.rs
@@ -15,12 +15,13 @@
 /// Environment variable: the first seed.
 const FIRST_SEED_VARIABLE: &str = "SHEDTALLY_FIRST_ANSWER_SEED";
 
-/// All faults have ended by this time, in seconds of simulated time.
+/// No random job arrives and no fault begins after this time, in seconds of simulated time. Some
+/// faults last longer.
 const FAULTS_END: f64 = 45.0;
 /// When the simulation ends, in seconds of simulated time.
 const END: f64 = 75.0;
 
-/// Random overlapping faults that leave controllers with different knowledge.
+/// Random overlapping faults, after which controllers know different states of the same jobs.
 fn random_faults(seed: u64, controllers: usize) -> Vec<(f64, Fault)> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xa115);
     (0..rng.random_range(4..14))
--- a/src/coordination/tests/overlapping_faults.rs
+++ b/src/coordination/tests/overlapping_faults.rs
@@ -34,7 +34,7 @@
         assert!(simulation.violations.is_empty(), "{controllers} controllers: {:#?}", simulation.violations);
         assert!(
             simulation.starts > 20 && overlapped(&simulation),
-            "{controllers} controllers: the faults did not overlap"
+            "{controllers} controllers: too few starts, or the faults did not overlap"
         );
     }
 }
@@ -154,8 +154,8 @@
 #[test]
 fn tasks_of_a_job_end_far_apart_across_failovers() {
     let kill = Kill { controller: None, restart_after: 5.0 };
-    let changes: Vec<_> = (0..7).map(|n| (30.0 + 12.0 * f64::from(n), kill)).collect();
-    run_concurrent_faults(&changes, |simulation| simulation.leaders.len() >= 7);
+    let kills: Vec<_> = (0..7).map(|n| (30.0 + 12.0 * f64::from(n), kill)).collect();
+    run_concurrent_faults(&kills, |simulation| simulation.leaders.len() >= 7);
 }
 
 #[test]
--- a/src/coordination/tests/random_faults.rs
+++ b/src/coordination/tests/random_faults.rs
@@ -151,12 +151,12 @@
 
 /// Runs a script on a cluster without faults; the checker must report a violation of the rule.
 fn assert_caught(rule: &str, script: impl FnOnce(&mut Simulation)) {
-    let failures = in_simulated_time(async {
+    let violations = in_simulated_time(async {
         let mut simulation = Simulation::new(1, 3, Vec::new(), 0.0);
         script(&mut simulation);
         simulation.violations
     });
-    assert!(failures.iter().any(|b| b.starts_with(rule)), "{rule} is not caught: {failures:?}");
+    assert!(violations.iter().any(|v| v.starts_with(rule)), "{rule} is not caught: {violations:?}");
 }
 
 /// The origin of an answer of the first controller to a request sent at this time.
--- a/src/coordination/tests/records.rs
+++ b/src/coordination/tests/records.rs
@@ -145,11 +145,11 @@
         harness.heartbeat(name, 5, EPOCH, std::iter::once(task_status(ended, DONE)).chain(rest).collect());
     }
     harness.commits.clear();
-    let records =
+    let progress_writes =
         |harness: &Harness| harness.commits.iter().filter(|(_, t)| t.class == RequestClass::Progress).count();
     let allowance = harness.config.settings.cluster.kv.write_rps;
     harness.advance(1.0);
-    let first = records(&harness);
+    let first = progress_writes(&harness);
     assert!(first > 0 && first as f64 <= allowance, "{first} writes, {allowance} allowed per second");
     let reply = harness.submit(sample("job-new", "blue", 1, 1.0));
     harness.commit_all();
@@ -157,7 +157,7 @@
     let mut written = first;
     for _ in 0..20 {
         harness.advance(1.0);
-        written += records(&harness);
+        written += progress_writes(&harness);
         harness.commit_all();
     }
     assert!(written >= 30, "only {written} jobs' done tasks were written");
--- a/src/coordination/tests/scale_out.rs
+++ b/src/coordination/tests/scale_out.rs
@@ -1,4 +1,4 @@
-//! Tests of scale out, scale in and the inventory of the cloud.
+//! Tests of scale out, scale in, the descheduler and the inventory of the cloud.
 
 use super::*;
 
@@ -138,7 +138,7 @@
     assert!(!list(&mut harness, vec![]), "this page may be older than the previous one");
     assert!(
         list(&mut harness, vec![]),
-        "missing twice and without heartbeats: its deletion is requested as proof"
+        "missing twice and without heartbeats: its deletion is requested as proof that it is gone"
     );
 }
 
--- a/src/coordination/tests/unreadable.rs
+++ b/src/coordination/tests/unreadable.rs
@@ -214,8 +214,11 @@
     for key in &keys {
         server.seed(key, damaged_value(), 5).await;
     }
-    let unread = snapshot::reread_unreadable(&kv, keys.clone(), 8.0).await.expect("served");
-    assert_eq!((unread.jobs.len(), unread.node_pools.len(), unread.unreadable.len()), (0, 0, 2));
+    let still_damaged = snapshot::reread_unreadable(&kv, keys.clone(), 8.0).await.expect("served");
+    assert_eq!(
+        (still_damaged.jobs.len(), still_damaged.node_pools.len(), still_damaged.unreadable.len()),
+        (0, 0, 2)
+    );
     let mut harness = harness_after_failover(snapshot::read_snapshot(&kv, 8.0).await.expect("served"));
     assert_eq!(harness.leader.unreadable_after("", 8).len(), 2);
     server.seed(&keys[0], record.encode(8.0), 6).await;
