--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -20,19 +20,22 @@
     Quota,
     /// A task ran in a zone or on a spot machine that its job does not allow.
     WrongPlace,
-    /// A task of a cancelled job kept running for too long, or started too late.
+    /// A task kept running, or started, too long after its job or a dependency of the job was
+    /// reported cancelled.
     RanCancelled,
-    /// A worker received a start well after the user was told that the job is cancelled.
+    /// A worker received a start command too long after the job or a dependency of it was reported
+    /// cancelled.
     StartedCancelled,
-    /// A previously accepted job was reported as unknown or rejected, or requests about it stopped
-    /// getting responses.
+    /// A valid submission was rejected, an accepted job was later reported as unknown or rejected,
+    /// or requests about it stopped getting responses.
     Forgotten,
     /// A job that was never submitted was reported as existing, or was started.
     Invented,
     /// A job was reported done before all of its tasks had completed.
     NotDone,
-    /// A reported terminal state changed, a job was reported cancelled although neither it nor a
-    /// dependency had been cancelled, or a cancellation was confirmed but had no effect.
+    /// A reported terminal state changed, a job was reported cancelled although no user had
+    /// cancelled it or a dependency, or the response to a cancellation had a state that is not
+    /// terminal.
     WentBack,
     /// No task was started during the run.
     NothingRan,
@@ -80,12 +83,12 @@
     pub cancel_within: Duration,
     /// How long a start command may stay in flight after a cancellation is confirmed.
     pub start_in_flight: Duration,
-    /// When the last fault ended.
+    /// When the last faults of the controllers and their links ended.
     pub faults_end_at: Elapsed,
     /// End of the run.
     pub end: Elapsed,
-    /// Jobs that are accepted and ready at least this long before the end must have started by
-    /// the end.
+    /// A job that was accepted at least this long before the end must get a response within this
+    /// time before the end. If it was also ready by then, it must have started by the end.
     pub settle_time: Duration,
     /// Maximum tolerated delay of the harness's own timers; added to every time limit.
     pub max_lag: Duration,
@@ -113,7 +116,7 @@
     /// All dependencies of each job, direct and indirect.
     ancestors: Vec<BTreeSet<usize>>,
     findings: Vec<Finding>,
-    /// Number of tasks that were started.
+    /// Number of task starts.
     task_starts: usize,
 }
 
@@ -249,7 +252,8 @@
         }
     }
 
-    /// Checks a task's zone and spot machine against the placement constraints of its job.
+    /// Checks a task's zone, and whether its machine is a spot machine, against the placement
+    /// constraints of its job.
     fn check_placement(&mut self, at: Elapsed, job: usize, zone: &'static str, spot: bool, name: &str) {
         let tasks_of_job = self.running.iter().filter(|(other, _)| other.job == job);
         let zones: Vec<&str> = tasks_of_job.map(|(_, (zone, _))| *zone).collect();
@@ -297,7 +301,7 @@
             self.add_finding(
                 Rule::RanCancelled,
                 until,
-                format!("{name} ran until then, cancellation reported at {reported:?}"),
+                format!("{name} was still running, cancellation reported at {reported:?}"),
             );
         }
         if let Some((JobState::Done, reported)) = self.observed_jobs[task.job].reported
@@ -312,8 +316,8 @@
     }
 
     fn handle_invalid_request(&mut self, at: Elapsed, expected: u16, status: u16) {
-        let refused = status == expected || matches!(status, 429 | 503 | 504);
-        match (refused, expected) {
+        let is_allowed = status == expected || matches!(status, 429 | 503 | 504);
+        match (is_allowed, expected) {
             (true, _) => {}
             (false, 404) => {
                 self.add_finding(Rule::Invented, at, format!("status {status} for an unknown job"));
@@ -380,14 +384,14 @@
             self.add_finding(Rule::NotDone, at, description.clone());
         }
         let bound = self.parameters.cancel_within + self.parameters.max_lag;
-        let cancelled_dependencies = self.ancestors[job].iter().filter_map(|dependency| {
+        let reported_cancellations = self.ancestors[job].iter().filter_map(|dependency| {
             match self.observed_jobs[*dependency].reported {
                 Some((JobState::Cancelled, reported)) => Some(reported),
                 _ => None,
             }
         });
         if !state.is_terminal()
-            && cancelled_dependencies.min().is_some_and(|reported| sent_at > reported + bound)
+            && reported_cancellations.min().is_some_and(|reported| sent_at > reported + bound)
         {
             self.add_finding(Rule::OrphanedJob, at, description);
         }
@@ -431,7 +435,7 @@
                 && observed.reported.is_none()
                 && observed.cancel_requested_at.is_none()
             {
-                let description = format!("{}: accepted at {accepted_at:?}", self.name(job));
+                let description = format!("{}: accepted at {accepted_at:?}, not started", self.name(job));
                 self.add_finding(Rule::Starved, end, description);
             }
         }
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -45,12 +45,12 @@
         /// The job's state, if the response has one.
         state: Option<JobState>,
     },
-    /// A user sends the first request to cancel a job.
+    /// A user is about to cancel a job. Recorded once for all retries of the request.
     CancelRequested { job: usize },
     /// A user received the response to a request that must be rejected, or to a poll of an unknown
     /// job.
     InvalidRequest { expected: u16, status: u16 },
-    /// A worker received the first start command of this attempt.
+    /// A worker received a start command for an attempt that it does not have yet.
     StartReceived { task: TaskOnMachine, attempt: u64 },
     /// A worker received a start command for a job that was never submitted.
     UnknownStartReceived { machine: String },
@@ -58,7 +58,7 @@
     TaskStarted { task: TaskOnMachine, zone: &'static str, spot: bool },
     /// A task has completed.
     TaskCompleted { job: usize, index: u32 },
-    /// A task has ended and is no longer on the machine.
+    /// A running task has ended: it has completed, or was stopped or killed.
     TaskRemoved { task: TaskOnMachine },
     /// The key-value store has committed a transaction.
     Committed { controller: usize, revision: u64, keys: Vec<String> },
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -48,7 +48,7 @@
         println!("{report}");
     }
     let failed: Vec<&Report> = reports.iter().filter(|report| report.verdict != Verdict::Passed).collect();
-    assert!(failed.is_empty(), "{} of {} runs: {failed:#?}", failed.len(), reports.len());
+    assert!(failed.is_empty(), "{} of {} runs did not pass: {failed:#?}", failed.len(), reports.len());
     Ok(())
 }
 
