--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -10,8 +10,8 @@
 pub const FIRST_SEED: &str = "SHEDTALLY_SOAK_FIRST_SEED";
 /// Variable: number of machines in the fleet.
 pub const WORKERS: &str = "SHEDTALLY_SOAK_WORKERS";
-/// Variable: for how many seconds new faults are injected. A run takes longer, until the cluster
-/// has recovered.
+/// Variable: for how many seconds new faults are planned. A run takes longer: it also waits for the
+/// faults to end and for the cluster to recover.
 pub const SECONDS: &str = "SHEDTALLY_SOAK_SECONDS";
 /// Variable: number of seeds to run concurrently.
 pub const AT_ONCE: &str = "SHEDTALLY_SOAK_AT_ONCE";
@@ -27,7 +27,7 @@
     pub seeds: u64,
     /// Number of machines in the fleet.
     pub workers: u64,
-    /// For how many seconds new faults are injected.
+    /// For how many seconds new faults are planned.
     pub seconds: u64,
     /// Number of seeds to run concurrently.
     pub at_once: u64,
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -19,7 +19,7 @@
 pub enum Cut {
     /// Traffic is delivered once the fault has ended.
     Held,
-    /// Traffic is dropped, and the connections are lost.
+    /// Traffic is dropped; connections that carried any are closed once the fault has ended.
     Lost,
     /// Open connections are closed, and new ones are refused.
     Refused,
@@ -128,7 +128,7 @@
         self.controllers.iter().map(|c| c.workers.address).collect()
     }
 
-    /// Starts a controller's process unless it is running, and points its links to it.
+    /// Starts a controller's process unless it is running, and points its incoming links to it.
     ///
     /// # Errors
     ///
@@ -200,7 +200,7 @@
         )
     }
 
-    /// Kills a controller's process with SIGKILL; its links then refuse connections.
+    /// Kills a controller's process with SIGKILL; its incoming links then refuse connections.
     pub fn kill(&mut self, index: usize) {
         let controller = &mut self.controllers[index];
         let Some(mut child) = controller.child.take() else { return };
@@ -260,7 +260,8 @@
         }
     }
 
-    /// Ends all faults: resumes stopped processes, restores links and restarts killed controllers.
+    /// Ends all faults of the controllers and their links: resumes stopped processes, restores links
+    /// and restarts killed controllers.
     ///
     /// # Errors
     ///
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -25,15 +25,18 @@
 use super::workers::WorkerContext;
 use super::{CANCEL_WITHIN, http};
 
-/// Time from the end of the last fault to the end of the run. It covers the time limit of a
-/// cancellation, a failover, and establishing the state of suspected machines.
+/// Time from the end of the controllers' faults to the end of the run. It covers the time limit of
+/// a cancellation, a failover, and establishing the state of suspected machines.
 const RECOVERY_TIME: Duration = Duration::from_secs(30);
-/// Users stop submitting jobs this long before the last faults begin.
+/// The last new jobs are planned this long before the end of the period for which faults are
+/// planned.
 const SUBMISSION_END_MARGIN: Duration = Duration::from_secs(2);
-/// All faults end at most this long after the latest possible beginning of a fault.
+/// The run ends all faults of controllers and their links this long after the period for which
+/// faults are planned. Faults of the key-value store, the cloud and the machines end by themselves,
+/// possibly later.
 const FAULT_END_MARGIN: Duration = Duration::from_secs(10);
-/// Jobs that were accepted at least this long before the end must have got a response since then
-/// and, if ready, have started by the end.
+/// A job that was accepted at least this long before the end must get a response within this time
+/// before the end. If it was also ready by then, it must have started by the end.
 const SETTLE_TIME: Duration = Duration::from_secs(16);
 /// How long a start command that is in flight when a cancellation is confirmed may still arrive in
 /// a heartbeat response: the worker drops a response that takes longer. Pushed commands have no
@@ -46,7 +49,8 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval for polling the controllers' status; also the timeout of each poll.
 const STATUS_INTERVAL: Duration = Duration::from_millis(500);
-/// A fault with a trigger begins after this time if no matching response arrives.
+/// A fault with a trigger waits for a matching response for at most this long, then begins without
+/// one.
 const TRIGGER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Result of a run.
@@ -56,7 +60,7 @@
     Passed,
     /// Rules were broken.
     Failed(Vec<Finding>),
-    /// The run gives no result: the harness's own timers were too late, or it could not be started.
+    /// The run gives no result: the harness's own timers were too late, or an I/O error ended it.
     NotJudged(String),
 }
 
@@ -71,7 +75,7 @@
     pub machines: u64,
     /// How long the run took.
     pub duration: Duration,
-    /// Number of tasks that were started.
+    /// Number of task starts.
     pub starts: usize,
     /// Number of responses that users received.
     pub answers: usize,
@@ -184,14 +188,14 @@
         starts: count(|event| matches!(event, Event::TaskStarted { .. })),
         answers: count(|event| matches!(event, Event::ResponseReceived { .. })),
         faults: count(|event| matches!(event, Event::Fault { .. })),
-        leaders: count(is_leader_change),
+        leaders: count(writes_leader_key),
         lag,
         verdict,
     })
 }
 
 /// Whether the event is a commit that wrote the leader key.
-fn is_leader_change(event: &Event) -> bool {
+fn writes_leader_key(event: &Event) -> bool {
     matches!(event, Event::Committed { keys, .. } if keys.iter().any(|key| key == "leader"))
 }
 
@@ -307,14 +311,14 @@
     }
 }
 
-/// Polls the controllers' status periodically, and records non-zero counters of violated
-/// invariants.
+/// Polls the controllers' status periodically, and records each non-zero counter of a violated
+/// invariant.
 fn poll_status(controllers: Vec<std::net::SocketAddr>, recorder: Recorder) -> tokio::task::AbortHandle {
     let polling = tokio::spawn(async move {
         loop {
             for (controller, address) in controllers.iter().enumerate() {
-                let (target, deadline) = ("/status".into(), STATUS_INTERVAL);
-                let call = HttpCall { method: "GET", target, body: Vec::new(), timeout: deadline };
+                let (target, response_timeout) = ("/status".into(), STATUS_INTERVAL);
+                let call = HttpCall { method: "GET", target, body: Vec::new(), timeout: response_timeout };
                 let Some(response) = http::send(*address, call).await else { continue };
                 let Ok(body) = decode(&response.body) else { continue };
                 let Ok(fields) = Fields::of(&body) else { continue };
@@ -433,7 +437,8 @@
         Ok(())
     }
 
-    /// Injects the planned faults in order, each at its time or on its trigger.
+    /// Injects the planned faults in order, each at its time or, if it has a trigger, after the next
+    /// response of that kind.
     async fn inject_faults(
         &mut self,
         planned: &[PlannedFault],
--- a/tests/soak/schedule.rs
+++ b/tests/soak/schedule.rs
@@ -52,7 +52,7 @@
     Machines { share: f64, fault: MachineFault },
     /// A share of the machines is terminated, with all tasks on them.
     TerminateMachines { share: f64 },
-    /// Users cancel a share of their unfinished jobs at once.
+    /// Users cancel a share of their accepted jobs at once.
     CancelMany { share: f64 },
 }
 
@@ -72,7 +72,7 @@
 pub struct PlannedFault {
     /// Planned time, since the beginning of the run.
     pub at: Duration,
-    /// The response that it waits for after that time, if any.
+    /// The kind of response that it waits for after that time, if any.
     pub trigger: Option<Trigger>,
     /// The fault.
     pub fault: Fault,
@@ -82,9 +82,9 @@
     Duration::from_secs_f64(rng.random_range(range))
 }
 
-/// Plans the faults of a run: two or three overlapping faults at a time, losses of successive
-/// leaders, and faults right after a response that commits a controller to a state. All of them
-/// begin within `duration`.
+/// Plans the faults of a run in groups: two or three overlapping faults, losses of successive
+/// leaders, or a fault right after a response that a controller must not contradict later. Each
+/// group begins within `duration`; its last faults may begin a few seconds later.
 pub fn plan(seed: u64, controllers: usize, duration: Duration) -> Vec<PlannedFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5c4ed);
     let mut planned = Vec::new();
