--- a/tests/soak/cloud.rs
+++ b/tests/soak/cloud.rs
@@ -17,7 +17,7 @@
 use super::jobs::{MACHINE_CPUS, ZONES};
 use super::workers::{self, Identity, MachineFault, WorkerContext, WorkerHandle};
 
-/// How long after a machine's creation or deletion the inventory shows it.
+/// Delay after which the inventory shows the creation or deletion of a machine.
 pub const LIST_LAG: Duration = Duration::from_secs(1);
 /// Typical boot time of a machine, in seconds.
 const BOOT_S: f64 = 1.5;
--- a/tests/soak/jobs.rs
+++ b/tests/soak/jobs.rs
@@ -42,7 +42,7 @@
     pub spot: bool,
     /// Indices of the jobs that must complete before it starts; all are earlier in the plan.
     pub dependencies: Vec<usize>,
-    /// Submission time, since the beginning of the run.
+    /// Planned submission time, since the users started.
     pub submit_at: Duration,
     /// How long after its acceptance its user cancels it, if at all.
     pub cancel_after: Option<Duration>,
--- a/tests/soak/kv_server.rs
+++ b/tests/soak/kv_server.rs
@@ -41,7 +41,7 @@
 /// A fault of the key-value store.
 #[derive(Debug, Clone, Copy)]
 pub enum KvFault {
-    /// Every request gets 503.
+    /// Every request gets 503; open watches stay pending.
     Outage { duration: Duration },
     /// One controller's requests get 503; its open watches stay pending.
     Refuse { controller: usize, duration: Duration },
@@ -62,7 +62,7 @@
         reply: oneshot::Sender<Response>,
     },
     Fault(KvFault),
-    /// Requests the name of the controller that holds the key `leader`.
+    /// Requests the name of the controller that is the leader according to the key `leader`.
     Leader(oneshot::Sender<Option<String>>),
     /// Executes a delayed or duplicated transaction.
     Commit {
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -23,12 +23,12 @@
 /// How long users wait for the response to a poll.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Tells users to cancel a share of their unfinished jobs each time `number` increases.
+/// Tells users to cancel a share of their accepted jobs each time `number` increases.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MassCancellation {
     /// Number of mass cancellations so far.
     pub number: u64,
-    /// The share of unfinished jobs to cancel.
+    /// The probability that the user of an accepted job cancels it.
     pub share: f64,
 }
 
@@ -41,7 +41,7 @@
     pub controllers: Vec<SocketAddr>,
     /// Records responses.
     pub recorder: Recorder,
-    /// When the run began.
+    /// When the users started; submission times are relative to this.
     pub begin: Instant,
     /// Receives mass cancellations.
     pub mass_cancellations: watch::Receiver<MassCancellation>,
@@ -181,8 +181,8 @@
             UserRequest::Poll => ("GET", format!("/api/jobs/{id}"), Vec::new()),
             UserRequest::Cancel => ("POST", format!("/api/jobs/{id}/withdraw"), Vec::new()),
         };
-        let deadline = if request == UserRequest::Poll { POLL_TIMEOUT } else { CHANGE_TIMEOUT };
-        let call = HttpCall { method, target, body, timeout: deadline };
+        let response_timeout = if request == UserRequest::Poll { POLL_TIMEOUT } else { CHANGE_TIMEOUT };
+        let call = HttpCall { method, target, body, timeout: response_timeout };
         let Some(response) = send(self.users.controllers[controller], call).await else { return (0, None) };
         let (status, job) = (response.status, self.job);
         let state = parse_state(&response);
@@ -218,8 +218,8 @@
             3 => ("POST", "/api/jobs", with_field(&valid, "awaits", single_item_array("job-777777")), 422),
             _ => ("POST", "/api/jobs", with_field(&valid, "cores", Value::from(999.0)), 422),
         };
-        let deadline = CHANGE_TIMEOUT;
-        let call = HttpCall { method, target: target.into(), body, timeout: deadline };
+        let response_timeout = CHANGE_TIMEOUT;
+        let call = HttpCall { method, target: target.into(), body, timeout: response_timeout };
         let controller = users.controllers[rng.random_range(0..users.controllers.len())];
         if let Some(response) = send(controller, call).await {
             users.recorder.record(Event::InvalidRequest { expected, status: response.status });
--- a/tests/soak/workers.rs
+++ b/tests/soak/workers.rs
@@ -20,7 +20,8 @@
 
 /// Average interval between heartbeats.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// A worker that gets no response for this long kills its tasks and starts a new incarnation.
+/// A worker kills its tasks and starts a new incarnation if more than this has passed since it sent
+/// the last heartbeat that renewed its lease.
 pub const LEASE: Duration = Duration::from_secs(8);
 /// Workers drop responses that take longer than this.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
@@ -47,7 +48,7 @@
     OneWayPartition { duration: Duration },
     /// Its heartbeats are lost, but pushed commands arrive.
     HeartbeatsLost { duration: Duration },
-    /// Its worker and tasks are suspended.
+    /// Its worker and tasks are suspended, but the lease still expires.
     Hang { duration: Duration },
     /// Copies of this share of its heartbeats arrive later.
     DuplicatedHeartbeats { share: f64, duration: Duration },
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Suspends the worker and its tasks, and postpones the ends of the tasks accordingly.
+    /// Suspends the worker and its tasks: image fetches and runs end later by `duration`.
     fn hang(&mut self, now: Instant, duration: Duration) {
         self.hung_until = now + duration;
         for task in &mut self.tasks {
@@ -313,8 +314,9 @@
 
     fn run_tasks(&mut self, now: Instant) {
         let mut changed = false;
-        for at in 0..self.tasks.len() {
-            let (job, index, state) = (self.tasks[at].job, self.tasks[at].index, self.tasks[at].state);
+        for position in 0..self.tasks.len() {
+            let (job, index, state) =
+                (self.tasks[position].job, self.tasks[position].index, self.tasks[position].state);
             let next = match state {
                 TaskState::Fetching(until) if now >= until => {
                     let (zone, spot) = (self.identity.zone, self.identity.spot);
@@ -329,7 +331,7 @@
                 }
                 _ => continue,
             };
-            self.tasks[at].state = next;
+            self.tasks[position].state = next;
             changed = true;
         }
         if changed {
