--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -56,7 +56,7 @@
 
 /// Epoch of the leader.
 const EPOCH: u64 = 7;
-/// The write of an operation gets the operation's number plus this as its version.
+/// A committed write gets the number of its operation plus this as its version.
 const VERSION_OFFSET: u64 = 100;
 /// Numbers of machines in the measured fleets.
 const FLEET_SIZES: [usize; 3] = [50, 500, 4000];
@@ -242,8 +242,8 @@
     });
     let mut fixture = Fixture::new(machines);
     fixture.all_heartbeats();
-    // Every machine is full except for a remainder that no task fits into, and the backlog is
-    // several times as large: on the largest fleet a thousand jobs with 34,000 tasks.
+    // Fills every machine except for a remainder that no task fits into, and leaves several times
+    // as many tasks waiting: on the largest fleet, 68,000 tasks of 2,000 jobs.
     for _ in 0..machines / 2 {
         fixture.submit(40);
     }
