--- a/src/coordination/fleet/machine.rs
+++ b/src/coordination/fleet/machine.rs
@@ -3,8 +3,7 @@
 //!
 //! A machine is deleted by a request to the cloud; scaling in is deleting machines that are not
 //! needed. A machine is silent while no heartbeats of its worker arrive. How long it must be silent
-//! to be suspected, or to be considered dead, is decided by
-//! [`crate::coordination::workers::failure_detector`].
+//! to be suspected, or to be considered dead, is decided by the module `workers::failure_detector`.
 
 use std::time::Duration;
 
--- a/src/coordination/tests/cancellation.rs
+++ b/src/coordination/tests/cancellation.rs
@@ -76,7 +76,7 @@
         assert_eq!(
             config.failover_lease_timeout(),
             config.worker_lease_timeout() + config.post_lease_grace(),
-            "a new leader waits for the post-lease grace, too"
+            "a new leader waits for the post-lease grace period, too"
         );
         graces.push(config.post_lease_grace());
     }
--- a/src/storage/kv.rs
+++ b/src/storage/kv.rs
@@ -221,14 +221,14 @@
     rand::random()
 }
 
-/// Upper estimate of the bytes that a transaction takes in a request.
+/// Upper bound on the bytes that a transaction takes in a request.
 fn transaction_size(transaction: &Transaction) -> usize {
     let compares = transaction.compares.iter().map(|compare| compare.key.len() + COMPARE_OVERHEAD_BYTES);
     let changes = transaction.changes.iter().map(change_size);
     compares.sum::<usize>() + changes.sum::<usize>()
 }
 
-/// Upper estimate of the bytes that a change takes in a request.
+/// Upper bound on the bytes that a change takes in a request.
 fn change_size(change: &Change) -> usize {
     let value = match change {
         Change::Put { value, .. } => max_json_size(value),
